--- a/cmd/elderyard/log_test.go
+++ b/cmd/elderyard/log_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab/soak"
+	"amberlb/internal/lab/soak"
 )
 
 // A log that nobody takes, be it closed or full, neither ends a gateway nor holds up its requests or its stop.
--- a/cmd/elderyard/main.go
+++ b/cmd/elderyard/main.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/asynclog"
-	"linnetbend/internal/gateway"
+	"amberlb/internal/asynclog"
+	"amberlb/internal/gateway"
 )
 
 const (
--- a/cmd/elderyard/stop_test.go
+++ b/cmd/elderyard/stop_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/real"
-	"linnetbend/internal/lab/registry"
-	"linnetbend/internal/lab/soak"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/registry"
+	"amberlb/internal/lab/soak"
 )
 
 const sweepStep = 20 * time.Millisecond // between the moments of a sweep
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -20,9 +20,9 @@
 	"github.com/alecthomas/kong"
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/internal/lab/experiment"
-	"linnetbend/internal/lab/hollow"
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/experiment"
+	"amberlb/internal/lab/hollow"
+	"amberlb/internal/lab/real"
 )
 
 const (
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -12,8 +12,8 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/lab/experiment"
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/experiment"
+	"amberlb/internal/lab/real"
 )
 
 // asCommand makes the test binary stand in for the command, also as the child
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"linnetbend/internal/lab/soak"
+	"amberlb/internal/lab/soak"
 )
 
 const (
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 func main() {
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // patience bounds every wait of a test; none is expected to last so long.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -14,7 +14,7 @@
 	"slices"
 	"strconv"
 
-	"linnetbend/internal/wire"
+	"amberlb/internal/wire"
 )
 
 // Config is what a gateway is told at its start.
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 type reply struct {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -13,8 +13,8 @@
 	"slices"
 	"time"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 // registry is a discovery whose answers a test gives one by one.
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 // Whatever a counter answers, a total that is told is a number, and only a
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // Backend decides what an attempt meets at a backend of a hollow gateway: how long it takes and how it ends.
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // steady serves every attempt after the same time.
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 func TestIdleTrust(t *testing.T) {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"amberlb/internal/wire"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // The module takes replies for one name in the order of the calls, so a later
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // metric names one count of a gateway.
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // The counts are told by name, by reason and by outcome, and zeros are left out.
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // gated is a way to the gateway on which a test stands between the gateway and
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // What the protocol says of a stop (section "Figures").
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/lab/request"
+	"amberlb/internal/lab/request"
 )
 
 const (
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"linnetbend/internal/lab/tally"
+	"amberlb/internal/lab/tally"
 )
 
 // Options say what the counter bears: Parts / Service calls a second, if names
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/wire"
+	"amberlb/internal/wire"
 )
 
 // sound is an experiment that could be run.
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"linnetbend/internal/lab/hollow"
-	"linnetbend/internal/lab/proc"
+	"amberlb/internal/lab/hollow"
+	"amberlb/internal/lab/proc"
 )
 
 // runHollow measures hollow gateways and the groups of customers behind them.
--- a/internal/lab/experiment/real.go
+++ b/internal/lab/experiment/real.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/lab/proc"
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/proc"
+	"amberlb/internal/lab/real"
 )
 
 // runReal measures real gateways: their start, a quiet time, then a load.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/lab/pause"
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/pause"
+	"amberlb/internal/lab/real"
 )
 
 const (
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/real"
 )
 
 const (
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/counter"
-	"linnetbend/internal/lab/origin"
-	"linnetbend/internal/lab/registry"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/counter"
+	"amberlb/internal/lab/origin"
+	"amberlb/internal/lab/registry"
 )
 
 const (
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/lab/truth"
-	"linnetbend/rules"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/load"
+	"amberlb/internal/lab/truth"
+	"amberlb/rules"
 )
 
 const (
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/counter"
-	"linnetbend/internal/lab/registry"
-	"linnetbend/internal/lab/truth"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/counter"
+	"amberlb/internal/lab/registry"
+	"amberlb/internal/lab/truth"
 )
 
 const settings = `{"tickS": 0.002, "localities": ["a"], "kinds": ["m"],
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -7,9 +7,9 @@
 	"errors"
 	"fmt"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/wire"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/load"
+	"amberlb/internal/wire"
 )
 
 // Job is what one process is told to run.
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/load"
-	"linnetbend/rules"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/load"
+	"amberlb/rules"
 
-	"linnetbend/internal/lab/pause"
+	"amberlb/internal/lab/pause"
 )
 
 const (
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/request"
-	"linnetbend/internal/lab/tally"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/request"
+	"amberlb/internal/lab/tally"
 )
 
 const (
--- a/internal/lab/real/gateway.go
+++ b/internal/lab/real/gateway.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/lab/proc"
+	"amberlb/internal/lab/proc"
 )
 
 const (
--- a/internal/lab/real/load.go
+++ b/internal/lab/real/load.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/lab/load"
+	"amberlb/internal/lab/load"
 )
 
 const mostOut = 4096 // requests under way; further ones are dropped and counted
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/tally"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/tally"
 )
 
 const (
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"linnetbend/internal/gateway"
+	"amberlb/internal/gateway"
 )
 
 func instance(id, lifecycle string) gateway.Instance {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/lab/pause"
-	"linnetbend/internal/lab/real"
-	"linnetbend/internal/lab/registry"
+	"amberlb/internal/gateway"
+	"amberlb/internal/lab/pause"
+	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/registry"
 )
 
 const (
--- a/internal/lab/soak/setup.go
+++ b/internal/lab/soak/setup.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"linnetbend/internal/lab/real"
+	"amberlb/internal/lab/real"
 )
 
 const (
--- a/internal/lab/soak/work.go
+++ b/internal/lab/soak/work.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"linnetbend/internal/lab/pause"
+	"amberlb/internal/lab/pause"
 )
 
 const (
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // Codes of the records in a batch.
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // Codes of the records in a reply.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 // options mirrors the JSON of an Attach record; unknown keys are passed over.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/rules"
+	"amberlb/rules"
 )
 
 func frame(t testing.TB, text string) []byte {
