--- a/cmd/elderyard/main.go
+++ b/cmd/amberlb/main.go
@@ -1,4 +1,4 @@
-// Elderyard is one gateway on real sockets. EDGE_CONFIG names its
+// Amberlb is one gateway on real sockets. EDGE_CONFIG names its
 // configuration; SIGHUP makes it read that again, and SIGTERM answer what it
 // holds and end.
 package main
@@ -37,7 +37,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	err := run(ctx, hup, log)
 	if err != nil {
-		fmt.Fprintln(log, "elderyard:", err)
+		fmt.Fprintln(log, "amberlb:", err)
 	}
 	log.Flush(lastLines)
 	if err != nil {
--- a/cmd/elderyard/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -49,7 +49,7 @@
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v", err)
 	}
-	if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "elderyard: configuration ") {
+	if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "amberlb: configuration ") {
 		t.Errorf("said %q", text)
 	}
 }
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -81,12 +81,12 @@
 func lab(t *testing.T, log *bytes.Buffer, watch func(line string)) *experiment.Lab {
 	t.Helper()
 	dir := t.TempDir()
-	if said, err := exec.Command("go", "build", "-o", dir, "../elderyard").CombinedOutput(); err != nil {
+	if said, err := exec.Command("go", "build", "-o", dir, "../amberlb").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, said)
 	}
 	t.Setenv(asCommand, "1")
 	return &experiment.Lab{Root: ".", Log: slog.New(slog.NewTextHandler(watcher{log, watch}, nil)),
-		Versions: []experiment.Version{{Name: experiment.After, Gateway: real.Program{Command: "exec ./elderyard", Dir: dir},
+		Versions: []experiment.Version{{Name: experiment.After, Gateway: real.Program{Command: "exec ./amberlb", Dir: dir},
 			Fleetlab: os.Args[0]}}}
 }
 
@@ -220,7 +220,7 @@
 		{[]string{"run", filepath.Join(t.TempDir(), "none.toml")}, "none.toml"},
 		{[]string{"run"}, "file"},
 		{[]string{"run", good, "--colour"}, "--colour"},
-		{[]string{"run", good, "--baseline", t.TempDir()}, "elderyard"},
+		{[]string{"run", good, "--baseline", t.TempDir()}, "amberlb"},
 		{[]string{"sweep", good}, "--over"},
 		{[]string{"sweep", good, "--over", "colour=1"}, `"colour"`},
 		{[]string{"walk"}, "walk"},
--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Wirehost runs the decision module of many gateways on the simulator's wire:
+// Simadapter runs the decision module of many gateways on the simulator's wire:
 // batches of events on standard input, one reply for each on standard output.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -59,7 +59,7 @@
 
 // TestMain lets the test binary stand in for the command.
 func TestMain(m *testing.M) {
-	if os.Getenv("WIREHOST_TEST_RUN") != "" {
+	if os.Getenv("SIMADAPTER_TEST_RUN") != "" {
 		main()
 		return
 	}
@@ -68,7 +68,7 @@
 
 func TestMalformedInputEndsTheCommand(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "WIREHOST_TEST_RUN=1")
+	cmd.Env = append(os.Environ(), "SIMADAPTER_TEST_RUN=1")
 	cmd.Stdin = strings.NewReader("this is no frame, but it is long enough")
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
