--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return 0, errUse{err}
 	}
-	version, err := build(ctx, dir, log)
+	gateway, err := build(ctx, dir, log)
 	if err != nil {
 		return 0, err
 	}
@@ -66,7 +66,7 @@
 				return nil
 			}
 			plan := soak.NewPlan(a.Seed+uint64(i), a.For)
-			r, err := soak.Run(ctx, plan, soak.Options{Program: version.Gateway, Log: log})
+			r, err := soak.Run(ctx, plan, soak.Options{Program: gateway, Log: log})
 			results[i] = r
 			return err
 		})
