--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"amberlb/internal/wire"
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 func main() {
@@ -22,9 +22,9 @@
 
 // instance is one gateway; gateway is nil while it is stopped.
 type instance struct {
-	settings rules.Settings
-	gateway  *rules.Gateway
-	actions  []rules.Action
+	settings policy.Settings
+	gateway  *policy.Gateway
+	actions  []policy.Action
 	listed   bool // it is in the order of this reply
 }
 
@@ -96,11 +96,11 @@
 	case rec.Start != nil:
 		i.settings = rec.Start.Settings
 		i.actions = i.actions[:0]
-		i.gateway, i.actions = rules.New(rec.Start.Settings, rec.Start.Seed, now, i.actions)
+		i.gateway, i.actions = policy.New(rec.Start.Settings, rec.Start.Seed, now, i.actions)
 	case rec.Stop:
 		i.gateway, i.actions = nil, i.actions[:0]
 	case i.gateway != nil: // events for a stopped instance are void
-		if r, ok := rec.Event.(rules.Request); ok {
+		if r, ok := rec.Event.(policy.Request); ok {
 			if r.Class >= len(i.settings.Classes) || r.Plan >= len(i.settings.Plans) {
 				return fmt.Errorf("request %d: no such class or plan in the settings", r.ID)
 			}
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // result is what became of an attempt.
 type result struct {
-	outcome rules.Outcome
+	outcome policy.Outcome
 	header  http.Header // of a served answer
 	body    []byte
 }
@@ -44,7 +44,7 @@
 type attempt struct {
 	x        *exchange
 	number   int
-	backend  rules.BackendID
+	backend  policy.BackendID
 	sent     float64
 	deadline float64
 	until    time.Time // the deadline for sockets
@@ -189,18 +189,18 @@
 	trust          idleTrust
 
 	mu      sync.Mutex
-	targets map[rules.BackendID]*target
+	targets map[policy.BackendID]*target
 	open    int // connections and dials
 }
 
 func newPools(connectTimeout, keepAlive time.Duration, mostOpen int) *pools {
 	return &pools{connectTimeout: connectTimeout, idleLimit: max(keepAlive-idleMargin, keepAlive/2),
-		mostOpen: mostOpen, targets: map[rules.BackendID]*target{}}
+		mostOpen: mostOpen, targets: map[policy.BackendID]*target{}}
 }
 
 // update tells where a ready backend is. A new start or address retires the
 // connections of the old.
-func (p *pools) update(id rules.BackendID, address string, born float64) {
+func (p *pools) update(id policy.BackendID, address string, born float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.targets[id]
@@ -218,7 +218,7 @@
 
 // remove ends all new sending to a backend that drains or is gone, dials that
 // wait among it. What is out there may still be answered.
-func (p *pools) remove(id rules.BackendID) {
+func (p *pools) remove(id policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.targets[id]; t != nil {
@@ -324,7 +324,7 @@
 var errNoConn = errors.New("no connection to be had")
 
 // conn returns an idle connection to the backend, or a new one.
-func (p *pools) conn(ctx context.Context, id rules.BackendID) (*backendConn, error) {
+func (p *pools) conn(ctx context.Context, id policy.BackendID) (*backendConn, error) {
 	p.mu.Lock()
 	t := p.targets[id]
 	if t == nil {
@@ -396,11 +396,11 @@
 func (p *pools) attempt(a *attempt) result {
 	c, err := p.conn(a.ctx, a.backend)
 	if err != nil {
-		return result{outcome: rules.ConnectFailed}
+		return result{outcome: policy.ConnectFailed}
 	}
 	if !a.hold(c) {
 		p.discard(c)
-		return result{outcome: rules.ConnectFailed}
+		return result{outcome: policy.ConnectFailed}
 	}
 	c.SetDeadline(a.until)
 	err = a.x.request(time.Until(a.until)).Write(c.w)
@@ -410,12 +410,12 @@
 	if err != nil {
 		a.release()
 		p.discard(c)
-		return result{outcome: rules.ConnectFailed}
+		return result{outcome: policy.ConnectFailed}
 	}
 	a.written()
 	res, reuse := c.answer(a.x.method)
 	ours := a.release()
-	if forgotten := res.outcome == rules.Broken && c.left.N == mostAnswer; ours && c.rest > 0 {
+	if forgotten := res.outcome == policy.Broken && c.left.N == mostAnswer; ours && c.rest > 0 {
 		p.trust.note(time.Now(), c.rest, forgotten)
 	}
 	if ours && reuse {
@@ -455,7 +455,7 @@
 			continue
 		}
 		if !delimited(resp) {
-			return result{outcome: rules.Broken}, false
+			return result{outcome: policy.Broken}, false
 		}
 		body, err := readBody(resp.Body, resp.ContentLength)
 		resp.Body.Close()
@@ -465,22 +465,22 @@
 		reuse := !resp.Close && c.r.Buffered() == 0
 		switch {
 		case resp.StatusCode == http.StatusOK:
-			return result{rules.Served, resp.Header, body}, reuse
+			return result{policy.Served, resp.Header, body}, reuse
 		case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 			resp.Header.Get(notRunHeader) == "1":
-			return result{outcome: rules.Full}, reuse
+			return result{outcome: policy.Full}, reuse
 		}
-		return result{outcome: rules.Errored}, reuse
+		return result{outcome: policy.Errored}, reuse
 	}
-	return result{outcome: rules.Errored}, false
+	return result{outcome: policy.Errored}, false
 }
 
 // broken tells a time-out from a connection that ended.
-func broken(err error) rules.Outcome {
+func broken(err error) policy.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return rules.TimedOut
+		return policy.TimedOut
 	}
-	return rules.Broken
+	return policy.Broken
 }
 
 var errTooLong = errors.New("the body is too long")
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // patience bounds every wait of a test; none is expected to last so long.
@@ -105,32 +105,32 @@
 	long := strings.Repeat("x", mostBody+1)
 	for _, c := range []struct {
 		name, reply string
-		want        rules.Outcome
+		want        policy.Outcome
 		body        string
 		kept        bool // the connection
 	}{
-		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
-		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", rules.Served, "ok", true},
-		{"served, then closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", rules.Served, "ok", false},
-		{"an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Full, "", true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Full, "", true},
-		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"closed without a word", "", rules.Broken, "", false},
-		{"head cut short", "HTTP/1.1 200 OK\r\nContent-Le", rules.Broken, "", false},
-		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.Broken, "", false},
-		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, rules.Broken, "", false},
-		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.Broken, "", false},
-		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", rules.Broken, "", false},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.Broken, "", false},
-		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.Broken, "", false},
-		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.Broken, "", false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.Broken, "", false},
-		{"more than belongs to it", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", rules.Served, "ok", false},
-		{"no HTTP", "SSH-2.0\r\n\r\n", rules.Broken, "", false},
+		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok", true},
+		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", policy.Served, "ok", true},
+		{"served, then closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", policy.Served, "ok", false},
+		{"an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok", true},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
+		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, "", true},
+		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, "", true},
+		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
+		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
+		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
+		{"closed without a word", "", policy.Broken, "", false},
+		{"head cut short", "HTTP/1.1 200 OK\r\nContent-Le", policy.Broken, "", false},
+		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Broken, "", false},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, policy.Broken, "", false},
+		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, policy.Broken, "", false},
+		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", policy.Broken, "", false},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", policy.Broken, "", false},
+		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.Broken, "", false},
+		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", policy.Broken, "", false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.Broken, "", false},
+		{"more than belongs to it", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", policy.Served, "ok", false},
+		{"no HTTP", "SSH-2.0\r\n\r\n", policy.Broken, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -178,11 +178,11 @@
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	backend.listener.Close()
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed || p.open != 0 {
+	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed || p.open != 0 {
 		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.open)
 	}
 }
@@ -193,7 +193,7 @@
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	got := p.attempt(newAttempt(50 * time.Millisecond))
-	if got.outcome != rules.TimedOut || p.open != 0 {
+	if got.outcome != policy.TimedOut || p.open != 0 {
 		t.Errorf("outcome %d, %d open", got.outcome, p.open)
 	}
 	conn, r := backend.accept(t)
@@ -251,7 +251,7 @@
 	conn, r = backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, done, "result"); got.outcome != rules.Served {
+	if got := wait(t, done, "result"); got.outcome != policy.Served {
 		t.Errorf("outcome %d", got.outcome)
 	}
 }
@@ -265,7 +265,7 @@
 	_, r := backend.accept(t)
 	readRequest(t, r)
 	p.update(1, backend.address(), 5)
-	if got := wait(t, out, "result"); got.outcome != rules.Broken {
+	if got := wait(t, out, "result"); got.outcome != policy.Broken {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.address(), moved.address()} {
@@ -274,7 +274,7 @@
 		conn, r := []*peer{backend, moved}[n].accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != rules.Served || p.open != 1 {
+		if got := wait(t, done, "result"); got.outcome != policy.Served || p.open != 1 {
 			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.open)
 		}
 	}
@@ -335,11 +335,11 @@
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("new work: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, out, "result"); got.outcome != rules.Served || p.open != 0 {
+	if got := wait(t, out, "result"); got.outcome != policy.Served || p.open != 0 {
 		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.open)
 	}
 }
@@ -354,7 +354,7 @@
 	for i := range 2 {
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != rules.Served {
+		if got := wait(t, done, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
 		p.targets[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
@@ -375,7 +375,7 @@
 	first := start(p, newAttempt(patience))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -43,12 +43,12 @@
 
 	// The loop's own:
 	ended   bool
-	outcome rules.Outcome
+	outcome policy.Outcome
 	total   float64
 
 	givenUp atomic.Bool // by the loop: not to be written any more
 	begun   atomic.Bool // its answer has begun to come
-	report  func(*call, rules.Outcome, float64)
+	report  func(*call, policy.Outcome, float64)
 }
 
 // counter makes calls over a few pipelined connections. The calls for one name
@@ -118,7 +118,7 @@
 			}
 		case k := <-calls:
 			if k.givenUp.Load() {
-				k.report(k, rules.TimedOut, 0) // nobody waits; never written, so never added
+				k.report(k, policy.TimedOut, 0) // nobody waits; never written, so never added
 				continue
 			}
 			rest := time.Since(used)
@@ -133,7 +133,7 @@
 				var err error
 				if conn, err = c.dial(ctx, &open); err != nil {
 					conn = nil
-					k.report(k, rules.ConnectFailed, 0)
+					k.report(k, policy.ConnectFailed, 0)
 					continue
 				}
 			}
@@ -211,7 +211,7 @@
 // where the line is full the connection is stuck.
 func (c *counterConn) call(k *call) {
 	if len(c.waiting) == cap(c.waiting) {
-		k.report(k, rules.ConnectFailed, 0)
+		k.report(k, policy.ConnectFailed, 0)
 		return
 	}
 	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
@@ -221,7 +221,7 @@
 	if _, err := c.Write(text); err != nil {
 		// The last byte was not written, so nothing was added.
 		c.dead.Store(true)
-		k.report(k, rules.ConnectFailed, 0)
+		k.report(k, policy.ConnectFailed, 0)
 		return
 	}
 	c.waiting <- k
@@ -237,16 +237,16 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.report(k, rules.Broken, 0)
+			k.report(k, policy.Broken, 0)
 			continue
 		}
 		c.head.Store(k)
 		left.N = mostCounterHead
 		c.SetReadDeadline(time.Now().Add(c.stuck))
-		outcome, total, err := rules.Errored, 0.0, error(nil)
+		outcome, total, err := policy.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = broken(err)
-			c.trust.note(time.Now(), k.rest, outcome == rules.Broken)
+			c.trust.note(time.Now(), k.rest, outcome == policy.Broken)
 		} else {
 			c.trust.note(time.Now(), k.rest, false)
 			k.begun.Store(true)
@@ -268,32 +268,32 @@
 // readTotal reads the answer to a call. An answer that can't be read
 // says that the amount was added and no more. After it, and where a body has no
 // end of its own, the connection can't be trusted with the next call's.
-func readTotal(r *bufio.Reader, asked *http.Request) (rules.Outcome, float64, error) {
+func readTotal(r *bufio.Reader, asked *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(r, asked)
 	if err != nil {
-		return rules.Errored, 0, err
+		return policy.Errored, 0, err
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostTotal+1))
 	resp.Body.Close()
 	switch {
 	case err != nil:
-		return rules.Errored, 0, err
+		return policy.Errored, 0, err
 	case len(body) > mostTotal, !delimited(resp):
-		return rules.Errored, 0, errNoTotal
+		return policy.Errored, 0, errNoTotal
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-			return rules.Errored, 0, errNoTotal
+			return policy.Errored, 0, errNoTotal
 		}
-		return rules.Served, total, nil
+		return policy.Served, total, nil
 	case http.StatusServiceUnavailable:
-		return rules.Full, 0, nil
+		return policy.Full, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound:
-		return rules.ConnectFailed, 0, nil // nothing was added
+		return policy.ConnectFailed, 0, nil // nothing was added
 	}
-	return rules.Broken, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return policy.Broken, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
 }
 
 // delimited tells whether the end of a body is told by a length or by chunks.
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 type reply struct {
 	amount  float64
-	outcome rules.Outcome
+	outcome policy.Outcome
 	total   float64
 }
 
@@ -29,7 +29,7 @@
 	replies = make(chan reply, 64)
 	return c, func(amount float64) *call {
 		k := &call{name: 7, amount: amount, keep: time.Minute}
-		k.report = func(k *call, o rules.Outcome, total float64) { replies <- reply{k.amount, o, total} }
+		k.report = func(k *call, o policy.Outcome, total float64) { replies <- reply{k.amount, o, total} }
 		if !c.add(k) {
 			t.Fatal("the stream is full")
 		}
@@ -62,7 +62,7 @@
 	total(conn, 200, "-1.5\n")
 	total(conn, 503, "")
 	total(conn, 404, "")
-	for _, want := range []reply{{1, rules.Served, 1}, {-2.5, rules.Served, -1.5}, {3, rules.Full, 0}, {4, rules.ConnectFailed, 0}} {
+	for _, want := range []reply{{1, policy.Served, 1}, {-2.5, policy.Served, -1.5}, {3, policy.Full, 0}, {4, policy.ConnectFailed, 0}} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
 		}
@@ -71,7 +71,7 @@
 	add(5)
 	readRequest(t, r)
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != rules.Broken {
+	if got := wait(t, replies, "reply"); got.outcome != policy.Broken {
 		t.Errorf("reply after a break: %v", got)
 	}
 	// The next goes out on a new connection.
@@ -87,18 +87,18 @@
 	_, add, replies := startCounter(t, far.address())
 	for _, c := range []struct {
 		answer  string
-		outcome rules.Outcome
+		outcome policy.Outcome
 	}{
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno number", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n+Inf", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n12", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), rules.Errored},
-		{"HTTP/1.1 2x0 OK\r\n\r\n12", rules.Errored},
-		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), rules.Errored},
-		{"HTTP/1.1 102 Processing\r\n\r\n", rules.Broken},
-		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", rules.Broken},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno number", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n+Inf", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n12", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), policy.Errored},
+		{"HTTP/1.1 2x0 OK\r\n\r\n12", policy.Errored},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), policy.Errored},
+		{"HTTP/1.1 102 Processing\r\n\r\n", policy.Broken},
+		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", policy.Broken},
 	} {
 		add(1)
 		conn, r := far.accept(t)
@@ -109,7 +109,7 @@
 		if got := wait(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
 			t.Errorf("%.60q: reply %v", c.answer, got)
 		}
-		if got := wait(t, replies, "reply"); got != (reply{2, rules.Broken, 0}) {
+		if got := wait(t, replies, "reply"); got != (reply{2, policy.Broken, 0}) {
 			t.Errorf("%.60q: reply to the call behind it %v", c.answer, got)
 		}
 	}
@@ -118,7 +118,7 @@
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // and no end but the connection's
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != rules.Errored {
+	if got := wait(t, replies, "reply"); got.outcome != policy.Errored {
 		t.Errorf("reply with no length: %v", got)
 	}
 }
@@ -133,7 +133,7 @@
 	readRequest(t, r)
 	time.Sleep(counterStuck + 200*time.Millisecond) // the moment that is to be crossed
 	total(conn, 200, "5")
-	if got := wait(t, replies, "reply"); got != (reply{1, rules.Served, 5}) {
+	if got := wait(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -155,7 +155,7 @@
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	total(conn, 200, "3")
-	for got := wait(t, replies, "reply"); got != (reply{2, rules.Served, 3}); got = wait(t, replies, "reply") {
+	for got := wait(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = wait(t, replies, "reply") {
 		if got.amount != 1 { // the stuck connection ends some day, and its call with it
 			t.Fatalf("reply on the new connection: %v", got)
 		}
@@ -198,7 +198,7 @@
 	far.listener.Close()
 	_, add, replies := startCounter(t, far.address())
 	add(1)
-	if got := wait(t, replies, "reply"); got.outcome != rules.ConnectFailed {
+	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectFailed {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -207,8 +207,8 @@
 func TestCounterGivenUpUnwritten(t *testing.T) {
 	far := newPeer(t)
 	c := newCounter(far.address(), patience)
-	reported := make(chan rules.Outcome, 2)
-	report := func(_ *call, o rules.Outcome, _ float64) { reported <- o }
+	reported := make(chan policy.Outcome, 2)
+	report := func(_ *call, o policy.Outcome, _ float64) { reported <- o }
 	k := &call{name: 1, amount: 1, keep: time.Minute, report: report}
 	k.givenUp.Store(true)
 	next := &call{name: 1, amount: 2, keep: time.Minute, report: report}
@@ -221,7 +221,7 @@
 	if req, _ := readRequest(t, r); req.URL.Query().Get("add") != "2" {
 		t.Errorf("written: %s", req.RequestURI)
 	}
-	if got := wait(t, reported, "report"); got != rules.TimedOut {
+	if got := wait(t, reported, "report"); got != policy.TimedOut {
 		t.Errorf("outcome %d", got)
 	}
 }
@@ -261,7 +261,7 @@
 		add(2)
 		readRequest(t, r)
 		conn.Close()
-		if got := wait(t, replies, "reply"); got.outcome != rules.Broken {
+		if got := wait(t, replies, "reply"); got.outcome != policy.Broken {
 			t.Fatalf("reply %v", got)
 		}
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"amberlb/internal/wire"
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -48,31 +48,31 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]rules.BackendState{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Gone}
+var lifecycles = map[string]policy.BackendState{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
 
 // backendID derives the module's id from the name alone, so that all gateways
 // agree on it whatever order they hear of backends in.
-func backendID(instance string) rules.BackendID {
+func backendID(instance string) policy.BackendID {
 	h := fnv.New32a()
 	io.WriteString(h, instance)
-	return rules.BackendID(h.Sum32())
+	return policy.BackendID(h.Sum32())
 }
 
 // backend translates an entry. The module's clock is Unix time (see clock), so
 // a start needs its unit changed only.
-func (i Instance) backend(d *wire.Deployment) (rules.Backend, error) {
+func (i Instance) backend(d *wire.Deployment) (policy.Backend, error) {
 	state, known := lifecycles[i.Lifecycle]
 	zone := slices.Index(d.Zones, i.Zone)
 	switch {
 	case i.ID == "" || !known:
-		return rules.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", i.ID, i.Lifecycle)
-	case zone < 0 && state != rules.Gone:
+		return policy.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", i.ID, i.Lifecycle)
+	case zone < 0 && state != policy.Gone:
 		// Two unknown zones must not pass for one that drops repeats.
-		return rules.Backend{}, fmt.Errorf("instance %q: zone %q is not known", i.ID, i.Zone)
+		return policy.Backend{}, fmt.Errorf("instance %q: zone %q is not known", i.ID, i.Zone)
 	case math.IsNaN(i.Weight) || i.StartedAtMs < 0:
-		return rules.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
+		return policy.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
 	}
-	return rules.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
+	return policy.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
 		State: state, Weight: i.Weight, Born: float64(i.StartedAtMs) / 1000}, nil
 }
 
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"amberlb/internal/wire"
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -45,8 +45,8 @@
 
 // exchange is one request of a client, from its last byte to its final answer.
 type exchange struct {
-	id     string        // the client's own
-	ask    rules.Request // the loop gives it its id
+	id     string         // the client's own
+	ask    policy.Request // the loop gives it its id
 	method string
 	uri    string
 	host   string
@@ -189,12 +189,12 @@
 	x.id = r.Header.Get(idHeader)
 	class := &f.deploy.Classes[ask.Class]
 	switch key := r.Header.Get(keyHeader); {
-	case class.Effect == rules.Repeatable && r.Method != http.MethodGet,
-		class.Effect != rules.Repeatable && r.Method != http.MethodPost:
+	case class.Effect == policy.Repeatable && r.Method != http.MethodGet,
+		class.Effect != policy.Repeatable && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)
 	case r.Method == http.MethodGet && r.ContentLength != 0:
 		return nil, http.StatusBadRequest, errors.New("a GET has no body")
-	case class.Effect == rules.ByKey && key == "":
+	case class.Effect == policy.ByKey && key == "":
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
 	case len(key) > mostName:
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
@@ -229,8 +229,8 @@
 // parse reads the headers that the decisions need. Nothing has a default: a
 // request that is not understood might be charged to the wrong customer or
 // repeated against its class.
-func (f *frontend) parse(r *http.Request) (rules.Request, error) {
-	var q rules.Request
+func (f *frontend) parse(r *http.Request) (policy.Request, error) {
+	var q policy.Request
 	h := r.Header
 	for _, name := range once {
 		if len(h[name]) > 1 {
@@ -255,7 +255,7 @@
 	if err != nil || len(customer) != 16 || n >= customers {
 		return q, errors.New(clientHeader + " is not the number of a customer")
 	}
-	q.Customer = rules.CustomerID(n)
+	q.Customer = policy.CustomerID(n)
 	left, err := strconv.ParseInt(h.Get(leftHeader), 10, 64)
 	if err != nil || left <= 0 || left > mostPatience.Milliseconds() {
 		return q, errors.New(leftHeader + " is not a time in milliseconds")
@@ -266,7 +266,7 @@
 }
 
 // terms reads the units of a request and the gateways of its customer.
-func (f *frontend) terms(q *rules.Request, text string) error {
+func (f *frontend) terms(q *policy.Request, text string) error {
 	seen := ""
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -76,7 +76,7 @@
 	defer loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
 	defer g.parts.Wait()
 	defer stop()
-	loop.list(c.Known, rules.CachedList)
+	loop.list(c.Known, policy.CachedList)
 	g.parts.Go(func() { loop.run(inner) })
 	g.parts.Go(func() { pools.sweep(inner) })
 	g.parts.Go(func() { loop.metrics.report(inner, g.log) })
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -48,7 +48,7 @@
 	for i := range leavers {
 		told.Instances = append(told.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	b.loop.list(told, rules.FullList)
+	b.loop.list(told, policy.FullList)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	t.Helper()
 	gate := make(chan struct{})
 	b.gate.Store(&gate)
-	b.loop.post(listed{kind: rules.Delta})
+	b.loop.post(listed{kind: policy.Delta})
 	wait(t, b.held, "list")
 	free = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(free)
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -6,13 +6,13 @@
 	"sync"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // Backend decides what an attempt meets at a backend of a hollow gateway: how long it takes and how it ends.
 // It is called on the loop and must not wait.
 type Backend interface {
-	Serve(id rules.BackendID) (time.Duration, rules.Outcome)
+	Serve(id policy.BackendID) (time.Duration, policy.Outcome)
 }
 
 // Hollow is a gateway without sockets to clients and backends, so that a process holds many. Its loop, its watch
@@ -68,7 +68,7 @@
 // once, on the loop, when the first attempt has reached a backend; it must not wait. answered is called once, on
 // a goroutine of its own, with the status and the seconds of Retry-After, 0 for none. A gateway that has ended
 // answers 500; one that was never run does not answer.
-func (h *Hollow) Ask(r rules.Request, id string, sent func(), answered func(status int, retryAfter float64)) {
+func (h *Hollow) Ask(r policy.Request, id string, sent func(), answered func(status int, retryAfter float64)) {
 	r.Sent = h.loop.clock.now()
 	r.Deadline = min(r.Deadline, h.config.Classes[r.Class].Deadline) + r.Sent - answerMargin
 	x := &exchange{id: id, ask: r, reply: make(chan answer, 1), sent: sync.OnceFunc(sent)}
@@ -98,14 +98,14 @@
 }
 
 // The loop's own names tell which backends may be reached.
-func (b *hollowBackends) update(rules.BackendID, string, float64) {}
-func (b *hollowBackends) remove(rules.BackendID)                  {}
+func (b *hollowBackends) update(policy.BackendID, string, float64) {}
+func (b *hollowBackends) remove(policy.BackendID)                  {}
 
 // begin runs an attempt on a timer. Either the timer or the end of the attempt's context reports its end: whoever
 // takes the other off first.
 func (b *hollowBackends) begin(a *attempt, done func(result)) {
 	if _, listed := b.loop.names[a.backend]; !listed {
-		go done(result{outcome: rules.ConnectFailed}) // done posts to the loop, which is the caller
+		go done(result{outcome: policy.ConnectFailed}) // done posts to the loop, which is the caller
 		return
 	}
 	a.written()
@@ -114,7 +114,7 @@
 	var timer *time.Timer
 	stop := context.AfterFunc(a.ctx, func() {
 		timer.Stop()
-		done(result{outcome: rules.Cancelled})
+		done(result{outcome: policy.Cancelled})
 	})
 	timer = time.AfterFunc(took, func() {
 		if stop() {
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // steady serves every attempt after the same time.
 type steady time.Duration
 
-func (s steady) Serve(rules.BackendID) (time.Duration, rules.Outcome) {
-	return time.Duration(s), rules.Served
+func (s steady) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
+	return time.Duration(s), policy.Served
 }
 
 // runHollow runs a hollow gateway with one backend until the test, or what it returns, ends it.
@@ -63,7 +63,7 @@
 	got, sent := map[int]int{}, atomic.Int64{}
 	for n := range 3 * burst {
 		began, answered := time.Now(), make(chan int, 2)
-		h.Ask(rules.Request{Customer: 7, Units: 1, FirstPeer: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
+		h.Ask(policy.Request{Customer: 7, Units: 1, FirstPeer: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
 		status := wait(t, answered, "answer")
 		got[status]++
@@ -96,7 +96,7 @@
 	h, end := runHollow(t, testSettings, "127.0.0.1:1", steady(time.Hour))
 	answered, sent := make(chan int, 2), make(chan struct{})
 	ask := func(id string, sent func()) {
-		h.Ask(rules.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
+		h.Ask(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
 	}
 	ask("one", func() { close(sent) })
 	wait(t, sent, "send")
@@ -112,10 +112,10 @@
 // Nothing is sent to a backend that discovery does not list.
 func TestHollowUnlisted(t *testing.T) {
 	b := &hollowBackends{loop: &Loop{}, backend: steady(0)}
-	a, ends := newAttempt(time.Hour), make(chan rules.Outcome, 1)
+	a, ends := newAttempt(time.Hour), make(chan policy.Outcome, 1)
 	a.x.sent = func() { t.Error("told as sent") }
 	b.begin(a, func(r result) { ends <- r.outcome })
-	if got := wait(t, ends, "end"); got != rules.ConnectFailed {
+	if got := wait(t, ends, "end"); got != policy.ConnectFailed {
 		t.Errorf("ended as %v", got)
 	}
 }
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 func TestIdleTrust(t *testing.T) {
@@ -54,11 +54,11 @@
 		p.sweep(ctx)
 	}()
 	p.update(1, far.address(), 0)
-	attemptOnce := func() chan rules.Outcome {
+	attemptOnce := func() chan policy.Outcome {
 		a := &attempt{x: &exchange{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
 			until: time.Now().Add(patience)}
 		a.ctx, a.cancel = context.WithCancel(context.Background())
-		ended := make(chan rules.Outcome, 1)
+		ended := make(chan policy.Outcome, 1)
 		go func() { defer a.cancel(); ended <- p.attempt(a).outcome }()
 		return ended
 	}
@@ -70,14 +70,14 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		if got := wait(t, ended, "outcome"); got != rules.Served {
+		if got := wait(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
 		time.Sleep(2 * idleLeast) // the rest itself is what is tested
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
-		if got := wait(t, ended, "outcome"); got != rules.Broken {
+		if got := wait(t, ended, "outcome"); got != policy.Broken {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
@@ -95,7 +95,7 @@
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if got := wait(t, ended, "outcome"); got != rules.Served {
+	if got := wait(t, ended, "outcome"); got != policy.Served {
 		t.Errorf("outcome %d once it is known that connections are forgotten", got)
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"amberlb/internal/wire"
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -29,20 +29,20 @@
 	}
 	callDone struct {
 		k       *call
-		outcome rules.Outcome
+		outcome policy.Outcome
 		total   float64
 	}
 	stopping struct{ by float64 } // the clock's time by which all is to be answered
 	listed   struct {
 		listing Listing
-		kind    rules.ListKind
+		kind    policy.ListKind
 	}
 )
 
 // backends carries out attempts. The loop calls it and waits for nothing.
 type backends interface {
-	update(id rules.BackendID, address string, born float64)
-	remove(id rules.BackendID)
+	update(id policy.BackendID, address string, born float64)
+	remove(id policy.BackendID)
 	// begin starts an attempt, which ends by a.until or when it is called off; done is then called once.
 	begin(a *attempt, done func(result))
 }
@@ -54,7 +54,7 @@
 	log      *slog.Logger
 	metrics  metrics
 	deploy   *wire.Deployment
-	gateway  *rules.Gateway
+	gateway  *policy.Gateway
 	backends backends
 	counter  *counter
 	onListed func()
@@ -65,23 +65,23 @@
 
 	made, unanswered atomic.Uint64 // calls to the counter, and those that ended without its answer
 
-	live    map[rules.RequestID]*exchange // until the last attempt has ended
-	ids     recent                        // the clients' own, of requests taken lately
-	open    map[string]struct{}           // those of live
-	nextID  rules.RequestID
-	names   map[rules.BackendID]string // whose id it is
-	calls   map[uint64][]*call         // by name, in order, until their replies are handed on
+	live    map[policy.RequestID]*exchange // until the last attempt has ended
+	ids     recent                         // the clients' own, of requests taken lately
+	open    map[string]struct{}            // those of live
+	nextID  policy.RequestID
+	names   map[policy.BackendID]string // whose id it is
+	calls   map[uint64][]*call          // by name, in order, until their replies are handed on
 	timers  timerHeap
-	actions []rules.Action
-	pending []rules.Event // events that actions brought about
+	actions []policy.Action
+	pending []policy.Event // events that actions brought about
 }
 
 func newLoop(c *Config, b backends, k *counter, onListed func()) *Loop {
 	l := &Loop{clock: newClock(), log: c.logger(), deploy: &c.Deployment, backends: b, counter: k, onListed: onListed,
 		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
-		live: map[rules.RequestID]*exchange{}, open: map[string]struct{}{}, names: map[rules.BackendID]string{},
+		live: map[policy.RequestID]*exchange{}, open: map[string]struct{}{}, names: map[policy.BackendID]string{},
 		calls: map[uint64][]*call{}}
-	l.gateway, l.actions = rules.New(c.Settings, c.Seed, l.clock.now(), nil)
+	l.gateway, l.actions = policy.New(c.Settings, c.Seed, l.clock.now(), nil)
 	l.act(l.actions)
 	return l
 }
@@ -98,9 +98,9 @@
 
 // hear passes on what discovery told.
 func (l *Loop) hear(told Listing) {
-	kind := rules.Delta
+	kind := policy.Delta
 	if told.Reset {
-		kind = rules.FullList
+		kind = policy.FullList
 	}
 	l.post(listed{told, kind})
 }
@@ -138,7 +138,7 @@
 		if m.x.open {
 			l.metrics.add(clientsLeft)
 			m.x.open = false
-			l.handle(rules.ClientGone{Request: m.x.ask.ID})
+			l.handle(policy.ClientGone{Request: m.x.ask.ID})
 			l.keepBack(m.x)
 			l.drop(m.x)
 		}
@@ -147,7 +147,7 @@
 	case callDone:
 		l.endCall(m.k, m.outcome, m.total)
 	case stopping:
-		l.handle(rules.Stop{By: m.by})
+		l.handle(policy.Stop{By: m.by})
 	case listed:
 		l.metrics.add(listsReceived)
 		l.list(m.listing, m.kind)
@@ -155,7 +155,7 @@
 }
 
 // handle gives the module an event, and then what its actions brought about.
-func (l *Loop) handle(ev rules.Event) {
+func (l *Loop) handle(ev policy.Event) {
 	l.pending = append(l.pending, ev)
 	if len(l.pending) > 1 {
 		return // an outer call is at it
@@ -195,15 +195,15 @@
 
 // list takes in what discovery told. Connections follow it before the module
 // hears of it.
-func (l *Loop) list(told Listing, kind rules.ListKind) {
-	ev := rules.Backends{Kind: kind}
-	kept := map[rules.BackendID]bool{}
+func (l *Loop) list(told Listing, kind policy.ListKind) {
+	ev := policy.Backends{Kind: kind}
+	kept := map[policy.BackendID]bool{}
 	for _, i := range told.Instances {
 		b, err := i.backend(l.deploy)
 		if err != nil {
 			l.log.Warn("discovery: an entry can't be read", "error", err)
 			// What can't be read of a backend in use may be that it drains.
-			b = rules.Backend{ID: backendID(i.ID), State: rules.Draining}
+			b = policy.Backend{ID: backendID(i.ID), State: policy.Draining}
 			if l.names[b.ID] != i.ID {
 				continue
 			}
@@ -214,7 +214,7 @@
 		}
 		kept[b.ID] = true
 		ev.Entries = append(ev.Entries, b)
-		if b.State == rules.Ready {
+		if b.State == policy.Ready {
 			l.names[b.ID] = i.ID
 			l.backends.update(b.ID, i.HostPort, b.Born)
 		} else {
@@ -222,7 +222,7 @@
 			l.backends.remove(b.ID)
 		}
 	}
-	if kind != rules.Delta {
+	if kind != policy.Delta {
 		for id := range l.names {
 			if !kept[id] {
 				delete(l.names, id)
@@ -231,38 +231,38 @@
 		}
 	}
 	l.handle(ev)
-	if kind != rules.CachedList {
+	if kind != policy.CachedList {
 		l.onListed()
 	}
 }
 
-func (l *Loop) act(actions []rules.Action) {
+func (l *Loop) act(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case rules.Send:
+		case policy.Send:
 			l.send(a)
-		case rules.Cancel:
+		case policy.Cancel:
 			l.cancel(a)
-		case rules.Refuse:
+		case policy.Refuse:
 			l.metrics.refused[a.Reason].Add(1)
 			l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
-		case rules.Fail:
+		case policy.Fail:
 			l.metrics.failed[a.Reason].Add(1)
 			l.answer(a.Request, answer{status: http.StatusBadGateway})
-		case rules.SetTimer:
+		case policy.SetTimer:
 			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
-		case rules.Count:
+		case policy.Count:
 			l.count(a)
-		case rules.Log:
+		case policy.Log:
 			l.log.Info(a.Text)
-		case rules.Subscribe: // the watch always runs
+		case policy.Subscribe: // the watch always runs
 		}
 	}
 }
 
 // send starts an attempt. What is over, was tried too often or belongs to a client
 // that has left gets none.
-func (l *Loop) send(s rules.Send) {
+func (l *Loop) send(s policy.Send) {
 	x := l.live[s.Request]
 	if x == nil {
 		l.log.Error("an attempt for a request that is not known", "request", s.Request)
@@ -280,7 +280,7 @@
 		l.metrics.add(attemptsRepeated)
 	}
 	if !x.open || x.left.Load() || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.Moot})
+		l.endAttempt(a, result{outcome: policy.Moot})
 		return
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -302,13 +302,13 @@
 	l.metrics.attempts[res.outcome].Add(1)
 	x := a.x
 	x.out--
-	if res.outcome == rules.Served && x.open {
+	if res.outcome == policy.Served && x.open {
 		l.metrics.add(requestsServed)
 		header := passedOn(res.header)
 		header.Del(loadHeader) // for gateways, not for clients
 		l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, body: res.body})
 	}
-	l.handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
+	l.handle(policy.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
 		Took: l.clock.now() - a.sent, Done: !x.open})
 	l.drop(x)
 }
@@ -319,27 +319,27 @@
 func (l *Loop) keepBack(x *exchange) {
 	for _, a := range x.attempts {
 		if !a.ended && a.callOffUnsent() {
-			l.endAttempt(a, result{outcome: rules.Moot})
+			l.endAttempt(a, result{outcome: policy.Moot})
 		}
 	}
 }
 
-func (l *Loop) cancel(c rules.Cancel) {
+func (l *Loop) cancel(c policy.Cancel) {
 	x := l.live[c.Request]
 	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended {
 		return
 	}
 	a := x.attempts[c.Attempt]
 	a.callOff()
-	outcome := rules.Cancelled
+	outcome := policy.Cancelled
 	if l.clock.now() >= a.deadline-sameMoment {
-		outcome = rules.TimedOut // the module learns from it
+		outcome = policy.TimedOut // the module learns from it
 	}
 	l.endAttempt(a, result{outcome: outcome})
 }
 
 // answer gives a request its final answer, if it has none.
-func (l *Loop) answer(id rules.RequestID, a answer) {
+func (l *Loop) answer(id policy.RequestID, a answer) {
 	x := l.live[id]
 	if x == nil || !x.open {
 		return
@@ -357,15 +357,15 @@
 	}
 }
 
-func (l *Loop) count(c rules.Count) {
+func (l *Loop) count(c policy.Count) {
 	k := &call{id: c.Call, name: c.Name, amount: c.Amount, sent: l.clock.now(),
 		keep: min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)}
-	k.report = func(k *call, o rules.Outcome, total float64) { l.post(callDone{k, o, total}) }
+	k.report = func(k *call, o policy.Outcome, total float64) { l.post(callDone{k, o, total}) }
 	l.calls[k.name] = append(l.calls[k.name], k)
 	l.made.Add(1)
 	if l.counter == nil || !l.counter.add(k) {
 		l.unanswered.Add(1)
-		l.endCall(k, rules.Full, 0)
+		l.endCall(k, policy.Full, 0)
 		return
 	}
 	l.timers.add(timerEntry{at: k.sent + l.deploy.CounterTimeout, call: k})
@@ -375,16 +375,16 @@
 // name in the order of the calls, but a call that is turned away here, or goes
 // out on a new connection, may end before an earlier one; it waits for that. What
 // becomes of a call that was given up is told all the same.
-func (l *Loop) endCall(k *call, o rules.Outcome, total float64) {
+func (l *Loop) endCall(k *call, o policy.Outcome, total float64) {
 	if k.ended {
-		if k.outcome == rules.TimedOut {
-			l.handle(rules.CounterLate{Call: k.id, Outcome: o, Total: total})
+		if k.outcome == policy.TimedOut {
+			l.handle(policy.CounterLate{Call: k.id, Outcome: o, Total: total})
 		}
 		return
 	}
 	k.ended, k.outcome, k.total = true, o, total
 	l.metrics.calls[o].Add(1)
-	if o == rules.TimedOut || o == rules.ConnectFailed || o == rules.Broken {
+	if o == policy.TimedOut || o == policy.ConnectFailed || o == policy.Broken {
 		l.unanswered.Add(1)
 	}
 	for out := l.calls[k.name]; len(out) > 0 && out[0].ended; out = l.calls[k.name] {
@@ -392,7 +392,7 @@
 		if l.calls[k.name] = out[1:]; len(out) == 1 {
 			delete(l.calls, k.name)
 		}
-		l.handle(rules.CounterReply{Name: k.name, Outcome: k.outcome, Total: k.total, Took: l.clock.now() - k.sent})
+		l.handle(policy.CounterReply{Name: k.name, Outcome: k.outcome, Total: k.total, Took: l.clock.now() - k.sent})
 	}
 }
 
@@ -402,9 +402,9 @@
 // cut to pieces on its way passes for added too; what is taken back then is one call's.
 func (l *Loop) giveUp(k *call) {
 	k.givenUp.Store(true)
-	outcome := rules.TimedOut
+	outcome := policy.TimedOut
 	if k.begun.Load() {
-		outcome = rules.Errored
+		outcome = policy.Errored
 	}
 	l.endCall(k, outcome, 0)
 }
@@ -427,11 +427,11 @@
 	switch {
 	case t.attempt != nil:
 		t.attempt.callOff()
-		l.endAttempt(t.attempt, result{outcome: rules.TimedOut})
+		l.endAttempt(t.attempt, result{outcome: policy.TimedOut})
 	case t.call != nil:
 		l.giveUp(t.call)
 	default:
-		l.handle(rules.Timer{Token: t.token})
+		l.handle(policy.Timer{Token: t.token})
 	}
 }
 
@@ -439,7 +439,7 @@
 type timerEntry struct {
 	at      float64
 	token   uint64
-	request rules.RequestID // 0: the timer belongs to none
+	request policy.RequestID // 0: the timer belongs to none
 	attempt *attempt
 	call    *call
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // metric names one count of a gateway.
@@ -44,10 +44,10 @@
 // metrics counts what a gateway does. Its methods may be called from many goroutines; the zero value is ready.
 type metrics struct {
 	counts   [metricCount]atomic.Uint64
-	refused  [rules.ReasonCount]atomic.Uint64 // final answers of the decisions, by reason
-	failed   [rules.ReasonCount]atomic.Uint64
-	attempts [rules.OutcomeCount]atomic.Uint64 // ended, by outcome
-	calls    [rules.OutcomeCount]atomic.Uint64 // of the counter, by outcome
+	refused  [policy.ReasonCount]atomic.Uint64 // final answers of the decisions, by reason
+	failed   [policy.ReasonCount]atomic.Uint64
+	attempts [policy.OutcomeCount]atomic.Uint64 // ended, by outcome
+	calls    [policy.OutcomeCount]atomic.Uint64 // of the counter, by outcome
 }
 
 func (m *metrics) add(name metric) { m.counts[name].Add(1) }
@@ -63,11 +63,11 @@
 	for i := range m.counts {
 		list(metricNames[i], m.counts[i].Load())
 	}
-	for reason := range rules.ReasonCount {
+	for reason := range policy.ReasonCount {
 		list("refused."+reason.String(), m.refused[reason].Load())
 		list("failed."+reason.String(), m.failed[reason].Load())
 	}
-	for outcome := range rules.OutcomeCount {
+	for outcome := range policy.OutcomeCount {
 		list("attempts."+outcome.String(), m.attempts[outcome].Load())
 		list("counter."+outcome.String(), m.calls[outcome].Load())
 	}
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -6,15 +6,15 @@
 	"strings"
 	"testing"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // The counts are told by name, by reason and by outcome, and zeros are left out.
 func TestMetricsLine(t *testing.T) {
 	var m metrics
 	m.add(requestsTaken)
-	m.refused[rules.ReasonQuota].Add(2)
-	m.attempts[rules.TimedOut].Add(3)
+	m.refused[policy.ReasonQuota].Add(2)
+	m.attempts[policy.TimedOut].Add(3)
 	var text bytes.Buffer
 	slog.New(slog.NewTextHandler(&text, nil)).Info("counts", "since_start", &m)
 	for _, want := range []string{" since_start.requests.taken=1", " since_start.refused.quota=2", " since_start.attempts.timed_out=3"} {
@@ -36,14 +36,14 @@
 		}
 		seen[name] = true
 	}
-	for reason := range rules.ReasonCount {
+	for reason := range policy.ReasonCount {
 		if name := "reason " + reason.String(); name == "reason " || seen[name] {
 			t.Errorf("reason %d: name %q", reason, name)
 		} else {
 			seen[name] = true
 		}
 	}
-	for outcome := range rules.OutcomeCount {
+	for outcome := range policy.OutcomeCount {
 		if name := "outcome " + outcome.String(); name == "outcome " || seen[name] {
 			t.Errorf("outcome %d: name %q", outcome, name)
 		} else {
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // gated is a way to the gateway on which a test stands between the gateway and
@@ -684,13 +684,13 @@
 		t.Fatal(err)
 	}
 	l := newLoop(&c, newPools(patience, time.Minute, 8), newCounter(far.address(), patience), func() {})
-	l.list(listing(true, "Ready", backend), rules.FullList)
+	l.list(listing(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	x := &exchange{id: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-		ask: rules.Request{Units: 1, Gateways: 1, Customer: 5, Sent: now, Deadline: now + 15}}
+		ask: policy.Request{Units: 1, Gateways: 1, Customer: 5, Sent: now, Deadline: now + 15}}
 	l.arrive(x)
 	for _, calls := range l.calls {
-		l.take(callDone{calls[0], rules.Served, calls[0].amount})
+		l.take(callDone{calls[0], policy.Served, calls[0].amount})
 	}
 	if len(x.attempts) != 1 {
 		t.Fatalf("%d attempts by the grant", len(x.attempts))
@@ -748,16 +748,16 @@
 		backend := newPeer(t)
 		p := newPools(patience, time.Minute, 8)
 		l := newLoop(&c, p, nil, func() {})
-		l.list(listing(true, "Ready", backend), rules.FullList)
+		l.list(listing(true, "Ready", backend), policy.FullList)
 		now := l.clock.now()
 		x := &exchange{id: "one", method: "POST", uri: "/payment", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-			ask: rules.Request{Class: 2, Units: 1, Gateways: 1, Sent: now, Deadline: now + 15}}
+			ask: policy.Request{Class: 2, Units: 1, Gateways: 1, Sent: now, Deadline: now + 15}}
 		l.arrive(x)
 		_, br := backend.accept(t)
 		readRequest(t, br)
 		ends(l, x)
 		owed := len(x.reply)
-		l.take(attemptDone{x.attempts[0], result{outcome: rules.Served, header: http.Header{}, body: []byte("late")}})
+		l.take(attemptDone{x.attempts[0], result{outcome: policy.Served, header: http.Header{}, body: []byte("late")}})
 		if len(x.reply) != owed || len(l.live) != 0 || x.out != 0 {
 			t.Errorf("%s: %d answers for %d, %d requests live", name, len(x.reply), owed, len(l.live))
 		}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // What the protocol says of a stop (section "Figures").
@@ -107,5 +107,5 @@
 
 // longestDeadline is how long a client may wait for its answer, at most.
 func (c *Config) longestDeadline() time.Duration {
-	return seconds(rules.LongestDeadline(c.Classes))
+	return seconds(policy.LongestDeadline(c.Classes))
 }
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -11,7 +11,7 @@
 	"amberlb/internal/gateway"
 	"amberlb/internal/lab/load"
 	"amberlb/internal/lab/truth"
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 const (
@@ -41,7 +41,7 @@
 
 // customer is one customer of a group. All but the store is drive's.
 type customer struct {
-	id      rules.CustomerID
+	id      policy.CustomerID
 	first   int // of its gateways, in the group
 	store   *truth.Store
 	weights []float64     // of its gateways; nil: even
@@ -55,7 +55,7 @@
 		rng: rand.New(rand.NewPCG(h.Seed, uint64(g.First)<<1)), shares: load.NewTenants(g.Customers, g.Zipf),
 		customers: make([]customer, g.Customers), result: GroupResult{Name: g.Name}}
 	for i := range n.customers {
-		n.customers[i] = customer{id: rules.CustomerID(g.First + i*h.Fleet), // no other group has this First
+		n.customers[i] = customer{id: policy.CustomerID(g.First + i*h.Fleet), // no other group has this First
 			first: n.rng.IntN(g.Gateways - g.Spread + 1), store: truth.New(plan.Rate, plan.Burst)}
 		if g.Shift {
 			n.customers[i].weights = make([]float64, g.Spread)
@@ -129,7 +129,7 @@
 
 // ask makes one try.
 func (g *group) ask(t try) {
-	r := rules.Request{Customer: t.c.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstPeer: g.First + t.c.first,
+	r := policy.Request{Customer: t.c.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstPeer: g.First + t.c.first,
 		Gateways: g.Spread, Deadline: (g.deadline - time.Since(t.due)).Seconds(), Repeat: t.repeat}
 	g.gateways[t.c.first+t.place].Ask(r, t.id, func() { g.sent(t) },
 		func(status int, wait float64) { g.answered(t, status, seconds(wait)) })
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -11,7 +11,7 @@
 
 	"amberlb/internal/gateway"
 	"amberlb/internal/lab/load"
-	"amberlb/rules"
+	"amberlb/policy"
 
 	"amberlb/internal/lab/pause"
 )
@@ -25,8 +25,8 @@
 // service is the backend of all hollow gateways: it serves each request, in the same time.
 type service time.Duration
 
-func (s service) Serve(rules.BackendID) (time.Duration, rules.Outcome) {
-	return time.Duration(s), rules.Served
+func (s service) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
+	return time.Duration(s), policy.Served
 }
 
 // Run runs the gateways of a job until its load is over and answered, or until ctx ends, and has ended them when
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's binary frames and the events
-// and actions of package rules. It changes words and units and decides nothing.
+// and actions of package policy. It changes words and units and decides nothing.
 package wire
 
 import (
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // Codes of the records in a batch.
@@ -41,7 +41,7 @@
 // Start is the Attach of an instance.
 type Start struct {
 	Seed     uint64
-	Settings rules.Settings
+	Settings policy.Settings
 }
 
 // Record is one event for one instance. Exactly one of Start, Stop and Event
@@ -50,7 +50,7 @@
 	Gateway uint32
 	Start   *Start
 	Stop    bool
-	Event   rules.Event
+	Event   policy.Event
 }
 
 // Batch is all that happens at one moment.
@@ -64,7 +64,7 @@
 type Decoder struct {
 	r      io.Reader
 	frame  []byte
-	sheets [maxSheets][]rules.Backend
+	sheets [maxSheets][]policy.Backend
 	known  [maxSheets]bool
 }
 
@@ -180,17 +180,17 @@
 		c.short = true
 		return nil
 	}
-	entries := make([]rules.Backend, n)
+	entries := make([]policy.Backend, n)
 	for i := range entries {
-		entries[i] = rules.Backend{ID: rules.BackendID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()),
+		entries[i] = policy.Backend{ID: policy.BackendID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()),
 			Cell: int(c.u16())}
 		switch state := c.u8(); state {
 		case 0:
-			entries[i].State = rules.Gone
+			entries[i].State = policy.Gone
 		case 1:
-			entries[i].State = rules.Ready
+			entries[i].State = policy.Ready
 		case 2:
-			entries[i].State = rules.Draining
+			entries[i].State = policy.Draining
 		default:
 			return fmt.Errorf("availability %d is not known", state)
 		}
@@ -200,57 +200,57 @@
 	return nil
 }
 
-func (d *Decoder) sync(c *cursor) (rules.Event, error) {
+func (d *Decoder) sync(c *cursor) (policy.Event, error) {
 	form := c.u8()
 	c.u32() // revision: changes come in order and none is missing
 	sheet := c.u32()
 	if c.short {
 		return nil, nil
 	}
-	kind, known := map[uint8]rules.ListKind{0: rules.FullList, 1: rules.Delta, 2: rules.CachedList,
-		3: rules.ListFailed}[form]
+	kind, known := map[uint8]policy.ListKind{0: policy.FullList, 1: policy.Delta, 2: policy.CachedList,
+		3: policy.ListFailed}[form]
 	if !known {
 		return nil, fmt.Errorf("form %d is not known", form)
 	}
-	if kind == rules.ListFailed {
-		return rules.Backends{Kind: kind}, nil
+	if kind == policy.ListFailed {
+		return policy.Backends{Kind: kind}, nil
 	}
 	if sheet >= maxSheets || !d.known[sheet] {
 		return nil, fmt.Errorf("list %d was not defined", sheet)
 	}
-	return rules.Backends{Kind: kind, Entries: d.sheets[sheet]}, nil
+	return policy.Backends{Kind: kind, Entries: d.sheets[sheet]}, nil
 }
 
 // outcomes maps the codes of the wire; the missing ones are errors.
-var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Full,
-	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.Broken, 250: rules.Cancelled, 249: rules.Moot}
+var outcomes = map[uint8]policy.Outcome{0: policy.Served, 255: policy.Errored, 254: policy.Full,
+	253: policy.TimedOut, 252: policy.ConnectFailed, 251: policy.Broken, 250: policy.Cancelled, 249: policy.Moot}
 
 // event reads the fields of an event that needs nothing but the record.
-func (c *cursor) event(code uint8) (rules.Event, error) {
+func (c *cursor) event(code uint8) (policy.Event, error) {
 	switch code {
 	case codeAsk:
 		return c.ask(), nil
 	case codeEstablished:
-		e := rules.Established{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
+		e := policy.Established{Request: policy.RequestID(c.u32()), Backend: policy.BackendID(c.u32())}
 		e.Took, e.Attempt = c.f64(), int(c.u8())
 		return e, nil
 	case codeAttemptEnd:
 		return c.attemptEnd()
 	case codeAborted:
-		return rules.ClientGone{Request: rules.RequestID(c.u32())}, nil
+		return policy.ClientGone{Request: policy.RequestID(c.u32())}, nil
 	case codeAlarm:
-		return rules.Timer{Token: c.u64()}, nil
+		return policy.Timer{Token: c.u64()}, nil
 	case codeChecked:
-		e := rules.Probed{Backend: rules.BackendID(c.u32())}
+		e := policy.Probed{Backend: policy.BackendID(c.u32())}
 		var err error
 		e.Outcome, err = c.outcome()
 		e.Took, e.LoadData = c.f64(), c.report()
 		return e, err
 	case codePeerData:
 		from := int(c.u32())
-		return rules.PeerMessage{From: from, Data: append([]byte(nil), c.bytes(int(c.u16()))...)}, nil
+		return policy.PeerMessage{From: from, Data: append([]byte(nil), c.bytes(int(c.u16()))...)}, nil
 	case codeCounter:
-		e := rules.CounterReply{Name: c.u64()}
+		e := policy.CounterReply{Name: c.u64()}
 		var err error
 		e.Outcome, err = c.outcome()
 		e.Total, e.Took = c.f32(), c.f64()
@@ -259,17 +259,17 @@
 	return nil, errors.New("the code is not known")
 }
 
-func (c *cursor) ask() rules.Event {
-	r := rules.Request{ID: rules.RequestID(c.u32()), FirstPeer: int(c.f32()), Plan: int(c.u16()),
-		Customer: rules.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
+func (c *cursor) ask() policy.Event {
+	r := policy.Request{ID: policy.RequestID(c.u32()), FirstPeer: int(c.f32()), Plan: int(c.u16()),
+		Customer: policy.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
 	r.Repeat = c.u8()&flagRepeat != 0
 	r.Class, r.Deadline = int(c.u16()), c.f64()
 	return r
 }
 
-func (c *cursor) attemptEnd() (rules.Event, error) {
-	e := rules.AttemptEnd{Request: rules.RequestID(c.u32()), Attempt: int(c.u8()),
-		Backend: rules.BackendID(c.u32())}
+func (c *cursor) attemptEnd() (policy.Event, error) {
+	e := policy.AttemptEnd{Request: policy.RequestID(c.u32()), Attempt: int(c.u8()),
+		Backend: policy.BackendID(c.u32())}
 	var err error
 	e.Outcome, err = c.outcome()
 	e.Took, e.Done = c.f64(), c.u8() != 0
@@ -278,7 +278,7 @@
 	return e, err
 }
 
-func (c *cursor) outcome() (rules.Outcome, error) {
+func (c *cursor) outcome() (policy.Outcome, error) {
 	code := c.u8()
 	o, known := outcomes[code]
 	if !known && !c.short {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // Codes of the records in a reply.
@@ -38,7 +38,7 @@
 }
 
 // Add appends the actions of one instance.
-func (r *Reply) Add(gateway uint32, actions []rules.Action) error {
+func (r *Reply) Add(gateway uint32, actions []policy.Action) error {
 	if len(actions) == 0 {
 		return nil
 	}
@@ -59,40 +59,40 @@
 	return r.buf
 }
 
-func (r *Reply) action(a rules.Action) error {
+func (r *Reply) action(a policy.Action) error {
 	switch a := a.(type) {
-	case rules.Send:
+	case policy.Send:
 		r.start(codePassOn)
 		r.u32(uint32(a.Request))
 		r.f64(a.Timeout)
 		r.u32(uint32(a.Backend))
-	case rules.Cancel:
+	case policy.Cancel:
 		r.start(codeDropAttempt)
 		r.u32(uint32(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
-	case rules.Refuse:
+	case policy.Refuse:
 		r.start(codeDecline)
 		r.u32(uint32(a.Request))
 		r.f64(a.RetryAfter)
-	case rules.Fail:
+	case policy.Fail:
 		r.start(codeAbort)
 		r.u32(uint32(a.Request))
-	case rules.SetTimer:
+	case policy.SetTimer:
 		r.start(codeSleep)
 		r.f64(a.In)
 		r.u64(a.Token)
-	case rules.Count:
+	case policy.Count:
 		r.start(codeCount)
 		r.u64(a.Name)
 		r.u32(math.Float32bits(float32(a.Amount)))
 		r.f64(a.Keep)
-	case rules.Probe:
+	case policy.Probe:
 		r.start(codeAskLoad)
 		r.u32(uint32(a.Backend))
-	case rules.Subscribe:
+	case policy.Subscribe:
 		r.start(codeStreamChanges)
 		r.buf = append(r.buf, 1)
-	case rules.Log:
+	case policy.Log:
 		r.start(codeLog)
 		text := a.Text[:min(len(a.Text), math.MaxUint16)]
 		r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(text)))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 // options mirrors the JSON of an Attach record; unknown keys are passed over.
@@ -79,26 +79,26 @@
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]rules.Effect{"": rules.Repeatable, "repeatable": rules.Repeatable,
-	"by_key": rules.ByKey, "once": rules.Once}
+var effects = map[string]policy.Effect{"": policy.Repeatable, "repeatable": policy.Repeatable,
+	"by_key": policy.ByKey, "once": policy.Once}
 
-var scopes = map[string]rules.DedupeScope{"": rules.ScopeAll, "all": rules.ScopeAll,
-	"zone": rules.ScopeZone, "cell": rules.ScopeCell}
+var scopes = map[string]policy.DedupeScope{"": policy.ScopeAll, "all": policy.ScopeAll,
+	"zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
-var loadFields = map[string]rules.LoadField{"busy_reqs": rules.LoadHeld, "pending": rules.LoadWaiting,
-	"cpu_share": rules.LoadCPU, "svc_ms": rules.LoadServiceMillis,
-	"served_ps": rules.LoadServedPerSecond, "failed_ps": rules.LoadErrorsPerSecond}
+var loadFields = map[string]policy.LoadField{"busy_reqs": policy.LoadHeld, "pending": policy.LoadWaiting,
+	"cpu_share": policy.LoadCPU, "svc_ms": policy.LoadServiceMillis,
+	"served_ps": policy.LoadServedPerSecond, "failed_ps": policy.LoadErrorsPerSecond}
 
 // Deployment is all that the settings state: what the decisions need, and the
 // names by which sockets speak of the same things, in the settings' order.
 type Deployment struct {
-	rules.Settings
+	policy.Settings
 	ClassNames, PlanNames, Zones, Kinds []string
 	KeepAlive                           float64 // seconds; idle connections are closed after it
 }
 
 // ParseSettings reads the settings of an Attach record.
-func ParseSettings(text []byte) (rules.Settings, error) {
+func ParseSettings(text []byte) (policy.Settings, error) {
 	d, err := ParseDeployment(text)
 	return d.Settings, err
 }
@@ -122,7 +122,7 @@
 }
 
 // settings translates the options into what the decisions need.
-func (o *options) settings() (rules.Settings, error) {
+func (o *options) settings() (policy.Settings, error) {
 	s := o.figures()
 	for _, c := range o.Classes {
 		effect, known := effects[c.Effect]
@@ -130,15 +130,15 @@
 			return s, fmt.Errorf("settings: effect %q is not known", c.Effect)
 		}
 		scope, known := scopes[c.KeyScope]
-		if !known && effect == rules.ByKey {
+		if !known && effect == policy.ByKey {
 			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
 		}
-		s.Classes = append(s.Classes, rules.Class{Aim: c.ObjectiveS, AimStretch: c.AimStretch,
+		s.Classes = append(s.Classes, policy.Class{Aim: c.ObjectiveS, AimStretch: c.AimStretch,
 			Deadline: c.DeadlineS, Worth: c.Points, LateWorth: c.LateWorth, Effect: effect,
 			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
 	}
 	for _, p := range o.Packages {
-		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
+		s.Plans = append(s.Plans, policy.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
 			MaxConcurrent: int(p.AtOnce), OverWorth: p.OverWorth, OverCost: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
@@ -149,8 +149,8 @@
 }
 
 // figures translates all that is neither a class nor a plan.
-func (o *options) figures() rules.Settings {
-	s := rules.Settings{
+func (o *options) figures() policy.Settings {
+	s := policy.Settings{
 		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
 		AskDiscovery: o.Discovery == "ask",
 		RoughWeights: o.Weights == "rough" || o.Weights == "nominal",
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"amberlb/rules"
+	"amberlb/policy"
 )
 
 func frame(t testing.TB, text string) []byte {
@@ -36,14 +36,14 @@
 	if b.Seq != 12 || len(b.Records) != 3 {
 		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
 	}
-	r := b.Records[0].Event.(rules.Request)
-	want := rules.Request{ID: 0x5d3a91c4, FirstPeer: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
+	r := b.Records[0].Event.(policy.Request)
+	want := policy.Request{ID: 0x5d3a91c4, FirstPeer: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
 		Deadline: r.Deadline}
 	if r != want || r.Deadline <= b.Now || r.Deadline > b.Now+1 {
 		t.Errorf("got %+v", r)
 	}
-	if b.Records[1].Event != (rules.Timer{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
-		b.Records[2].Event != (rules.ClientGone{Request: 0x0e6f2b19}) {
+	if b.Records[1].Event != (policy.Timer{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
+		b.Records[2].Event != (policy.ClientGone{Request: 0x0e6f2b19}) {
 		t.Errorf("got %+v", b.Records[1:])
 	}
 }
@@ -58,11 +58,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := b.Records[0].Event.(rules.Backends), b.Records[1].Event.(rules.Backends)
-	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != rules.Ready || first.Kind != rules.Delta {
+	first, second := b.Records[0].Event.(policy.Backends), b.Records[1].Event.(policy.Backends)
+	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != policy.Ready || first.Kind != policy.Delta {
 		t.Errorf("first list %+v", first)
 	}
-	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != rules.Draining || e.Weight != 1.5 || e.Born < 6 {
+	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.Born < 6 {
 		t.Errorf("second list %+v", second)
 	}
 }
@@ -76,11 +76,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := b.Records[0].Event.(rules.AttemptEnd)
-	if e.Outcome != rules.Served || !e.Done || e.Use != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
+	e := b.Records[0].Event.(policy.AttemptEnd)
+	if e.Outcome != policy.Served || !e.Done || e.Use != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
 		t.Errorf("got %+v", e)
 	}
-	if c := b.Records[1].Event.(rules.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
+	if c := b.Records[1].Event.(policy.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
 		t.Errorf("got %+v", c)
 	}
 }
@@ -88,12 +88,12 @@
 func TestEncodeReply(t *testing.T) {
 	var r Reply
 	r.Reset(12)
-	err := r.Add(3, []rules.Action{rules.Send{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
-		rules.SetTimer{In: 0.5, Token: 0x4d}})
+	err := r.Add(3, []policy.Action{policy.Send{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
+		policy.SetTimer{In: 0.5, Token: 0x4d}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Add(5, []rules.Action{rules.Log{Text: "two servers known"}}); err != nil {
+	if err := r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}}); err != nil {
 		t.Fatal(err)
 	}
 	want := frame(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
@@ -147,14 +147,14 @@
 		t.Fatal(err)
 	}
 	c, p := s.Classes[0], s.Plans[0]
-	if c.Effect != rules.ByKey || c.Scope != rules.ScopeCell || c.Aim != 0.8 || c.DedupeWindow != 5 || c.Worth != 3 {
+	if c.Effect != policy.ByKey || c.Scope != policy.ScopeCell || c.Aim != 0.8 || c.DedupeWindow != 5 || c.Worth != 3 {
 		t.Errorf("class %+v", c)
 	}
 	if p.Price != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.AskDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != rules.LoadOther ||
-		s.LoadFields[1] != rules.LoadWaiting {
+	if !s.AskDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != policy.LoadOther ||
+		s.LoadFields[1] != policy.LoadWaiting {
 		t.Errorf("settings %+v", s)
 	}
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
--- a/rules/admission.go
+++ b/policy/admission.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Admission: a request is taken in with timers that see to its answer, waits in the queue of its level,
 // and leaves it highest level first as the bound on work in flight allows.
--- a/rules/attempts.go
+++ b/policy/attempts.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Attempts and final answers: one function sends (send) and one answers (giveBack), which hold the rules
 // that no other step may bypass.
--- a/rules/gone_test.go
+++ b/policy/disconnect_test.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 import "testing"
 
--- a/rules/rules.go
+++ b/policy/engine.go
@@ -1,7 +1,7 @@
-package rules
+package policy
 
 // The decisions of one gateway. The interface it is driven through (settings, events, actions) is in
-// rules/types.go; rules/state.go declares what is kept between events, and decides nothing.
+// types.go; state.go declares what is kept between events, and decides nothing.
 //
 // A request passes these steps: its customer's lease pays for it (admit, in quota.go), it waits in the
 // queue of its level (enqueue, admission.go), the bound lets it go (dispatch), a backend is picked (pick,
--- a/rules/rules_test.go
+++ b/policy/engine_test.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 import (
 	"math"
@@ -114,7 +114,7 @@
 	list, _, _ = strings.Cut(list, "]")
 	named := map[string]bool{}
 	for file := range strings.SplitSeq(list, ",") {
-		named[strings.TrimPrefix(strings.Trim(file, " \""), "rules/")] = true
+		named[strings.TrimPrefix(strings.Trim(file, " \""), "policy/")] = true
 	}
 	files, err := os.ReadDir(".")
 	if err != nil {
--- a/rules/membership.go
+++ b/policy/membership.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Membership: the list of backends as discovery tells it.
 
--- a/rules/health.go
+++ b/policy/outlier.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Health: what is learnt of a backend from the attempts that it got.
 
--- a/rules/placement.go
+++ b/policy/picker.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Placement: which backend an attempt goes to.
 
--- a/rules/quota.go
+++ b/policy/quota.go
@@ -1,8 +1,8 @@
-package rules
+package policy
 
 // The quota of a customer over all its gateways: leases from the counter, the gateway's own share for when
 // the counter grants nothing, and places for attempts out at once. admit is the first step of a request;
-// rules.go has the others.
+// engine.go has the others.
 
 import (
 	"math"
--- a/rules/slowstart.go
+++ b/policy/slowstart.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Slow start: a backend that has just started gets a part of what a warm one does.
 
--- a/rules/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // What a gateway keeps between events, and plain bookkeeping on it. Nothing is
 // decided here.
--- a/rules/types.go
+++ b/policy/types.go
@@ -1,10 +1,10 @@
-// Package rules decides, for one gateway, what happens to each request of a
+// Package policy decides, for one gateway, what happens to each request of a
 // customer that is held to a quota before a shared back end.
 //
 // This file is the whole interface: settings go in once, events go in one at a
 // time, actions come out. Times are seconds on the clock of the caller. The
-// decisions are in rules.go and the files that it names.
-package rules
+// decisions are in engine.go and the files that it names.
+package policy
 
 // RequestID names one try of a client at one gateway.
 type RequestID uint32
