--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -23,7 +23,7 @@
 // instance is one gateway; gateway is nil while it is stopped.
 type instance struct {
 	settings policy.Settings
-	gateway  *policy.Gateway
+	gateway  *policy.Engine
 	actions  []policy.Action
 	listed   bool // it is in the order of this reply
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -415,7 +415,7 @@
 	a.written()
 	res, reuse := c.answer(a.x.method)
 	ours := a.release()
-	if forgotten := res.outcome == policy.Broken && c.left.N == mostAnswer; ours && c.rest > 0 {
+	if forgotten := res.outcome == policy.ConnectionReset && c.left.N == mostAnswer; ours && c.rest > 0 {
 		p.trust.note(time.Now(), c.rest, forgotten)
 	}
 	if ours && reuse {
@@ -455,7 +455,7 @@
 			continue
 		}
 		if !delimited(resp) {
-			return result{outcome: policy.Broken}, false
+			return result{outcome: policy.ConnectionReset}, false
 		}
 		body, err := readBody(resp.Body, resp.ContentLength)
 		resp.Body.Close()
@@ -468,11 +468,11 @@
 			return result{policy.Served, resp.Header, body}, reuse
 		case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 			resp.Header.Get(notRunHeader) == "1":
-			return result{outcome: policy.Full}, reuse
+			return result{outcome: policy.Rejected}, reuse
 		}
-		return result{outcome: policy.Errored}, reuse
+		return result{outcome: policy.Failed}, reuse
 	}
-	return result{outcome: policy.Errored}, false
+	return result{outcome: policy.Failed}, false
 }
 
 // broken tells a time-out from a connection that ended.
@@ -480,7 +480,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return policy.TimedOut
 	}
-	return policy.Broken
+	return policy.ConnectionReset
 }
 
 var errTooLong = errors.New("the body is too long")
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -113,24 +113,24 @@
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", policy.Served, "ok", true},
 		{"served, then closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", policy.Served, "ok", false},
 		{"an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok", true},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, "", true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, "", true},
-		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
-		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
-		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, "", true},
-		{"closed without a word", "", policy.Broken, "", false},
-		{"head cut short", "HTTP/1.1 200 OK\r\nContent-Le", policy.Broken, "", false},
-		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Broken, "", false},
-		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, policy.Broken, "", false},
-		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, policy.Broken, "", false},
-		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", policy.Broken, "", false},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", policy.Broken, "", false},
-		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.Broken, "", false},
-		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", policy.Broken, "", false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.Broken, "", false},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Failed, "", true},
+		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, "", true},
+		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, "", true},
+		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Failed, "", true},
+		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", policy.Failed, "", true},
+		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Failed, "", true},
+		{"closed without a word", "", policy.ConnectionReset, "", false},
+		{"head cut short", "HTTP/1.1 200 OK\r\nContent-Le", policy.ConnectionReset, "", false},
+		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.ConnectionReset, "", false},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, policy.ConnectionReset, "", false},
+		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, policy.ConnectionReset, "", false},
+		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", policy.ConnectionReset, "", false},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", policy.ConnectionReset, "", false},
+		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.ConnectionReset, "", false},
+		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", policy.ConnectionReset, "", false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.ConnectionReset, "", false},
 		{"more than belongs to it", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", policy.Served, "ok", false},
-		{"no HTTP", "SSH-2.0\r\n\r\n", policy.Broken, "", false},
+		{"no HTTP", "SSH-2.0\r\n\r\n", policy.ConnectionReset, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -265,7 +265,7 @@
 	_, r := backend.accept(t)
 	readRequest(t, r)
 	p.update(1, backend.address(), 5)
-	if got := wait(t, out, "result"); got.outcome != policy.Broken {
+	if got := wait(t, out, "result"); got.outcome != policy.ConnectionReset {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.address(), moved.address()} {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -109,12 +109,12 @@
 		}
 	}
 	for i, class := range c.Classes {
-		if class.Aim <= 0 || class.Deadline <= 0 || class.Deadline > mostPatience.Seconds() || class.Worth < 0 || class.DedupeWindow < 0 {
+		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > mostPatience.Seconds() || class.PriorityWeight < 0 || class.DedupeWindow < 0 {
 			return fmt.Errorf("class %q: aim, deadline, worth or window is out of range", c.ClassNames[i])
 		}
 	}
 	for i, p := range c.Plans {
-		if p.Price < 0 || p.Rate < 0 || p.MaxConcurrent < 0 || p.CeilingRate < 0 ||
+		if p.WeightFactor < 0 || p.Rate < 0 || p.MaxConcurrent < 0 || p.CeilingRate < 0 ||
 			p.Rate > 0 && p.Burst <= 0 || p.CeilingRate > 0 && p.CeilingBurst <= 0 {
 			return fmt.Errorf("plan %q: price, rate, burst, cap or ceiling is out of range", c.PlanNames[i])
 		}
@@ -122,8 +122,8 @@
 	switch {
 	case c.Cores <= 0 || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets:
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
-	case c.Fleet < 1 || c.Rank < 0 || c.Rank >= c.Fleet:
-		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.Fleet)
+	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
+		return fmt.Errorf("settings: rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
 	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
 		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
 	case c.Settings.Counter && c.CounterTimeout <= 0:
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -237,16 +237,16 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.report(k, policy.Broken, 0)
+			k.report(k, policy.ConnectionReset, 0)
 			continue
 		}
 		c.head.Store(k)
 		left.N = mostCounterHead
 		c.SetReadDeadline(time.Now().Add(c.stuck))
-		outcome, total, err := policy.Errored, 0.0, error(nil)
+		outcome, total, err := policy.Failed, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = broken(err)
-			c.trust.note(time.Now(), k.rest, outcome == policy.Broken)
+			c.trust.note(time.Now(), k.rest, outcome == policy.ConnectionReset)
 		} else {
 			c.trust.note(time.Now(), k.rest, false)
 			k.begun.Store(true)
@@ -271,29 +271,29 @@
 func readTotal(r *bufio.Reader, asked *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(r, asked)
 	if err != nil {
-		return policy.Errored, 0, err
+		return policy.Failed, 0, err
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostTotal+1))
 	resp.Body.Close()
 	switch {
 	case err != nil:
-		return policy.Errored, 0, err
+		return policy.Failed, 0, err
 	case len(body) > mostTotal, !delimited(resp):
-		return policy.Errored, 0, errNoTotal
+		return policy.Failed, 0, errNoTotal
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-			return policy.Errored, 0, errNoTotal
+			return policy.Failed, 0, errNoTotal
 		}
 		return policy.Served, total, nil
 	case http.StatusServiceUnavailable:
-		return policy.Full, 0, nil
+		return policy.Rejected, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound:
 		return policy.ConnectFailed, 0, nil // nothing was added
 	}
-	return policy.Broken, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return policy.ConnectionReset, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
 }
 
 // delimited tells whether the end of a body is told by a length or by chunks.
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -62,7 +62,7 @@
 	total(conn, 200, "-1.5\n")
 	total(conn, 503, "")
 	total(conn, 404, "")
-	for _, want := range []reply{{1, policy.Served, 1}, {-2.5, policy.Served, -1.5}, {3, policy.Full, 0}, {4, policy.ConnectFailed, 0}} {
+	for _, want := range []reply{{1, policy.Served, 1}, {-2.5, policy.Served, -1.5}, {3, policy.Rejected, 0}, {4, policy.ConnectFailed, 0}} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
 		}
@@ -71,7 +71,7 @@
 	add(5)
 	readRequest(t, r)
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.Broken {
+	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 		t.Errorf("reply after a break: %v", got)
 	}
 	// The next goes out on a new connection.
@@ -89,16 +89,16 @@
 		answer  string
 		outcome policy.Outcome
 	}{
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno number", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n+Inf", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n12", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), policy.Errored},
-		{"HTTP/1.1 2x0 OK\r\n\r\n12", policy.Errored},
-		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), policy.Errored},
-		{"HTTP/1.1 102 Processing\r\n\r\n", policy.Broken},
-		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", policy.Broken},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno number", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n+Inf", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n12", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), policy.Failed},
+		{"HTTP/1.1 2x0 OK\r\n\r\n12", policy.Failed},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), policy.Failed},
+		{"HTTP/1.1 102 Processing\r\n\r\n", policy.ConnectionReset},
+		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", policy.ConnectionReset},
 	} {
 		add(1)
 		conn, r := far.accept(t)
@@ -109,7 +109,7 @@
 		if got := wait(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
 			t.Errorf("%.60q: reply %v", c.answer, got)
 		}
-		if got := wait(t, replies, "reply"); got != (reply{2, policy.Broken, 0}) {
+		if got := wait(t, replies, "reply"); got != (reply{2, policy.ConnectionReset, 0}) {
 			t.Errorf("%.60q: reply to the call behind it %v", c.answer, got)
 		}
 	}
@@ -118,7 +118,7 @@
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // and no end but the connection's
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.Errored {
+	if got := wait(t, replies, "reply"); got.outcome != policy.Failed {
 		t.Errorf("reply with no length: %v", got)
 	}
 }
@@ -261,7 +261,7 @@
 		add(2)
 		readRequest(t, r)
 		conn.Close()
-		if got := wait(t, replies, "reply"); got.outcome != policy.Broken {
+		if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 			t.Fatalf("reply %v", got)
 		}
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -48,7 +48,7 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.BackendState{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
+var lifecycles = map[string]policy.BackendState{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
 
 // backendID derives the module's id from the name alone, so that all gateways
 // agree on it whatever order they hear of backends in.
@@ -66,14 +66,14 @@
 	switch {
 	case i.ID == "" || !known:
 		return policy.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", i.ID, i.Lifecycle)
-	case zone < 0 && state != policy.Gone:
+	case zone < 0 && state != policy.Removed:
 		// Two unknown zones must not pass for one that drops repeats.
 		return policy.Backend{}, fmt.Errorf("instance %q: zone %q is not known", i.ID, i.Zone)
 	case math.IsNaN(i.Weight) || i.StartedAtMs < 0:
 		return policy.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
 	}
 	return policy.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
-		State: state, Weight: i.Weight, Born: float64(i.StartedAtMs) / 1000}, nil
+		State: state, Weight: i.Weight, StartedAt: float64(i.StartedAtMs) / 1000}, nil
 }
 
 // watcher follows discovery and hands on each answer.
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -134,7 +134,7 @@
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.backend(d)
-	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5, Born: 1.5}
+	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5, StartedAt: 1.5}
 	if err != nil || b != want {
 		t.Errorf("%+v, %v; want %+v", b, err, want)
 	}
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -189,12 +189,12 @@
 	x.id = r.Header.Get(idHeader)
 	class := &f.deploy.Classes[ask.Class]
 	switch key := r.Header.Get(keyHeader); {
-	case class.Effect == policy.Repeatable && r.Method != http.MethodGet,
-		class.Effect != policy.Repeatable && r.Method != http.MethodPost:
+	case class.Idempotency == policy.Idempotent && r.Method != http.MethodGet,
+		class.Idempotency != policy.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)
 	case r.Method == http.MethodGet && r.ContentLength != 0:
 		return nil, http.StatusBadRequest, errors.New("a GET has no body")
-	case class.Effect == policy.ByKey && key == "":
+	case class.Idempotency == policy.IdempotentByKey && key == "":
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
 	case len(key) > mostName:
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
@@ -219,7 +219,7 @@
 	}
 	// The time-out for reading the request would end the watch.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	x.ask.Sent = now
+	x.ask.SentAt = now
 	// A client that claims hours would hold its request, and a stop, for as long as a backend hangs.
 	x.ask.Deadline = min(x.ask.Deadline, class.Deadline) + now - answerMargin
 	x.header = passedOn(r.Header)
@@ -261,7 +261,7 @@
 		return q, errors.New(leftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.Repeat = h.Get(repeatHeader) == "1"
+	q.IsRetry = h.Get(repeatHeader) == "1"
 	return q, f.terms(&q, h.Get(termsHeader))
 }
 
@@ -281,7 +281,7 @@
 		case "spread":
 			q.Gateways, err = strconv.Atoi(value)
 		case "first":
-			q.FirstPeer, err = strconv.Atoi(value)
+			q.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
@@ -291,8 +291,8 @@
 	if most <= 0 {
 		most = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > f.deploy.Fleet ||
-		q.FirstPeer < 0 || q.FirstPeer >= f.deploy.Fleet {
+	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > f.deploy.FleetSize ||
+		q.FirstGateway < 0 || q.FirstGateway >= f.deploy.FleetSize {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -69,8 +69,8 @@
 // a goroutine of its own, with the status and the seconds of Retry-After, 0 for none. A gateway that has ended
 // answers 500; one that was never run does not answer.
 func (h *Hollow) Ask(r policy.Request, id string, sent func(), answered func(status int, retryAfter float64)) {
-	r.Sent = h.loop.clock.now()
-	r.Deadline = min(r.Deadline, h.config.Classes[r.Class].Deadline) + r.Sent - answerMargin
+	r.SentAt = h.loop.clock.now()
+	r.Deadline = min(r.Deadline, h.config.Classes[r.Class].Deadline) + r.SentAt - answerMargin
 	x := &exchange{id: id, ask: r, reply: make(chan answer, 1), sent: sync.OnceFunc(sent)}
 	go func() {
 		if !h.loop.post(arrival{x}) {
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -63,7 +63,7 @@
 	got, sent := map[int]int{}, atomic.Int64{}
 	for n := range 3 * burst {
 		began, answered := time.Now(), make(chan int, 2)
-		h.Ask(policy.Request{Customer: 7, Units: 1, FirstPeer: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
+		h.Ask(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
 		status := wait(t, answered, "answer")
 		got[status]++
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -77,7 +77,7 @@
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
-		if got := wait(t, ended, "outcome"); got != policy.Broken {
+		if got := wait(t, ended, "outcome"); got != policy.ConnectionReset {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -54,7 +54,7 @@
 	log      *slog.Logger
 	metrics  metrics
 	deploy   *wire.Deployment
-	gateway  *policy.Gateway
+	gateway  *policy.Engine
 	backends backends
 	counter  *counter
 	onListed func()
@@ -138,7 +138,7 @@
 		if m.x.open {
 			l.metrics.add(clientsLeft)
 			m.x.open = false
-			l.handle(policy.ClientGone{Request: m.x.ask.ID})
+			l.handle(policy.ClientDisconnected{Request: m.x.ask.ID})
 			l.keepBack(m.x)
 			l.drop(m.x)
 		}
@@ -147,7 +147,7 @@
 	case callDone:
 		l.endCall(m.k, m.outcome, m.total)
 	case stopping:
-		l.handle(policy.Stop{By: m.by})
+		l.handle(policy.Shutdown{AnswerBy: m.by})
 	case listed:
 		l.metrics.add(listsReceived)
 		l.list(m.listing, m.kind)
@@ -170,7 +170,7 @@
 
 // arrive gives a request an id of its own and hands it to the module.
 func (l *Loop) arrive(x *exchange) {
-	if l.deploy.MaxOpen > 0 && len(l.live) >= l.deploy.MaxOpen {
+	if l.deploy.MaxOpenRequests > 0 && len(l.live) >= l.deploy.MaxOpenRequests {
 		l.metrics.add(requestsOverOpenLimit)
 		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
 		return
@@ -178,7 +178,7 @@
 	// An id names one request. A second one under it, from whatever client, could be answered by
 	// what a backend made for the first.
 	// They are forgotten after a while, or when many come; those of requests that are open are not.
-	if _, open := l.open[x.id]; open || !l.ids.add(x.id, x.ask.Sent) {
+	if _, open := l.open[x.id]; open || !l.ids.add(x.id, x.ask.SentAt) {
 		l.metrics.add(requestsConflicting)
 		x.reply <- answer{status: http.StatusConflict}
 		return
@@ -196,7 +196,7 @@
 // list takes in what discovery told. Connections follow it before the module
 // hears of it.
 func (l *Loop) list(told Listing, kind policy.ListKind) {
-	ev := policy.Backends{Kind: kind}
+	ev := policy.EndpointsUpdated{Kind: kind}
 	kept := map[policy.BackendID]bool{}
 	for _, i := range told.Instances {
 		b, err := i.backend(l.deploy)
@@ -216,7 +216,7 @@
 		ev.Entries = append(ev.Entries, b)
 		if b.State == policy.Ready {
 			l.names[b.ID] = i.ID
-			l.backends.update(b.ID, i.HostPort, b.Born)
+			l.backends.update(b.ID, i.HostPort, b.StartedAt)
 		} else {
 			delete(l.names, b.ID)
 			l.backends.remove(b.ID)
@@ -239,30 +239,30 @@
 func (l *Loop) act(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case policy.Send:
+		case policy.SendAttempt:
 			l.send(a)
-		case policy.Cancel:
+		case policy.CancelAttempt:
 			l.cancel(a)
-		case policy.Refuse:
+		case policy.Reject:
 			l.metrics.refused[a.Reason].Add(1)
 			l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter})
-		case policy.Fail:
+		case policy.FailRequest:
 			l.metrics.failed[a.Reason].Add(1)
 			l.answer(a.Request, answer{status: http.StatusBadGateway})
 		case policy.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(a.In, 0), token: a.Token, request: a.Request})
-		case policy.Count:
+			l.timers.add(timerEntry{at: l.clock.now() + max(a.Delay, 0), token: a.Token, request: a.Request})
+		case policy.CounterAdd:
 			l.count(a)
 		case policy.Log:
 			l.log.Info(a.Text)
-		case policy.Subscribe: // the watch always runs
+		case policy.PollEndpoints: // the watch always runs
 		}
 	}
 }
 
 // send starts an attempt. What is over, was tried too often or belongs to a client
 // that has left gets none.
-func (l *Loop) send(s policy.Send) {
+func (l *Loop) send(s policy.SendAttempt) {
 	x := l.live[s.Request]
 	if x == nil {
 		l.log.Error("an attempt for a request that is not known", "request", s.Request)
@@ -280,7 +280,7 @@
 		l.metrics.add(attemptsRepeated)
 	}
 	if !x.open || x.left.Load() || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: policy.Moot})
+		l.endAttempt(a, result{outcome: policy.NotSent})
 		return
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -308,8 +308,8 @@
 		header.Del(loadHeader) // for gateways, not for clients
 		l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, body: res.body})
 	}
-	l.handle(policy.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: l.clock.now() - a.sent, Done: !x.open})
+	l.handle(policy.AttemptEnded{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
+		Latency: l.clock.now() - a.sent, RequestOver: !x.open})
 	l.drop(x)
 }
 
@@ -319,12 +319,12 @@
 func (l *Loop) keepBack(x *exchange) {
 	for _, a := range x.attempts {
 		if !a.ended && a.callOffUnsent() {
-			l.endAttempt(a, result{outcome: policy.Moot})
+			l.endAttempt(a, result{outcome: policy.NotSent})
 		}
 	}
 }
 
-func (l *Loop) cancel(c policy.Cancel) {
+func (l *Loop) cancel(c policy.CancelAttempt) {
 	x := l.live[c.Request]
 	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended {
 		return
@@ -357,15 +357,15 @@
 	}
 }
 
-func (l *Loop) count(c policy.Count) {
+func (l *Loop) count(c policy.CounterAdd) {
 	k := &call{id: c.Call, name: c.Name, amount: c.Amount, sent: l.clock.now(),
-		keep: min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)}
+		keep: min(max(time.Duration(c.TTL*float64(time.Second)), leastKeep), mostKeep)}
 	k.report = func(k *call, o policy.Outcome, total float64) { l.post(callDone{k, o, total}) }
 	l.calls[k.name] = append(l.calls[k.name], k)
 	l.made.Add(1)
 	if l.counter == nil || !l.counter.add(k) {
 		l.unanswered.Add(1)
-		l.endCall(k, policy.Full, 0)
+		l.endCall(k, policy.Rejected, 0)
 		return
 	}
 	l.timers.add(timerEntry{at: k.sent + l.deploy.CounterTimeout, call: k})
@@ -378,13 +378,13 @@
 func (l *Loop) endCall(k *call, o policy.Outcome, total float64) {
 	if k.ended {
 		if k.outcome == policy.TimedOut {
-			l.handle(policy.CounterLate{Call: k.id, Outcome: o, Total: total})
+			l.handle(policy.LateCounterReply{Call: k.id, Outcome: o, Total: total})
 		}
 		return
 	}
 	k.ended, k.outcome, k.total = true, o, total
 	l.metrics.calls[o].Add(1)
-	if o == policy.TimedOut || o == policy.ConnectFailed || o == policy.Broken {
+	if o == policy.TimedOut || o == policy.ConnectFailed || o == policy.ConnectionReset {
 		l.unanswered.Add(1)
 	}
 	for out := l.calls[k.name]; len(out) > 0 && out[0].ended; out = l.calls[k.name] {
@@ -392,7 +392,7 @@
 		if l.calls[k.name] = out[1:]; len(out) == 1 {
 			delete(l.calls, k.name)
 		}
-		l.handle(policy.CounterReply{Name: k.name, Outcome: k.outcome, Total: k.total, Took: l.clock.now() - k.sent})
+		l.handle(policy.CounterReply{Name: k.name, Outcome: k.outcome, Total: k.total, Latency: l.clock.now() - k.sent})
 	}
 }
 
@@ -404,7 +404,7 @@
 	k.givenUp.Store(true)
 	outcome := policy.TimedOut
 	if k.begun.Load() {
-		outcome = policy.Errored
+		outcome = policy.Failed
 	}
 	l.endCall(k, outcome, 0)
 }
@@ -431,7 +431,7 @@
 	case t.call != nil:
 		l.giveUp(t.call)
 	default:
-		l.handle(policy.Timer{Token: t.token})
+		l.handle(policy.TimerFired{Token: t.token})
 	}
 }
 
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -12,11 +12,11 @@
 // The module takes replies for one name in the order of the calls, so a later
 // call that ends first waits for the earlier.
 func TestRepliesInOrder(t *testing.T) {
-	l := &Loop{calls: map[uint64][]*call{}, gateway: &policy.Gateway{}}
+	l := &Loop{calls: map[uint64][]*call{}, gateway: &policy.Engine{}}
 	l.pending = []policy.Event{nil} // an outer call is at it: replies are queued
 	first, second, other := &call{name: 1, amount: 1}, &call{name: 1, amount: 2}, &call{name: 2}
 	l.calls[1], l.calls[2] = []*call{first, second}, []*call{other}
-	l.endCall(second, policy.Full, 0)
+	l.endCall(second, policy.Rejected, 0)
 	l.endCall(other, policy.Served, 3)
 	l.endCall(first, policy.Served, 5)
 	l.endCall(first, policy.TimedOut, 0) // it has ended
@@ -24,7 +24,7 @@
 	for _, ev := range l.pending[1:] {
 		got = append(got, ev.(policy.CounterReply).Outcome)
 	}
-	if want := []policy.Outcome{policy.Served, policy.Served, policy.Full}; !slices.Equal(got, want) || len(l.calls) > 0 {
+	if want := []policy.Outcome{policy.Served, policy.Served, policy.Rejected}; !slices.Equal(got, want) || len(l.calls) > 0 {
 		t.Errorf("replies %v, want %v; %d names left", got, want, len(l.calls))
 	}
 }
@@ -61,7 +61,7 @@
 	l := newLoop(&c, newPools(1, 1, 1), nil, func() {})
 	request := func() *exchange {
 		now := l.clock.now()
-		return &exchange{id: "one", reply: make(chan answer, 1), ask: policy.Request{Units: 1, Gateways: 1, Sent: now, Deadline: now + 15}}
+		return &exchange{id: "one", reply: make(chan answer, 1), ask: policy.Request{Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15}}
 	}
 	first, second := request(), request()
 	l.arrive(first)
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -687,7 +687,7 @@
 	l.list(listing(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	x := &exchange{id: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-		ask: policy.Request{Units: 1, Gateways: 1, Customer: 5, Sent: now, Deadline: now + 15}}
+		ask: policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15}}
 	l.arrive(x)
 	for _, calls := range l.calls {
 		l.take(callDone{calls[0], policy.Served, calls[0].amount})
@@ -751,7 +751,7 @@
 		l.list(listing(true, "Ready", backend), policy.FullList)
 		now := l.clock.now()
 		x := &exchange{id: "one", method: "POST", uri: "/payment", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-			ask: policy.Request{Class: 2, Units: 1, Gateways: 1, Sent: now, Deadline: now + 15}}
+			ask: policy.Request{Class: 2, Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15}}
 		l.arrive(x)
 		_, br := backend.accept(t)
 		readRequest(t, br)
@@ -816,7 +816,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.ask.Deadline - x.ask.Sent + answerMargin; got < most-0.001 || got > most+0.001 {
+		if got := x.ask.Deadline - x.ask.SentAt + answerMargin; got < most-0.001 || got > most+0.001 {
 			t.Errorf("%s ms: held for up to %.3f s, want %.3f", left, got, most)
 		}
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -95,7 +95,7 @@
 		x := open.exchange
 		g.log.Error("stop: a request is left without its whole answer", slog.Group("request", "id", x.id,
 			"class", g.config.ClassNames[x.ask.Class], "client", open.client,
-			"open", seconds(g.front.loop.clock.now()-x.ask.Sent)))
+			"open", seconds(g.front.loop.clock.now()-x.ask.SentAt)))
 	}
 }
 
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Rank != 1 || d.Fleet != 9 || d.Counter || d.MaxUnits != 2 {
+	if d.GatewayIndex != 1 || d.FleetSize != 9 || d.Counter || d.MaxUnits != 2 {
 		t.Errorf("%+v", d.Settings)
 	}
 	if p := d.Plans[0]; d.PlanNames[0] != "calm-2" || p.Rate != 8 || p.Burst != 24 {
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -129,8 +129,8 @@
 
 // ask makes one try.
 func (g *group) ask(t try) {
-	r := policy.Request{Customer: t.c.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstPeer: g.First + t.c.first,
-		Gateways: g.Spread, Deadline: (g.deadline - time.Since(t.due)).Seconds(), Repeat: t.repeat}
+	r := policy.Request{Customer: t.c.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstGateway: g.First + t.c.first,
+		Gateways: g.Spread, Deadline: (g.deadline - time.Since(t.due)).Seconds(), IsRetry: t.repeat}
 	g.gateways[t.c.first+t.place].Ask(r, t.id, func() { g.sent(t) },
 		func(status int, wait float64) { g.answered(t, status, seconds(wait)) })
 }
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -130,7 +130,7 @@
 func (h *host) config(rank int) *gateway.Config {
 	c := &gateway.Config{Name: fmt.Sprintf("h-%05d", rank), Discovery: h.Discovery, Counter: h.Counter,
 		Seed: rand.New(rand.NewPCG(h.Seed, uint64(rank)<<1|1)).Uint64(), Deployment: h.deployment}
-	c.Rank, c.Fleet = rank, h.Fleet
+	c.GatewayIndex, c.FleetSize = rank, h.Fleet
 	return c
 }
 
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -186,7 +186,7 @@
 			Cell: int(c.u16())}
 		switch state := c.u8(); state {
 		case 0:
-			entries[i].State = policy.Gone
+			entries[i].State = policy.Removed
 		case 1:
 			entries[i].State = policy.Ready
 		case 2:
@@ -194,7 +194,7 @@
 		default:
 			return fmt.Errorf("availability %d is not known", state)
 		}
-		entries[i].Weight, entries[i].Born = c.f32(), c.f64()
+		entries[i].Weight, entries[i].StartedAt = c.f32(), c.f64()
 	}
 	d.sheets[sheet], d.known[sheet] = entries, true
 	return nil
@@ -213,17 +213,17 @@
 		return nil, fmt.Errorf("form %d is not known", form)
 	}
 	if kind == policy.ListFailed {
-		return policy.Backends{Kind: kind}, nil
+		return policy.EndpointsUpdated{Kind: kind}, nil
 	}
 	if sheet >= maxSheets || !d.known[sheet] {
 		return nil, fmt.Errorf("list %d was not defined", sheet)
 	}
-	return policy.Backends{Kind: kind, Entries: d.sheets[sheet]}, nil
+	return policy.EndpointsUpdated{Kind: kind, Entries: d.sheets[sheet]}, nil
 }
 
 // outcomes maps the codes of the wire; the missing ones are errors.
-var outcomes = map[uint8]policy.Outcome{0: policy.Served, 255: policy.Errored, 254: policy.Full,
-	253: policy.TimedOut, 252: policy.ConnectFailed, 251: policy.Broken, 250: policy.Cancelled, 249: policy.Moot}
+var outcomes = map[uint8]policy.Outcome{0: policy.Served, 255: policy.Failed, 254: policy.Rejected,
+	253: policy.TimedOut, 252: policy.ConnectFailed, 251: policy.ConnectionReset, 250: policy.Cancelled, 249: policy.NotSent}
 
 // event reads the fields of an event that needs nothing but the record.
 func (c *cursor) event(code uint8) (policy.Event, error) {
@@ -231,20 +231,20 @@
 	case codeAsk:
 		return c.ask(), nil
 	case codeEstablished:
-		e := policy.Established{Request: policy.RequestID(c.u32()), Backend: policy.BackendID(c.u32())}
-		e.Took, e.Attempt = c.f64(), int(c.u8())
+		e := policy.ResponseStarted{Request: policy.RequestID(c.u32()), Backend: policy.BackendID(c.u32())}
+		e.Latency, e.Attempt = c.f64(), int(c.u8())
 		return e, nil
 	case codeAttemptEnd:
 		return c.attemptEnd()
 	case codeAborted:
-		return policy.ClientGone{Request: policy.RequestID(c.u32())}, nil
+		return policy.ClientDisconnected{Request: policy.RequestID(c.u32())}, nil
 	case codeAlarm:
-		return policy.Timer{Token: c.u64()}, nil
+		return policy.TimerFired{Token: c.u64()}, nil
 	case codeChecked:
 		e := policy.Probed{Backend: policy.BackendID(c.u32())}
 		var err error
 		e.Outcome, err = c.outcome()
-		e.Took, e.LoadData = c.f64(), c.report()
+		e.Latency, e.LoadReport = c.f64(), c.report()
 		return e, err
 	case codePeerData:
 		from := int(c.u32())
@@ -253,28 +253,28 @@
 		e := policy.CounterReply{Name: c.u64()}
 		var err error
 		e.Outcome, err = c.outcome()
-		e.Total, e.Took = c.f32(), c.f64()
+		e.Total, e.Latency = c.f32(), c.f64()
 		return e, err
 	}
 	return nil, errors.New("the code is not known")
 }
 
 func (c *cursor) ask() policy.Event {
-	r := policy.Request{ID: policy.RequestID(c.u32()), FirstPeer: int(c.f32()), Plan: int(c.u16()),
+	r := policy.Request{ID: policy.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
 		Customer: policy.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
-	r.Repeat = c.u8()&flagRepeat != 0
+	r.IsRetry = c.u8()&flagRepeat != 0
 	r.Class, r.Deadline = int(c.u16()), c.f64()
 	return r
 }
 
 func (c *cursor) attemptEnd() (policy.Event, error) {
-	e := policy.AttemptEnd{Request: policy.RequestID(c.u32()), Attempt: int(c.u8()),
+	e := policy.AttemptEnded{Request: policy.RequestID(c.u32()), Attempt: int(c.u8()),
 		Backend: policy.BackendID(c.u32())}
 	var err error
 	e.Outcome, err = c.outcome()
-	e.Took, e.Done = c.f64(), c.u8() != 0
-	e.Use, e.Units = int(c.u16()), float64(c.u16())
-	e.LoadData = c.report()
+	e.Latency, e.RequestOver = c.f64(), c.u8() != 0
+	e.QuotaUse, e.ActualUnits = int(c.u16()), float64(c.u16())
+	e.LoadReport = c.report()
 	return e, err
 }
 
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -61,35 +61,35 @@
 
 func (r *Reply) action(a policy.Action) error {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.SendAttempt:
 		r.start(codePassOn)
 		r.u32(uint32(a.Request))
 		r.f64(a.Timeout)
 		r.u32(uint32(a.Backend))
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		r.start(codeDropAttempt)
 		r.u32(uint32(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
-	case policy.Refuse:
+	case policy.Reject:
 		r.start(codeDecline)
 		r.u32(uint32(a.Request))
 		r.f64(a.RetryAfter)
-	case policy.Fail:
+	case policy.FailRequest:
 		r.start(codeAbort)
 		r.u32(uint32(a.Request))
 	case policy.SetTimer:
 		r.start(codeSleep)
-		r.f64(a.In)
+		r.f64(a.Delay)
 		r.u64(a.Token)
-	case policy.Count:
+	case policy.CounterAdd:
 		r.start(codeCount)
 		r.u64(a.Name)
 		r.u32(math.Float32bits(float32(a.Amount)))
-		r.f64(a.Keep)
+		r.f64(a.TTL)
 	case policy.Probe:
 		r.start(codeAskLoad)
 		r.u32(uint32(a.Backend))
-	case policy.Subscribe:
+	case policy.PollEndpoints:
 		r.start(codeStreamChanges)
 		r.buf = append(r.buf, 1)
 	case policy.Log:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -79,13 +79,13 @@
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]policy.Effect{"": policy.Repeatable, "repeatable": policy.Repeatable,
-	"by_key": policy.ByKey, "once": policy.Once}
+var effects = map[string]policy.Idempotency{"": policy.Idempotent, "repeatable": policy.Idempotent,
+	"by_key": policy.IdempotentByKey, "once": policy.NonIdempotent}
 
 var scopes = map[string]policy.DedupeScope{"": policy.ScopeAll, "all": policy.ScopeAll,
 	"zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
-var loadFields = map[string]policy.LoadField{"busy_reqs": policy.LoadHeld, "pending": policy.LoadWaiting,
+var loadFields = map[string]policy.LoadField{"busy_reqs": policy.LoadInFlight, "pending": policy.LoadQueued,
 	"cpu_share": policy.LoadCPU, "svc_ms": policy.LoadServiceMillis,
 	"served_ps": policy.LoadServedPerSecond, "failed_ps": policy.LoadErrorsPerSecond}
 
@@ -130,16 +130,16 @@
 			return s, fmt.Errorf("settings: effect %q is not known", c.Effect)
 		}
 		scope, known := scopes[c.KeyScope]
-		if !known && effect == policy.ByKey {
+		if !known && effect == policy.IdempotentByKey {
 			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{Aim: c.ObjectiveS, AimStretch: c.AimStretch,
-			Deadline: c.DeadlineS, Worth: c.Points, LateWorth: c.LateWorth, Effect: effect,
-			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
+		s.Classes = append(s.Classes, policy.Class{LatencyObjective: c.ObjectiveS, ObjectivePerUnit: c.AimStretch,
+			Deadline: c.DeadlineS, PriorityWeight: c.Points, LateWeightShare: c.LateWorth, Idempotency: effect,
+			DedupeScope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
 	}
 	for _, p := range o.Packages {
-		s.Plans = append(s.Plans, policy.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverWorth: p.OverWorth, OverCost: p.BeyondCosts,
+		s.Plans = append(s.Plans, policy.Plan{WeightFactor: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
+			MaxConcurrent: int(p.AtOnce), OverQuotaWeight: p.OverWorth, OverQuotaCost: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
@@ -151,28 +151,28 @@
 // figures translates all that is neither a class nor a plan.
 func (o *options) figures() policy.Settings {
 	s := policy.Settings{
-		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
-		AskDiscovery: o.Discovery == "ask",
-		RoughWeights: o.Weights == "rough" || o.Weights == "nominal",
-		LoadInline:   o.LoadReport.How == "inline",
+		GatewayIndex: o.Rank, FleetSize: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
+		PollDiscovery:      o.Discovery == "ask",
+		ApproximateWeights: o.Weights == "rough" || o.Weights == "nominal",
+		LoadInline:         o.LoadReport.How == "inline",
 
 		Counter:        o.FamilyInfo.HasCounter,
 		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
 		CounterPrice:   o.FamilyInfo.CounterPrice,
 		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsSettled:   o.FamilyInfo.TruedUp,
+		UnitsEstimated: o.FamilyInfo.TruedUp,
 
-		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanCopy: o.Allowed.MayDuplicate,
-		CanAdvise: o.Allowed.RetryAfter, MaxAdvice: o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxOpen: o.Allowed.MaxOpen,
+		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
+		CanSendRetryAfter: o.Allowed.RetryAfter, MaxRetryAfter: o.Allowed.MaxRetryAfterS,
+		MaxAttempts: o.Allowed.MostTries, MaxOpenRequests: o.Allowed.MaxOpen,
 		ConnectTimeout: o.Allowed.ConnectTimeoutS,
 
 		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
-		ColdFrom: o.Obligations.ColdFrom, ColdFor: o.Obligations.ColdS,
-		FallMultiple: o.Obligations.FallMultiple, FallFor: o.Obligations.OverloadForS,
+		SlowStartMinShare: o.Obligations.ColdFrom, SlowStartWindow: o.Obligations.ColdS,
+		OverloadFactor: o.Obligations.FallMultiple, OverloadDuration: o.Obligations.OverloadForS,
 
 		CrossZonePrice: o.Prices.CrossZone, WastePrice: o.Prices.Waste,
-		LateFailPrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
+		LateFailurePrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
 	}
 	for _, f := range o.LoadReport.Fields {
 		s.LoadFields = append(s.LoadFields, loadFields[f])
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,13 +37,13 @@
 		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
 	}
 	r := b.Records[0].Event.(policy.Request)
-	want := policy.Request{ID: 0x5d3a91c4, FirstPeer: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
+	want := policy.Request{ID: 0x5d3a91c4, FirstGateway: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
 		Deadline: r.Deadline}
 	if r != want || r.Deadline <= b.Now || r.Deadline > b.Now+1 {
 		t.Errorf("got %+v", r)
 	}
-	if b.Records[1].Event != (policy.Timer{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
-		b.Records[2].Event != (policy.ClientGone{Request: 0x0e6f2b19}) {
+	if b.Records[1].Event != (policy.TimerFired{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
+		b.Records[2].Event != (policy.ClientDisconnected{Request: 0x0e6f2b19}) {
 		t.Errorf("got %+v", b.Records[1:])
 	}
 }
@@ -58,11 +58,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := b.Records[0].Event.(policy.Backends), b.Records[1].Event.(policy.Backends)
+	first, second := b.Records[0].Event.(policy.EndpointsUpdated), b.Records[1].Event.(policy.EndpointsUpdated)
 	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != policy.Ready || first.Kind != policy.Delta {
 		t.Errorf("first list %+v", first)
 	}
-	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.Born < 6 {
+	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
 		t.Errorf("second list %+v", second)
 	}
 }
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := b.Records[0].Event.(policy.AttemptEnd)
-	if e.Outcome != policy.Served || !e.Done || e.Use != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
+	e := b.Records[0].Event.(policy.AttemptEnded)
+	if e.Outcome != policy.Served || !e.RequestOver || e.QuotaUse != 0x56 || e.ActualUnits != 3 || len(e.LoadReport) != 2 || e.LoadReport[0] != 7 {
 		t.Errorf("got %+v", e)
 	}
 	if c := b.Records[1].Event.(policy.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
@@ -88,8 +88,8 @@
 func TestEncodeReply(t *testing.T) {
 	var r Reply
 	r.Reset(12)
-	err := r.Add(3, []policy.Action{policy.Send{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
-		policy.SetTimer{In: 0.5, Token: 0x4d}})
+	err := r.Add(3, []policy.Action{policy.SendAttempt{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
+		policy.SetTimer{Delay: 0.5, Token: 0x4d}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,14 +147,14 @@
 		t.Fatal(err)
 	}
 	c, p := s.Classes[0], s.Plans[0]
-	if c.Effect != policy.ByKey || c.Scope != policy.ScopeCell || c.Aim != 0.8 || c.DedupeWindow != 5 || c.Worth != 3 {
+	if c.Idempotency != policy.IdempotentByKey || c.DedupeScope != policy.ScopeCell || c.LatencyObjective != 0.8 || c.DedupeWindow != 5 || c.PriorityWeight != 3 {
 		t.Errorf("class %+v", c)
 	}
-	if p.Price != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
+	if p.WeightFactor != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.AskDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != policy.LoadOther ||
-		s.LoadFields[1] != policy.LoadWaiting {
+	if !s.PollDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != policy.LoadOther ||
+		s.LoadFields[1] != policy.LoadQueued {
 		t.Errorf("settings %+v", s)
 	}
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,158 +1,162 @@
 package policy
 
-// Attempts and final answers: one function sends (send) and one answers (giveBack), which hold the rules
+// Attempts and final answers: one function sends (send) and one answers (answerWithout), which hold the rules
 // that no other step may bypass.
 
 import "slices"
 
 // Further attempts.
 const (
-	retryShare = 0.15 // of first sends, so that retries cannot amplify an overload
-	retryMost  = 10.0 // retries saved up at most
+	retryShare     = 0.15 // of first sends, so that retries cannot amplify an overload
+	maxRetryTokens = 10.0 // retries saved up at most
 )
 
 // send starts an attempt; nothing else does. It holds the rules on effects, on attempts out at once and on
 // drains, whoever asks.
-func (g *Gateway) send(j *job, s *server) bool {
-	tries := len(j.attempts)
+func (e *Engine) send(req *request, b *backend) bool {
+	tries := len(req.attempts)
 	// What is sent within the window may wait for a connection and arrive after it.
-	window := j.class.DedupeWindow - g.set.ConnectTimeout - 2*g.set.Tick
-	stale := j.mayRun && j.class.Effect == ByKey && g.now > j.mayAt+window
-	if j.done || j.streams || !j.paid || s.State != Ready || !j.inGroup(s) || stale ||
-		tries >= max(g.set.MaxAttempts, 1) || j.out > 0 && !g.set.CanCopy {
+	window := req.class.DedupeWindow - e.settings.ConnectTimeout - 2*e.settings.Tick
+	stale := req.mayHaveExecuted && req.class.Idempotency == IdempotentByKey &&
+		e.now > req.firstExecutableAt+window
+	if req.finished || req.streaming || !req.admitted || b.State != Ready ||
+		!req.sharesDedupeScope(b) || stale ||
+		tries >= max(e.settings.MaxAttempts, 1) || req.attemptsInFlight > 0 && !e.settings.CanHedge {
 		return false
 	}
 	if tries == 0 {
-		g.retries = min(g.retries+retryShare, retryMost)
+		e.retryTokens = min(e.retryTokens+retryShare, maxRetryTokens)
 	} else {
-		j.customer.open++
+		req.customer.openAttempts++
 	}
-	if !j.mayRun {
-		j.mayRun, j.mayAt, j.mayOn = true, g.now, s
+	if !req.mayHaveExecuted {
+		req.mayHaveExecuted, req.firstExecutableAt, req.firstExecutableBackend = true, e.now, b
 	}
-	j.attempts = append(j.attempts, attempt{on: s, sent: g.now})
-	j.out++
-	g.enter(s, j.level)
-	if g.warmth(s) < 1 {
-		s.budget--
+	req.attempts = append(req.attempts, attempt{backend: b, sentAt: e.now})
+	req.attemptsInFlight++
+	e.attemptStarted(b, req.level)
+	if e.slowStartShare(b) < 1 {
+		b.slowStartTokens--
 	} else {
-		g.warmSent++
+		e.warmSendCount++
 	}
-	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick)})
-	if g.latency > 0 {
-		g.timer(g.lateAfter(), timerLate, tries, j.ID)
+	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
+	if e.meanLatency > 0 {
+		e.setTimer(e.slowAfter(), timerSlowAttempt, tries, req.ID)
 	}
 	return true
 }
 
-func (g *Gateway) lateAfter() float64 { return g.latency + lateDevs*g.spread }
+func (e *Engine) slowAfter() float64 { return e.meanLatency + slowDeviations*e.latencyDeviation }
 
-// attemptEnd records the end of an attempt and decides what becomes of the request.
-func (g *Gateway) attemptEnd(e AttemptEnd) {
-	j := g.jobs[e.Request]
-	if j == nil || e.Attempt >= len(j.attempts) || j.attempts[e.Attempt].ended {
+// attemptEnded records the end of an attempt and decides what becomes of the request.
+func (g *Engine) attemptEnded(event AttemptEnded) {
+	j := g.requests[event.Request]
+	if j == nil || event.Attempt >= len(j.attempts) || j.attempts[event.Attempt].ended {
 		return
 	}
-	a, c := &j.attempts[e.Attempt], j.customer
+	a, c := &j.attempts[event.Attempt], j.customer
 	a.ended = true
-	j.out--
-	c.open--
-	if e.Outcome == TimedOut || e.Outcome == Cancelled {
+	j.attemptsInFlight--
+	c.openAttempts--
+	if event.Outcome == TimedOut || event.Outcome == Cancelled {
 		// A time-out or a cancel may stop no work. If given-up attempts left the count, each would
 		// make room for one more at a full backend. It stays the longer the more in a row the backend has
 		// let pass.
-		a.on.missed++
-		stay := min(g.latency*float64(a.on.missed), j.class.Deadline)
-		a.on.ghosts = append(a.on.ghosts, ghost{a.sent, g.now + stay, j.level})
+		a.backend.consecutiveTimeouts++
+		stay := min(g.meanLatency*float64(a.backend.consecutiveTimeouts), j.class.Deadline)
+		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, g.now + stay, j.level})
 	} else {
-		g.leave(a.on, j.level)
+		g.attemptFinished(a.backend, j.level)
 	}
-	g.observe(j, a, e)
-	if j.out == 0 && e.Attempt == len(j.attempts)-1 && a.sent == j.mayAt && neverRan(e.Outcome) {
-		j.mayRun = false // proved: no attempt has run
+	g.recordOutcome(j, a, event)
+	if j.attemptsInFlight == 0 && event.Attempt == len(j.attempts)-1 &&
+		a.sentAt == j.firstExecutableAt && provesNoExecution(event.Outcome) {
+		j.mayHaveExecuted = false // proved: no attempt has run
 	}
-	if e.Outcome == Served && g.set.UnitsSettled && e.Units > 0 {
-		c.units -= e.Units - j.Units // the guess is put right
+	if event.Outcome == Served && g.settings.UnitsEstimated && event.ActualUnits > 0 {
+		c.leasedUnits -= event.ActualUnits - j.Units // the guess is put right
 	}
 	switch {
-	case j.done:
-	case e.Done || e.Outcome == Served:
-		g.close(j)
-	case j.out > 0: // another attempt may still answer
-	case !g.again(j):
-		g.giveBack(j, ReasonNoAttempts)
+	case j.finished:
+	case event.RequestOver || event.Outcome == Served:
+		g.finish(j)
+	case j.attemptsInFlight > 0: // another attempt may still answer
+	case !g.retry(j):
+		g.answerWithout(j, ReasonNoAttempts)
 	}
-	if j.done && j.out == 0 {
-		delete(g.jobs, j.ID)
+	if j.finished && j.attemptsInFlight == 0 {
+		delete(g.requests, j.ID)
 	}
 	g.admit(j.customer)
 }
 
-// again starts a further attempt if the budget has room and time remains.
-func (g *Gateway) again(j *job) bool {
-	if g.retries < 1 || g.now+g.latency > j.giveUp || g.full(len(g.worths)-1) {
+// retry starts a further attempt if the budget has room and time remains.
+func (e *Engine) retry(req *request) bool {
+	if e.retryTokens < 1 || e.now+e.meanLatency > req.answerBy || e.atLimit(len(e.levelWeights)-1) {
 		return false
 	}
-	s := g.pick(j)
-	if s == nil || !g.send(j, s) {
+	b := e.pick(req)
+	if b == nil || !e.send(req, b) {
 		return false
 	}
-	g.retries--
+	e.retryTokens--
 	return true
 }
 
-// late deals with an attempt that takes longer than nearly all do: silence counts against the backend, and
-// where allowed a second copy goes elsewhere.
-func (g *Gateway) late(j *job, n int) {
-	a := &j.attempts[n]
-	if a.on.lastOK < a.sent {
-		g.recordFailure(a.on)
-	}
-	if j.done || j.streams || len(j.attempts) != n+1 || g.full(0) {
+// hedgeOrRecordSlow deals with an attempt that takes longer than nearly all do: silence counts against the
+// backend, and where allowed a second copy goes elsewhere.
+func (e *Engine) hedgeOrRecordSlow(req *request, n int) {
+	a := &req.attempts[n]
+	if a.backend.lastSuccessAt < a.sentAt {
+		e.recordFailure(a.backend)
+	}
+	if req.finished || req.streaming || len(req.attempts) != n+1 || e.atLimit(0) {
 		return
 	}
-	if g.set.CanCopy && j.customer.terms.places == 0 {
-		g.again(j)
+	if e.settings.CanHedge && req.customer.quota.concurrencyLimit == 0 {
+		e.retry(req)
 	}
 }
 
-// giveBack ends a request without an answer of a backend: refused where that is true to the rules, else
+// answerWithout ends a request without an answer of a backend: refused where that is true to the rules, else
 // failed.
-func (g *Gateway) giveBack(j *job, reason Reason) {
-	if j.class.Effect == Repeatable || !j.mayRun || j.class.Effect == ByKey && j.class.Scope == ScopeAll {
+func (e *Engine) answerWithout(req *request, reason Reason) {
+	if req.class.Idempotency == Idempotent || !req.mayHaveExecuted ||
+		req.class.Idempotency == IdempotentByKey && req.class.DedupeScope == ScopeAll {
 		advice := 0.0
-		if g.set.CanAdvise && j.paid {
-			advice = g.set.MaxAdvice
-		} else if g.set.CanAdvise {
-			advice = min(g.set.MaxAdvice, max(j.customer.dryUntil-g.now, 0))
-			if t := j.customer.terms; t.places > 0 && t.share == 0 {
-				advice = min(g.set.MaxAdvice, g.latency) // another gateway may have a place by then
+		if e.settings.CanSendRetryAfter && req.admitted {
+			advice = e.settings.MaxRetryAfter
+		} else if e.settings.CanSendRetryAfter {
+			advice = min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
+			if t := req.customer.quota; t.concurrencyLimit > 0 && t.localConcurrency == 0 {
+				advice = min(e.settings.MaxRetryAfter, e.meanLatency) // another gateway may have a place by then
 			}
 		}
-		g.do(Refuse{Request: j.ID, RetryAfter: advice, Reason: reason})
+		e.emit(Reject{Request: req.ID, RetryAfter: advice, Reason: reason})
 	} else {
-		g.do(Fail{Request: j.ID, Reason: reason})
+		e.emit(FailRequest{Request: req.ID, Reason: reason})
 	}
-	g.close(j)
+	e.finish(req)
 }
 
-// close ends a request for good and calls off what is still out.
-func (g *Gateway) close(j *job) {
-	j.done = true
-	j.customer.waiting = slices.DeleteFunc(j.customer.waiting, func(w *job) bool { return w == j })
-	if j.paid && len(j.attempts) == 0 {
-		j.customer.refund(j.Units)
-		j.customer.open--
-	}
-	for n := range j.attempts {
-		if !j.attempts[n].ended && g.set.CanCancel && !j.streams {
-			g.do(Cancel{Request: j.ID, Attempt: n})
+// finish ends a request for good and calls off what is still out.
+func (e *Engine) finish(req *request) {
+	req.finished = true
+	req.customer.waiting = slices.DeleteFunc(req.customer.waiting, func(w *request) bool { return w == req })
+	if req.admitted && len(req.attempts) == 0 {
+		req.customer.refund(req.Units)
+		req.customer.openAttempts--
+	}
+	for n := range req.attempts {
+		if !req.attempts[n].ended && e.settings.CanCancel && !req.streaming {
+			e.emit(CancelAttempt{Request: req.ID, Attempt: n})
 		}
 	}
-	if j.out == 0 {
-		delete(g.jobs, j.ID)
+	if req.attemptsInFlight == 0 {
+		delete(e.requests, req.ID)
 	}
 }
 
-// neverRan tells which outcomes prove that an attempt had no effect.
-func neverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == Moot }
+// provesNoExecution tells which outcomes prove that an attempt had no effect.
+func provesNoExecution(o Outcome) bool { return o == Rejected || o == ConnectFailed || o == NotSent }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -13,7 +13,7 @@
 // drive drives one gateway by hand and keeps the actions of the last event.
 type drive struct {
 	t      *testing.T
-	g      *Gateway
+	g      *Engine
 	now    float64
 	last   []Action
 	nextID RequestID
@@ -21,12 +21,12 @@
 
 func testSettings() Settings {
 	return Settings{
-		Classes: []Class{{Aim: 0.8, Deadline: 2, Worth: 1},
-			{Aim: 1, Deadline: 3, Worth: 3, Effect: ByKey, Scope: ScopeCell, DedupeWindow: 2}},
-		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverCost: 1}},
-		Fleet: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
-		CanCancel: true, CanCopy: true, CanAdvise: true, MaxAdvice: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
-		DrainGrace: 1, ColdFrom: 0.2, ColdFor: 10, FallMultiple: 2, FallFor: 2,
+		Classes: []Class{{LatencyObjective: 0.8, Deadline: 2, PriorityWeight: 1},
+			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3, Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2}},
+		Plans:     []Plan{{WeightFactor: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1}, {WeightFactor: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1}},
+		FleetSize: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
+		CanCancel: true, CanHedge: true, CanSendRetryAfter: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
+		DrainGrace: 1, SlowStartMinShare: 0.2, SlowStartWindow: 10, OverloadFactor: 2, OverloadDuration: 2,
 	}
 }
 
@@ -49,7 +49,7 @@
 	t.Helper()
 	d := &drive{t: t, now: 100}
 	d.g, d.last = New(set, 7, d.now, nil)
-	d.handle(Backends{Kind: CachedList, Entries: backends})
+	d.handle(EndpointsUpdated{Kind: CachedList, Entries: backends})
 	return d
 }
 
@@ -70,7 +70,7 @@
 // ask sends a request of the class and plan and answers its counter calls in full.
 func (d *drive) ask(class, plan int, who CustomerID) RequestID {
 	d.nextID++
-	set := d.g.set
+	set := d.g.settings
 	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
 		Deadline: d.now + set.Classes[class].Deadline})
 	d.last = append(out, d.grantAll(out)...)
@@ -78,7 +78,7 @@
 }
 
 func (d *drive) grantAll(actions []Action) (all []Action) {
-	for _, c := range find[Count](actions) {
+	for _, c := range find[CounterAdd](actions) {
 		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
 	}
 	return all
@@ -151,16 +151,16 @@
 func TestHeldRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	d := start(t, testSettings()) // no backend at all
 	id := d.ask(0, 1, 1)
-	if n := len(find[Send](d.last)); n != 0 {
+	if n := len(find[SendAttempt](d.last)); n != 0 {
 		t.Fatalf("sent %d with no backend", n)
 	}
 	d.now += 0.8
-	out := d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
-	if r := one[Refuse](t, out); r.Request != id {
+	out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+	if r := one[Reject](t, out); r.Request != id {
 		t.Errorf("refused %d, want %d", r.Request, id)
 	}
 	d.now += 1
-	if out := d.handle(Timer{Token: timerEnd<<56 | uint64(id)}); len(find[Refuse](out))+len(find[Fail](out)) > 0 {
+	if out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)}); len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
@@ -168,19 +168,19 @@
 func TestKeyedRepeatStaysInItsCellAndEndsInFailure(t *testing.T) {
 	d := start(t, testSettings(), some(6)...)
 	id := d.ask(1, 1, 1)
-	first := one[Send](t, d.last)
+	first := one[SendAttempt](t, d.last)
 	d.now += 0.05
-	out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: Errored, Took: 0.05})
-	second := one[Send](t, out)
+	out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: Failed, Latency: 0.05})
+	second := one[SendAttempt](t, out)
 	if first.Backend/2 != second.Backend/2 {
 		t.Errorf("repeat went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
-	out = d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
-	if len(find[Refuse](out)) > 0 {
+	out = d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+	if len(find[Reject](out)) > 0 {
 		t.Error("refused a keyed request that may have run")
 	}
-	one[Fail](t, out)
+	one[FailRequest](t, out)
 }
 
 // A repeat may have to wait for its connection: it must arrive within the window
@@ -194,10 +194,10 @@
 		set.ConnectTimeout, set.Classes[1].DedupeWindow = 0.3, 0.5
 		d := start(t, set, some(6)...)
 		id := d.ask(1, 1, 1)
-		first := one[Send](t, d.last)
+		first := one[SendAttempt](t, d.last)
 		d.now += c.after
-		out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: Errored, Took: c.after})
-		if got := len(find[Send](out)) == 1; got != c.again {
+		out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: Failed, Latency: c.after})
+		if got := len(find[SendAttempt](out)) == 1; got != c.again {
 			t.Errorf("%g s after the first send: sent again %t", c.after, got)
 		}
 	}
@@ -205,19 +205,19 @@
 
 func TestOnceIsRepeatedOnlyAfterProof(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Effect = Once
+	set.Classes[0].Idempotency = NonIdempotent
 	for _, c := range []struct {
 		how  Outcome
 		more bool
-	}{{Full, true}, {ConnectFailed, true}, {Errored, false}, {Broken, false}, {TimedOut, false}} {
+	}{{Rejected, true}, {ConnectFailed, true}, {Failed, false}, {ConnectionReset, false}, {TimedOut, false}} {
 		d := start(t, set, some(4)...)
 		id := d.ask(0, 1, 1)
-		first := one[Send](t, d.last)
-		out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: c.how, Took: 0.01})
-		if got := len(find[Send](out)) == 1; got != c.more {
+		first := one[SendAttempt](t, d.last)
+		out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: c.how, Latency: 0.01})
+		if got := len(find[SendAttempt](out)) == 1; got != c.more {
 			t.Errorf("outcome %v: another attempt %v, want %v", c.how, got, c.more)
 		}
-		if !c.more && len(find[Fail](out)) != 1 {
+		if !c.more && len(find[FailRequest](out)) != 1 {
 			t.Errorf("outcome %v: not failed: %v", c.how, out)
 		}
 	}
@@ -225,41 +225,41 @@
 
 func TestNothingGoesToADrainingBackend(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
+	d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
 	for range 8 {
 		d.ask(0, 1, 1)
-		for _, s := range find[Send](d.last) {
+		for _, s := range find[SendAttempt](d.last) {
 			if s.Backend == 1 {
 				t.Fatal("sent to a draining backend")
 			}
 		}
 	}
-	d.handle(Backends{Kind: FullList})
+	d.handle(EndpointsUpdated{Kind: FullList})
 	d.ask(0, 1, 1)
-	if n := len(find[Send](d.last)); n > 0 {
+	if n := len(find[SendAttempt](d.last)); n > 0 {
 		t.Error("sent to a backend that a full list no longer names")
 	}
 }
 
 func TestColdBackendGetsNoBurst(t *testing.T) {
-	cold := Backend{ID: 9, State: Ready, Born: 99.9}
+	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
 	d := start(t, testSettings(), append(some(1), cold)...)
 	toCold := 0
-	var out []Send
+	var out []SendAttempt
 	for i := range 200 {
 		d.now = 100 + float64(i)*0.01
 		d.ask(0, 1, CustomerID(i))
-		for _, s := range find[Send](d.last) {
+		for _, s := range find[SendAttempt](d.last) {
 			if s.Backend == 9 {
 				toCold++
 			}
 			out = append(out, s)
 		}
 		if len(out) > 3 { // each takes four steps
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.04, Done: true})
+			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.04, RequestOver: true})
 			out = out[1:]
 		}
-		d.handle(Timer{Token: timerMaintain << 56})
+		d.handle(TimerFired{Token: timerMaintenance << 56})
 	}
 	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
 	if toCold > 2*2*36 {
@@ -272,37 +272,37 @@
 
 func TestHeldRequestsLeaveHighestLevelFirst(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.g.bound = 4
+	d.g.concurrencyLimit = 4
 	var first RequestID
-	var busy Send
+	var busy SendAttempt
 	for i := range 4 {
 		first = d.ask(0, 1, CustomerID(10+i))
-		busy = one[Send](t, d.last)
+		busy = one[SendAttempt](t, d.last)
 	}
 	low := d.ask(0, 0, 2)
 	high := d.ask(1, 1, 3)
-	if n := len(find[Send](d.last)); n > 0 {
+	if n := len(find[SendAttempt](d.last)); n > 0 {
 		t.Fatal("the bound does not hold")
 	}
-	out := d.handle(AttemptEnd{Request: first, Backend: busy.Backend, Took: 0.01, Done: true})
-	if s := one[Send](t, out); s.Request != high {
+	out := d.handle(AttemptEnded{Request: first, Backend: busy.Backend, Latency: 0.01, RequestOver: true})
+	if s := one[SendAttempt](t, out); s.Request != high {
 		t.Errorf("released %d first, want the higher level %d before %d", s.Request, high, low)
 	}
 }
 
 func TestReserveIsForTopLevels(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
-	d.g.bound = 10
+	d.g.concurrencyLimit = 10
 	sent := 0
 	for i := range 30 {
 		d.ask(0, 0, CustomerID(i))
-		sent += len(find[Send](d.last))
+		sent += len(find[SendAttempt](d.last))
 	}
 	if sent != 9 {
 		t.Errorf("%d of the lowest level in flight, want 9 of a bound of 10", sent)
 	}
 	d.ask(1, 1, 99)
-	if n := len(find[Send](d.last)); n != 1 {
+	if n := len(find[SendAttempt](d.last)); n != 1 {
 		t.Error("the top level cannot use the reserve")
 	}
 }
@@ -310,13 +310,13 @@
 func TestBeyondQuotaIsRefusedUntilTheWindowEnds(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
-	call := one[Count](t, out)
+	call := one[CounterAdd](t, out)
 	// Others have used the window up.
 	out = d.handle(CounterReply{Name: call.Name, Total: 100})
-	if r := one[Refuse](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
+	if r := one[Reject](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
 		t.Errorf("advice %v, want up to the longest that is heeded", r.RetryAfter)
 	}
-	if n := len(find[Count](out)); n > 0 {
+	if n := len(find[CounterAdd](out)); n > 0 {
 		t.Errorf("%d more calls for a window that is used up", n)
 	}
 	asked := 0
@@ -324,7 +324,7 @@
 		d.now += 0.1
 		d.nextID += 10
 		out = d.handle(Request{ID: d.nextID, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
-		if calls := find[Count](out); len(calls) == 1 && calls[0].Name != call.Name {
+		if calls := find[CounterAdd](out); len(calls) == 1 && calls[0].Name != call.Name {
 			asked++
 			break
 		} else if len(calls) > 0 {
@@ -342,11 +342,11 @@
 	send := func(id RequestID, left float64) int {
 		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + left})
 		out = append(out, d.grantAll(out)...)
-		for _, s := range find[Send](out) {
+		for _, s := range find[SendAttempt](out) {
 			d.now += 0.1
-			d.handle(AttemptEnd{Request: id, Backend: s.Backend, Took: 0.1, Done: true})
+			d.handle(AttemptEnded{Request: id, Backend: s.Backend, Latency: 0.1, RequestOver: true})
 		}
-		return len(find[Send](out))
+		return len(find[SendAttempt](out))
 	}
 	if send(1, 0.9) != 1 {
 		t.Error("refused with nothing known of how long clients wait")
@@ -370,21 +370,21 @@
 	sent, refused := 0, 0
 	for i := range 10 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
+		for _, c := range find[CounterAdd](out) {
 			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
-		for _, a := range find[Send](out) {
+		for _, a := range find[SendAttempt](out) {
 			sent++
-			d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
+			d.handle(AttemptEnded{Request: a.Request, Backend: a.Backend, Latency: 0.01, RequestOver: true})
 		}
-		refused += len(find[Refuse](out))
+		refused += len(find[Reject](out))
 	}
 	if sent != 2 || refused != 0 {
 		t.Errorf("sent %d and refused %d at once, want burst/gateways = 2, the rest held for the counter", sent, refused)
 	}
 	d.now += 0.79
 	for i := range 10 {
-		refused += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(i+1)})))
+		refused += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(i+1)})))
 	}
 	if refused != 8 {
 		t.Errorf("sent %d and refused %d, want burst/gateways = 2 and 8", sent, refused)
@@ -395,29 +395,29 @@
 // dozen of them asking for places would crowd the counter.
 func TestPlacesOfFewGatewaysAreHeldWithoutCalls(t *testing.T) {
 	set := testSettings()
-	set.Fleet, set.Plans[0] = 80, Plan{Price: 1, MaxConcurrent: 3}
+	set.FleetSize, set.Plans[0] = 80, Plan{WeightFactor: 1, MaxConcurrent: 3}
 	var ds []*drive
 	for rank := range 4 {
-		set.Rank = (78 + rank) % 80 // the customer's set is 78, 79, 0, 1
+		set.GatewayIndex = (78 + rank) % 80 // the customer's set is 78, 79, 0, 1
 		ds = append(ds, start(t, set, some(60)...))
 	}
-	sent, refused, id := []Send{}, 0, RequestID(0)
+	sent, refused, id := []SendAttempt{}, 0, RequestID(0)
 	for round := range 3 {
 		for _, d := range ds {
 			id++
-			out := d.handle(Request{ID: id, Units: 1, FirstPeer: 78, Gateways: 4, Customer: 5, Deadline: d.now + 2})
-			if calls := find[Count](out); len(calls) > 0 {
+			out := d.handle(Request{ID: id, Units: 1, FirstGateway: 78, Gateways: 4, Customer: 5, Deadline: d.now + 2})
+			if calls := find[CounterAdd](out); len(calls) > 0 {
 				t.Fatalf("calls for places: %v", calls)
 			}
-			sent = append(sent, find[Send](out)...)
-			for _, r := range find[Refuse](out) {
+			sent = append(sent, find[SendAttempt](out)...)
+			for _, r := range find[Reject](out) {
 				if refused++; r.RetryAfter <= 0 && round > 0 {
 					t.Errorf("refused with no word on when to come back: %+v", r)
 				}
 			}
 		}
 		for _, d := range ds {
-			d.g.latency = 0.1
+			d.g.meanLatency = 0.1
 		}
 	}
 	if len(sent) != 3 || refused != 3 {
@@ -425,17 +425,17 @@
 	}
 	for i, d := range ds[:3] {
 		d.now += 0.1
-		out := d.handle(AttemptEnd{Request: sent[i].Request, Backend: sent[i].Backend, Outcome: Served, Took: 0.1})
-		one[Send](t, out) // the place is free for one that was held
+		out := d.handle(AttemptEnded{Request: sent[i].Request, Backend: sent[i].Backend, Outcome: Served, Latency: 0.1})
+		one[SendAttempt](t, out) // the place is free for one that was held
 	}
 }
 
 func TestCeilingHoldsWhateverOrderGatewaysAskIn(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
+		plan := Plan{WeightFactor: 1, Rate: 10, Burst: 10, OverQuotaCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
 		if seed%2 == 1 { // own shares let in beyond the quota too
-			plan.OverWorth, plan.OverCost = 0.3, 0
+			plan.OverQuotaWeight, plan.OverQuotaCost = 0.3, 0
 		}
 		set := testSettings()
 		set.Plans[0] = plan
@@ -456,7 +456,7 @@
 			if now < 102 || rng.Float64() < 0.2+0.2*math.Sin(now) || math.Mod(now, 19) < 7 {
 				todo = d.handle(Request{ID: id, Units: 1, Gateways: gateways, Customer: 5, Deadline: now + 2})
 			} else if step%9 == 0 {
-				todo = d.handle(Timer{Token: timerMaintain << 56})
+				todo = d.handle(TimerFired{Token: timerMaintenance << 56})
 			}
 			if rng.IntN(8000) == 0 { // killed, with all it knew
 				ds[n] = start(t, set, some(30)...)
@@ -466,10 +466,10 @@
 				a := todo[0]
 				todo = todo[1:]
 				switch a := a.(type) {
-				case Send:
+				case SendAttempt:
 					store--
-					todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})...)
-				case Count:
+					todo = append(todo, d.handle(AttemptEnded{Request: a.Request, Backend: a.Backend, Latency: 0.01, RequestOver: true})...)
+				case CounterAdd:
 					how := Served
 					if phase := math.Mod(now, 19); phase < 4 { // silent, then back empty
 						totals, how = map[uint64]float64{}, TimedOut
@@ -496,15 +496,15 @@
 		d.ask(0, 1, CustomerID(i%5))
 		todo := d.last
 		for len(todo) > 0 {
-			for _, s := range find[Send](todo[:1]) {
+			for _, s := range find[SendAttempt](todo[:1]) {
 				how := Served
 				if s.Backend == 3 {
-					how = Errored
+					how = Failed
 					toBad++
 				}
-				n := len(d.g.jobs[s.Request].attempts) - 1
-				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: how,
-					Took: 0.002, Done: how == Served})...)
+				n := len(d.g.requests[s.Request].attempts) - 1
+				todo = append(todo, d.handle(AttemptEnded{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: how,
+					Latency: 0.002, RequestOver: how == Served})...)
 			}
 			todo = todo[1:]
 		}
@@ -518,15 +518,15 @@
 // put it right; one that is left out waits for its trials.
 func TestWhatIsKnownOfABackendFades(t *testing.T) {
 	d := start(t, testSettings(), some(3)...)
-	d.g.latency = 0.1
-	once, slow, out := d.g.servers[1], d.g.servers[2], d.g.servers[3]
-	once.fail, slow.latency, out.fail = failGain, 0.4, 0.9
-	for range int(2 * healthSpan / maintainGap) {
-		d.now += maintainGap
-		d.handle(Timer{Token: timerMaintain << 56})
+	d.g.meanLatency = 0.1
+	once, slow, out := d.g.backends[1], d.g.backends[2], d.g.backends[3]
+	once.failureRate, slow.latency, out.failureRate = failureGain, 0.4, 0.9
+	for range int(2 * healthDecayTime / maintenanceInterval) {
+		d.now += maintenanceInterval
+		d.handle(TimerFired{Token: timerMaintenance << 56})
 	}
-	if once.fail > 0.05 || slow.latency > 0.15 || out.fail != 0.9 {
-		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.fail, slow.latency, out.fail)
+	if once.failureRate > 0.05 || slow.latency > 0.15 || out.failureRate != 0.9 {
+		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.failureRate, slow.latency, out.failureRate)
 	}
 }
 
@@ -534,38 +534,38 @@
 	set := testSettings()
 	set.MaxAttempts = 1
 	d := start(t, set, some(1)...)
-	d.g.bound, d.g.latency = 3.4, 0.5
+	d.g.concurrencyLimit, d.g.meanLatency = 3.4, 0.5
 	for i := range 3 {
 		d.ask(0, 1, CustomerID(i))
-		s := one[Send](t, d.last)
+		s := one[SendAttempt](t, d.last)
 		d.now += 0.1
-		d.handle(AttemptEnd{Request: s.Request, Backend: 1, Outcome: TimedOut, Took: 0.1})
+		d.handle(AttemptEnded{Request: s.Request, Backend: 1, Outcome: TimedOut, Latency: 0.1})
 	}
 	d.ask(0, 1, 9)
-	if n := len(find[Send](d.last)); n > 0 {
+	if n := len(find[SendAttempt](d.last)); n > 0 {
 		t.Error("a timed-out attempt made room although its backend may still work on it")
 	}
 }
 
 func TestRetriesCannotAmplifyAnOutage(t *testing.T) {
 	d := start(t, testSettings(), some(8)...)
-	d.g.bound = 1000
+	d.g.concurrencyLimit = 1000
 	sends := 0
 	for i := range 400 {
 		d.now += 0.05
 		d.ask(0, 1, CustomerID(i))
 		todo := d.last
 		for len(todo) > 0 {
-			for _, s := range find[Send](todo[:1]) {
+			for _, s := range find[SendAttempt](todo[:1]) {
 				sends++
-				n := len(d.g.jobs[s.Request].attempts) - 1
-				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: Errored,
-					Took: 0.001})...)
+				n := len(d.g.requests[s.Request].attempts) - 1
+				todo = append(todo, d.handle(AttemptEnded{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: Failed,
+					Latency: 0.001})...)
 			}
 			todo = todo[1:]
 		}
 	}
-	if limit := 400*(1+retryShare) + retryMost + 1; float64(sends) > limit {
+	if limit := 400*(1+retryShare) + maxRetryTokens + 1; float64(sends) > limit {
 		t.Errorf("%d sends for 400 requests that all fail, want %v at most", sends, limit)
 	}
 }
@@ -577,7 +577,7 @@
 		for i := range 400 {
 			d.now += 0.01
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 3, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+			for _, c := range find[CounterAdd](out) {
 				n++
 				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
 			}
@@ -594,27 +594,27 @@
 // a grant is taken back with it. Only when all answers are spoilt do calls become rare.
 func TestSpoiltAnswerIsTakenBack(t *testing.T) {
 	d := start(t, seldomSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
-	second := one[Count](t, d.handle(CounterReply{Name: first.Name, Outcome: Errored}))
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
+	second := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
 	total := first.Amount + second.Amount
 	out := d.handle(CounterReply{Name: second.Name, Total: total})
-	one[Send](t, out)
-	for _, back := range find[Count](out) {
+	one[SendAttempt](t, out)
+	for _, back := range find[CounterAdd](out) {
 		total += back.Amount
 	}
-	window := d.g.roll(d.g.customers[1])
-	if lent := d.g.customers[1].units + 1; math.Abs(total-window-lent) > 1 {
+	window := d.g.enterWindow(d.g.customers[1])
+	if lent := d.g.customers[1].leasedUnits + 1; math.Abs(total-window-lent) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
 	}
-	if d.g.crowd > 0 {
-		t.Errorf("a crowd of %v was seen", d.g.crowd)
+	if d.g.counterFailureRate > 0 {
+		t.Errorf("a crowd of %v was seen", d.g.counterFailureRate)
 	}
 	calls := 0
 	for i := range 200 {
 		out := d.handle(Request{ID: RequestID(i + 2), Plan: 1, Customer: 2, Units: 2, Gateways: 2, Deadline: d.now + 2})
-		for n := 0; len(find[Count](out)) > 0; n++ {
-			call := one[Count](t, out)
-			out = d.handle(CounterReply{Name: call.Name, Outcome: Errored})
+		for n := 0; len(find[CounterAdd](out)) > 0; n++ {
+			call := one[CounterAdd](t, out)
+			out = d.handle(CounterReply{Name: call.Name, Outcome: Failed})
 			calls++
 		}
 		d.now += 0.01
@@ -629,21 +629,21 @@
 	set := testSettings()
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(4)...)
-	for _, s := range d.g.list {
+	for _, s := range d.g.backendList {
 		if s.ID != 1 {
-			s.fail = 0.9
+			s.failureRate = 0.9
 		}
 	}
 	for range 600 {
 		d.now += 0.05
 		d.ask(0, 1, 1)
-		for _, s := range find[Send](d.last) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Took: 0.05})
+		for _, s := range find[SendAttempt](d.last) {
+			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.05})
 		}
 	}
-	for _, s := range d.g.list {
+	for _, s := range d.g.backendList {
 		if s.ejected() {
-			t.Errorf("backend %d is left out, share of failures %.2f", s.ID, s.fail)
+			t.Errorf("backend %d is left out, share of failures %.2f", s.ID, s.failureRate)
 		}
 	}
 }
@@ -651,19 +651,19 @@
 // A call that was turned away is lost to nobody: what it told or took back goes out with a later one.
 func TestTurnedAwayCallIsToldLater(t *testing.T) {
 	d := start(t, exactSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	// Another gateway has begun the window: what this one wrote off is there twice and is taken back.
-	back := one[Count](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
+	back := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
 	if back.Amount > -1 {
 		t.Fatalf("nothing was taken back: %v", back)
 	}
-	d.handle(CounterReply{Name: back.Name, Outcome: Full})
-	d.now += counterMost
-	again := one[Count](t, d.handle(Timer{Token: timerMaintain << 56}))
+	d.handle(CounterReply{Name: back.Name, Outcome: Rejected})
+	d.now += maxCounterBackoff
+	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerMaintenance << 56}))
 	if again.Amount != back.Amount || again.Name != back.Name {
 		t.Errorf("%v was turned away, told later: %v", back, again)
 	}
-	if more := d.handle(CounterReply{Name: again.Name}); len(find[Count](more)) > 0 {
+	if more := d.handle(CounterReply{Name: again.Name}); len(find[CounterAdd](more)) > 0 {
 		t.Errorf("told again: %v", more)
 	}
 }
@@ -672,27 +672,27 @@
 // for dry longer than it takes to fill some units.
 func TestDryIsSoonLookedAtAgain(t *testing.T) {
 	d := start(t, exactSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
-	one[Refuse](t, out)
-	d.handle(CounterReply{Name: one[Count](t, out).Name, Total: 1000}) // its own double write-off
-	d.now += (dryMost + 0.1) / d.g.set.Plans[1].Rate
-	next := one[Count](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.g.roll(d.g.customers[1]) // it has been taken back, and the store is full
-	one[Send](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
+	one[Reject](t, out)
+	d.handle(CounterReply{Name: one[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
+	d.now += (maxExhaustedUnits + 0.1) / d.g.settings.Plans[1].Rate
+	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	full := d.g.enterWindow(d.g.customers[1]) // it has been taken back, and the store is full
+	one[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
 func TestPlacesWithoutTheCounterSumToTheLimit(t *testing.T) {
 	set := testSettings()
-	set.Counter, set.Fleet = false, 5
-	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
+	set.Counter, set.FleetSize = false, 5
+	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
 	sent := 0
 	for rank := range 3 {
-		set.Rank = (4 + rank) % 5 // the customer's set is 4, 0, 1
+		set.GatewayIndex = (4 + rank) % 5 // the customer's set is 4, 0, 1
 		d := start(t, set, some(8)...)
 		for i := range 3 {
-			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstPeer: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
-			sent += len(find[Send](out))
+			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstGateway: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
+			sent += len(find[SendAttempt](out))
 		}
 	}
 	if sent != 2 {
@@ -702,39 +702,39 @@
 
 func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
 	set := testSettings()
-	set.AskDiscovery = true
+	set.PollDiscovery = true
 	d := &drive{t: t, now: 100}
 	d.g, d.last = New(set, 7, d.now, nil)
-	one[Subscribe](t, d.last)
-	out := d.handle(Backends{Kind: ListFailed})
-	if len(find[Subscribe](out)) > 0 {
+	one[PollEndpoints](t, d.last)
+	out := d.handle(EndpointsUpdated{Kind: ListFailed})
+	if len(find[PollEndpoints](out)) > 0 {
 		t.Error("asked again at once")
 	}
 	pause := one[SetTimer](t, out)
-	d.now += pause.In
-	one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
+	d.now += pause.Delay
+	one[PollEndpoints](t, d.handle(TimerFired{Token: pause.Token}))
 }
 
 func TestBoundOfManyGatewaysIsKeptInTheMean(t *testing.T) {
 	set := testSettings()
-	set.Fleet, set.Counter = 300, false
+	set.FleetSize, set.Counter = 300, false
 	d := start(t, set, some(60)...)
-	d.g.bound = 0.5 // half an attempt each
-	var out []Send
+	d.g.concurrencyLimit = 0.5 // half an attempt each
+	var out []SendAttempt
 	sent, together := 0, 0
 	for i := range 4000 { // ten a second; each takes half a second
 		d.now += 0.1
-		for len(out) > 0 && d.now > d.g.jobs[out[0].Request].attempts[0].sent+0.5 {
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.5, Outcome: Full})
+		for len(out) > 0 && d.now > d.g.requests[out[0].Request].attempts[0].sentAt+0.5 {
+			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.5, Outcome: Rejected})
 			out = out[1:]
 		}
-		d.g.bound = 0.5
-		d.g.retries = 0
+		d.g.concurrencyLimit = 0.5
+		d.g.retryTokens = 0
 		d.nextID++
-		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
+		sends := find[SendAttempt](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
 		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
-			d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
+			d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
 		}
 		sent += len(sends)
 		out = append(out, sends...)
@@ -754,11 +754,11 @@
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
 		d.now += 10
 		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, Gateways: 300, Customer: 5, Deadline: d.now + 2})
-		if call := one[Count](t, out); call.Amount != 1 {
+		if call := one[CounterAdd](t, out); call.Amount != 1 {
 			t.Fatalf("took %v units for one request", call.Amount)
 		}
-		for _, s := range find[Send](d.grantAll(out)) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true})
+		for _, s := range find[SendAttempt](d.grantAll(out)) {
+			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true})
 		}
 	}
 }
@@ -767,34 +767,34 @@
 	d := start(t, testSettings(), some(4)...)
 	for i := range 3 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
+		for _, c := range find[CounterAdd](out) {
 			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
 		}
 		if i == 0 {
-			one[Send](t, out) // the share of this gateway
+			one[SendAttempt](t, out) // the share of this gateway
 		} else {
-			one[Refuse](t, out)
+			one[Reject](t, out)
 		}
 	}
 }
 
 func TestPlacesOfManyGatewaysAreKeptAsARate(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 100
-	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
+	set.FleetSize = 100
+	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
 	d := start(t, set, some(40)...)
-	d.g.latency, d.g.bound = 0.1, 100
+	d.g.meanLatency, d.g.concurrencyLimit = 0.1, 100
 	total, sent := 0.0, 0
 	names := map[uint64]bool{}
 	for i := range 60 { // 60 requests within one window
 		d.now += 0.001
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 50, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
+		for _, c := range find[CounterAdd](out) {
 			names[c.Name] = true
 			total += c.Amount
 			out = append(out, d.handle(CounterReply{Name: c.Name, Total: total})...)
 		}
-		sent += len(find[Send](out))
+		sent += len(find[SendAttempt](out))
 	}
 	// Two places, a tenth of a second each: 20 a second at most, in two windows at most.
 	if sent < 10 || sent > 20*len(names) {
@@ -806,13 +806,13 @@
 	d := start(t, testSettings(), some(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
-		d.handle(Backends{Kind: Delta, Entries: []Backend{ready(id)}})
-		d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: id, State: Gone}}})
+		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{ready(id)}})
+		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: id, State: Removed}}})
 		d.now += 0.05
-		d.handle(Timer{Token: timerMaintain << 56})
+		d.handle(TimerFired{Token: timerMaintenance << 56})
 	}
-	if len(d.g.list) != 3 || len(d.g.servers) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(d.g.list), len(d.g.servers))
+	if len(d.g.backendList) != 3 || len(d.g.backends) != 3 {
+		t.Errorf("%d listed and %d known, want 3", len(d.g.backendList), len(d.g.backends))
 	}
 }
 
@@ -820,36 +820,36 @@
 func TestOddInputIsMetCalmly(t *testing.T) {
 	for name, set := range map[string]Settings{
 		"nothing set": {Classes: []Class{{}}, Plans: []Plan{{}}},
-		"no fleet":    {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 1, Burst: 1}}, Counter: true},
-		"no burst": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 5, CeilingRate: 1}},
-			Fleet: 1, Counter: true, Tick: 0.002},
-		"places alone": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
-			Fleet: 3, Counter: true, Tick: 0.002},
+		"no fleet":    {Classes: []Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}, Plans: []Plan{{WeightFactor: 1, Rate: 1, Burst: 1}}, Counter: true},
+		"no burst": {Classes: []Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}, Plans: []Plan{{WeightFactor: 1, Rate: 5, CeilingRate: 1}},
+			FleetSize: 1, Counter: true, Tick: 0.002},
+		"places alone": {Classes: []Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}, Plans: []Plan{{WeightFactor: 1, MaxConcurrent: 1}},
+			FleetSize: 3, Counter: true, Tick: 0.002},
 	} {
 		d := start(t, set, some(2)...)
 		answered := 0
 		for i, gateways := range []int{0, 1, 3, 1000} {
 			id := RequestID(i + 1)
-			out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstPeer: 7, Customer: 5, Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+			out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
+			for _, c := range find[CounterAdd](out) {
 				out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
-				out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Full})...) // twice
+				out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Rejected})...) // twice
 			}
 			d.handle(CounterReply{Name: 99})
-			d.handle(AttemptEnd{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
-			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: Moot})
-			d.handle(Backends{Kind: FullList})
-			d.handle(Backends{Kind: Delta, Entries: some(1)})
-			out = append(out, d.handle(Timer{Token: timerMaintain << 56})...)
-			for _, s := range find[Send](out) {
-				end := AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true}
+			d.handle(AttemptEnded{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
+			d.handle(AttemptEnded{Request: 12345, Backend: 1, Outcome: NotSent})
+			d.handle(EndpointsUpdated{Kind: FullList})
+			d.handle(EndpointsUpdated{Kind: Delta, Entries: some(1)})
+			out = append(out, d.handle(TimerFired{Token: timerMaintenance << 56})...)
+			for _, s := range find[SendAttempt](out) {
+				end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true}
 				d.handle(end)
 				d.handle(end) // repeated
 				answered++
 			}
-			answered += len(find[Refuse](out)) + len(find[Fail](out))
+			answered += len(find[Reject](out)) + len(find[FailRequest](out))
 			d.now += 2
-			answered += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(id)})))
+			answered += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})))
 		}
 		if answered != 4 {
 			t.Errorf("%s: %d of 4 requests answered", name, answered)
@@ -869,7 +869,7 @@
 
 type openRequest struct {
 	Request
-	attempts []Send
+	attempts []SendAttempt
 	out      []int
 	ended    bool
 }
@@ -877,9 +877,9 @@
 func randomRun(t *testing.T, seed uint64) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	set := testSettings()
-	set.CanCopy = seed%2 == 0
+	set.CanHedge = seed%2 == 0
 	set.Counter = seed%3 != 0
-	set.Classes = append(set.Classes, Class{Aim: 0.5, Deadline: 1, Worth: 2, Effect: Once})
+	set.Classes = append(set.Classes, Class{LatencyObjective: 0.5, Deadline: 1, PriorityWeight: 2, Idempotency: NonIdempotent})
 	d := start(t, set, some(5)...)
 	open := map[RequestID]*openRequest{}
 	var order []RequestID
@@ -887,14 +887,14 @@
 		at    float64
 		token uint64
 	}
-	timers := []timer{{100.05, timerMaintain << 56}}
-	var calls []Count
+	timers := []timer{{100.05, timerMaintenance << 56}}
+	var calls []CounterAdd
 	notReady := map[BackendID]bool{}
 	take := func(actions []Action) {
 		log = append(log, actions...)
 		for _, a := range actions {
 			switch a := a.(type) {
-			case Send:
+			case SendAttempt:
 				o := open[a.Request]
 				if o.ended {
 					t.Fatalf("seed %d: sent request %d after its end", seed, a.Request)
@@ -902,7 +902,7 @@
 				if notReady[a.Backend] {
 					t.Fatalf("seed %d: sent to %d, which drains", seed, a.Backend)
 				}
-				if len(o.out) > 0 && !set.CanCopy {
+				if len(o.out) > 0 && !set.CanHedge {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
 				o.out = append(o.out, len(o.attempts))
@@ -910,20 +910,20 @@
 				if len(o.attempts) > set.MaxAttempts {
 					t.Fatalf("seed %d: %d attempts", seed, len(o.attempts))
 				}
-			case Refuse:
+			case Reject:
 				o := open[a.Request]
 				if o.ended {
 					t.Fatalf("seed %d: two answers", seed)
 				}
 				o.ended = true
-			case Fail:
+			case FailRequest:
 				if open[a.Request].ended {
 					t.Fatalf("seed %d: two answers", seed)
 				}
 				open[a.Request].ended = true
 			case SetTimer:
-				timers = append(timers, timer{d.now + a.In, a.Token})
-			case Count:
+				timers = append(timers, timer{d.now + a.Delay, a.Token})
+			case CounterAdd:
 				calls = append(calls, a)
 			}
 		}
@@ -935,7 +935,7 @@
 				due := timers[i]
 				timers = slices.Delete(timers, i, i+1)
 				i--
-				take(d.handle(Timer{Token: due.token}))
+				take(d.handle(TimerFired{Token: due.token}))
 			}
 		}
 		for _, id := range order {
@@ -962,23 +962,23 @@
 			}
 			n := o.out[0]
 			o.out = o.out[1:]
-			how := []Outcome{Served, Served, Errored, Full, TimedOut, Broken, ConnectFailed}[rng.IntN(7)]
+			how := []Outcome{Served, Served, Failed, Rejected, TimedOut, ConnectionReset, ConnectFailed}[rng.IntN(7)]
 			done := o.ended || how == Served
 			o.ended = done
-			take(d.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Took: 0.1,
-				Done: done}))
+			take(d.handle(AttemptEnded{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Latency: 0.1,
+				RequestOver: done}))
 		case 4:
 			if len(calls) > 0 {
 				c := calls[0]
 				calls = calls[1:]
-				take(d.handle(CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, TimedOut, Full, Errored, Broken}[rng.IntN(6)],
+				take(d.handle(CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, TimedOut, Rejected, Failed, ConnectionReset}[rng.IntN(6)],
 					Total: max(c.Amount+float64(rng.IntN(3)), 0)}))
 			}
 		case 5:
 			b := ready(BackendID(1 + rng.IntN(5)))
 			b.State = BackendState(rng.IntN(3))
 			notReady[b.ID] = b.State != Ready
-			take(d.handle(Backends{Kind: Delta, Entries: []Backend{b}}))
+			take(d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{b}}))
 		}
 	}
 	return log
@@ -993,7 +993,7 @@
 	}
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
-	one[Refuse](t, out)
+	one[Reject](t, out)
 	if timers := find[SetTimer](out); len(timers) > 0 {
 		t.Errorf("timers of a refused request: %v", timers)
 	}
@@ -1009,12 +1009,12 @@
 		d.now += 1
 		d.nextID++
 		sent := d.now - lag
-		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Sent: sent, Deadline: sent + 1.5})
-		if s := one[Send](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
+		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, SentAt: sent, Deadline: sent + 1.5})
+		if s := one[SendAttempt](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
 			t.Errorf("request %d: time-out %g, want %g", i, s.Timeout, 0.8-lag)
 		}
-		for _, s := range find[Send](out) {
-			d.handle(AttemptEnd{Request: d.nextID, Backend: s.Backend, Outcome: Served, Done: true})
+		for _, s := range find[SendAttempt](out) {
+			d.handle(AttemptEnded{Request: d.nextID, Backend: s.Backend, Outcome: Served, RequestOver: true})
 		}
 	}
 }
@@ -1028,8 +1028,8 @@
 		d.now += 0.002
 		repeat := i % 2
 		out := d.handle(Request{ID: RequestID(i + 1), Customer: CustomerID(i), Units: 1, Gateways: 50,
-			Deadline: d.now + 2, Repeat: repeat == 1})
-		made := find[Count](out)
+			Deadline: d.now + 2, IsRetry: repeat == 1})
+		made := find[CounterAdd](out)
 		for _, c := range made {
 			reply := CounterReply{Name: c.Name, Total: c.Amount}
 			if calls++; calls%10 == 0 {
@@ -1037,8 +1037,8 @@
 			}
 			out = append(out, d.handle(reply)...)
 		}
-		for _, s := range find[Send](out) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Took: 0.01})
+		for _, s := range find[SendAttempt](out) {
+			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.01})
 		}
 		if i >= 2000 {
 			tries[repeat]++
@@ -1056,26 +1056,26 @@
 func TestManyGatewaysUseColdBackendsAtOnceAndEvenly(t *testing.T) {
 	const gateways, warm, cold, rate, work = 80, 24, 36, 4.0, 0.2 // rate: requests a second at each gateway
 	set := testSettings()
-	set.Fleet = gateways
-	set.Plans = []Plan{{Price: 1}} // no quota
+	set.FleetSize = gateways
+	set.Plans = []Plan{{WeightFactor: 1}} // no quota
 	now := 100.0
-	var gs []*Gateway
+	var gs []*Engine
 	for i := range gateways {
 		g, _ := New(set, uint64(i+1), now, nil)
-		g.Handle(now, Backends{Kind: CachedList, Entries: some(warm)}, nil)
+		g.Handle(now, EndpointsUpdated{Kind: CachedList, Entries: some(warm)}, nil)
 		gs = append(gs, g)
 	}
 	type end struct {
 		at float64
-		e  AttemptEnd
+		e  AttemptEnded
 	}
 	out := make([][]end, gateways)
 	rng := rand.New(rand.NewPCG(1, 1))
 	id, born := RequestID(0), 0.0
 	var toCold, toWarm [20]int // by second since the start of the cold ones
 	step := func(i int, ev Event) {
-		for _, s := range find[Send](gs[i].Handle(now, ev, nil)) {
-			out[i] = append(out[i], end{now + work, AttemptEnd{Request: s.Request, Backend: s.Backend, Took: work}})
+		for _, s := range find[SendAttempt](gs[i].Handle(now, ev, nil)) {
+			out[i] = append(out[i], end{now + work, AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: work}})
 			if at := int(now - born); born > 0 && at < len(toCold) {
 				if s.Backend > warm {
 					toCold[at]++
@@ -1086,17 +1086,17 @@
 		}
 	}
 	for now < 116 {
-		now += maintainGap
+		now += maintenanceInterval
 		if born == 0 && now >= 106 {
 			born = now
 			var fresh []Backend
 			for i := range cold {
 				b := ready(BackendID(warm + 1 + i))
-				b.Born = born
+				b.StartedAt = born
 				fresh = append(fresh, b)
 			}
 			for i := range gs {
-				step(i, Backends{Kind: Delta, Entries: fresh})
+				step(i, EndpointsUpdated{Kind: Delta, Entries: fresh})
 			}
 		}
 		for i := range gs {
@@ -1105,15 +1105,15 @@
 				out[i] = out[i][1:]
 				step(i, e)
 			}
-			step(i, Timer{Token: timerMaintain << 56})
-			if rng.Float64() < rate*maintainGap {
+			step(i, TimerFired{Token: timerMaintenance << 56})
+			if rng.Float64() < rate*maintenanceInterval {
 				id++
 				step(i, Request{ID: id, Units: 1, Gateways: 1, Customer: CustomerID(id), Deadline: now + 2})
 			}
 		}
 	}
 	for s := range 8 {
-		share := set.ColdFrom + (1-set.ColdFrom)*(float64(s)+0.5)/set.ColdFor // of a warm one's, which it can bear
+		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*(float64(s)+0.5)/set.SlowStartWindow // of a warm one's, which it can bear
 		each, usual := float64(toCold[s])/cold, float64(toWarm[s])/warm
 		if each < 0.4*share*usual || each > 1.6*share*usual {
 			t.Errorf("in second %d a cold backend got %.2f sends and a warm one %.2f, want a share of about %.2f",
@@ -1128,12 +1128,12 @@
 	for i := range 4000 {
 		d.now += 0.002
 		if i%20 == 0 {
-			d.handle(Timer{Token: timerMaintain << 56})
+			d.handle(TimerFired{Token: timerMaintenance << 56})
 		}
 		plan := i % 2
 		out := d.handle(Request{ID: RequestID(i + 1), Plan: plan, Customer: CustomerID(i), Units: 1, Gateways: 300,
 			Deadline: d.now + 2})
-		made := find[Count](out)
+		made := find[CounterAdd](out)
 		for _, c := range made {
 			reply := CounterReply{Name: c.Name, Total: c.Amount}
 			if calls++; calls%10 == 0 {
@@ -1141,8 +1141,8 @@
 			}
 			out = append(out, d.handle(reply)...)
 		}
-		for _, s := range find[Send](out) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Took: 0.01})
+		for _, s := range find[SendAttempt](out) {
+			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.01})
 		}
 		if i >= 2000 {
 			tries[plan]++
@@ -1161,15 +1161,15 @@
 func TestTurnedAwayCallsLetInAboutTheBurst(t *testing.T) {
 	const gateways = 300
 	set := testSettings()
-	set.Fleet = gateways
-	for outcome, want := range map[Outcome][2]int{Full: {1, 12}, TimedOut: {gateways, gateways}} {
+	set.FleetSize = gateways
+	for outcome, want := range map[Outcome][2]int{Rejected: {1, 12}, TimedOut: {gateways, gateways}} {
 		let := 0
 		for i := range gateways {
-			set.Rank = i
+			set.GatewayIndex = i
 			g, _ := New(set, hash(uint64(i)), 100, nil)
-			g.Handle(100, Backends{Kind: CachedList, Entries: some(4)}, nil)
+			g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
 			out := g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil)
-			let += len(find[Send](g.Handle(100, CounterReply{Name: one[Count](t, out).Name, Outcome: outcome}, nil)))
+			let += len(find[SendAttempt](g.Handle(100, CounterReply{Name: one[CounterAdd](t, out).Name, Outcome: outcome}, nil)))
 		}
 		if let < want[0] || let > want[1] {
 			t.Errorf("outcome %d: %d gateways let one in, want %d to %d for a burst of %g", outcome, let, want[0], want[1], set.Plans[0].Burst)
@@ -1178,7 +1178,7 @@
 	set.Counter = false // then a gateway's own share is all there is
 	for i := range gateways {
 		g, _ := New(set, hash(uint64(i)), 100, nil)
-		g.Handle(100, Backends{Kind: CachedList, Entries: some(4)}, nil)
-		one[Send](t, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil))
+		g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
+		one[SendAttempt](t, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil))
 	}
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -6,39 +6,40 @@
 
 // pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
 // work it is believed to bear. It returns nil if none may be used now.
-func (g *Gateway) pick(j *job) *server {
-	var best, well, trial *server
+func (e *Engine) pick(req *request) *backend {
+	var best, well, trial *backend
 	usable, sick := 0, 0
-	for _, s := range g.list {
-		busy := func(a attempt) bool { return a.on == s && !a.ended }
-		if s.State != Ready || !j.inGroup(s) || !g.coldRoom(s) || slices.ContainsFunc(j.attempts, busy) {
+	for _, b := range e.backendList {
+		busy := func(a attempt) bool { return a.backend == b && !a.ended }
+		if b.State != Ready || !req.sharesDedupeScope(b) || !e.slowStartAllows(b) ||
+			slices.ContainsFunc(req.attempts, busy) {
 			continue
 		}
-		s.cost = g.cost(s, j)
-		if usable++; best == nil || s.cost < best.cost {
-			best = s
+		b.cost = e.cost(b, req)
+		if usable++; best == nil || b.cost < best.cost {
+			best = b
 		}
-		if !s.ejected() {
-			if well == nil || s.cost < well.cost {
-				well = s
+		if !b.ejected() {
+			if well == nil || b.cost < well.cost {
+				well = b
 			}
 			continue
 		}
 		sick++
-		rest := s.trialAt
-		if j.class.Effect != Repeatable {
-			rest += trialMost
+		rest := b.nextTrialAt
+		if req.class.Idempotency != Idempotent {
+			rest += maxTrialInterval
 		}
-		if trial == nil && g.now >= rest && len(j.attempts) == 0 {
-			trial = s
+		if trial == nil && e.now >= rest && len(req.attempts) == 0 {
+			trial = b
 		}
 	}
 	switch {
 	case trial != nil:
 		// Trials are all that can put right what is left out, so they come first, shared trouble or
 		// not: else most stay left out for good once they are, and the few others bear all.
-		trial.trialGap = min(2*trial.trialGap, trialMost)
-		trial.trialAt = g.now + trial.trialGap
+		trial.trialInterval = min(2*trial.trialInterval, maxTrialInterval)
+		trial.nextTrialAt = e.now + trial.trialInterval
 		return trial
 	case 2*sick > usable:
 		// When most look bad the trouble is shared: leaving them out would only heap the work on the rest.
@@ -47,34 +48,35 @@
 	return well
 }
 
-func (g *Gateway) cost(s *server, j *job) float64 {
+func (e *Engine) cost(b *backend, req *request) float64 {
 	higher := 0
-	for _, n := range s.levels[j.level:] {
+	for _, n := range b.inFlightByLevel[req.level:] {
 		higher += n
 	}
 	slow := 1.0
-	if s.latency > 0 && g.latency > 0 {
-		slow = min(max(s.latency/g.latency, 1/paceMost), paceMost)
+	if b.latency > 0 && e.meanLatency > 0 {
+		slow = min(max(b.latency/e.meanLatency, 1/maxLatencyFactor), maxLatencyFactor)
 	}
-	well := 1 - min(s.fail, 0.9)
+	well := 1 - min(b.failureRate, 0.9)
 	// A gateway among many has nothing in flight at most backends, so one that is cold would look
 	// worst for as long as it is. Its budget keeps its share small; what it may get, it gets at once.
-	cost := (1 + float64(higher) + 0.1*float64(s.inFlight)) * slow * g.warmth(s) / (well * well)
-	if s.Zone != g.set.Zone {
-		cost *= 1 + g.set.CrossZonePrice
+	cost := (1 + float64(higher) + 0.1*float64(b.inFlight)) * slow * e.slowStartShare(b) / (well * well)
+	if b.Zone != e.settings.Zone {
+		cost *= 1 + e.settings.CrossZonePrice
 	}
-	if n := len(j.attempts); n > 0 && j.attempts[n-1].on == s {
+	if n := len(req.attempts); n > 0 && req.attempts[n-1].backend == b {
 		cost += 1e3 // not where it just failed, if there is another
 	}
-	return cost * (1 + 0.05*g.rng.Float64())
+	return cost * (1 + 0.05*e.rng.Float64())
 }
 
-// inGroup tells whether s would drop a repeat of j, if j may have run.
-func (j *job) inGroup(s *server) bool {
-	if !j.mayRun || j.class.Effect == Repeatable {
+// sharesDedupeScope tells whether s would drop a repeat of j, if j may have run.
+func (req *request) sharesDedupeScope(b *backend) bool {
+	if !req.mayHaveExecuted || req.class.Idempotency == Idempotent {
 		return true
 	}
-	scope := j.class.Scope
-	return j.class.Effect == ByKey && (scope == ScopeAll || scope == ScopeZone && s.Zone == j.mayOn.Zone ||
-		scope == ScopeCell && s.Cell == j.mayOn.Cell)
+	scope := req.class.DedupeScope
+	return req.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
+		scope == ScopeZone && b.Zone == req.firstExecutableBackend.Zone ||
+		scope == ScopeCell && b.Cell == req.firstExecutableBackend.Cell)
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -12,533 +12,551 @@
 // Tuned values of the quota. Each is a share or a count that holds for any deployment.
 const (
 	// Leases on the shared counter.
-	fewMost      = 5.0  // gateways of a customer that are few
-	windowLen    = 50.0 // seconds of a long window; names live 60 s at most
-	dryMost      = 3.0  // units of refill after which an empty store is asked for again
-	refundLeast  = 0.25 // of a unit; less is not worth a call
-	ceilingLease = 0.22 // part of a ceiling's burst that a window may lease; the rest is for local shares
-	nameKeep     = 60.0 // seconds a name lives: longer than its window
-	leaseShare   = 0.5  // a lease lives this part of its window
-	lostMost     = 64   // calls with no answer that are remembered, should one come late
-	counterRest  = 0.25 // first pause after a failed call, seconds; doubles
-	counterMost  = 2.0  // longest pause
-	demandSpan   = 2.0  // seconds over which demand is averaged
-	crowdGain    = 0.05 // weight of the newest call in the share of calls that fail
-	crowdFactor  = 4.0  // so many times that share of calls are left out: a crowded counter gets air
-	crowdMost    = 0.9
+	maxSmallGatewaySet  = 5.0  // gateways of a customer that are few
+	longWindow          = 50.0 // seconds of a long window; names live 60 s at most
+	maxExhaustedUnits   = 3.0  // units of refill after which an empty store is asked for again
+	minCorrection       = 0.25 // of a unit; less is not worth a call
+	ceilingLeaseShare   = 0.22 // part of a ceiling's burst that a window may lease; the rest is for local shares
+	counterNameTTL      = 60.0 // seconds a name lives: longer than its window
+	leaseLifeShare      = 0.5  // a lease lives this part of its window
+	maxUnansweredCalls  = 64   // calls with no answer that are remembered, should one come late
+	minCounterBackoff   = 0.25 // first pause after a failed call, seconds; doubles
+	maxCounterBackoff   = 2.0  // longest pause
+	demandAveragingTime = 2.0  // seconds over which demand is averaged
+	counterFailureGain  = 0.05 // weight of the newest call in the share of calls that fail
+	shedFactor          = 4.0  // so many times that share of calls are left out: a crowded counter gets air
+	maxShedShare        = 0.9
 
 	// Places for attempts out at once.
-	placeUse    = 0.65 // mean use of the places, where they are kept as a rate
-	placeWindow = 1.0  // seconds of the window for that
+	concurrencyUtilization = 0.65 // mean use of the places, where they are kept as a rate
+	concurrencyRateWindow  = 1.0  // seconds of the window for that
 
 	// A store kept by reports.
-	denseLeast = 4.0     // units of a window's refill for each of many gateways, lest reports come too late
-	ownUnits   = 5.0     // units that one of many holds, as far as that is so many bursts for all
-	lentFew    = 0.8     // part of the burst that the counter lends where gateways are few
-	lentMany   = 2.0     // and where they are many: what these hold ahead would pass for a dry spell
-	reportPart = 1.0 / 3 // of the burst: what a gateway may have spent and not told
-	reportMin  = 2.0     // units that it may have, however small the burst, lest each cost a call
-	reportGain = 0.2     // weight of the newest report in their mean
-	leaseSpan  = 45.0    // seconds that a lease is to last, at the mean demand of so long
-	leaseMost  = 0.25    // part of what the store had at the last look that one lease takes ahead
-	lagMost    = 0.75    // of the burst: refill that nobody has used is written off once it is so much
-	slackMost  = 0.25    // of the burst: refill left for spending that has not been told yet
-	levelSpan  = 30.0    // seconds for which the level of the last window stands in a new one
-	waitMost   = 0.4     // part of its time that a request may wait for the end of a dry spell
-	dryLook    = 1.0     // seconds after a dry spell in which a call only looks
+	minUnitsPerGateway  = 4.0     // units of refill a window and gateway, lest reports come too late
+	localUnits          = 5.0     // units that one of many holds, as far as that is so many bursts for all
+	smallSetOverdraft   = 0.8     // part of the burst that the counter lends where gateways are few
+	largeSetOverdraft   = 2.0     // and where they are many: what these hold ahead would pass for a dry spell
+	reportShare         = 1.0 / 3 // of the burst: what a gateway may have spent and not told
+	minReport           = 2.0     // units that it may have, however small the burst, lest each cost a call
+	reportGain          = 0.2     // weight of the newest report in their mean
+	leaseTargetDuration = 45.0    // seconds that a lease is to last, at the mean demand of so long
+	maxLeaseShare       = 0.25    // part of what the store had at the last look that one lease takes ahead
+	maxUnusedRefill     = 0.75    // of the burst: refill that nobody has used is written off once it is so much
+	maxReportSlack      = 0.25    // of the burst: refill left for spending that has not been told yet
+	carryOverTime       = 30.0    // seconds for which the level of the last window stands in a new one
+	maxQuotaWaitShare   = 0.4     // part of its time that a request may wait for the end of a dry spell
+	exhaustedCheckTime  = 1.0     // seconds after a dry spell in which a call only looks
 
-	idleDrop = 60.0 // seconds after which a customer is forgotten
+	customerIdleTimeout = 60.0 // seconds after which a customer is forgotten
 )
 
-// terms works out what a plan comes to for a customer of so many gateways.
+// quotaFor works out what a plan comes to for a customer of so many gateways.
 //
-// A store is kept by reports of what own shares have spent (settle) wherever a customer has few gateways, or
-// these see enough of it. Under a ceiling, calls keep it alone: few gateways each see the totals often enough
-// for an exact store, a long window whose allowance grows with time. Else each window is short and stands for
-// itself.
+// A store is kept by reports of what own shares have spent (settle) wherever a customer has few gateways,
+// or these see enough of it. Under a ceiling, calls keep it alone: few gateways each see the totals often
+// enough for an exact store, a long window whose allowance grows with time. Else each window is short and
+// stands for itself.
 //
 // Under a ceiling, leases and local shares together never pass it. An exact store spends in any time L
-// allowance*(1+leaseShare) + rate*L at most, and twice the first allowance if the counter comes back empty;
-// short windows allowance*(2+leaseShare) + rate*L. The shares have the rest of burst and rate. Where a plan
-// gains by what is served beyond its quota, they also pay for that, at the lowest level; without a ceiling
-// nothing would bound it.
-func (g *Gateway) terms(p *Plan, gateways, index int) terms {
+// allowance*(1+leaseLifeShare) + rate*L at most, and twice the first allowance if the counter comes back
+// empty; short windows allowance*(2+leaseLifeShare) + rate*L. The shares have the rest of burst and rate.
+// Where a plan gains by what is served beyond its quota, they also pay for that, at the lowest level;
+// without a ceiling nothing would bound it.
+func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaAttributes {
 	n := float64(max(gateways, 1))
-	t := terms{gateways: n, rate: p.Rate, allowance: p.Burst, first: p.Burst / n, few: n <= fewMost,
-		localRate: p.Rate / n, localBurst: max(p.Burst/n, 1), places: p.MaxConcurrent,
-		share: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
-	t.reported = g.set.Counter && p.CeilingRate <= 0 && p.Rate > 0 &&
-		(t.few || p.Rate*windowLen >= denseLeast*n)
+	t := quotaAttributes{gatewayCount: n, rate: p.Rate, allowance: p.Burst, initialLease: p.Burst / n,
+		smallGatewaySet: n <= maxSmallGatewaySet,
+		localRate:       p.Rate / n, localBurst: max(p.Burst/n, 1), concurrencyLimit: p.MaxConcurrent,
+		localConcurrency: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
+	t.reportedStore = e.settings.Counter && p.CeilingRate <= 0 && p.Rate > 0 &&
+		(t.smallGatewaySet || p.Rate*longWindow >= minUnitsPerGateway*n)
 	switch {
-	case t.reported && t.few:
-		t.lent = lentFew * p.Burst
-	case t.reported:
-		t.lent, t.localBurst = lentMany*p.Burst, max(p.Burst/n, min(ownUnits, ownUnits*p.Burst/n), 1)
-	}
-	t.long = t.few || t.reported
-	t.spare = t.allowance
+	case t.reportedStore && t.smallGatewaySet:
+		t.overdraft = smallSetOverdraft * p.Burst
+	case t.reportedStore:
+		t.overdraft = largeSetOverdraft * p.Burst
+		t.localBurst = max(p.Burst/n, min(localUnits, localUnits*p.Burst/n), 1)
+	}
+	t.refillsWithinWindow = t.smallGatewaySet || t.reportedStore
+	t.initialAllowance = t.allowance
 	if p.CeilingRate > 0 {
 		t.rate = min(p.Rate, p.CeilingRate)
-		if t.few {
-			t.allowance = min(p.Burst, p.CeilingBurst/(1+leaseShare))
-			t.spare = (p.CeilingBurst - (1+leaseShare)*t.allowance) / 2
-			t.localBurst = t.spare / n
+		if t.smallGatewaySet {
+			t.allowance = min(p.Burst, p.CeilingBurst/(1+leaseLifeShare))
+			t.initialAllowance = (p.CeilingBurst - (1+leaseLifeShare)*t.allowance) / 2
+			t.localBurst = t.initialAllowance / n
 		} else {
-			t.allowance = min(p.Burst, p.CeilingBurst*ceilingLease)
-			if (p.CeilingBurst-(2+leaseShare)*t.allowance)/n < 1 {
+			t.allowance = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
+			if (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n < 1 {
 				// A share that never holds a unit pays for nothing, and is lost to the customer. So
 				// leases have what they can use of it.
-				t.allowance = min(p.Burst, p.CeilingBurst/(2+leaseShare))
+				t.allowance = min(p.Burst, p.CeilingBurst/(2+leaseLifeShare))
 			}
-			t.spare, t.localBurst = t.allowance, (p.CeilingBurst-(2+leaseShare)*t.allowance)/n
+			t.initialAllowance, t.localBurst = t.allowance, (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n
 		}
-		t.first, t.localRate = t.allowance/n, (p.CeilingRate-t.rate)/n
-		t.overWorth = p.OverWorth > p.OverCost
+		t.initialLease, t.localRate = t.allowance/n, (p.CeilingRate-t.rate)/n
+		t.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 	}
-	t.window = windowLen
-	if !t.long {
+	t.window = longWindow
+	if !t.refillsWithinWindow {
 		t.window = t.allowance / max(t.rate, 1e-3)
 	}
-	if !t.few && t.places > 0 {
+	if !t.smallGatewaySet && t.concurrencyLimit > 0 {
 		// Places kept by many hands are two calls a request, and stray. What they let through on
 		// average is kept as a rate instead.
-		if t.places = 0; t.rate == 0 && g.latency > 0 {
-			t.rate = placeUse * float64(p.MaxConcurrent) / g.latency
-			t.window, t.allowance, t.spare = placeWindow, t.rate*placeWindow, t.rate*placeWindow
-			t.first, t.localRate = 1, t.rate/n
+		if t.concurrencyLimit = 0; t.rate == 0 && e.meanLatency > 0 {
+			t.rate = concurrencyUtilization * float64(p.MaxConcurrent) / e.meanLatency
+			t.window = concurrencyRateWindow
+			t.allowance, t.initialAllowance = t.rate*concurrencyRateWindow, t.rate*concurrencyRateWindow
+			t.initialLease, t.localRate = 1, t.rate/n
 		}
 	}
 	return t
 }
 
-func (g *Gateway) customerOf(r Request) *customer {
-	c := g.customers[r.Customer]
+func (e *Engine) customerFor(r Request) *customer {
+	c := e.customers[r.Customer]
 	if c == nil {
-		c = &customer{id: r.Customer, localAt: g.born, window: -1, seen: g.now}
-		g.customers[r.Customer] = c
-		g.customerList = append(g.customerList, c)
+		c = &customer{id: r.Customer, localTokensAt: e.startedAt, window: -1, lastSeen: e.now}
+		e.customers[r.Customer] = c
+		e.customerList = append(e.customerList, c)
 		// A gateway that starts again may have spent its share in its last life. Under a ceiling
 		// it earns the share anew; elsewhere a full store costs little.
-		if p := g.set.Plans[r.Plan]; p.CeilingRate <= 0 {
+		if p := e.settings.Plans[r.Plan]; p.CeilingRate <= 0 {
 			// Of many gateways each has less than a unit. Were each to begin with one, a counter that
 			// turns calls away for a moment would let in a unit for each gateway. So they begin at random, and
 			// together have the burst; the rest of the unit is for a counter that says nothing. Where there is no
 			// counter, nothing else lets a customer in.
-			t := g.terms(&p, r.Gateways, 0)
-			c.local = t.localBurst
-			if share := p.Burst / float64(max(r.Gateways, 1)); g.set.Counter && share < c.local {
-				c.silent = max(c.local-share-g.rng.Float64(), 0)
-				c.local -= c.silent
+			t := e.quotaFor(&p, r.Gateways, 0)
+			c.localTokens = t.localBurst
+			if share := p.Burst / float64(max(r.Gateways, 1)); e.settings.Counter && share < c.localTokens {
+				c.fallbackTokens = max(c.localTokens-share-e.rng.Float64(), 0)
+				c.localTokens -= c.fallbackTokens
 			}
-			if t.reported && !t.few {
-				c.local = 0 // the counter's store is full when they first ask: this would be a burst more
+			if t.reportedStore && !t.smallGatewaySet {
+				c.localTokens = 0 // the counter's store is full when they first ask: this would be a burst more
 			}
 		}
 	}
-	fleet := max(g.set.Fleet, 1)
-	index := (g.set.Rank - r.FirstPeer + fleet) % fleet // this gateway's place in the customer's set
-	c.terms = g.terms(&g.set.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
-	c.demand = c.demand*math.Exp(-(g.now-c.seen)/demandSpan) + r.Units/demandSpan
+	fleet := max(e.settings.FleetSize, 1)
+	// index is this gateway's place in the customer's set.
+	index := (e.settings.GatewayIndex - r.FirstGateway + fleet) % fleet
+	c.quota = e.quotaFor(&e.settings.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
+	c.demandRate = c.demandRate*math.Exp(-(e.now-c.lastSeen)/demandAveragingTime) + r.Units/demandAveragingTime
 	// What comes just now says nothing of what is to come after it.
-	c.steady = (c.steady + c.newest/leaseSpan) * math.Exp(-(g.now-c.seen)/leaseSpan)
-	c.newest = r.Units
-	c.seen = g.now
+	c.sustainedRate = (c.sustainedRate + c.newestUnits/leaseTargetDuration) *
+		math.Exp(-(e.now-c.lastSeen)/leaseTargetDuration)
+	c.newestUnits = r.Units
+	c.lastSeen = e.now
 	return c
 }
 
 // admit lets a customer's waiting requests go as far as its leases reach.
-func (g *Gateway) admit(c *customer) {
-	limited := c.terms.rate > 0
+func (e *Engine) admit(c *customer) {
+	limited := c.quota.rate > 0
 	for len(c.waiting) > 0 {
-		j := c.waiting[0]
-		if c.terms.places > 0 && c.open >= c.terms.share {
-			if c.terms.share > 0 {
+		req := c.waiting[0]
+		if c.quota.concurrencyLimit > 0 && c.openAttempts >= c.quota.localConcurrency {
+			if c.quota.localConcurrency > 0 {
 				return // a place may come free before its time is over
 			}
 			// Were places leased, each gateway's asks would look to the others like places that are
 			// taken, and crowd the counter. So each has its own, and a client comes to another gateway.
-			g.giveBack(j, ReasonCap)
+			e.answerWithout(req, ReasonConcurrency)
 			continue
 		}
 		if limited {
-			g.roll(c)
+			e.enterWindow(c)
 			switch {
-			case c.units >= j.Units:
-				c.units -= j.Units
+			case c.leasedUnits >= req.Units:
+				c.leasedUnits -= req.Units
 				// With a counter that answers now and then, leases and the local share would
 				// add up to more than the quota. So leases count against the share too.
-				if !c.terms.reported {
-					c.takeLocal(g.now, 0)
-					c.local = max(c.local-j.Units, -c.terms.localBurst)
+				if !c.quota.reportedStore {
+					c.takeLocalTokens(e.now, 0)
+					c.localTokens = max(c.localTokens-req.Units, -c.quota.localBurst)
 				}
-			case c.terms.reported && c.takeLocal(g.now, j.Units):
-				c.owed += j.Units
-				g.report(c)
-			case c.asking > 0:
+			case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
+				c.unreportedUnits += req.Units
+				e.reportSpent(c)
+			case c.pendingLeases > 0:
 				return
-			case g.now < c.dryUntil:
-				if c.unitsSoon(j, g.set.MaxAdvice) {
+			case e.now < c.exhaustedUntil:
+				if c.refillsSoon(req, e.settings.MaxRetryAfter) {
 					return // held
 				}
-				if !c.terms.overWorth || !c.takeLocal(g.now, j.Units) {
-					g.giveBack(j, ReasonQuota)
+				if !c.quota.admitsOverQuota || !c.takeLocalTokens(e.now, req.Units) {
+					e.answerWithout(req, ReasonQuota)
 					continue
 				}
-				j.level = 0 // beyond the quota, as far as is known here
-			case !g.set.Counter || g.now < c.restTill:
-				if !c.takeLocal(g.now, j.Units) {
-					if g.set.Counter && c.terms.few && c.restTill+g.latency < j.giveUp {
+				req.level = 0 // beyond the quota, as far as is known here
+			case !e.settings.Counter || e.now < c.backoffUntil:
+				if !c.takeLocalTokens(e.now, req.Units) {
+					if e.settings.Counter && c.quota.smallGatewaySet && c.backoffUntil+e.meanLatency < req.answerBy {
 						return // held: a crowded counter may have room in a moment
 					}
-					g.giveBack(j, ReasonQuota)
+					e.answerWithout(req, ReasonQuota)
 					continue
 				}
-				c.owed += j.Units
+				c.unreportedUnits += req.Units
 			default:
-				g.lease(c)
+				e.requestLease(c)
 				continue
 			}
 		}
 		c.waiting = c.waiting[1:]
-		c.open++
-		j.paid = true
-		g.enqueue(j)
-		g.dispatch()
+		c.openAttempts++
+		req.admitted = true
+		e.enqueue(req)
+		e.dispatch()
 	}
 }
 
-// unitsSoon tells whether a request may wait for the end of a dry spell, given how long its client would stay
-// away after a refusal: not longer, for a refusal would bring it again, and no large part of its time. A
-// gateway is dry for a moment where others hold what they leased ahead, though the customer is inside its
-// quota; not so where all of the rate wouldn't do for what comes here, or in a short window that is used up.
-func (c *customer) unitsSoon(j *job, away float64) bool {
-	return c.terms.reported && c.steady < c.terms.rate &&
-		c.dryUntil < j.Sent+min(away, waitMost*(j.giveUp-j.Sent))
+// refillsSoon tells whether a request may wait for the end of a dry spell, given how long its client would
+// stay away after a refusal: not longer, for a refusal would bring it again, and no large part of its time.
+// A gateway is dry for a moment where others hold what they leased ahead, though the customer is inside its
+// quota; not so where all of the rate wouldn't do for what comes here, or in a short window that is used
+// up.
+func (c *customer) refillsSoon(req *request, away float64) bool {
+	return c.quota.reportedStore && c.sustainedRate < c.quota.rate &&
+		c.exhaustedUntil < req.SentAt+min(away, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
-// takeLocal spends from the customer's share at this gateway.
-func (c *customer) takeLocal(now, units float64) bool {
-	c.local = min(c.local+c.terms.localRate*(now-c.localAt), c.terms.localBurst)
-	if c.localAt = now; c.local < units {
+// takeLocalTokens spends from the customer's share at this gateway.
+func (c *customer) takeLocalTokens(now, units float64) bool {
+	c.localTokens = min(c.localTokens+c.quota.localRate*(now-c.localTokensAt), c.quota.localBurst)
+	if c.localTokensAt = now; c.localTokens < units {
 		return false
 	}
-	c.local -= units
+	c.localTokens -= units
 	return true
 }
 
 // refund takes back what a request had paid that was never sent. Where own shares are reported it goes to
 // these, and the next call takes it out of the total: a lease lasts long, and all would miss it meanwhile.
 func (c *customer) refund(units float64) {
-	if !c.terms.reported {
-		c.units += units
+	if !c.quota.reportedStore {
+		c.leasedUnits += units
 		return
 	}
-	c.owed -= units
-	c.local = min(c.local+units, c.terms.localBurst)
+	c.unreportedUnits -= units
+	c.localTokens = min(c.localTokens+units, c.quota.localBurst)
 }
 
-// modest tells whether no more comes to this gateway than its part of the customer's rate.
-func (c *customer) modest() bool { return c.steady*c.terms.gateways < c.terms.rate }
+// withinFairRate tells whether no more comes to this gateway than its part of the customer's rate.
+func (c *customer) withinFairRate() bool { return c.sustainedRate*c.quota.gatewayCount < c.quota.rate }
 
-// block is the size of the next lease: what the demand of a second needs, at first all of the share.
-func (c *customer) block() float64 {
-	if !c.met {
-		return c.terms.first
+// leaseSize is the size of the next lease: what the demand of a second needs, at first all of the share.
+func (c *customer) leaseSize() float64 {
+	if !c.counterSeen {
+		return c.quota.initialLease
 	}
-	return min(c.demand, c.terms.first)
+	return min(c.demandRate, c.quota.initialLease)
 }
 
-// roll moves to the counter's present window of this customer, and tells the total at which its store is
-// full. Windows of different customers end at different times, so that not all are asked for at once.
-func (g *Gateway) roll(c *customer) (floor float64) {
-	n := math.Floor(g.now/c.terms.window + c.phase())
+// enterWindow moves to the counter's present window of this customer, and tells the total at which its
+// store is full. Windows of different customers end at different times, so that not all are asked for at
+// once.
+func (e *Engine) enterWindow(c *customer) (floor float64) {
+	n := math.Floor(e.now/c.quota.window + c.phase())
 	if n != c.window {
-		if c.window, c.known = n, 0; !c.terms.reported {
-			c.owed, c.dryUntil = 0, 0
+		if c.window, c.lastTotal = n, 0; !c.quota.reportedStore {
+			c.unreportedUnits, c.exhaustedUntil = 0, 0
 		}
-		c.name = hash(hash(uint64(c.id)) + uint64(int64(n)))
+		c.windowName = hash(hash(uint64(c.id)) + uint64(int64(n)))
 	}
-	if c.terms.long {
-		floor = c.terms.rate * (g.now - (n-c.phase())*c.terms.window)
+	if c.quota.refillsWithinWindow {
+		floor = c.quota.rate * (e.now - (n-c.phase())*c.quota.window)
 	}
 	return floor
 }
 
-// crowded leaves a call out, the more often the more of late have failed. Each of many gateways
+// shedCounterCall leaves a call out, the more often the more of late have failed. Each of many gateways
 // learns for itself that a quota is used up, and a client that was refused for it comes again elsewhere, so
 // most calls of a crowd are for repeats, and get nothing. Those go first, and the lowest level before others.
-func (g *Gateway) crowded(c *customer) bool {
-	j, out := c.waiting[0], min(crowdFactor*g.crowd, crowdMost)
-	if !c.terms.few { // of few gateways, this one knows what is used up
+func (e *Engine) shedCounterCall(c *customer) bool {
+	req, out := c.waiting[0], min(shedFactor*e.counterFailureRate, maxShedShare)
+	if !c.quota.smallGatewaySet { // of few gateways, this one knows what is used up
 		all, below := 0.0, 0.0
-		for l, rate := range g.arrivals {
-			if all += rate; l < j.level {
+		for l, rate := range e.arrivalRates {
+			if all += rate; l < req.level {
 				below += rate
 			}
 		}
-		from, part := 0.0, g.repeats
-		if !j.Repeat {
-			from, part = g.repeats, 1-g.repeats
+		from, part := 0.0, e.clientRetryShare
+		if !req.IsRetry {
+			from, part = e.clientRetryShare, 1-e.clientRetryShare
 		}
 		if all > 0 {
-			from, part = from+part*below/all, part*g.arrivals[j.level]/all
+			from, part = from+part*below/all, part*e.arrivalRates[req.level]/all
 		}
-		out = min((out-from)/max(part, crowdGain/2), crowdMost)
+		out = min((out-from)/max(part, counterFailureGain/2), maxShedShare)
 	}
-	if g.rng.Float64() >= out {
+	if e.rng.Float64() >= out {
 		return false
 	}
-	c.restTill = g.now + counterRest
+	c.backoffUntil = e.now + minCounterBackoff
 	return true
 }
 
-// lease asks for a block, and tells what has been spent from the local share in this window.
-func (g *Gateway) lease(c *customer) {
-	if g.crowded(c) {
+// requestLease asks for a block, and tells what has been spent from the local share in this window.
+func (e *Engine) requestLease(c *customer) {
+	if e.shedCounterCall(c) {
 		return
 	}
 	need := 0.0
-	for _, j := range c.waiting {
-		need += j.Units
-	}
-	floor := g.roll(c)
-	k := call{customer: c, name: c.name, window: c.window, floor: floor, owed: c.owed, ask: true}
-	if c.terms.reported {
-		k.fill = c.unused(floor)
+	for _, req := range c.waiting {
+		need += req.Units
+	}
+	floor := e.enterWindow(c)
+	call := counterCall{customer: c, name: c.windowName, window: c.window, refill: floor,
+		spent: c.unreportedUnits, isLease: true}
+	if c.quota.reportedStore {
+		call.writeOff = c.refillToWriteOff(floor)
 		// Of a customer beyond its quota most calls get nothing, and what they added is missing to the
 		// others until it is back. So the next one after that looks first, and a further one takes. Of many
 		// gateways one that gets no more than its part of the rate was dry by others' leases: it needs no look.
 		switch {
-		case !c.dry || g.now > c.dryUntil+dryLook:
-			k.units = need + math.Floor(max(min(c.steady*leaseSpan, c.left*leaseMost), 0))
-		case !c.terms.few && c.modest():
-			k.units = need
+		case !c.exhausted || e.now > c.exhaustedUntil+exhaustedCheckTime:
+			ahead := min(c.sustainedRate*leaseTargetDuration, c.remaining*maxLeaseShare)
+			call.leaseUnits = need + math.Floor(max(ahead, 0))
+		case !c.quota.smallGatewaySet && c.withinFairRate():
+			call.leaseUnits = need
 		}
 	} else {
-		need = math.Ceil(need) + math.Floor(c.block()) // a unit that nobody comes for is missing to the others
-		k.units = max(min(need, c.terms.allowance), 1)
-		if k.fill = max(floor-c.known, 0); c.known == 0 {
+		need = math.Ceil(need) + math.Floor(c.leaseSize()) // a unit that nobody comes for is missing to the others
+		call.leaseUnits = max(min(need, c.quota.allowance), 1)
+		if call.writeOff = max(floor-c.lastTotal, 0); c.lastTotal == 0 {
 			// A window that is new to this gateway may be new to all. The call that starts it must
 			// tell, in one step, that not all of the store is there; who was not the first takes it back.
-			k.fill = floor + c.terms.allowance - c.terms.spare
+			call.writeOff = floor + c.quota.allowance - c.quota.initialAllowance
 		}
 	}
-	c.owed = 0
-	g.count(k, nameKeep)
+	c.unreportedUnits = 0
+	e.callCounter(call, counterNameTTL)
 }
 
-// counted takes the answer to a call. An unanswered call grants nothing: it may have been added, and the
-// next totals will tell. Neither does one whose answer can't be read, but that was added, so the next call
-// takes it back, and what it wrote off, which the next call writes off again. Under a ceiling that stays: the
-// first call of a window must not find less there than it told. A short window has no refill to write off.
-func (g *Gateway) counted(e CounterReply) {
-	k, ok := g.called(e.Name)
+// handleCounterReply takes the answer to a call. An unanswered call grants nothing: it may have been added,
+// and the next totals will tell. Neither does one whose answer can't be read, but that was added, so the
+// next call takes it back, and what it wrote off, which the next call writes off again. Under a ceiling
+// that stays: the first call of a window must not find less there than it told. A short window has no
+// refill to write off.
+func (e *Engine) handleCounterReply(event CounterReply) {
+	k, ok := e.takePendingCall(event.Name)
 	if !ok {
 		return
 	}
 	c := k.customer
-	g.crowd -= crowdGain * g.crowd
-	if e.Outcome == TimedOut && k.window == c.window {
-		g.lost = append(g.lost[max(len(g.lost)+1-lostMost, 0):], k)
+	e.counterFailureRate -= counterFailureGain * e.counterFailureRate
+	if event.Outcome == TimedOut && k.window == c.window {
+		e.unansweredCalls = append(e.unansweredCalls[max(len(e.unansweredCalls)+1-maxUnansweredCalls, 0):], k)
 	}
 	switch {
-	case e.Outcome == Errored || e.Outcome == Broken:
+	case event.Outcome == Failed || event.Outcome == ConnectionReset:
 		// A spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
 		// left out that the counter bears, and customers refused inside their quotas.
-		if e.Outcome == Errored {
-			c.takeBack(k)
+		if event.Outcome == Failed {
+			c.reclaimLease(k)
 		}
-		c.restTill = g.now + c.rest // the first time none at all
-		c.rest = min(max(2*c.rest, counterRest), counterMost)
-	case e.Outcome != Served:
+		c.backoffUntil = e.now + c.backoff // the first time none at all
+		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
+	case event.Outcome != Served:
 		// A unit that was not given back is missing to all gateways. A call turned away has
 		// changed nothing and is made again; one unanswered may have counted and is let be.
-		if e.Outcome != TimedOut {
-			c.tellLater(k)
+		if event.Outcome != TimedOut {
+			c.requeueReport(k)
 		}
-		if e.Outcome != Full {
-			c.local, c.silent = c.local+c.silent, 0
+		if event.Outcome != Rejected {
+			c.localTokens, c.fallbackTokens = c.localTokens+c.fallbackTokens, 0
 		}
-		g.crowd += crowdGain
-		c.rest = min(max(2*c.rest, counterRest), counterMost)
-		c.restTill = g.now + c.rest
-	case k.units > 0 || c.terms.reported:
-		c.rest = 0
-		g.granted(c, k, e.Total)
-	}
-	g.admit(c)
+		e.counterFailureRate += counterFailureGain
+		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
+		c.backoffUntil = e.now + c.backoff
+	case k.leaseUnits > 0 || c.quota.reportedStore:
+		c.backoff = 0
+		e.applyGrant(c, k, event.Total)
+	}
+	e.admit(c)
 }
 
-// takeBack has the next call take back what a call added for nothing.
-func (c *customer) takeBack(k call) {
-	if k.units > 0 && k.window == c.window {
-		if c.owed -= k.units; c.terms.reported {
-			c.owed -= k.fill
+// reclaimLease has the next call take back what a call added for nothing.
+func (c *customer) reclaimLease(call counterCall) {
+	if call.leaseUnits > 0 && call.window == c.window {
+		if c.unreportedUnits -= call.leaseUnits; c.quota.reportedStore {
+			c.unreportedUnits -= call.writeOff
 		}
 	}
 }
 
-// tellLater has the next call tell what a call that was not added was to tell.
-func (c *customer) tellLater(k call) {
-	if c.terms.reported {
-		c.owed += k.owed // also from an earlier window; what was written off there says nothing of this one
-		if k.window == c.window {
-			c.owed += min(k.fill, 0)
+// requeueReport has the next call tell what a call that was not added was to tell.
+func (c *customer) requeueReport(call counterCall) {
+	if c.quota.reportedStore {
+		// Spending counts from an earlier window too; what was written off there says nothing of this one.
+		c.unreportedUnits += call.spent
+		if call.window == c.window {
+			c.unreportedUnits += min(call.writeOff, 0)
 		}
-	} else if k.window == c.window && k.name == c.name {
-		if c.owed += k.owed; k.units == 0 {
-			c.owed += k.fill
+	} else if call.window == c.window && call.name == c.windowName {
+		if c.unreportedUnits += call.spent; call.leaseUnits == 0 {
+			c.unreportedUnits += call.writeOff
 		}
 	}
 }
 
-// countedLate takes what came of a call after it was given up. A counter that is slow for a moment
+// handleLateCounterReply takes what came of a call after it was given up. A counter that is slow for a moment
 // adds all the same, and what it added and nobody uses is missing at all gateways. So a late total grants
 // as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
 // network's; a total too old for its window is of no use.
-func (g *Gateway) countedLate(e CounterLate) {
-	at := slices.IndexFunc(g.lost, func(k call) bool { return k.id == e.Call })
+func (e *Engine) handleLateCounterReply(event LateCounterReply) {
+	at := slices.IndexFunc(e.unansweredCalls, func(call counterCall) bool { return call.id == event.Call })
 	if at < 0 {
 		return
 	}
-	k := g.lost[at]
-	c := k.customer
-	g.lost = slices.Delete(g.lost, at, at+1)
-	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == Broken {
+	call := e.unansweredCalls[at]
+	c := call.customer
+	e.unansweredCalls = slices.Delete(e.unansweredCalls, at, at+1)
+	if call.window != c.window || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
 		return
 	}
 	switch {
-	case e.Outcome == Errored:
-		c.takeBack(k)
-	case e.Outcome != Served:
-		c.tellLater(k)
-	case k.units > 0 || c.terms.reported:
-		c.rest, c.restTill = 0, g.now
-		g.granted(c, k, e.Total)
-	}
-	g.admit(c)
+	case event.Outcome == Failed:
+		c.reclaimLease(call)
+	case event.Outcome != Served:
+		c.requeueReport(call)
+	case call.leaseUnits > 0 || c.quota.reportedStore:
+		c.backoff, c.backoffUntil = 0, e.now
+		e.applyGrant(c, call, event.Total)
+	}
+	e.admit(c)
 }
 
-// unit is what the first request that waits needs, or one.
-func (c *customer) unit() float64 {
+// nextRequestUnits is what the first request that waits needs, or one.
+func (c *customer) nextRequestUnits() float64 {
 	if len(c.waiting) == 0 {
 		return 1
 	}
 	return max(c.waiting[0].Units, 1e-3)
 }
 
-// fitting is what of a block a store pays for that has so much, in whole units of the first request.
-func fitting(block, avail, unit float64) float64 {
+// affordableUnits is what of a block a store pays for that has so much, in whole units of the first request.
+func affordableUnits(block, avail, unit float64) float64 {
 	return max(min(block, math.Floor(avail/unit+1e-3)*unit), 0)
 }
 
-// granted keeps what fits of a block. An exact store gets the rest back. In a short window it is left: there
-// is nothing for anyone until the next, and the calls for it would be as many as those for units.
-func (g *Gateway) granted(c *customer, k call, total float64) {
-	if c.terms.reported {
-		g.settle(c, k, total)
+// applyGrant keeps what fits of a block. An exact store gets the rest back. In a short window it is left:
+// there is nothing for anyone until the next, and the calls for it would be as many as those for units.
+func (e *Engine) applyGrant(c *customer, call counterCall, total float64) {
+	if c.quota.reportedStore {
+		e.reconcileStore(c, call, total)
 		return
 	}
-	before := total - k.fill - k.units
-	target := max(before, k.floor)
-	if before-k.owed < refundLeast { // the window is new, or the counter has lost it
-		target = max(target, c.known, k.floor+c.terms.allowance-c.terms.spare)
+	before := total - call.writeOff - call.leaseUnits
+	target := max(before, call.refill)
+	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
+		target = max(target, c.lastTotal, call.refill+c.quota.allowance-c.quota.initialAllowance)
 	}
-	unit, avail := c.unit(), c.terms.allowance-(target-k.floor)
-	grant := fitting(k.units, avail, unit)
-	if grant < k.units {
+	unit, avail := c.nextRequestUnits(), c.quota.allowance-(target-call.refill)
+	grant := affordableUnits(call.leaseUnits, avail, unit)
+	if grant < call.leaseUnits {
 		// Another gateway may be about to take back what it wrote off twice; until it has, the store
 		// looks emptier than it is.
-		short := min(2*unit-avail+grant, dryMost*unit)
-		c.dryUntil = g.now + max(short/max(c.terms.rate, 1e-3), g.set.Tick)
-		if !c.terms.few {
-			c.dryUntil = (k.window + 1 - c.phase()) * c.terms.window
+		short := min(2*unit-avail+grant, maxExhaustedUnits*unit)
+		c.exhaustedUntil = e.now + max(short/max(c.quota.rate, 1e-3), e.settings.Tick)
+		if !c.quota.smallGatewaySet {
+			c.exhaustedUntil = (call.window + 1 - c.phase()) * c.quota.window
 		}
 	}
-	c.units += grant
+	c.leasedUnits += grant
 	if grant > 0 {
-		c.expires = g.now + leaseShare*c.terms.allowance/max(c.terms.rate, 1e-3)
+		c.leaseExpiresAt = e.now + leaseLifeShare*c.quota.allowance/max(c.quota.rate, 1e-3)
 	}
-	if c.window == k.window {
-		c.known = target + grant
+	if c.window == call.window {
+		c.lastTotal = target + grant
 	}
-	c.met = true
-	if more := target + grant - total; c.terms.few && math.Abs(more) > refundLeast*unit {
+	c.counterSeen = true
+	if more := target + grant - total; c.quota.smallGatewaySet && math.Abs(more) > minCorrection*unit {
 		// Less, or what an emptied counter lost.
-		g.count(call{customer: c, name: k.name, window: k.window, fill: more}, nameKeep)
+		correction := counterCall{customer: c, name: call.name, window: call.window, writeOff: more}
+		e.callCounter(correction, counterNameTTL)
 	}
 }
 
-// report tells the counter what own shares have spent, once it is much; less goes with the next lease.
-func (g *Gateway) report(c *customer) {
-	most := max(c.terms.localBurst, reportPart*c.terms.allowance, reportMin)
-	if c.owed < most || c.inCalls > 0 || g.now < c.restTill {
+// reportSpent tells the counter what own shares have spent, once it is much; less goes with the next lease.
+func (e *Engine) reportSpent(c *customer) {
+	most := max(c.quota.localBurst, reportShare*c.quota.allowance, minReport)
+	if c.unreportedUnits < most || c.pendingCalls > 0 || e.now < c.backoffUntil {
 		return
 	}
-	floor := g.roll(c)
-	k := call{customer: c, name: c.name, window: c.window, floor: floor, owed: c.owed, fill: c.unused(floor)}
-	c.owed = 0
-	g.count(k, nameKeep)
+	floor := e.enterWindow(c)
+	call := counterCall{customer: c, name: c.windowName, window: c.window, refill: floor,
+		spent: c.unreportedUnits, writeOff: c.refillToWriteOff(floor)}
+	c.unreportedUnits = 0
+	e.callCounter(call, counterNameTTL)
 }
 
-// unused is the refill that a call writes off since nobody has used it: as much as this gateway found at its
-// last look, for all gateways together call about as often as before.
-func (c *customer) unused(floor float64) float64 { return min(c.lag, max(floor-c.known, 0)) }
+// refillToWriteOff is the refill that a call writes off since nobody has used it: as much as this gateway
+// found at its last look, for all gateways together call about as often as before.
+func (c *customer) refillToWriteOff(floor float64) float64 {
+	return min(c.unusedRefill, max(floor-c.lastTotal, 0))
+}
 
-// settle takes the answer for a store that is kept by reports. Each gateway spends its own share with no call
-// and tells of it later. So the total is what all have told, and lags behind what they have spent by about
-// half a mean report for each. The store is full where the total lies below the refill by no more than that
-// (slack); what lies further below has not been used, and is written off, lest a burst find it all at once.
+// reconcileStore takes the answer for a store that is kept by reports. Each gateway spends its own share
+// with no call and tells of it later. So the total is what all have told, and lags behind what they have
+// spent by about half a mean report for each. The store is full where the total lies below the refill by no
+// more than that (slack); what lies further below has not been used, and is written off, lest a burst find
+// it all at once.
 //
-// In any time L a customer gets at most rate*L, the burst that is lent, lagMost+slackMost bursts that were
-// not written off yet, what was leased before, and what each gateway has spent and not told: its own share,
-// reportPart of a burst or reportMin, whichever is most. Over long times that is the rate.
-func (g *Gateway) settle(c *customer, k call, total float64) {
+// In any time L a customer gets at most rate*L, the burst that is lent, maxUnusedRefill+maxReportSlack
+// bursts that were not written off yet, what was leased before, and what each gateway has spent and not
+// told: its own share, reportShare of a burst or minReport, whichever is most. Over long times that is the
+// rate.
+func (e *Engine) reconcileStore(c *customer, call counterCall, total float64) {
 	// Two gateways may write off the same refill. Each takes its own as a guess, and who came second
 	// finds too much there and takes it back. What a call takes back is none, nor what goes on from a window.
-	taken := total - k.units
-	if !k.carried {
-		taken -= max(k.fill, 0)
-	}
-	if k.owed > 0 {
-		c.told += reportGain * (k.owed - c.told)
-	}
-	burst, unit := c.terms.allowance, c.unit()
-	lent := max(c.terms.lent, min(unit, burst)) // what a full store can pay for is let in
-	slack := min(c.told/2*c.terms.gateways, slackMost*burst)
-	level := max(taken, k.floor-slack)
-	c.lag = level - taken
-	fresh := taken-k.owed < refundLeast && g.now-c.leftAt < levelSpan
+	taken := total - call.leaseUnits
+	if !call.carriedOver {
+		taken -= max(call.writeOff, 0)
+	}
+	if call.spent > 0 {
+		c.meanReport += reportGain * (call.spent - c.meanReport)
+	}
+	burst, unit := c.quota.allowance, c.nextRequestUnits()
+	lent := max(c.quota.overdraft, min(unit, burst)) // what a full store can pay for is let in
+	slack := min(c.meanReport/2*c.quota.gatewayCount, maxReportSlack*burst)
+	level := max(taken, call.refill-slack)
+	c.unusedRefill = level - taken
+	fresh := taken-call.spent < minCorrection && e.now-c.remainingAt < carryOverTime
 	if fresh {
 		// A window begins with a full store. One that was empty a moment ago goes on from there, or
 		// each window would let in a burst more.
-		level = max(level, k.floor+lent-c.left)
-	}
-	c.left = min(lent-(level-k.floor), burst)
-	grant := fitting(k.units, c.left, unit)
-	if c.dry = grant < k.units || k.units == 0 && c.left < unit; c.dry {
-		most := dryMost
-		if !c.modest() { // the more gateways ask for what comes free, the later there is some for this one
-			most = max(most, c.terms.gateways/2)
+		level = max(level, call.refill+lent-c.remaining)
+	}
+	c.remaining = min(lent-(level-call.refill), burst)
+	grant := affordableUnits(call.leaseUnits, c.remaining, unit)
+	if c.exhausted = grant < call.leaseUnits || call.leaseUnits == 0 && c.remaining < unit; c.exhausted {
+		most := maxExhaustedUnits
+		if !c.withinFairRate() { // the more gateways ask for what comes free, the later there is some for this one
+			most = max(most, c.quota.gatewayCount/2)
 		}
-		short := min(2*unit-c.left+grant, most*unit)
-		c.dryUntil = g.now + max(short/max(c.terms.rate, 1e-3), g.set.Tick)
+		short := min(2*unit-c.remaining+grant, most*unit)
+		c.exhaustedUntil = e.now + max(short/max(c.quota.rate, 1e-3), e.settings.Tick)
 	}
-	c.left, c.leftAt = c.left-grant, g.now
-	c.units += grant
+	c.remaining, c.remainingAt = c.remaining-grant, e.now
+	c.leasedUnits += grant
 	if grant > 0 {
-		c.expires = g.now + 2*leaseSpan
+		c.leaseExpiresAt = e.now + 2*leaseTargetDuration
 	}
-	if k.window != c.window {
+	if call.window != c.window {
 		return
 	}
-	c.known = total
+	c.lastTotal = total
 	wrong := level + grant - total // refill that nobody used, or what the call asked for and did not get
-	if wrong <= lagMost*burst && wrong >= -refundLeast*unit && !(fresh && wrong > unit) {
+	if wrong <= maxUnusedRefill*burst && wrong >= -minCorrection*unit && !(fresh && wrong > unit) {
 		return
 	}
-	c.lag = 0
-	c.known += wrong
-	g.count(call{customer: c, name: k.name, window: k.window, floor: k.floor, fill: wrong,
-		carried: fresh}, nameKeep)
+	c.unusedRefill = 0
+	c.lastTotal += wrong
+	correction := counterCall{customer: c, name: call.name, window: call.window, refill: call.refill,
+		writeOff: wrong, carriedOver: fresh}
+	e.callCounter(correction, counterNameTTL)
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -52,12 +52,12 @@
 	t.Helper()
 	const start, work = 1000.0, 0.05
 	set := testSettings()
-	set.Classes = []Class{{Aim: 2, Deadline: 8, Worth: 1}}
+	set.Classes = []Class{{LatencyObjective: 2, Deadline: 8, PriorityWeight: 1}}
 	set.Plans = []Plan{d.plan}
-	set.Fleet, set.CounterTimeout = d.gateways, 0.08
+	set.FleetSize, set.CounterTimeout = d.gateways, 0.08
 	rng := rand.New(rand.NewPCG(d.seed, 1))
 	var q quotaEvents
-	var gs []*Gateway
+	var gs []*Engine
 	var take func(now float64, n int, actions []Action)
 	totals := map[uint64]float64{}
 	store, storeAt, counted := d.plan.Burst, start, false
@@ -65,9 +65,9 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
-				heap.Push(&q, quotaEvent{now + a.In, n, Timer{Token: a.Token}})
-			case Send:
-				heap.Push(&q, quotaEvent{now + work, n, AttemptEnd{Request: a.Request, Backend: a.Backend, Took: work, Done: true}})
+				heap.Push(&q, quotaEvent{now + a.Delay, n, TimerFired{Token: a.Token}})
+			case SendAttempt:
+				heap.Push(&q, quotaEvent{now + work, n, AttemptEnded{Request: a.Request, Backend: a.Backend, Latency: work, RequestOver: true}})
 				inside := store >= 1
 				if inside {
 					store--
@@ -77,7 +77,7 @@
 						c.beyond++
 					}
 				}
-			case Refuse:
+			case Reject:
 				if counted {
 					c.refused++
 					if store >= 1 {
@@ -87,7 +87,7 @@
 						c.refusedHalf++
 					}
 				}
-			case Count:
+			case CounterAdd:
 				if counted {
 					c.calls++
 				}
@@ -97,11 +97,11 @@
 		}
 	}
 	for rank := range d.gateways {
-		set.Rank = rank
+		set.GatewayIndex = rank
 		g, out := New(set, d.seed<<16+uint64(rank), start, nil)
 		gs = append(gs, g)
 		take(start, rank, out)
-		take(start, rank, g.Handle(start, Backends{Kind: CachedList, Entries: some(4 * d.gateways)}, nil))
+		take(start, rank, g.Handle(start, EndpointsUpdated{Kind: CachedList, Entries: some(4 * d.gateways)}, nil))
 	}
 	weights := make([]float64, d.gateways)
 	draw := func() {
@@ -158,7 +158,7 @@
 }
 
 func quotaPlan(rate, seconds float64) Plan {
-	return Plan{Price: 1, Rate: rate, Burst: max(rate*seconds, 2), OverCost: 1}
+	return Plan{WeightFactor: 1, Rate: rate, Burst: max(rate*seconds, 2), OverQuotaCost: 1}
 }
 
 // A customer inside its quota costs few calls of the counter and is hardly ever refused, through however many
@@ -206,7 +206,7 @@
 	const end = 2.0
 	d := quotaDay{gateways: 20, plan: quotaPlan(6.8, 3), rate: 100, delay: 0.003, end: end, seed: 6}
 	got := d.play(t)
-	if bound := lentMany*d.plan.Burst + d.plan.Rate*end + 5; float64(got.sent) > bound {
+	if bound := largeSetOverdraft*d.plan.Burst + d.plan.Rate*end + 5; float64(got.sent) > bound {
 		t.Errorf("%d units at once, want %.0f at most", got.sent, bound)
 	}
 }
@@ -215,7 +215,7 @@
 func TestCustomerSeenSeldomCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
-		d := quotaDay{gateways: 5, plan: Plan{Price: 1, Rate: c.rate / 0.3, Burst: 4, OverCost: 1}, rate: c.rate, shift: true,
+		d := quotaDay{gateways: 5, plan: Plan{WeightFactor: 1, Rate: c.rate / 0.3, Burst: 4, OverQuotaCost: 1}, rate: c.rate, shift: true,
 			delay: 0.003, end: 200 / c.rate, seed: 4}
 		got := d.play(t)
 		calls, refused := float64(got.calls)/float64(got.tries), float64(got.refusedInside)/float64(got.tries)
@@ -252,7 +252,7 @@
 			}}
 		got := d.play(t)
 		// The burst, the refill meanwhile, what own shares hold, and what may not have been written off.
-		bound := d.plan.Burst*(2+lagMost+slackMost) + d.plan.Rate*burst + ownUnits*float64(gateways)
+		bound := d.plan.Burst*(2+maxUnusedRefill+maxReportSlack) + d.plan.Rate*burst + localUnits*float64(gateways)
 		if float64(got.sent) > bound {
 			t.Errorf("%d gateways let in %d units of %d at once, want %.0f at most", gateways, got.sent, got.tries, bound)
 		}
@@ -264,37 +264,37 @@
 	t.Helper()
 	set := testSettings()
 	for rank := range ds {
-		set.Rank = rank
+		set.GatewayIndex = rank
 		ds[rank] = start(t, set, some(4)...)
 	}
 	return ds, map[uint64]float64{}
 }
 
 // spend has a gateway get requests of a unit and returns the calls that these led to.
-func (d *drive) spend(units int) (calls []Count) {
+func (d *drive) spend(units int) (calls []CounterAdd) {
 	for range units {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
-		for _, s := range find[Send](out) {
-			out = append(out, d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.01, Done: true})...)
+		for _, s := range find[SendAttempt](out) {
+			out = append(out, d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.01, RequestOver: true})...)
 		}
-		calls = append(calls, find[Count](out)...)
+		calls = append(calls, find[CounterAdd](out)...)
 	}
 	return calls
 }
 
-func (d *drive) answer(totals map[uint64]float64, c Count) []Count {
+func (d *drive) answer(totals map[uint64]float64, c CounterAdd) []CounterAdd {
 	totals[c.Name] += c.Amount
-	return find[Count](d.handle(CounterReply{Name: c.Name, Total: totals[c.Name]}))
+	return find[CounterAdd](d.handle(CounterReply{Name: c.Name, Total: totals[c.Name]}))
 }
 
 // answerAll answers the calls among actions, and those that come of it, and returns all actions. It ends after a
 // thousand, should one call always lead to another.
-func (d *drive) answerAll(todo []Action, total func(Count) float64) (all []Action) {
+func (d *drive) answerAll(todo []Action, total func(CounterAdd) float64) (all []Action) {
 	for n := 0; n < 1000 && len(todo) > 0; n++ {
 		a := todo[0]
 		all, todo = append(all, a), todo[1:]
-		if c, ok := a.(Count); ok {
+		if c, ok := a.(CounterAdd); ok {
 			todo = append(todo, d.handle(CounterReply{Name: c.Name, Total: total(c)})...)
 		}
 	}
@@ -308,25 +308,25 @@
 	for _, d := range ds {
 		d.now += 25 // no window begins meanwhile
 	}
-	var off [2]Count
+	var off [2]CounterAdd
 	for i, d := range ds {
-		report := one[Count](t, actions(d.spend(20))) // its own share, told at once
-		off[i] = one[Count](t, actions(d.answer(totals, report)))
+		report := one[CounterAdd](t, actions(d.spend(20))) // its own share, told at once
+		off[i] = one[CounterAdd](t, actions(d.answer(totals, report)))
 		if off[i].Amount <= 0 {
 			t.Fatalf("nothing is written off: %v", off[i])
 		}
 	}
 	name, calls := off[0].Name, 0
 	for i, d := range ds {
-		for todo := []Count{off[i]}; len(todo) > 0; calls++ {
+		for todo := []CounterAdd{off[i]}; len(todo) > 0; calls++ {
 			todo = append(todo[1:], d.answer(totals, todo[0])...)
 		}
 	}
 	if calls > 4 {
 		t.Errorf("%d calls for it", calls)
 	}
-	floor := ds[0].g.roll(ds[0].g.customers[1])
-	if full := totals[name]; math.Abs(full-floor) > 40*(slackMost+0.01) {
+	floor := ds[0].g.enterWindow(ds[0].g.customers[1])
+	if full := totals[name]; math.Abs(full-floor) > 40*(maxReportSlack+0.01) {
 		t.Errorf("the counter stands at %.1f, a full store at %.1f", full, floor)
 	}
 }
@@ -336,9 +336,9 @@
 func TestSpendingIsToldInTheNextWindow(t *testing.T) {
 	ds, _ := reportedPair(t)
 	d := ds[0]
-	report := one[Count](t, actions(d.spend(20)))
-	d.handle(CounterReply{Name: report.Name, Outcome: Full}) // turned away: nothing was added
-	d.now += windowLen
+	report := one[CounterAdd](t, actions(d.spend(20)))
+	d.handle(CounterReply{Name: report.Name, Outcome: Rejected}) // turned away: nothing was added
+	d.now += longWindow
 	calls := d.spend(1)
 	for range 60 { // the own share is full again, and spent
 		if len(calls) > 0 {
@@ -346,7 +346,7 @@
 		}
 		calls = d.spend(1)
 	}
-	if next := one[Count](t, actions(calls)); next.Name == report.Name || next.Amount < 20 {
+	if next := one[CounterAdd](t, actions(calls)); next.Name == report.Name || next.Amount < 20 {
 		t.Errorf("the next window's first call is %v, after %v was turned away", next, report)
 	}
 }
@@ -355,13 +355,13 @@
 func TestWhatIsNeverSentIsTakenOutOfTheNextReport(t *testing.T) {
 	ds, _ := reportedPair(t)
 	d := ds[0]
-	d.g.bound = 0 // nothing is sent
+	d.g.concurrencyLimit = 0 // nothing is sent
 	for range 5 {
 		d.nextID++
 		d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
-		d.handle(ClientGone{Request: d.nextID})
+		d.handle(ClientDisconnected{Request: d.nextID})
 	}
-	if owed := d.g.customers[1].owed; owed != 0 {
+	if owed := d.g.customers[1].unreportedUnits; owed != 0 {
 		t.Errorf("%g units would be told", owed)
 	}
 }
@@ -372,30 +372,30 @@
 	for plan, waits := range []bool{false, true} { // at 2 units a second and at 20
 		set := testSettings()
 		d := start(t, set, some(4)...)
-		d.g.bound = 1000
+		d.g.concurrencyLimit = 1000
 		used := func(part float64) float64 { // the total at which so much of the burst is used
-			return d.g.roll(d.g.customers[1]) + part*set.Plans[plan].Burst
+			return d.g.enterWindow(d.g.customers[1]) + part*set.Plans[plan].Burst
 		}
 		ask := func() []Action {
 			d.nextID++
 			return d.handle(Request{ID: d.nextID, Plan: plan, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
 		}
 		var out []Action
-		for sent := -1; sent < len(find[Send](out)); out = append(out, ask()...) { // its own share pays
-			sent = len(find[Send](out))
+		for sent := -1; sent < len(find[SendAttempt](out)); out = append(out, ask()...) { // its own share pays
+			sent = len(find[SendAttempt](out))
 		}
 		answer := func(out []Action, part float64) []Action {
-			return d.answerAll(out, func(c Count) float64 { return used(part) + c.Amount })
+			return d.answerAll(out, func(c CounterAdd) float64 { return used(part) + c.Amount })
 		}
 		// What was spent is told, and the request asks; others have used up all there is.
-		if refused := len(find[Refuse](answer(out, 1))) > 0; refused == waits {
+		if refused := len(find[Reject](answer(out, 1))) > 0; refused == waits {
 			t.Errorf("plan %d: refused %t while the store is dry", plan, refused)
 		}
 		if !waits {
 			continue
 		}
 		d.now += 0.2
-		if n := len(find[Send](answer(d.handle(Timer{Token: timerMaintain << 56}), 0))); n != 1 {
+		if n := len(find[SendAttempt](answer(d.handle(TimerFired{Token: timerMaintenance << 56}), 0))); n != 1 {
 			t.Errorf("%d sends after the dry spell, want the request that waited", n)
 		}
 	}
@@ -405,14 +405,14 @@
 // what the ceiling has room for, all of it through the counter.
 func TestLeasesHaveWhatOwnSharesOfACeilingCantUse(t *testing.T) {
 	set := testSettings()
-	set.Plans[0] = Plan{Price: 1, Rate: 1.6, Burst: 9, OverCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
+	set.Plans[0] = Plan{WeightFactor: 1, Rate: 1.6, Burst: 9, OverQuotaCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
 	d := start(t, set, some(8)...)
-	d.g.bound = 1000
+	d.g.concurrencyLimit = 1000
 	sent, total := 0, 0.0
 	for range 9 {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Customer: 5, Units: 1, Gateways: 11, Deadline: d.now + 2})
-		sent += len(find[Send](d.answerAll(out, func(c Count) float64 {
+		sent += len(find[SendAttempt](d.answerAll(out, func(c CounterAdd) float64 {
 			total += c.Amount
 			return total
 		})))
@@ -427,17 +427,17 @@
 func TestCeilingPaysBeyondTheQuotaAtTheLowestLevel(t *testing.T) {
 	for _, gains := range []bool{false, true} {
 		set := testSettings()
-		set.Plans[1] = Plan{Price: 1.5, Rate: 2, Burst: 4, OverWorth: 0.3, CeilingRate: 4, CeilingBurst: 14, CeilingSlack: 1}
+		set.Plans[1] = Plan{WeightFactor: 1.5, Rate: 2, Burst: 4, OverQuotaWeight: 0.3, CeilingRate: 4, CeilingBurst: 14, CeilingSlack: 1}
 		if !gains {
-			set.Plans[1].OverCost = 0.5
+			set.Plans[1].OverQuotaCost = 0.5
 		}
 		d := start(t, set, some(4)...)
 		d.now += 30 // its own share is earned
-		d.g.bound = 0
+		d.g.concurrencyLimit = 0
 		ask := func(plan int) []Action {
 			d.nextID++
 			out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 2, Deadline: d.now + 2})
-			return d.answerAll(out, func(c Count) float64 { // others have used up all of plan 1
+			return d.answerAll(out, func(c CounterAdd) float64 { // others have used up all of plan 1
 				if plan == 1 {
 					return 1000
 				}
@@ -447,7 +447,7 @@
 		beyond := d.nextID + 1
 		refused := 0
 		for range 10 {
-			refused += len(find[Refuse](ask(1)))
+			refused += len(find[Reject](ask(1)))
 		}
 		if want := map[bool]int{false: 10, true: 8}[gains]; refused != want { // own shares are half of 14 - 1.5*4, for two
 			t.Errorf("gains %t: %d of 10 refused beyond the quota, want %d", gains, refused, want)
@@ -455,12 +455,12 @@
 		if !gains {
 			continue
 		}
-		if out := ask(0); len(find[Refuse](out)) > 0 {
+		if out := ask(0); len(find[Reject](out)) > 0 {
 			t.Fatalf("a request inside its quota was refused: %v", out)
 		}
 		inside := d.nextID
-		d.g.bound = 1000
-		sent := find[Send](d.handle(Timer{Token: timerMaintain << 56}))
+		d.g.concurrencyLimit = 1000
+		sent := find[SendAttempt](d.handle(TimerFired{Token: timerMaintenance << 56}))
 		if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
 			t.Errorf("sent %v, want request %d of the cheaper plan, inside its quota, before %d", sent, inside, beyond)
 		}
@@ -477,7 +477,7 @@
 	}
 }
 
-func actions(calls []Count) (out []Action) {
+func actions(calls []CounterAdd) (out []Action) {
 	for _, c := range calls {
 		out = append(out, c)
 	}
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -15,9 +15,9 @@
 		backends []Backend
 	}{"held": {true, nil}, "out": {true, some(6)}, "no stop": {false, nil}} {
 		set := testSettings()
-		set.Classes = []Class{{Aim: 60, Deadline: 60, Worth: 1, LateWorth: 0.5}}
-		set.Plans = []Plan{{Price: 1}}
-		set.CanCopy = false
+		set.Classes = []Class{{LatencyObjective: 60, Deadline: 60, PriorityWeight: 1, LateWeightShare: 0.5}}
+		set.Plans = []Plan{{WeightFactor: 1}}
+		set.CanHedge = false
 		d := start(t, set, test.backends...)
 		began, ends := d.now, map[RequestID]float64{} // in seconds after the stop
 		var timers []quotaEvent
@@ -25,10 +25,10 @@
 			for _, a := range actions {
 				switch a := a.(type) {
 				case SetTimer:
-					timers = append(timers, quotaEvent{d.now + a.In, 0, Timer{Token: a.Token}})
-				case Refuse:
+					timers = append(timers, quotaEvent{d.now + a.Delay, 0, TimerFired{Token: a.Token}})
+				case Reject:
 					ends[a.Request] = d.now - began
-				case Fail:
+				case FailRequest:
 					ends[a.Request] = d.now - began
 				}
 			}
@@ -40,7 +40,7 @@
 		}
 		brief, long := ask(0.5), ask(60)
 		if test.stops {
-			take(d.handle(Stop{By: began + 2}))
+			take(d.handle(Shutdown{AnswerBy: began + 2}))
 		}
 		late := ask(60)
 		for d.now < began+70 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,7 @@
 	set       Settings
 	now       float64
 	rng       *rand.Rand
-	gateways  []*Gateway
+	gateways  []*Engine
 	weights   []float64 // of the traffic, by gateway
 	pending   fleetEvents
 	servers   map[BackendID]*coldServer
@@ -56,34 +56,34 @@
 func (f *coldFleet) handle(by int, ev Event) {
 	for _, a := range f.gateways[by].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			f.send(by, a)
 		case SetTimer:
-			heap.Push(&f.pending, fleetEvent{f.now + a.In, by, Timer{Token: a.Token}})
+			heap.Push(&f.pending, fleetEvent{f.now + a.Delay, by, TimerFired{Token: a.Token}})
 		}
 	}
 }
 
-func (f *coldFleet) send(by int, a Send) {
+func (f *coldFleet) send(by int, a SendAttempt) {
 	s := f.servers[a.Backend]
 	share := 1.0
 	if s.born > 0 {
-		share = min(f.set.ColdFrom+(1-f.set.ColdFrom)*(f.now-s.born)/f.set.ColdFor, 1)
+		share = min(f.set.SlowStartMinShare+(1-f.set.SlowStartMinShare)*(f.now-s.born)/f.set.SlowStartWindow, 1)
 		if share < 1 {
 			s.sends = append(s.sends, f.now)
 			f.sendsCold++
 		}
 	}
-	end := AttemptEnd{Request: a.Request, Backend: a.Backend}
+	end := AttemptEnded{Request: a.Request, Backend: a.Backend}
 	took := 0.001
 	if start := max(s.free, f.now); start-f.now > coldQueue*coldWork {
-		end.Outcome = Full
+		end.Outcome = Rejected
 	} else {
 		work := f.rng.ExpFloat64() * coldWork
 		s.free = start + work/(f.cores*share)
 		took = start + work - f.now
 	}
-	end.Took, end.Done = took, end.Outcome == Served
+	end.Latency, end.RequestOver = took, end.Outcome == Served
 	heap.Push(&f.pending, fleetEvent{f.now + took, by, end})
 }
 
@@ -115,12 +115,12 @@
 	over = math.Inf(-1)
 	for _, s := range f.servers {
 		for i, from := 0, 0; i < len(s.sends); i++ {
-			for s.sends[i]-s.sends[from] > f.set.FallFor {
+			for s.sends[i]-s.sends[from] > f.set.OverloadDuration {
 				from++
 			}
-			since := max(s.sends[i]-f.set.FallFor, s.born)
-			mean := f.set.ColdFrom + (1-f.set.ColdFrom)*((since+s.sends[i])/2-s.born)/f.set.ColdFor
-			n := f.set.FallMultiple * mean * f.cores / coldWork * f.set.FallFor
+			since := max(s.sends[i]-f.set.OverloadDuration, s.born)
+			mean := f.set.SlowStartMinShare + (1-f.set.SlowStartMinShare)*((since+s.sends[i])/2-s.born)/f.set.SlowStartWindow
+			n := f.set.OverloadFactor * mean * f.cores / coldWork * f.set.OverloadDuration
 			if x := float64(i-from+1) - (n + 2*math.Sqrt(n) + 2); x > over {
 				over, sent, budget = x, i-from+1, n
 			}
@@ -157,7 +157,7 @@
 // clients come to other gateways than before.
 func playCold(gateways, warm, cold int, cores, use, zipf, lull float64, seed uint64) *coldFleet {
 	set := testSettings()
-	set.Fleet, set.Plans = gateways, []Plan{{Price: 1}} // no quota
+	set.FleetSize, set.Plans = gateways, []Plan{{WeightFactor: 1}} // no quota
 	f := &coldFleet{set: set, cores: cores, now: 100, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[BackendID]*coldServer{}}
 	all := max(warm, cold) // so many are warm at first
 	for i := range all + cold {
@@ -167,19 +167,19 @@
 		g, _ := New(set, seed*1000+uint64(i), f.now, nil)
 		f.gateways = append(f.gateways, g)
 		f.weights = append(f.weights, math.Pow(float64(i+1), -zipf))
-		f.handle(i, Backends{Kind: FullList, Entries: some(all)})
-		f.handle(i, Timer{Token: timerMaintain << 56})
+		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: some(all)})
+		f.handle(i, TimerFired{Token: timerMaintenance << 56})
 	}
 	f.run(106, use*float64(all)*cores/coldWork)
 	list := some(warm)
 	for i := range cold {
 		b := ready(BackendID(all + i + 1))
-		b.Born = f.now
+		b.StartedAt = f.now
 		f.servers[b.ID].born = f.now
 		list = append(list, b)
 	}
 	for i := range gateways {
-		f.handle(i, Backends{Kind: FullList, Entries: list})
+		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: list})
 	}
 	rate := use * float64(all) * cores / coldWork // clients stay, whatever becomes of backends
 	f.run(107, rate)
