--- a/policy/admission.go
+++ b/policy/admission.go
@@ -29,7 +29,7 @@
 		r.SentAt = e.now
 	}
 	req := &request{Request: r, class: c}
-	req.level, _ = slices.BinarySearch(e.levelWeights, c.PriorityWeight*p.WeightFactor)
+	req.level, _ = slices.BinarySearch(e.queue.weights, c.PriorityWeight*p.WeightFactor)
 	req.answerBy = r.Deadline - 2*e.settings.Tick
 	if c.LateWeightShare == 0 && c.ObjectivePerUnit == 0 {
 		req.answerBy = min(req.answerBy, r.SentAt+c.LatencyObjective-e.elapsedBefore(r, c))
@@ -38,13 +38,13 @@
 	if r.IsRetry {
 		repeat = 1
 	}
-	e.clientRetryShare += counterFailureGain * (repeat - e.clientRetryShare)
+	e.retries.clientShare += counterFailureGain * (repeat - e.retries.clientShare)
 	e.requests[r.ID] = req
-	e.arrivalCounts[req.level]++
+	e.queue.arrivalCounts[req.level]++
 	who := e.customerFor(r)
 	req.customer = who
 	e.limitToShutdown(req)
-	if req.answerBy < e.now+e.meanLatency/2 {
+	if req.answerBy < e.now+e.latency.mean/2 {
 		e.answerWithout(req, ReasonTooLate)
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 	e.setTimer(req.answerBy-e.now, timerAnswerDeadline, 0, r.ID)
 	if len(req.attempts) == 0 {
-		e.setTimer(req.answerBy-e.now-e.meanLatency, timerSendDeadline, 0, r.ID)
+		e.setTimer(req.answerBy-e.now-e.latency.mean, timerSendDeadline, 0, r.ID)
 	}
 }
 
@@ -83,34 +83,35 @@
 // enqueue puts a paid request in the queue of its level, unless the wait would outlast its aim: Wh <= X /
 // (1 - X*Ah), X being the time in which the bound frees a place and Ah the arrivals of higher levels.
 func (e *Engine) enqueue(req *request) {
-	x := e.meanLatency / max(e.concurrencyLimit, 1e-3)
-	ahead, higher := 1+float64(len(e.queues[req.level])), 0.0
-	for l := req.level + 1; l < len(e.queues); l++ {
-		ahead += float64(len(e.queues[l]))
-		higher += e.arrivalRates[l]
+	x := e.latency.mean / max(e.limiter.limit, 1e-3)
+	ahead, higher := 1+float64(len(e.queue.requests[req.level])), 0.0
+	for l := req.level + 1; l < len(e.queue.requests); l++ {
+		ahead += float64(len(e.queue.requests[l]))
+		higher += e.queue.arrivalRates[l]
 	}
-	if e.atLimit(req.level) && ahead*x >= (req.answerBy-e.now-e.meanLatency)*max(1-x*higher, 0) {
+	if e.atLimit(req.level) && ahead*x >= (req.answerBy-e.now-e.latency.mean)*max(1-x*higher, 0) {
 		e.answerWithout(req, ReasonQueue)
 		return
 	}
-	e.queues[req.level] = append(e.queues[req.level], req)
+	e.queue.requests[req.level] = append(e.queue.requests[req.level], req)
 }
 
 // atLimit tells whether a level has to wait: it may fill its part of the bound. Of many gateways, the bound
 // of one is less than an attempt; then it is kept in the mean.
 func (e *Engine) atLimit(level int) bool {
-	room := e.concurrencyLimit
-	if e.levelWeights[level] < topLevelShare*e.levelWeights[len(e.levelWeights)-1] {
+	room := e.limiter.limit
+	if e.queue.weights[level] < topLevelShare*e.queue.weights[len(e.queue.weights)-1] {
 		room *= 1 - reserveShare
 	}
-	return float64(e.inFlight) >= max(room, limitBurst) || room < limitBurst && e.meanInFlight >= room
+	return float64(e.limiter.inFlight) >= max(room, limitBurst) ||
+		room < limitBurst && e.limiter.meanInFlight >= room
 }
 
 // dispatch releases held requests, highest level first.
 func (e *Engine) dispatch() {
-	for l := len(e.queues) - 1; l >= 0; l-- {
-		for len(e.queues[l]) > 0 {
-			req := e.queues[l][0]
+	for l := len(e.queue.requests) - 1; l >= 0; l-- {
+		for len(e.queue.requests[l]) > 0 {
+			req := e.queue.requests[l][0]
 			if !req.finished {
 				if e.atLimit(l) {
 					return
@@ -121,7 +122,7 @@
 				}
 				e.send(req, b)
 			}
-			e.queues[l] = e.queues[l][1:]
+			e.queue.requests[l] = e.queue.requests[l][1:]
 		}
 	}
 }
@@ -129,16 +130,17 @@
 // adjustLimit moves the bound: down when latency nears the aim, at most once a round trip, and slowly up
 // while it is in use and latency is low.
 func (e *Engine) adjustLimit(ratio float64) {
-	gain := min(max((e.now-e.latencyRatioAt)/limitAveragingWindow, 0.05), 0.3) // rare answers weigh more
-	e.latencyRatioAt = e.now
-	e.latencyRatio += gain * (min(ratio, 1) - e.latencyRatio)
+	gain := min(max((e.now-e.limiter.latencyRatioAt)/limitAveragingWindow, 0.05), 0.3) // rare answers weigh more
+	e.limiter.latencyRatioAt = e.now
+	e.limiter.latencyRatio += gain * (min(ratio, 1) - e.limiter.latencyRatio)
 	switch {
-	case e.latencyRatio > latencyRatioHigh && e.now-e.lastLimitCut > max(e.meanLatency, e.settings.Tick):
-		e.concurrencyLimit = max(e.concurrencyLimit*limitCutFactor, e.minLimit())
-		e.lastLimitCut = e.now
-	case e.latencyRatio < latencyRatioLow &&
-		max(float64(e.inFlight), e.meanInFlight) >= limitUtilization*e.concurrencyLimit:
-		e.concurrencyLimit += min(1, e.backendsPerGateway()) / max(e.concurrencyLimit, 1)
+	case e.limiter.latencyRatio > latencyRatioHigh &&
+		e.now-e.limiter.lastCut > max(e.latency.mean, e.settings.Tick):
+		e.limiter.limit = max(e.limiter.limit*limitCutFactor, e.minLimit())
+		e.limiter.lastCut = e.now
+	case e.limiter.latencyRatio < latencyRatioLow &&
+		max(float64(e.limiter.inFlight), e.limiter.meanInFlight) >= limitUtilization*e.limiter.limit:
+		e.limiter.limit += min(1, e.backendsPerGateway()) / max(e.limiter.limit, 1)
 	}
 }
 
@@ -146,5 +148,5 @@
 
 // backendsPerGateway is how many backends there are for each gateway.
 func (g *Engine) backendsPerGateway() float64 {
-	return float64(len(g.backendList)) / float64(max(g.settings.FleetSize, 1))
+	return float64(len(g.backends.ordered)) / float64(max(g.settings.FleetSize, 1))
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -25,7 +25,7 @@
 		return false
 	}
 	if tries == 0 {
-		e.retryTokens = min(e.retryTokens+retryShare, maxRetryTokens)
+		e.retries.tokens = min(e.retries.tokens+retryShare, maxRetryTokens)
 	} else {
 		req.customer.openAttempts++
 	}
@@ -38,16 +38,16 @@
 	if e.slowStartShare(b) < 1 {
 		b.slowStartTokens--
 	} else {
-		e.warmSendCount++
+		e.warmTraffic.sendCount++
 	}
 	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
-	if e.meanLatency > 0 {
+	if e.latency.mean > 0 {
 		e.setTimer(e.slowAfter(), timerSlowAttempt, tries, req.ID)
 	}
 	return true
 }
 
-func (e *Engine) slowAfter() float64 { return e.meanLatency + slowDeviations*e.latencyDeviation }
+func (e *Engine) slowAfter() float64 { return e.latency.mean + slowDeviations*e.latency.deviation }
 
 // attemptEnded records the end of an attempt and decides what becomes of the request.
 func (g *Engine) attemptEnded(event AttemptEnded) {
@@ -64,7 +64,7 @@
 		// make room for one more at a full backend. It stays the longer the more in a row the backend has
 		// let pass.
 		a.backend.consecutiveTimeouts++
-		stay := min(g.meanLatency*float64(a.backend.consecutiveTimeouts), j.class.Deadline)
+		stay := min(g.latency.mean*float64(a.backend.consecutiveTimeouts), j.class.Deadline)
 		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, g.now + stay, j.level})
 	} else {
 		g.attemptFinished(a.backend, j.level)
@@ -93,14 +93,14 @@
 
 // retry starts a further attempt if the budget has room and time remains.
 func (e *Engine) retry(req *request) bool {
-	if e.retryTokens < 1 || e.now+e.meanLatency > req.answerBy || e.atLimit(len(e.levelWeights)-1) {
+	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(len(e.queue.weights)-1) {
 		return false
 	}
 	b := e.pick(req)
 	if b == nil || !e.send(req, b) {
 		return false
 	}
-	e.retryTokens--
+	e.retries.tokens--
 	return true
 }
 
@@ -130,7 +130,7 @@
 		} else if e.settings.CanSendRetryAfter {
 			advice = min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
 			if t := req.customer.quota; t.concurrencyLimit > 0 && t.localConcurrency == 0 {
-				advice = min(e.settings.MaxRetryAfter, e.meanLatency) // another gateway may have a place by then
+				advice = min(e.settings.MaxRetryAfter, e.latency.mean) // another gateway may have a place by then
 			}
 		}
 		e.emit(Reject{Request: req.ID, RetryAfter: advice, Reason: reason})
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -59,7 +59,7 @@
 	}
 
 	d = start(t, testSettings(), some(2)...)
-	d.g.concurrencyLimit = 3
+	d.g.limiter.limit = 3
 	var out []SendAttempt
 	var held RequestID
 	for who := CustomerID(1); held == 0; who++ {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -26,27 +26,29 @@
 
 // New starts a gateway. It keeps nothing from an earlier life.
 func New(set Settings, seed uint64, now float64, out []Action) (*Engine, []Action) {
-	g := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now, lastLimitCut: now,
-		retryTokens: maxRetryTokens}
+	e := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now}
+	e.limiter.lastCut = now
+	e.retries.tokens = maxRetryTokens
 	for _, c := range set.Classes {
 		for _, p := range set.Plans {
-			g.levelWeights = append(g.levelWeights, c.PriorityWeight*p.WeightFactor)
+			e.queue.weights = append(e.queue.weights, c.PriorityWeight*p.WeightFactor)
 		}
 	}
-	g.levelWeights = append(g.levelWeights, 0) // level 0: beyond the quota
-	slices.Sort(g.levelWeights)
-	g.levelWeights = slices.Compact(g.levelWeights)
-	g.allocateState(seed)
+	e.queue.weights = append(e.queue.weights, 0) // level 0: beyond the quota
+	slices.Sort(e.queue.weights)
+	e.queue.weights = slices.Compact(e.queue.weights)
+	e.allocateState(seed)
 	if set.PollDiscovery {
-		g.emit(PollEndpoints{})
+		e.emit(PollEndpoints{})
 	}
-	g.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
-	return g, g.actions
+	e.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
+	return e, e.actions
 }
 
 // Handle takes one event and appends what is to be done about it.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
-	e.meanInFlight += (1 - math.Exp((e.now-now)/limitAveragingWindow)) * (float64(e.inFlight) - e.meanInFlight)
+	gain := 1 - math.Exp((e.now-now)/limitAveragingWindow)
+	e.limiter.meanInFlight += gain * (float64(e.limiter.inFlight) - e.limiter.meanInFlight)
 	e.now, e.actions = now, out
 	switch event := event.(type) {
 	case Request:
@@ -103,24 +105,25 @@
 	warm := 0
 	e.dropRemovedBackends()
 	aged := 1 - math.Exp(-span/healthDecayTime)
-	for _, b := range e.backendList {
+	for _, b := range e.backends.ordered {
 		e.expireAbandoned(b, 0)
-		b.decay(aged, e.meanLatency)
+		b.decay(aged, e.latency.mean)
 		if b.State == Ready && e.slowStartShare(b) >= 1 {
 			warm++
 		}
 	}
 	gain := min(span/warmRateAveragingTime, 1)
 	if warm > 0 {
-		e.warmSendRate += gain * (float64(e.warmSendCount)/span/float64(warm) - e.warmSendRate)
+		sendRate := float64(e.warmTraffic.sendCount) / span / float64(warm)
+		e.warmTraffic.sendRate += gain * (sendRate - e.warmTraffic.sendRate)
 	}
-	e.warmSendCount = 0
-	for l := range e.arrivalRates {
-		e.arrivalRates[l] += gain * (e.arrivalCounts[l]/span - e.arrivalRates[l])
-		e.arrivalCounts[l] = 0
+	e.warmTraffic.sendCount = 0
+	for l := range e.queue.arrivalRates {
+		e.queue.arrivalRates[l] += gain * (e.queue.arrivalCounts[l]/span - e.queue.arrivalRates[l])
+		e.queue.arrivalCounts[l] = 0
 	}
-	keep := e.customerList[:0]
-	for _, c := range e.customerList {
+	keep := e.customers.ordered[:0]
+	for _, c := range e.customers.ordered {
 		if e.now >= c.leaseExpiresAt {
 			if c.quota.reportedStore {
 				c.unreportedUnits -= max(c.leasedUnits, 0) // the next call gives them back
@@ -129,7 +132,7 @@
 		}
 		idle := e.now-c.lastSeen > customerIdleTimeout
 		if idle && c.openAttempts == 0 && c.pendingCalls == 0 && len(c.waiting) == 0 {
-			delete(e.customers, c.id)
+			delete(e.customers.byID, c.id)
 			continue
 		}
 		keep = append(keep, c)
@@ -145,5 +148,5 @@
 			e.admit(c)
 		}
 	}
-	e.customerList = keep
+	e.customers.ordered = keep
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -272,7 +272,7 @@
 
 func TestHeldRequestsLeaveHighestLevelFirst(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.g.concurrencyLimit = 4
+	d.g.limiter.limit = 4
 	var first RequestID
 	var busy SendAttempt
 	for i := range 4 {
@@ -292,7 +292,7 @@
 
 func TestReserveIsForTopLevels(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
-	d.g.concurrencyLimit = 10
+	d.g.limiter.limit = 10
 	sent := 0
 	for i := range 30 {
 		d.ask(0, 0, CustomerID(i))
@@ -417,7 +417,7 @@
 			}
 		}
 		for _, d := range ds {
-			d.g.meanLatency = 0.1
+			d.g.latency.mean = 0.1
 		}
 	}
 	if len(sent) != 3 || refused != 3 {
@@ -518,8 +518,8 @@
 // put it right; one that is left out waits for its trials.
 func TestWhatIsKnownOfABackendFades(t *testing.T) {
 	d := start(t, testSettings(), some(3)...)
-	d.g.meanLatency = 0.1
-	once, slow, out := d.g.backends[1], d.g.backends[2], d.g.backends[3]
+	d.g.latency.mean = 0.1
+	once, slow, out := d.g.backends.byID[1], d.g.backends.byID[2], d.g.backends.byID[3]
 	once.failureRate, slow.latency, out.failureRate = failureGain, 0.4, 0.9
 	for range int(2 * healthDecayTime / maintenanceInterval) {
 		d.now += maintenanceInterval
@@ -534,7 +534,7 @@
 	set := testSettings()
 	set.MaxAttempts = 1
 	d := start(t, set, some(1)...)
-	d.g.concurrencyLimit, d.g.meanLatency = 3.4, 0.5
+	d.g.limiter.limit, d.g.latency.mean = 3.4, 0.5
 	for i := range 3 {
 		d.ask(0, 1, CustomerID(i))
 		s := one[SendAttempt](t, d.last)
@@ -549,7 +549,7 @@
 
 func TestRetriesCannotAmplifyAnOutage(t *testing.T) {
 	d := start(t, testSettings(), some(8)...)
-	d.g.concurrencyLimit = 1000
+	d.g.limiter.limit = 1000
 	sends := 0
 	for i := range 400 {
 		d.now += 0.05
@@ -602,12 +602,12 @@
 	for _, back := range find[CounterAdd](out) {
 		total += back.Amount
 	}
-	window := d.g.enterWindow(d.g.customers[1])
-	if lent := d.g.customers[1].leasedUnits + 1; math.Abs(total-window-lent) > 1 {
+	window := d.g.enterWindow(d.g.customers.byID[1])
+	if lent := d.g.customers.byID[1].leasedUnits + 1; math.Abs(total-window-lent) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
 	}
-	if d.g.counterFailureRate > 0 {
-		t.Errorf("a crowd of %v was seen", d.g.counterFailureRate)
+	if d.g.counter.failureRate > 0 {
+		t.Errorf("a crowd of %v was seen", d.g.counter.failureRate)
 	}
 	calls := 0
 	for i := range 200 {
@@ -629,7 +629,7 @@
 	set := testSettings()
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(4)...)
-	for _, s := range d.g.backendList {
+	for _, s := range d.g.backends.ordered {
 		if s.ID != 1 {
 			s.failureRate = 0.9
 		}
@@ -641,7 +641,7 @@
 			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.05})
 		}
 	}
-	for _, s := range d.g.backendList {
+	for _, s := range d.g.backends.ordered {
 		if s.ejected() {
 			t.Errorf("backend %d is left out, share of failures %.2f", s.ID, s.failureRate)
 		}
@@ -678,7 +678,7 @@
 	d.handle(CounterReply{Name: one[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
 	d.now += (maxExhaustedUnits + 0.1) / d.g.settings.Plans[1].Rate
 	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.g.enterWindow(d.g.customers[1]) // it has been taken back, and the store is full
+	full := d.g.enterWindow(d.g.customers.byID[1]) // it has been taken back, and the store is full
 	one[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
@@ -719,7 +719,7 @@
 	set := testSettings()
 	set.FleetSize, set.Counter = 300, false
 	d := start(t, set, some(60)...)
-	d.g.concurrencyLimit = 0.5 // half an attempt each
+	d.g.limiter.limit = 0.5 // half an attempt each
 	var out []SendAttempt
 	sent, together := 0, 0
 	for i := range 4000 { // ten a second; each takes half a second
@@ -728,8 +728,8 @@
 			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.5, Outcome: Rejected})
 			out = out[1:]
 		}
-		d.g.concurrencyLimit = 0.5
-		d.g.retryTokens = 0
+		d.g.limiter.limit = 0.5
+		d.g.retries.tokens = 0
 		d.nextID++
 		sends := find[SendAttempt](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
@@ -738,7 +738,7 @@
 		}
 		sent += len(sends)
 		out = append(out, sends...)
-		together = max(together, d.g.inFlight)
+		together = max(together, d.g.limiter.inFlight)
 	}
 	mean := float64(sent) * 0.5 / 400
 	if mean > 0.75 || mean < 0.2 {
@@ -783,7 +783,7 @@
 	set.FleetSize = 100
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
 	d := start(t, set, some(40)...)
-	d.g.meanLatency, d.g.concurrencyLimit = 0.1, 100
+	d.g.latency.mean, d.g.limiter.limit = 0.1, 100
 	total, sent := 0.0, 0
 	names := map[uint64]bool{}
 	for i := range 60 { // 60 requests within one window
@@ -811,8 +811,8 @@
 		d.now += 0.05
 		d.handle(TimerFired{Token: timerMaintenance << 56})
 	}
-	if len(d.g.backendList) != 3 || len(d.g.backends) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(d.g.backendList), len(d.g.backends))
+	if len(d.g.backends.ordered) != 3 || len(d.g.backends.byID) != 3 {
+		t.Errorf("%d listed and %d known, want 3", len(d.g.backends.ordered), len(d.g.backends.byID))
 	}
 }
 
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -12,12 +12,12 @@
 		return
 	}
 	if event.Kind != Delta {
-		for _, b := range e.backendList {
+		for _, b := range e.backends.ordered {
 			b.State = Removed
 		}
 	}
 	for _, entry := range event.Entries {
-		fresh := e.backends[entry.ID] == nil
+		fresh := e.backends.byID[entry.ID] == nil
 		b := e.findOrAddBackend(entry)
 		if fresh || entry.StartedAt > b.StartedAt {
 			b.latency, b.failureRate = 0, 0 // a new process
@@ -29,7 +29,7 @@
 		}
 		b.Backend = entry
 	}
-	if e.concurrencyLimit == 0 && len(e.backendList) > 0 {
-		e.concurrencyLimit = limitStart * e.backendsPerGateway()
+	if e.limiter.limit == 0 && len(e.backends.ordered) > 0 {
+		e.limiter.limit = limitStart * e.backendsPerGateway()
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -32,11 +32,11 @@
 			b.trialInterval = 0
 		}
 		b.recordLatency(took)
-		if e.meanLatency == 0 {
-			e.meanLatency, e.latencyDeviation = took, took/2
+		if e.latency.mean == 0 {
+			e.latency.mean, e.latency.deviation = took, took/2
 		}
-		e.latencyDeviation += 0.02 * (math.Abs(took-e.meanLatency) - e.latencyDeviation)
-		e.meanLatency += 0.02 * (took - e.meanLatency)
+		e.latency.deviation += 0.02 * (math.Abs(took-e.latency.mean) - e.latency.deviation)
+		e.latency.mean += 0.02 * (took - e.latency.mean)
 		e.adjustLimit(took / req.class.LatencyObjective)
 	case Failed, ConnectionReset, ConnectFailed:
 		e.recordFailure(b)
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -9,7 +9,7 @@
 func (e *Engine) pick(req *request) *backend {
 	var best, well, trial *backend
 	usable, sick := 0, 0
-	for _, b := range e.backendList {
+	for _, b := range e.backends.ordered {
 		busy := func(a attempt) bool { return a.backend == b && !a.ended }
 		if b.State != Ready || !req.sharesDedupeScope(b) || !e.slowStartAllows(b) ||
 			slices.ContainsFunc(req.attempts, busy) {
@@ -54,8 +54,8 @@
 		higher += n
 	}
 	slow := 1.0
-	if b.latency > 0 && e.meanLatency > 0 {
-		slow = min(max(b.latency/e.meanLatency, 1/maxLatencyFactor), maxLatencyFactor)
+	if b.latency > 0 && e.latency.mean > 0 {
+		slow = min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
 	}
 	well := 1 - min(b.failureRate, 0.9)
 	// A gateway among many has nothing in flight at most backends, so one that is cold would look
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -104,8 +104,8 @@
 	if !t.smallGatewaySet && t.concurrencyLimit > 0 {
 		// Places kept by many hands are two calls a request, and stray. What they let through on
 		// average is kept as a rate instead.
-		if t.concurrencyLimit = 0; t.rate == 0 && e.meanLatency > 0 {
-			t.rate = concurrencyUtilization * float64(p.MaxConcurrent) / e.meanLatency
+		if t.concurrencyLimit = 0; t.rate == 0 && e.latency.mean > 0 {
+			t.rate = concurrencyUtilization * float64(p.MaxConcurrent) / e.latency.mean
 			t.window = concurrencyRateWindow
 			t.allowance, t.initialAllowance = t.rate*concurrencyRateWindow, t.rate*concurrencyRateWindow
 			t.initialLease, t.localRate = 1, t.rate/n
@@ -115,11 +115,11 @@
 }
 
 func (e *Engine) customerFor(r Request) *customer {
-	c := e.customers[r.Customer]
+	c := e.customers.byID[r.Customer]
 	if c == nil {
 		c = &customer{id: r.Customer, localTokensAt: e.startedAt, window: -1, lastSeen: e.now}
-		e.customers[r.Customer] = c
-		e.customerList = append(e.customerList, c)
+		e.customers.byID[r.Customer] = c
+		e.customers.ordered = append(e.customers.ordered, c)
 		// A gateway that starts again may have spent its share in its last life. Under a ceiling
 		// it earns the share anew; elsewhere a full store costs little.
 		if p := e.settings.Plans[r.Plan]; p.CeilingRate <= 0 {
@@ -192,7 +192,7 @@
 				req.level = 0 // beyond the quota, as far as is known here
 			case !e.settings.Counter || e.now < c.backoffUntil:
 				if !c.takeLocalTokens(e.now, req.Units) {
-					if e.settings.Counter && c.quota.smallGatewaySet && c.backoffUntil+e.meanLatency < req.answerBy {
+					if e.settings.Counter && c.quota.smallGatewaySet && c.backoffUntil+e.latency.mean < req.answerBy {
 						return // held: a crowded counter may have room in a moment
 					}
 					e.answerWithout(req, ReasonQuota)
@@ -275,20 +275,20 @@
 // learns for itself that a quota is used up, and a client that was refused for it comes again elsewhere, so
 // most calls of a crowd are for repeats, and get nothing. Those go first, and the lowest level before others.
 func (e *Engine) shedCounterCall(c *customer) bool {
-	req, out := c.waiting[0], min(shedFactor*e.counterFailureRate, maxShedShare)
+	req, out := c.waiting[0], min(shedFactor*e.counter.failureRate, maxShedShare)
 	if !c.quota.smallGatewaySet { // of few gateways, this one knows what is used up
 		all, below := 0.0, 0.0
-		for l, rate := range e.arrivalRates {
+		for l, rate := range e.queue.arrivalRates {
 			if all += rate; l < req.level {
 				below += rate
 			}
 		}
-		from, part := 0.0, e.clientRetryShare
+		from, part := 0.0, e.retries.clientShare
 		if !req.IsRetry {
-			from, part = e.clientRetryShare, 1-e.clientRetryShare
+			from, part = e.retries.clientShare, 1-e.retries.clientShare
 		}
 		if all > 0 {
-			from, part = from+part*below/all, part*e.arrivalRates[req.level]/all
+			from, part = from+part*below/all, part*e.queue.arrivalRates[req.level]/all
 		}
 		out = min((out-from)/max(part, counterFailureGain/2), maxShedShare)
 	}
@@ -347,9 +347,10 @@
 		return
 	}
 	c := k.customer
-	e.counterFailureRate -= counterFailureGain * e.counterFailureRate
+	e.counter.failureRate -= counterFailureGain * e.counter.failureRate
 	if event.Outcome == TimedOut && k.window == c.window {
-		e.unansweredCalls = append(e.unansweredCalls[max(len(e.unansweredCalls)+1-maxUnansweredCalls, 0):], k)
+		kept := max(len(e.counter.unanswered)+1-maxUnansweredCalls, 0)
+		e.counter.unanswered = append(e.counter.unanswered[kept:], k)
 	}
 	switch {
 	case event.Outcome == Failed || event.Outcome == ConnectionReset:
@@ -369,7 +370,7 @@
 		if event.Outcome != Rejected {
 			c.localTokens, c.fallbackTokens = c.localTokens+c.fallbackTokens, 0
 		}
-		e.counterFailureRate += counterFailureGain
+		e.counter.failureRate += counterFailureGain
 		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
 		c.backoffUntil = e.now + c.backoff
 	case k.leaseUnits > 0 || c.quota.reportedStore:
@@ -408,13 +409,13 @@
 // as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
 // network's; a total too old for its window is of no use.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
-	at := slices.IndexFunc(e.unansweredCalls, func(call counterCall) bool { return call.id == event.Call })
+	at := slices.IndexFunc(e.counter.unanswered, func(call counterCall) bool { return call.id == event.Call })
 	if at < 0 {
 		return
 	}
-	call := e.unansweredCalls[at]
+	call := e.counter.unanswered[at]
 	c := call.customer
-	e.unansweredCalls = slices.Delete(e.unansweredCalls, at, at+1)
+	e.counter.unanswered = slices.Delete(e.counter.unanswered, at, at+1)
 	if call.window != c.window || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
 		return
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -325,7 +325,7 @@
 	if calls > 4 {
 		t.Errorf("%d calls for it", calls)
 	}
-	floor := ds[0].g.enterWindow(ds[0].g.customers[1])
+	floor := ds[0].g.enterWindow(ds[0].g.customers.byID[1])
 	if full := totals[name]; math.Abs(full-floor) > 40*(maxReportSlack+0.01) {
 		t.Errorf("the counter stands at %.1f, a full store at %.1f", full, floor)
 	}
@@ -355,13 +355,13 @@
 func TestWhatIsNeverSentIsTakenOutOfTheNextReport(t *testing.T) {
 	ds, _ := reportedPair(t)
 	d := ds[0]
-	d.g.concurrencyLimit = 0 // nothing is sent
+	d.g.limiter.limit = 0 // nothing is sent
 	for range 5 {
 		d.nextID++
 		d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
 		d.handle(ClientDisconnected{Request: d.nextID})
 	}
-	if owed := d.g.customers[1].unreportedUnits; owed != 0 {
+	if owed := d.g.customers.byID[1].unreportedUnits; owed != 0 {
 		t.Errorf("%g units would be told", owed)
 	}
 }
@@ -372,9 +372,9 @@
 	for plan, waits := range []bool{false, true} { // at 2 units a second and at 20
 		set := testSettings()
 		d := start(t, set, some(4)...)
-		d.g.concurrencyLimit = 1000
+		d.g.limiter.limit = 1000
 		used := func(part float64) float64 { // the total at which so much of the burst is used
-			return d.g.enterWindow(d.g.customers[1]) + part*set.Plans[plan].Burst
+			return d.g.enterWindow(d.g.customers.byID[1]) + part*set.Plans[plan].Burst
 		}
 		ask := func() []Action {
 			d.nextID++
@@ -407,7 +407,7 @@
 	set := testSettings()
 	set.Plans[0] = Plan{WeightFactor: 1, Rate: 1.6, Burst: 9, OverQuotaCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
 	d := start(t, set, some(8)...)
-	d.g.concurrencyLimit = 1000
+	d.g.limiter.limit = 1000
 	sent, total := 0, 0.0
 	for range 9 {
 		d.nextID++
@@ -433,7 +433,7 @@
 		}
 		d := start(t, set, some(4)...)
 		d.now += 30 // its own share is earned
-		d.g.concurrencyLimit = 0
+		d.g.limiter.limit = 0
 		ask := func(plan int) []Action {
 			d.nextID++
 			out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 2, Deadline: d.now + 2})
@@ -459,7 +459,7 @@
 			t.Fatalf("a request inside its quota was refused: %v", out)
 		}
 		inside := d.nextID
-		d.g.concurrencyLimit = 1000
+		d.g.limiter.limit = 1000
 		sent := find[SendAttempt](d.handle(TimerFired{Token: timerMaintenance << 56}))
 		if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
 			t.Errorf("sent %v, want request %d of the cheaper plan, inside its quota, before %d", sent, inside, beyond)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -26,7 +26,7 @@
 	if w >= 1 {
 		return true
 	}
-	rate := max(w*e.warmSendRate, minSlowStartRate/float64(max(e.settings.FleetSize, 1)))
+	rate := max(w*e.warmTraffic.sendRate, minSlowStartRate/float64(max(e.settings.FleetSize, 1)))
 	b.slowStartTokens = min(b.slowStartTokens+rate*(e.now-b.slowStartTokensAt), maxSlowStartTokens)
 	b.slowStartTokensAt = e.now
 	return b.slowStartTokens >= 1
--- a/policy/state.go
+++ b/policy/state.go
@@ -11,38 +11,81 @@
 
 // Engine holds all that one gateway knows.
 type Engine struct {
-	shutdownAnswerBy float64 // every request has to be answered by then; 0: no stop was asked for
 	settings         Settings
 	now              float64
 	rng              *rand.Rand
-	actions          []Action
-
-	requests        map[RequestID]*request
-	queues          [][]*request // by level, each in order of arrival
-	levelWeights    []float64
-	backends        map[BackendID]*backend
-	backendList     []*backend // by id
-	customers       map[CustomerID]*customer
-	customerList    []*customer              // by first sight
-	pendingCalls    map[uint64][]counterCall // out, by name, in order
-	lastCallID      uint64
-	unansweredCalls []counterCall // that ended with no answer lately, oldest first
-	startedAt       float64
-
-	concurrencyLimit, lastLimitCut float64 // most attempts in flight, and when that was last cut
-	inFlight                       int
-	meanInFlight                   float64 // mean of inFlight
-	latencyRatio                   float64 // mean of latency over aim
-	latencyRatioAt                 float64
-	meanLatency, latencyDeviation  float64 // mean of answers and its mean deviation
-	retryTokens                    float64 // saved up
-	counterFailureRate             float64 // share of counter calls that fail
-	clientRetryShare               float64 // share of tries that are a client's further ones
-	warmSendRate                   float64 // own sends a second to a warm backend
-	warmSendCount                  int
-	lastMaintenance                float64
-	clientTimeouts                 []clientTimeout
-	arrivalRates, arrivalCounts    []float64 // by level: a second, and since lastMaintenance
+	actions          []Action // the actions of the event that is being handled
+	startedAt        float64
+	shutdownAnswerBy float64 // every request has to be answered by then; 0: no shutdown has begun
+	lastMaintenance  float64
+
+	requests       map[RequestID]*request
+	queue          priorityQueue
+	limiter        concurrencyLimiter
+	latency        latencyStats
+	retries        retryBudget
+	clientTimeouts []clientTimeout // by class and plan
+	backends       backendSet
+	warmTraffic    warmTraffic
+	customers      customerSet
+	counter        counterState
+}
+
+// priorityQueue holds admitted requests until the concurrency limit lets them go. Its slices are indexed by level;
+// a higher level is served first.
+type priorityQueue struct {
+	requests      [][]*request // each level in order of arrival
+	weights       []float64    // the priority weight that makes a level, ascending
+	arrivalRates  []float64    // requests a second
+	arrivalCounts []float64    // requests since the last maintenance
+}
+
+// concurrencyLimiter bounds the attempts that this gateway has in flight.
+type concurrencyLimiter struct {
+	limit          float64
+	lastCut        float64 // when the limit was last lowered
+	inFlight       int
+	meanInFlight   float64 // over limitAveragingWindow
+	latencyRatio   float64 // mean of latency over objective
+	latencyRatioAt float64 // when latencyRatio was last updated
+}
+
+// latencyStats is the mean latency of served attempts at all backends and its mean deviation, in seconds.
+type latencyStats struct {
+	mean      float64 // 0: no attempt has been served yet
+	deviation float64
+}
+
+// retryBudget bounds the gateway's own retries and observes those of clients.
+type retryBudget struct {
+	tokens      float64
+	clientShare float64 // share of arriving requests that are a client's retries
+}
+
+// backendSet is every backend of the endpoint list, and those removed from it that still have attempts in flight.
+type backendSet struct {
+	byID    map[BackendID]*backend
+	ordered []*backend // by id
+}
+
+// warmTraffic is what this gateway sends to backends that are past their slow start.
+type warmTraffic struct {
+	sendRate  float64 // attempts a second to each
+	sendCount int     // attempts since the last maintenance
+}
+
+// customerSet is every customer that was seen lately.
+type customerSet struct {
+	byID    map[CustomerID]*customer
+	ordered []*customer // by first request
+}
+
+// counterState is what is known of the counter service and of the calls to it.
+type counterState struct {
+	pending     map[uint64][]counterCall // by name, in the order of the calls
+	lastCallID  uint64
+	unanswered  []counterCall // calls that timed out lately, oldest first
+	failureRate float64       // share of recent calls that failed
 }
 
 // request is one request from its arrival until its last attempt has ended.
@@ -108,7 +151,7 @@
 func (e *Engine) attemptFinished(b *backend, level int) {
 	b.inFlight--
 	b.inFlightByLevel[level]--
-	e.inFlight--
+	e.limiter.inFlight--
 }
 
 // customer is the quota of one customer as this gateway sees it.
@@ -189,12 +232,12 @@
 func (e *Engine) allocateState(seed uint64) {
 	e.rng = rand.New(rand.NewPCG(seed, seed>>1))
 	e.requests = map[RequestID]*request{}
-	e.backends = map[BackendID]*backend{}
-	e.customers = map[CustomerID]*customer{}
-	e.pendingCalls = map[uint64][]counterCall{}
-	e.queues = make([][]*request, len(e.levelWeights))
-	e.arrivalRates = make([]float64, len(e.levelWeights))
-	e.arrivalCounts = make([]float64, len(e.levelWeights))
+	e.backends.byID = map[BackendID]*backend{}
+	e.customers.byID = map[CustomerID]*customer{}
+	e.counter.pending = map[uint64][]counterCall{}
+	e.queue.requests = make([][]*request, len(e.queue.weights))
+	e.queue.arrivalRates = make([]float64, len(e.queue.weights))
+	e.queue.arrivalCounts = make([]float64, len(e.queue.weights))
 	e.clientTimeouts = make([]clientTimeout, len(e.settings.Classes)*len(e.settings.Plans))
 }
 
@@ -202,28 +245,28 @@
 func (e *Engine) attemptStarted(b *backend, level int) {
 	b.inFlight++
 	b.inFlightByLevel[level]++
-	e.inFlight++
+	e.limiter.inFlight++
 }
 
 // findOrAddBackend finds a listed backend, or adds it to the list, which is kept by id.
 func (e *Engine) findOrAddBackend(entry Backend) *backend {
-	b := e.backends[entry.ID]
+	b := e.backends.byID[entry.ID]
 	if b == nil {
-		b = &backend{Backend: entry, inFlightByLevel: make([]int, len(e.levelWeights)), slowStartTokensAt: e.now}
-		e.backends[entry.ID] = b
+		b = &backend{Backend: entry, inFlightByLevel: make([]int, len(e.queue.weights)), slowStartTokensAt: e.now}
+		e.backends.byID[entry.ID] = b
 		byID := func(b *backend, id BackendID) int { return cmp.Compare(b.ID, id) }
-		at, _ := slices.BinarySearchFunc(e.backendList, entry.ID, byID)
-		e.backendList = slices.Insert(e.backendList, at, b)
+		at, _ := slices.BinarySearchFunc(e.backends.ordered, entry.ID, byID)
+		e.backends.ordered = slices.Insert(e.backends.ordered, at, b)
 	}
 	return b
 }
 
 // dropRemovedBackends drops backends that are gone and have nothing in flight.
 func (e *Engine) dropRemovedBackends() {
-	e.backendList = slices.DeleteFunc(e.backendList, func(b *backend) bool {
+	e.backends.ordered = slices.DeleteFunc(e.backends.ordered, func(b *backend) bool {
 		gone := b.State == Removed && b.inFlight == 0
 		if gone {
-			delete(e.backends, b.ID)
+			delete(e.backends.byID, b.ID)
 		}
 		return gone
 	})
@@ -231,9 +274,9 @@
 
 // callCounter makes a call. Replies for one name come in the order of the calls.
 func (e *Engine) callCounter(call counterCall, keep float64) {
-	e.lastCallID++
-	call.id = e.lastCallID
-	e.pendingCalls[call.name] = append(e.pendingCalls[call.name], call)
+	e.counter.lastCallID++
+	call.id = e.counter.lastCallID
+	e.counter.pending[call.name] = append(e.counter.pending[call.name], call)
 	call.customer.countCall(call, 1)
 	amount := call.spent + call.writeOff + call.leaseUnits
 	e.emit(CounterAdd{Call: call.id, Name: call.name, Amount: amount, TTL: keep})
@@ -241,12 +284,12 @@
 
 // takePendingCall takes the call that a reply answers off the list.
 func (e *Engine) takePendingCall(name uint64) (call counterCall, ok bool) {
-	out := e.pendingCalls[name]
+	out := e.counter.pending[name]
 	if len(out) == 0 {
 		return call, false
 	}
-	if call, e.pendingCalls[name] = out[0], out[1:]; len(out) == 1 {
-		delete(e.pendingCalls, name)
+	if call, e.counter.pending[name] = out[0], out[1:]; len(out) == 1 {
+		delete(e.counter.pending, name)
 	}
 	call.customer.countCall(call, -1)
 	return call, true
