--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,10 +1,10 @@
 package policy
 
+import "slices"
+
 // Attempts and final answers: one function sends (send) and one answers (answerWithout), which hold the rules
 // that no other step may bypass.
 
-import "slices"
-
 // Further attempts.
 const (
 	retryShare     = 0.15 // of first sends, so that retries cannot amplify an overload
@@ -160,3 +160,9 @@
 
 // provesNoExecution tells which outcomes prove that an attempt had no effect.
 func provesNoExecution(o Outcome) bool { return o == Rejected || o == ConnectFailed || o == NotSent }
+
+// retryBudget bounds the gateway's own retries and observes those of clients.
+type retryBudget struct {
+	tokens      float64
+	clientShare float64 // share of arriving requests that are a client's retries
+}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,20 +1,11 @@
 package policy
 
-// The decisions of one gateway. The interface it is driven through (settings, events, actions) is in
-// types.go; state.go declares what is kept between events, and decides nothing.
-//
-// A request passes these steps: its customer's lease pays for it (admit, in quota.go), it waits in the
-// queue of its level (enqueue, admission.go), the bound lets it go (dispatch), a backend is picked (pick,
-// placement.go), and one function sends (send, attempts.go) and one answers (answerWithout).
-
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 )
 
-// maintenanceInterval is how many seconds pass between rounds of maintenance.
-const maintenanceInterval = 0.05
-
 // Kinds of timer, in the top byte of a token.
 const (
 	timerMaintenance    = iota
@@ -24,7 +15,30 @@
 	timerSlowAttempt    // an attempt takes longer than usual
 )
 
-// New starts a gateway. It keeps nothing from an earlier life.
+// Engine holds all that one gateway knows.
+type Engine struct {
+	settings         Settings
+	now              float64
+	rng              *rand.Rand
+	actions          []Action // the actions of the event that is being handled
+	startedAt        float64
+	shutdownAnswerBy float64 // every request has to be answered by then; 0: no shutdown has begun
+	lastMaintenance  float64
+
+	requests       map[RequestID]*request
+	queue          priorityQueue
+	limiter        concurrencyLimiter
+	latency        latencyStats
+	retries        retryBudget
+	clientTimeouts []clientTimeout // by class and plan
+	backends       backendSet
+	warmTraffic    warmTraffic
+	customers      customerSet
+	counter        counterState
+}
+
+// New starts the engine of one gateway, which knows nothing of an earlier incarnation, and appends its
+// first actions to out.
 func New(set Settings, seed uint64, now float64, out []Action) (*Engine, []Action) {
 	e := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now}
 	e.limiter.lastCut = now
@@ -45,7 +59,7 @@
 	return e, e.actions
 }
 
-// Handle takes one event and appends what is to be done about it.
+// Handle takes one event and appends the actions that it calls for to out.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
 	gain := 1 - math.Exp((e.now-now)/limitAveragingWindow)
 	e.limiter.meanInFlight += gain * (float64(e.limiter.inFlight) - e.limiter.meanInFlight)
@@ -97,56 +111,23 @@
 	}
 }
 
-// runMaintenance keeps averages and leases in order.
-func (e *Engine) runMaintenance() {
-	e.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
-	span := max(e.now-e.lastMaintenance, e.settings.Tick, 1e-3)
-	e.lastMaintenance = e.now
-	warm := 0
-	e.dropRemovedBackends()
-	aged := 1 - math.Exp(-span/healthDecayTime)
-	for _, b := range e.backends.ordered {
-		e.expireAbandoned(b, 0)
-		b.decay(aged, e.latency.mean)
-		if b.State == Ready && e.slowStartShare(b) >= 1 {
-			warm++
-		}
-	}
-	gain := min(span/warmRateAveragingTime, 1)
-	if warm > 0 {
-		sendRate := float64(e.warmTraffic.sendCount) / span / float64(warm)
-		e.warmTraffic.sendRate += gain * (sendRate - e.warmTraffic.sendRate)
-	}
-	e.warmTraffic.sendCount = 0
-	for l := range e.queue.arrivalRates {
-		e.queue.arrivalRates[l] += gain * (e.queue.arrivalCounts[l]/span - e.queue.arrivalRates[l])
-		e.queue.arrivalCounts[l] = 0
-	}
-	keep := e.customers.ordered[:0]
-	for _, c := range e.customers.ordered {
-		if e.now >= c.leaseExpiresAt {
-			if c.quota.reportedStore {
-				c.unreportedUnits -= max(c.leasedUnits, 0) // the next call gives them back
-			}
-			c.leasedUnits = min(c.leasedUnits, 0) // nobody came for them; the next window makes up for it
-		}
-		idle := e.now-c.lastSeen > customerIdleTimeout
-		if idle && c.openAttempts == 0 && c.pendingCalls == 0 && len(c.waiting) == 0 {
-			delete(e.customers.byID, c.id)
-			continue
-		}
-		keep = append(keep, c)
-		if c.unreportedUnits < -minCorrection && !c.quota.reportedStore &&
-			c.pendingCalls == 0 && e.now >= c.backoffUntil {
-			if e.enterWindow(c); c.unreportedUnits < 0 {
-				call := counterCall{customer: c, name: c.windowName, window: c.window, spent: c.unreportedUnits}
-				e.callCounter(call, counterNameTTL)
-				c.unreportedUnits = 0
-			}
-		}
-		if len(c.waiting) > 0 {
-			e.admit(c)
-		}
-	}
-	e.customers.ordered = keep
+// allocateState allocates what the levels and the settings call for.
+func (e *Engine) allocateState(seed uint64) {
+	e.rng = rand.New(rand.NewPCG(seed, seed>>1))
+	e.requests = map[RequestID]*request{}
+	e.backends.byID = map[BackendID]*backend{}
+	e.customers.byID = map[CustomerID]*customer{}
+	e.counter.pending = map[uint64][]counterCall{}
+	e.queue.requests = make([][]*request, len(e.queue.weights))
+	e.queue.arrivalRates = make([]float64, len(e.queue.weights))
+	e.queue.arrivalCounts = make([]float64, len(e.queue.weights))
+	e.clientTimeouts = make([]clientTimeout, len(e.settings.Classes)*len(e.settings.Plans))
+}
+
+// emit adds an action to the answer to the event that is being handled.
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
+
+// setTimer asks for a timer of a kind, about an attempt of a request where it concerns one.
+func (e *Engine) setTimer(delay float64, kind uint64, attempt int, id RequestID) {
+	e.emit(SetTimer{Delay: max(delay, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -104,7 +104,7 @@
 }
 
 // The deciding code stands in files that the deploy file names, each of them, and in no other: what is left out holds
-// the interface and the state. Their lines are short enough to be read side by side.
+// the interface. Their lines are short enough to be read side by side.
 func TestPolicyNamesTheDecidingFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -120,13 +120,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	vocabulary := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true}
 	decide := 0
 	for _, f := range files {
 		name := f.Name()
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		if decides := name != "types.go" && name != "state.go"; decides != named[name] {
+		if decides := !vocabulary[name]; decides != named[name] {
 			t.Errorf("%s decides %t, and is named under policy %t", name, decides, named[name])
 		}
 		if !named[name] {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,12 +1,12 @@
 package policy
 
-// Health: what is learnt of a backend from the attempts that it got.
-
 import (
 	"math"
 	"slices"
 )
 
+// Health: what is learnt of a backend from the attempts that it got.
+
 // Health of a backend.
 const (
 	failureGain         = 0.25 // weight of the newest outcome in the failure share
@@ -95,3 +95,9 @@
 		return over
 	})
 }
+
+// latencyStats is the mean latency of served attempts at all backends and its mean deviation, in seconds.
+type latencyStats struct {
+	mean      float64 // 0: no attempt has been served yet
+	deviation float64
+}
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -1,9 +1,9 @@
 package policy
 
-// Placement: which backend an attempt goes to.
-
 import "slices"
 
+// Placement: which backend an attempt goes to.
+
 // pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
 // work it is believed to bear. It returns nil if none may be used now.
 func (e *Engine) pick(req *request) *backend {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,14 +1,14 @@
 package policy
 
-// The quota of a customer over all its gateways: leases from the counter, the gateway's own share for when
-// the counter grants nothing, and places for attempts out at once. admit is the first step of a request;
-// engine.go has the others.
-
 import (
 	"math"
 	"slices"
 )
 
+// The quota of a customer over all its gateways: leases from the counter, the gateway's own share for when
+// the counter grants nothing, and places for attempts out at once. admit is the first step of a request;
+// engine.go has the others.
+
 // Tuned values of the quota. Each is a share or a count that holds for any deployment.
 const (
 	// Leases on the shared counter.
@@ -50,107 +50,6 @@
 	customerIdleTimeout = 60.0 // seconds after which a customer is forgotten
 )
 
-// quotaFor works out what a plan comes to for a customer of so many gateways.
-//
-// A store is kept by reports of what own shares have spent (settle) wherever a customer has few gateways,
-// or these see enough of it. Under a ceiling, calls keep it alone: few gateways each see the totals often
-// enough for an exact store, a long window whose allowance grows with time. Else each window is short and
-// stands for itself.
-//
-// Under a ceiling, leases and local shares together never pass it. An exact store spends in any time L
-// allowance*(1+leaseLifeShare) + rate*L at most, and twice the first allowance if the counter comes back
-// empty; short windows allowance*(2+leaseLifeShare) + rate*L. The shares have the rest of burst and rate.
-// Where a plan gains by what is served beyond its quota, they also pay for that, at the lowest level;
-// without a ceiling nothing would bound it.
-func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaAttributes {
-	n := float64(max(gateways, 1))
-	t := quotaAttributes{gatewayCount: n, rate: p.Rate, allowance: p.Burst, initialLease: p.Burst / n,
-		smallGatewaySet: n <= maxSmallGatewaySet,
-		localRate:       p.Rate / n, localBurst: max(p.Burst/n, 1), concurrencyLimit: p.MaxConcurrent,
-		localConcurrency: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
-	t.reportedStore = e.settings.Counter && p.CeilingRate <= 0 && p.Rate > 0 &&
-		(t.smallGatewaySet || p.Rate*longWindow >= minUnitsPerGateway*n)
-	switch {
-	case t.reportedStore && t.smallGatewaySet:
-		t.overdraft = smallSetOverdraft * p.Burst
-	case t.reportedStore:
-		t.overdraft = largeSetOverdraft * p.Burst
-		t.localBurst = max(p.Burst/n, min(localUnits, localUnits*p.Burst/n), 1)
-	}
-	t.refillsWithinWindow = t.smallGatewaySet || t.reportedStore
-	t.initialAllowance = t.allowance
-	if p.CeilingRate > 0 {
-		t.rate = min(p.Rate, p.CeilingRate)
-		if t.smallGatewaySet {
-			t.allowance = min(p.Burst, p.CeilingBurst/(1+leaseLifeShare))
-			t.initialAllowance = (p.CeilingBurst - (1+leaseLifeShare)*t.allowance) / 2
-			t.localBurst = t.initialAllowance / n
-		} else {
-			t.allowance = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
-			if (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n < 1 {
-				// A share that never holds a unit pays for nothing, and is lost to the customer. So
-				// leases have what they can use of it.
-				t.allowance = min(p.Burst, p.CeilingBurst/(2+leaseLifeShare))
-			}
-			t.initialAllowance, t.localBurst = t.allowance, (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n
-		}
-		t.initialLease, t.localRate = t.allowance/n, (p.CeilingRate-t.rate)/n
-		t.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
-	}
-	t.window = longWindow
-	if !t.refillsWithinWindow {
-		t.window = t.allowance / max(t.rate, 1e-3)
-	}
-	if !t.smallGatewaySet && t.concurrencyLimit > 0 {
-		// Places kept by many hands are two calls a request, and stray. What they let through on
-		// average is kept as a rate instead.
-		if t.concurrencyLimit = 0; t.rate == 0 && e.latency.mean > 0 {
-			t.rate = concurrencyUtilization * float64(p.MaxConcurrent) / e.latency.mean
-			t.window = concurrencyRateWindow
-			t.allowance, t.initialAllowance = t.rate*concurrencyRateWindow, t.rate*concurrencyRateWindow
-			t.initialLease, t.localRate = 1, t.rate/n
-		}
-	}
-	return t
-}
-
-func (e *Engine) customerFor(r Request) *customer {
-	c := e.customers.byID[r.Customer]
-	if c == nil {
-		c = &customer{id: r.Customer, localTokensAt: e.startedAt, window: -1, lastSeen: e.now}
-		e.customers.byID[r.Customer] = c
-		e.customers.ordered = append(e.customers.ordered, c)
-		// A gateway that starts again may have spent its share in its last life. Under a ceiling
-		// it earns the share anew; elsewhere a full store costs little.
-		if p := e.settings.Plans[r.Plan]; p.CeilingRate <= 0 {
-			// Of many gateways each has less than a unit. Were each to begin with one, a counter that
-			// turns calls away for a moment would let in a unit for each gateway. So they begin at random, and
-			// together have the burst; the rest of the unit is for a counter that says nothing. Where there is no
-			// counter, nothing else lets a customer in.
-			t := e.quotaFor(&p, r.Gateways, 0)
-			c.localTokens = t.localBurst
-			if share := p.Burst / float64(max(r.Gateways, 1)); e.settings.Counter && share < c.localTokens {
-				c.fallbackTokens = max(c.localTokens-share-e.rng.Float64(), 0)
-				c.localTokens -= c.fallbackTokens
-			}
-			if t.reportedStore && !t.smallGatewaySet {
-				c.localTokens = 0 // the counter's store is full when they first ask: this would be a burst more
-			}
-		}
-	}
-	fleet := max(e.settings.FleetSize, 1)
-	// index is this gateway's place in the customer's set.
-	index := (e.settings.GatewayIndex - r.FirstGateway + fleet) % fleet
-	c.quota = e.quotaFor(&e.settings.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
-	c.demandRate = c.demandRate*math.Exp(-(e.now-c.lastSeen)/demandAveragingTime) + r.Units/demandAveragingTime
-	// What comes just now says nothing of what is to come after it.
-	c.sustainedRate = (c.sustainedRate + c.newestUnits/leaseTargetDuration) *
-		math.Exp(-(e.now-c.lastSeen)/leaseTargetDuration)
-	c.newestUnits = r.Units
-	c.lastSeen = e.now
-	return c
-}
-
 // admit lets a customer's waiting requests go as far as its leases reach.
 func (e *Engine) admit(c *customer) {
 	limited := c.quota.rate > 0
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -37,10 +37,14 @@
 
 type quotaEvents []quotaEvent
 
-func (q quotaEvents) Len() int           { return len(q) }
+func (q quotaEvents) Len() int { return len(q) }
+
 func (q quotaEvents) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q quotaEvents) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *quotaEvents) Push(x any)        { *q = append(*q, x.(quotaEvent)) }
+
+func (q quotaEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *quotaEvents) Push(x any) { *q = append(*q, x.(quotaEvent)) }
+
 func (q *quotaEvents) Pop() any {
 	old := *q
 	e := old[len(old)-1]
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -31,3 +31,20 @@
 	b.slowStartTokensAt = e.now
 	return b.slowStartTokens >= 1
 }
+
+// warmTraffic is what this gateway sends to backends that are past their slow start.
+type warmTraffic struct {
+	sendRate  float64 // attempts a second to each
+	sendCount int     // attempts since the last maintenance
+}
+
+// warmBackends counts the ready backends that are past their slow start.
+func (e *Engine) warmBackends() int {
+	warm := 0
+	for _, b := range e.backends.ordered {
+		if b.State == Ready && e.slowStartShare(b) >= 1 {
+			warm++
+		}
+	}
+	return warm
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -43,10 +43,14 @@
 
 type fleetEvents []fleetEvent
 
-func (h fleetEvents) Len() int           { return len(h) }
+func (h fleetEvents) Len() int { return len(h) }
+
 func (h fleetEvents) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h fleetEvents) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *fleetEvents) Push(x any)        { *h = append(*h, x.(fleetEvent)) }
+
+func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *fleetEvents) Push(x any) { *h = append(*h, x.(fleetEvent)) }
+
 func (h *fleetEvents) Pop() any {
 	e := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
