--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	heapShare = 0.7 // of the memory limit; stacks, sockets and the binary have the rest
-	heapGrow  = 400 // percent between collections: the heap is small beside the limit
+	heapLimitShare = 0.7 // of the memory limit; stacks, sockets and the binary have the rest
+	gcPercent      = 400 // percent between collections: the heap is small beside the limit
 )
 
-// lastLines is how long the end waits for the log to be taken.
-const lastLines = 100 * time.Millisecond
+// logFlushTimeout is how long the end waits for the log to be taken.
+const logFlushTimeout = 100 * time.Millisecond
 
 func main() {
 	signal.Ignore(syscall.SIGPIPE) // a log that is closed ends nothing
@@ -39,7 +39,7 @@
 	if err != nil {
 		fmt.Fprintln(log, "amberlb:", err)
 	}
-	log.Flush(lastLines)
+	log.Flush(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
@@ -55,8 +55,8 @@
 		return err
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapShare))
-	debug.SetGCPercent(heapGrow)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapLimitShare))
+	debug.SetGCPercent(gcPercent)
 	c.Log = slog.New(slog.NewTextHandler(log, nil)).With("gateway", c.Name)
 	return gateway.Run(ctx, &c, gateway.Reload{Signal: hup,
 		Read: func() (gateway.Config, error) { return gateway.ReadConfig(path) }})
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// mostLines is how many lines wait at most; further ones are dropped and counted.
-const mostLines = 1024
+// maxQueuedLines is how many lines wait at most; further ones are dropped and counted.
+const maxQueuedLines = 1024
 
 // Writer passes each Write on to another writer, in order, on a goroutine of its own. Errors of that writer are ignored:
 // a log that nobody takes must not keep a program from its work. Its methods may be called from many goroutines.
 type Writer struct {
-	to      io.Writer
+	dst     io.Writer
 	lines   chan line
 	dropped atomic.Uint64
 }
 
 // line is one line, or a mark that all before it have been passed on.
 type line struct {
-	text []byte
-	mark chan struct{}
+	text    []byte
+	flushed chan struct{}
 }
 
 // New returns a Writer on to.
-func New(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan line, mostLines)}
-	go w.pass()
+func New(dst io.Writer) *Writer {
+	w := &Writer{dst: dst, lines: make(chan line, maxQueuedLines)}
+	go w.forward()
 	return w
 }
 
@@ -44,30 +44,30 @@
 }
 
 // Flush waits until all that was written before it has been passed on, for so long at most.
-func (w *Writer) Flush(most time.Duration) {
-	late := time.NewTimer(most)
-	defer late.Stop()
-	mark := make(chan struct{})
+func (w *Writer) Flush(timeout time.Duration) {
+	expired := time.NewTimer(timeout)
+	defer expired.Stop()
+	flushed := make(chan struct{})
 	select {
-	case w.lines <- line{mark: mark}:
-	case <-late.C:
+	case w.lines <- line{flushed: flushed}:
+	case <-expired.C:
 		return
 	}
 	select {
-	case <-mark:
-	case <-late.C:
+	case <-flushed:
+	case <-expired.C:
 	}
 }
 
-func (w *Writer) pass() {
+func (w *Writer) forward() {
 	for l := range w.lines {
-		if l.mark != nil {
-			close(l.mark)
+		if l.flushed != nil {
+			close(l.flushed)
 			continue
 		}
-		w.to.Write(l.text)
+		w.dst.Write(l.text)
 		if n := w.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w.to, "log: %d lines were dropped\n", n)
+			fmt.Fprintf(w.dst, "log: %d lines were dropped\n", n)
 		}
 	}
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -28,7 +28,7 @@
 func TestWriter(t *testing.T) {
 	to := &slow{let: make(chan struct{})}
 	w := New(to)
-	const written = mostLines + 100
+	const written = maxQueuedLines + 100
 	for i := range written {
 		if n, err := fmt.Fprintf(w, "line %d\n", i); n == 0 || err != nil {
 			t.Fatal(n, err)
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	mostBody     = 64 << 10               // bytes of a body, either way
-	trustedBody  = 4 << 10                // bytes that a body may claim and get memory for at once
-	mostAnswer   = 128 << 10              // bytes of an answer with its headers and framing
-	mostInterim  = 8                      // 1xx answers before the real one
-	idleMargin   = time.Second            // a connection is not used again so close to the backend's limit
-	settleTime   = 10 * time.Millisecond  // after an answer, before the connection is used again
-	sweepGap     = 500 * time.Millisecond // between searches for connections idle too long
-	notRunHeader = "X-Unprocessed"
-	leftHeader   = "X-Time-Left-Ms"
-	loadHeader   = "X-Backend-Load"
+	maxBodyBytes        = 64 << 10               // bytes of a body, either way
+	maxPreallocatedBody = 4 << 10                // bytes that a body may claim and get memory for at once
+	maxResponseBytes    = 128 << 10              // bytes of an answer with its headers and framing
+	maxInterimResponses = 8                      // 1xx answers before the real one
+	idleTimeoutMargin   = time.Second            // a connection is not used again so close to the backend's limit
+	reuseDelay          = 10 * time.Millisecond  // after an answer, before the connection is used again
+	sweepInterval       = 500 * time.Millisecond // between searches for connections idle too long
+	unprocessedHeader   = "X-Unprocessed"
+	timeLeftHeader      = "X-Time-Left-Ms"
+	loadHeader          = "X-Backend-Load"
 )
 
-// result is what became of an attempt.
-type result struct {
+// attemptResult is what became of an attempt.
+type attemptResult struct {
 	outcome policy.Outcome
 	header  http.Header // of a served answer
 	body    []byte
@@ -42,101 +42,101 @@
 // attempt is one sending of a request to a backend. The loop owns all but what
 // mu guards.
 type attempt struct {
-	x        *exchange
-	number   int
-	backend  policy.BackendID
-	sent     float64
-	deadline float64
-	until    time.Time // the deadline for sockets
-	ended    bool
+	request        *clientRequest
+	number         int
+	backend        policy.BackendID
+	sentAt         float64
+	deadline       float64
+	socketDeadline time.Time // the deadline for sockets
+	ended          bool
 
-	ctx    context.Context // of the dial
-	cancel context.CancelFunc
+	ctx           context.Context // of the dial
+	cancelContext context.CancelFunc
 
-	mu     sync.Mutex
-	conn   *backendConn
-	called bool // off
-	whole  bool // the request has been written
+	mu           sync.Mutex
+	conn         *backendConn
+	cancelled    bool // off
+	fullyWritten bool // the request has been written
 }
 
-// callOff ends the attempt's sending and waiting. Once it has returned, no byte
+// cancel ends the attempt's sending and waiting. Once it has returned, no byte
 // of the request leaves any more: a dial that is up later finds it called off,
 // and a connection in use is closed.
-func (a *attempt) callOff() {
+func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.endLocked()
+	a.cancelLocked()
 }
 
-func (a *attempt) endLocked() {
-	a.cancel()
-	a.called = true
+func (a *attempt) cancelLocked() {
+	a.cancelContext()
+	a.cancelled = true
 	if a.conn != nil {
 		a.conn.Close()
 	}
 }
 
-// callOffUnsent does so if the request has not been written whole, and tells
+// cancelUnsent does so if the request has not been written whole, and tells
 // whether it was called off.
-func (a *attempt) callOffUnsent() bool {
+func (a *attempt) cancelUnsent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.whole {
+	if a.fullyWritten {
 		return false
 	}
-	a.endLocked()
+	a.cancelLocked()
 	return true
 }
 
-// hold takes a connection for the attempt, unless it was called off or its client
+// attach takes a connection for the attempt, unless it was called off or its client
 // has left.
-func (a *attempt) hold(c *backendConn) bool {
+func (a *attempt) attach(c *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.called || a.x.left.Load() {
+	if a.cancelled || a.request.disconnected.Load() {
 		return false
 	}
 	a.conn = c
 	return true
 }
 
-// written notes that nothing of the request is left to be written.
-func (a *attempt) written() {
+// markWritten notes that nothing of the request is left to be written.
+func (a *attempt) markWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.whole = true
+	a.fullyWritten = true
 }
 
-// release gives the connection up. It tells whether it may be used again.
-func (a *attempt) release() bool {
+// detach gives the connection up. It tells whether it may be used again.
+func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
-	return !a.called
+	return !a.cancelled
 }
 
 // backendConn is one connection to a backend, for one request at a time.
 type backendConn struct {
 	net.Conn
-	left *io.LimitedReader // what an answer may still take, headers among it
-	r    *bufio.Reader     // on left
-	w    *bufio.Writer
-	home *target
-	idle time.Time     // since when
-	rest time.Duration // before the present use; 0: it is new
+	responseLimit *io.LimitedReader // what an answer may still take, headers among it
+	reader        *bufio.Reader     // on left
+	writer        *bufio.Writer
+	endpoint      *endpoint
+	idleSince     time.Time     // since when
+	idleFor       time.Duration // before the present use; 0: it is new
 }
 
-// alive looks, without waiting, whether an idle connection still stands and has
+// isQuiet looks, without waiting, whether an idle connection still stands and has
 // nothing to say. What is written to one that the other side has closed
 // ends as a reset, which is no proof that it had no effect.
-func alive(conn net.Conn) bool {
+func isQuiet(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// ended looks, without waiting, whether the other side has closed a connection or
+// peerClosed looks, without waiting, whether the other side has closed a connection or
 // its sending. It is not seen behind bytes that nobody has read.
-func ended(conn net.Conn) bool {
+func peerClosed(conn net.Conn) bool {
 	n, err := peek(conn)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 }
@@ -169,207 +169,207 @@
 	return n, err
 }
 
-// target is one life of a backend at one address. All of its connections end
+// endpoint is one life of a backend at one address. All of its connections end
 // with it.
-type target struct {
-	address string
-	born    float64
-	ctx     context.Context // ends with the target; dials hang on it
-	cancel  context.CancelFunc
-	conns   map[*backendConn]struct{}
-	idle    []*backendConn // the most recently used last
-	retired bool
-}
-
-// pools holds the connections to all backends.
-type pools struct {
+type endpoint struct {
+	address   string
+	startedAt float64
+	ctx       context.Context // ends with the target; dials hang on it
+	cancel    context.CancelFunc
+	conns     map[*backendConn]struct{}
+	idleConns []*backendConn // the most recently used last
+	retired   bool
+}
+
+// connectionPools holds the connections to all backends.
+type connectionPools struct {
 	connectTimeout time.Duration
 	idleLimit      time.Duration
-	mostOpen       int // connections in all
-	trust          idleTrust
+	maxConns       int // connections in all
+	idleEstimator  idleLimitEstimator
 
-	mu      sync.Mutex
-	targets map[policy.BackendID]*target
-	open    int // connections and dials
+	mu        sync.Mutex
+	endpoints map[policy.BackendID]*endpoint
+	openConns int // connections and dials
 }
 
-func newPools(connectTimeout, keepAlive time.Duration, mostOpen int) *pools {
-	return &pools{connectTimeout: connectTimeout, idleLimit: max(keepAlive-idleMargin, keepAlive/2),
-		mostOpen: mostOpen, targets: map[policy.BackendID]*target{}}
+func newConnectionPools(connectTimeout, keepAlive time.Duration, maxConns int) *connectionPools {
+	return &connectionPools{connectTimeout: connectTimeout, idleLimit: max(keepAlive-idleTimeoutMargin, keepAlive/2),
+		maxConns: maxConns, endpoints: map[policy.BackendID]*endpoint{}}
 }
 
-// update tells where a ready backend is. A new start or address retires the
+// updateEndpoint tells where a ready backend is. A new start or address retires the
 // connections of the old.
-func (p *pools) update(id policy.BackendID, address string, born float64) {
+func (p *connectionPools) updateEndpoint(id policy.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.targets[id]
-	if old != nil && old.address == address && old.born >= born {
+	old := p.endpoints[id]
+	if old != nil && old.address == address && old.startedAt >= startedAt {
 		return
 	}
 	if old != nil {
 		// What is out at an earlier life will never be answered.
-		p.retire(old, old.born < born)
+		p.retire(old, old.startedAt < startedAt)
 	}
-	t := &target{address: address, born: born, conns: map[*backendConn]struct{}{}}
+	t := &endpoint{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	p.targets[id] = t
+	p.endpoints[id] = t
 }
 
-// remove ends all new sending to a backend that drains or is gone, dials that
+// removeEndpoint ends all new sending to a backend that drains or is gone, dials that
 // wait among it. What is out there may still be answered.
-func (p *pools) remove(id policy.BackendID) {
+func (p *connectionPools) removeEndpoint(id policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t := p.targets[id]; t != nil {
+	if t := p.endpoints[id]; t != nil {
 		p.retire(t, false)
-		delete(p.targets, id)
+		delete(p.endpoints, id)
 	}
 }
 
-func (p *pools) retire(t *target, inUse bool) {
+func (p *connectionPools) retire(t *endpoint, closeInUse bool) {
 	t.retired = true
 	t.cancel()
 	for c := range t.conns {
-		if inUse || !c.idle.IsZero() {
+		if closeInUse || !c.idleSince.IsZero() {
 			c.Close()
 		}
 	}
-	for _, c := range t.idle {
+	for _, c := range t.idleConns {
 		p.forget(c)
 	}
-	t.idle = nil
+	t.idleConns = nil
 }
 
 // forget takes a closed connection out of the table.
-func (p *pools) forget(c *backendConn) {
-	if _, here := c.home.conns[c]; here {
-		delete(c.home.conns, c)
-		p.open--
+func (p *connectionPools) forget(c *backendConn) {
+	if _, tracked := c.endpoint.conns[c]; tracked {
+		delete(c.endpoint.conns, c)
+		p.openConns--
 	}
 }
 
 // discard closes a connection that may not be used again.
-func (p *pools) discard(c *backendConn) {
+func (p *connectionPools) discard(c *backendConn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forget(c)
 }
 
-// put keeps a connection for the next attempt.
-func (p *pools) put(c *backendConn) {
+// putIdle keeps a connection for the next attempt.
+func (p *connectionPools) putIdle(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.home.retired {
+	if c.endpoint.retired {
 		c.Close()
 		p.forget(c)
 		return
 	}
-	c.idle = time.Now()
-	c.home.idle = append(c.home.idle, c)
+	c.idleSince = time.Now()
+	c.endpoint.idleConns = append(c.endpoint.idleConns, c)
 }
 
-// sweep closes what has been idle too long, until ctx ends.
-func (p *pools) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepGap)
+// sweepIdle closes what has been idle too long, until ctx ends.
+func (p *connectionPools) sweepIdle(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			for id, t := range p.targets {
+			for id, t := range p.endpoints {
 				p.retire(t, true)
-				delete(p.targets, id)
+				delete(p.endpoints, id)
 			}
 			return
 		case <-tick.C:
 			p.mu.Lock()
-			for _, t := range p.targets {
-				p.closeOldest(t, time.Now().Add(-p.idleLimit))
+			for _, t := range p.endpoints {
+				p.closeIdleBefore(t, time.Now().Add(-p.idleLimit))
 			}
 			p.mu.Unlock()
 		}
 	}
 }
 
-func (p *pools) closeOldest(t *target, before time.Time) {
+func (p *connectionPools) closeIdleBefore(t *endpoint, before time.Time) {
 	n := 0
-	for ; n < len(t.idle) && t.idle[n].idle.Before(before); n++ {
-		t.idle[n].Close()
-		p.forget(t.idle[n])
+	for ; n < len(t.idleConns) && t.idleConns[n].idleSince.Before(before); n++ {
+		t.idleConns[n].Close()
+		p.forget(t.idleConns[n])
 	}
-	t.idle = append(t.idle[:0], t.idle[n:]...)
+	t.idleConns = append(t.idleConns[:0], t.idleConns[n:]...)
 }
 
-// closeSpare closes the connection that has been idle for the longest, to
+// evictOldestIdle closes the connection that has been idle for the longest, to
 // whatever backend, so that those to others don't keep one out.
-func (p *pools) closeSpare() bool {
+func (p *connectionPools) evictOldestIdle() bool {
 	var oldest *backendConn
-	for _, t := range p.targets {
-		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idle.Before(oldest.idle)) {
-			oldest = t.idle[0]
+	for _, t := range p.endpoints {
+		if len(t.idleConns) > 0 && (oldest == nil || t.idleConns[0].idleSince.Before(oldest.idleSince)) {
+			oldest = t.idleConns[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.home.idle = slices.Delete(oldest.home.idle, 0, 1)
+	oldest.endpoint.idleConns = slices.Delete(oldest.endpoint.idleConns, 0, 1)
 	oldest.Close()
 	p.forget(oldest)
 	return true
 }
 
-var errNoConn = errors.New("no connection to be had")
+var errNoConnection = errors.New("no connection to be had")
 
-// conn returns an idle connection to the backend, or a new one.
-func (p *pools) conn(ctx context.Context, id policy.BackendID) (*backendConn, error) {
+// getConn returns an idle connection to the backend, or a new one.
+func (p *connectionPools) getConn(ctx context.Context, id policy.BackendID) (*backendConn, error) {
 	p.mu.Lock()
-	t := p.targets[id]
+	t := p.endpoints[id]
 	if t == nil {
 		p.mu.Unlock()
-		return nil, errNoConn
+		return nil, errNoConnection
 	}
-	idleLimit := min(p.idleLimit, p.trust.limit(time.Now()))
-	for n := len(t.idle) - 1; n >= 0; n-- {
-		c := t.idle[n]
-		age := time.Since(c.idle)
+	idleLimit := min(p.idleLimit, p.idleEstimator.limit(time.Now()))
+	for n := len(t.idleConns) - 1; n >= 0; n-- {
+		c := t.idleConns[n]
+		age := time.Since(c.idleSince)
 		// More than belonged to the last answer may be on its way, and would be read as the next.
-		if age < settleTime {
+		if age < reuseDelay {
 			continue // where there is no room for a new one, it makes room itself
 		}
-		t.idle = slices.Delete(t.idle, n, n+1)
-		if age < idleLimit && alive(c.Conn) {
-			c.idle, c.rest = time.Time{}, age
+		t.idleConns = slices.Delete(t.idleConns, n, n+1)
+		if age < idleLimit && isQuiet(c.Conn) {
+			c.idleSince, c.idleFor = time.Time{}, age
 			p.mu.Unlock()
 			return c, nil
 		}
 		c.Close()
 		p.forget(c)
 	}
-	if p.open >= p.mostOpen && !p.closeSpare() {
+	if p.openConns >= p.maxConns && !p.evictOldestIdle() {
 		p.mu.Unlock()
-		return nil, errNoConn
+		return nil, errNoConnection
 	}
-	p.open++
+	p.openConns++
 	p.mu.Unlock()
 	c, err := p.dial(ctx, t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && t.retired {
 		c.Close()
-		err = errNoConn
+		err = errNoConnection
 	}
 	if err != nil {
-		p.open--
+		p.openConns--
 		return nil, err
 	}
 	t.conns[c] = struct{}{}
 	return c, nil
 }
 
-func (p *pools) dial(ctx context.Context, t *target) (*backendConn, error) {
+func (p *connectionPools) dial(ctx context.Context, t *endpoint) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	defer context.AfterFunc(t.ctx, cancel)()
@@ -381,124 +381,124 @@
 	return newBackendConn(conn, t), nil
 }
 
-func newBackendConn(conn net.Conn, home *target) *backendConn {
-	left := &io.LimitedReader{R: conn}
-	return &backendConn{Conn: conn, left: left, r: bufio.NewReader(left), w: bufio.NewWriter(conn), home: home}
+func newBackendConn(conn net.Conn, endpoint *endpoint) *backendConn {
+	responseLimit := &io.LimitedReader{R: conn}
+	return &backendConn{Conn: conn, responseLimit: responseLimit, reader: bufio.NewReader(responseLimit), writer: bufio.NewWriter(conn), endpoint: endpoint}
 }
 
-// begin runs an attempt on a goroutine of its own.
-func (p *pools) begin(a *attempt, done func(result)) {
-	go func() { done(p.attempt(a)) }()
+// startAttempt runs an attempt on a goroutine of its own.
+func (p *connectionPools) startAttempt(a *attempt, onDone func(attemptResult)) {
+	go func() { onDone(p.roundTrip(a)) }()
 }
 
-// attempt sends the request and waits for what comes back. An error before the
+// roundTrip sends the request and waits for what comes back. An error before the
 // last byte is written proves that nothing ran; any later one proves nothing.
-func (p *pools) attempt(a *attempt) result {
-	c, err := p.conn(a.ctx, a.backend)
+func (p *connectionPools) roundTrip(a *attempt) attemptResult {
+	c, err := p.getConn(a.ctx, a.backend)
 	if err != nil {
-		return result{outcome: policy.ConnectFailed}
+		return attemptResult{outcome: policy.ConnectFailed}
 	}
-	if !a.hold(c) {
+	if !a.attach(c) {
 		p.discard(c)
-		return result{outcome: policy.ConnectFailed}
+		return attemptResult{outcome: policy.ConnectFailed}
 	}
-	c.SetDeadline(a.until)
-	err = a.x.request(time.Until(a.until)).Write(c.w)
+	c.SetDeadline(a.socketDeadline)
+	err = a.request.outboundRequest(time.Until(a.socketDeadline)).Write(c.writer)
 	if err == nil {
-		err = c.w.Flush()
+		err = c.writer.Flush()
 	}
 	if err != nil {
-		a.release()
+		a.detach()
 		p.discard(c)
-		return result{outcome: policy.ConnectFailed}
+		return attemptResult{outcome: policy.ConnectFailed}
 	}
-	a.written()
-	res, reuse := c.answer(a.x.method)
-	ours := a.release()
-	if forgotten := res.outcome == policy.ConnectionReset && c.left.N == mostAnswer; ours && c.rest > 0 {
-		p.trust.note(time.Now(), c.rest, forgotten)
+	a.markWritten()
+	result, reuse := c.readResponse(a.request.method)
+	attached := a.detach()
+	if brokenUnanswered := result.outcome == policy.ConnectionReset && c.responseLimit.N == maxResponseBytes; attached && c.idleFor > 0 {
+		p.idleEstimator.observe(time.Now(), c.idleFor, brokenUnanswered)
 	}
-	if ours && reuse {
-		p.put(c)
+	if attached && reuse {
+		p.putIdle(c)
 	} else {
 		p.discard(c)
 	}
-	return res
+	return result
 }
 
-// request is what goes to the backend: the client's own, with the time that
+// outboundRequest is what goes to the backend: the client's own, with the time that
 // this attempt has.
-func (x *exchange) request(left time.Duration) *http.Request {
-	header := make(http.Header, len(x.header))
-	for k, v := range x.header {
+func (req *clientRequest) outboundRequest(timeLeft time.Duration) *http.Request {
+	header := make(http.Header, len(req.header))
+	for k, v := range req.header {
 		header[k] = v
 	}
-	header[leftHeader] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
-	r := &http.Request{Method: x.method, Host: x.host, Header: header, URL: &url.URL{Opaque: x.uri}}
-	if len(x.body) > 0 {
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(x.body)), int64(len(x.body))
+	header[timeLeftHeader] = []string{strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10)}
+	r := &http.Request{Method: req.method, Host: req.host, Header: header, URL: &url.URL{Opaque: req.uri}}
+	if len(req.body) > 0 {
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(req.body)), int64(len(req.body))
 	}
 	return r
 }
 
-// answer reads what comes back, the body whole, and tells whether the
+// readResponse reads what comes back, the body whole, and tells whether the
 // connection may be used again.
-func (c *backendConn) answer(method string) (result, bool) {
-	asked := &http.Request{Method: method}
-	c.left.N = mostAnswer
-	for range mostInterim {
-		resp, err := http.ReadResponse(c.r, asked)
+func (c *backendConn) readResponse(method string) (attemptResult, bool) {
+	request := &http.Request{Method: method}
+	c.responseLimit.N = maxResponseBytes
+	for range maxInterimResponses {
+		resp, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return result{outcome: broken(err)}, false
+			return attemptResult{outcome: readErrorOutcome(err)}, false
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if !delimited(resp) {
-			return result{outcome: policy.ConnectionReset}, false
+		if !hasDelimitedBody(resp) {
+			return attemptResult{outcome: policy.ConnectionReset}, false
 		}
 		body, err := readBody(resp.Body, resp.ContentLength)
 		resp.Body.Close()
 		if err != nil {
-			return result{outcome: broken(err)}, false
+			return attemptResult{outcome: readErrorOutcome(err)}, false
 		}
-		reuse := !resp.Close && c.r.Buffered() == 0
+		reuse := !resp.Close && c.reader.Buffered() == 0
 		switch {
 		case resp.StatusCode == http.StatusOK:
-			return result{policy.Served, resp.Header, body}, reuse
+			return attemptResult{policy.Served, resp.Header, body}, reuse
 		case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-			resp.Header.Get(notRunHeader) == "1":
-			return result{outcome: policy.Rejected}, reuse
+			resp.Header.Get(unprocessedHeader) == "1":
+			return attemptResult{outcome: policy.Rejected}, reuse
 		}
-		return result{outcome: policy.Failed}, reuse
+		return attemptResult{outcome: policy.Failed}, reuse
 	}
-	return result{outcome: policy.Failed}, false
+	return attemptResult{outcome: policy.Failed}, false
 }
 
-// broken tells a time-out from a connection that ended.
-func broken(err error) policy.Outcome {
+// readErrorOutcome tells a time-out from a connection that ended.
+func readErrorOutcome(err error) policy.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return policy.TimedOut
 	}
 	return policy.ConnectionReset
 }
 
-var errTooLong = errors.New("the body is too long")
+var errBodyTooLong = errors.New("the body is too long")
 
 // readBody reads a whole body, of known length or not. A length is a
 // claim; memory for a long one is taken only as the bytes come.
 func readBody(r io.Reader, length int64) ([]byte, error) {
-	if length > mostBody {
-		return nil, errTooLong
+	if length > maxBodyBytes {
+		return nil, errBodyTooLong
 	}
-	if length >= 0 && length <= trustedBody {
+	if length >= 0 && length <= maxPreallocatedBody {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(r, mostBody+1))
-	if err == nil && len(body) > mostBody {
-		err = errTooLong
+	body, err := io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = errBodyTooLong
 	}
 	if err == nil && length >= 0 && int64(len(body)) < length {
 		err = io.ErrUnexpectedEOF
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -80,29 +80,29 @@
 }
 
 func newAttempt(timeout time.Duration) *attempt {
-	a := &attempt{backend: 1, until: time.Now().Add(timeout), x: &exchange{method: "POST", uri: "/booking/7?a=%2F",
-		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
+	a := &attempt{backend: 1, socketDeadline: time.Now().Add(timeout), request: &clientRequest{method: "POST", uri: "/booking/7?a=%2F",
+		host: "origin.svc", header: http.Header{correlationIDHeader: {"id-1"}}, body: []byte("pickup")}}
+	a.ctx, a.cancelContext = context.WithCancel(context.Background())
 	return a
 }
 
-func poolFor(t *testing.T, address string) *pools {
-	p := newPools(patience, time.Minute, 8)
-	p.update(1, address, 0)
-	t.Cleanup(func() { p.remove(1) })
+func poolFor(t *testing.T, address string) *connectionPools {
+	p := newConnectionPools(patience, time.Minute, 8)
+	p.updateEndpoint(1, address, 0)
+	t.Cleanup(func() { p.removeEndpoint(1) })
 	return p
 }
 
-func start(p *pools, a *attempt) <-chan result {
-	done := make(chan result, 1)
-	go func() { done <- p.attempt(a) }()
+func start(p *connectionPools, a *attempt) <-chan attemptResult {
+	done := make(chan attemptResult, 1)
+	go func() { done <- p.roundTrip(a) }()
 	return done
 }
 
 // What comes back decides whether a request may be sent again: each row is one
 // line of the protocol's table.
 func TestOutcomes(t *testing.T) {
-	long := strings.Repeat("x", mostBody+1)
+	long := strings.Repeat("x", maxBodyBytes+1)
 	for _, c := range []struct {
 		name, reply string
 		want        policy.Outcome
@@ -150,8 +150,8 @@
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if kept := len(p.targets[1].idle) == 1 && p.open == 1; kept != c.kept {
-				t.Errorf("connection kept: %t, %d open", kept, p.open)
+			if kept := len(p.endpoints[1].idleConns) == 1 && p.openConns == 1; kept != c.kept {
+				t.Errorf("connection kept: %t, %d open", kept, p.openConns)
 			}
 		})
 	}
@@ -161,13 +161,13 @@
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	a := newAttempt(patience)
-	a.x.header[keyHeader] = []string{"key-1"}
-	a.x.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, mostBody/4)
+	a.request.header[idempotencyKeyHeader] = []string{"key-1"}
+	a.request.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxBodyBytes/4)
 	done := start(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
-	if req.Method != "POST" || req.RequestURI != a.x.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.x.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(leftHeader) == "" {
+	if req.Method != "POST" || req.RequestURI != a.request.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.request.body) ||
+		req.Header.Get(correlationIDHeader) != "id-1" || req.Header.Get(idempotencyKeyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -178,12 +178,12 @@
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	backend.listener.Close()
-	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
-	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed || p.open != 0 {
-		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.open)
+	p.removeEndpoint(1)
+	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed || p.openConns != 0 {
+		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
 
@@ -192,9 +192,9 @@
 func TestSilentBackend(t *testing.T) {
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
-	got := p.attempt(newAttempt(50 * time.Millisecond))
-	if got.outcome != policy.TimedOut || p.open != 0 {
-		t.Errorf("outcome %d, %d open", got.outcome, p.open)
+	got := p.roundTrip(newAttempt(50 * time.Millisecond))
+	if got.outcome != policy.TimedOut || p.openConns != 0 {
+		t.Errorf("outcome %d, %d open", got.outcome, p.openConns)
 	}
 	conn, r := backend.accept(t)
 	readRequest(t, r)
@@ -203,15 +203,15 @@
 	}
 }
 
-// After callOff has returned the request has its final answer, and not a byte
+// After cancel has returned the request has its final answer, and not a byte
 // may leave for it: neither by a dial that comes up later, nor on a connection.
 func TestCalledOff(t *testing.T) {
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
 	a := newAttempt(patience)
-	a.callOff()
+	a.cancel()
 	a.ctx = context.Background() // as if the dial had come up all the same
-	p.attempt(a)
+	p.roundTrip(a)
 	conn, r := backend.accept(t)
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("sent after the call-off: %v", err)
@@ -222,13 +222,13 @@
 	done := start(p, a)
 	_, r = backend.accept(t)
 	readRequest(t, r)
-	a.callOff()
+	a.cancel()
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection after the call-off: %v", err)
 	}
 	wait(t, done, "result")
-	if p.open != 0 {
-		t.Errorf("%d connections open", p.open)
+	if p.openConns != 0 {
+		t.Errorf("%d connections open", p.openConns)
 	}
 }
 
@@ -244,7 +244,7 @@
 	wait(t, done, "result")
 	conn.Close()
 	until := time.Now().Add(patience)
-	for idle := p.targets[1].idle[0]; alive(idle.Conn) && time.Now().Before(until); {
+	for idle := p.endpoints[1].idleConns[0]; isQuiet(idle.Conn) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
 	done = start(p, newAttempt(patience))
@@ -264,18 +264,18 @@
 	out := start(p, newAttempt(patience))
 	_, r := backend.accept(t)
 	readRequest(t, r)
-	p.update(1, backend.address(), 5)
+	p.updateEndpoint(1, backend.address(), 5)
 	if got := wait(t, out, "result"); got.outcome != policy.ConnectionReset {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.address(), moved.address()} {
-		p.update(1, address, 5)
+		p.updateEndpoint(1, address, 5)
 		done := start(p, newAttempt(patience))
 		conn, r := []*peer{backend, moved}[n].accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != policy.Served || p.open != 1 {
-			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.open)
+		if got := wait(t, done, "result"); got.outcome != policy.Served || p.openConns != 1 {
+			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.openConns)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
 	p.mu.Lock()
-	p.targets[1].idle[0].idle = time.Now().Add(settleTime) // so that the next surely comes within it
+	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
 	p.mu.Unlock()
 	done = start(p, newAttempt(patience))
 	other, r := backend.accept(t)
@@ -308,22 +308,22 @@
 func TestLateCopyWithoutRoom(t *testing.T) {
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
-	p.mostOpen = 1
+	p.maxConns = 1
 	done := start(p, newAttempt(patience))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, "first")
 	wait(t, done, "result")
 	p.mu.Lock()
-	p.targets[1].idle[0].idle = time.Now().Add(settleTime) // so that the next surely comes within it
+	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
 	p.mu.Unlock()
 	done = start(p, newAttempt(patience))
 	other, r := backend.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, "first")
 	total(other, http.StatusOK, "second")
-	if got := wait(t, done, "result"); string(got.body) != "second" || p.open != 1 {
-		t.Errorf("body %q, %d open", got.body, p.open)
+	if got := wait(t, done, "result"); string(got.body) != "second" || p.openConns != 1 {
+		t.Errorf("body %q, %d open", got.body, p.openConns)
 	}
 }
 
@@ -334,13 +334,13 @@
 	out := start(p, newAttempt(patience))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
-	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	p.removeEndpoint(1)
+	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("new work: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, out, "result"); got.outcome != policy.Served || p.open != 0 {
-		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.open)
+	if got := wait(t, out, "result"); got.outcome != policy.Served || p.openConns != 0 {
+		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
 
@@ -357,48 +357,48 @@
 		if got := wait(t, done, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.targets[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
+		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
 		if i == 0 {
-			time.Sleep(2 * settleTime)
+			time.Sleep(2 * reuseDelay)
 			done = start(p, newAttempt(patience))
 		}
 	}
-	if len(backend.conns) != 0 || p.open != 1 {
-		t.Errorf("%d more connections, %d open", len(backend.conns), p.open)
+	if len(backend.conns) != 0 || p.openConns != 1 {
+		t.Errorf("%d more connections, %d open", len(backend.conns), p.openConns)
 	}
 }
 
 func TestIdleLimitAndMostOpen(t *testing.T) {
 	backend := newPeer(t)
 	p := poolFor(t, backend.address())
-	p.mostOpen = 1
+	p.maxConns = 1
 	first := start(p, newAttempt(patience))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
-	if got := p.attempt(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "result")
 	// An idle connection elsewhere gives way to one that is needed.
 	other := newPeer(t)
-	p.update(2, other.address(), 0)
+	p.updateEndpoint(2, other.address(), 0)
 	a := newAttempt(patience)
 	a.backend = 2
 	first = start(p, a)
 	conn, r = other.accept(t)
 	readRequest(t, r)
-	if len(p.targets[1].idle) != 0 || p.open != 1 {
-		t.Errorf("%d idle, %d open", len(p.targets[1].idle), p.open)
+	if len(p.endpoints[1].idleConns) != 0 || p.openConns != 1 {
+		t.Errorf("%d idle, %d open", len(p.endpoints[1].idleConns), p.openConns)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "result")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closeOldest(p.targets[2], time.Now().Add(-time.Hour)); p.open != 1 {
+	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour)); p.openConns != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if p.closeOldest(p.targets[2], time.Now().Add(time.Hour)); p.open != 0 || len(p.targets[2].idle) != 0 {
-		t.Errorf("%d open after the idle limit", p.open)
+	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour)); p.openConns != 0 || len(p.endpoints[2].idleConns) != 0 {
+		t.Errorf("%d open after the idle limit", p.openConns)
 	}
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -21,7 +21,7 @@
 	}
 	conn, _ := p.accept(t)
 	t.Cleanup(func() { far.Close(); conn.Close() })
-	return newClients(nil, 10).take(conn), far
+	return newClientConnections(nil, 10).tryAdd(conn), far
 }
 
 // send writes from the client's end, and waits until it has arrived.
@@ -30,7 +30,7 @@
 	if _, err := io.WriteString(far, text); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); alive(near.Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); isQuiet(near.Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing arrives")
 		}
@@ -42,16 +42,16 @@
 func TestWaitEndsAsRequestComes(t *testing.T) {
 	for name, ends := range map[string]func(*clientConn){
 		"by the server's time-out": func(near *clientConn) { near.SetReadDeadline(time.Unix(1, 0)) },
-		"by a stop":                func(near *clientConn) { near.table.leave(time.Now().Add(patience)) },
+		"by a stop":                func(near *clientConn) { near.table.drain(time.Now().Add(patience)) },
 		"to make room": func(near *clientConn) {
 			near.table.mu.Lock()
 			defer near.table.mu.Unlock()
-			near.table.end(near)
+			near.table.closeWhenIdle(near)
 		},
 	} {
 		near, far := newClientConn(t)
-		near.table.state(near, http.StateActive)
-		near.table.state(near, http.StateIdle)
+		near.table.onConnState(near, http.StateActive)
+		near.table.onConnState(near, http.StateIdle)
 		send(t, near, far, "G")
 		ends(near)
 		buffer := make([]byte, 16)
@@ -96,9 +96,9 @@
 // request.
 func TestEndOutlastsServersDeadline(t *testing.T) {
 	near, _ := newClientConn(t)
-	near.table.state(near, http.StateActive)
-	near.table.state(near, http.StateIdle)
-	near.table.leave(time.Now().Add(patience))
+	near.table.onConnState(near, http.StateActive)
+	near.table.onConnState(near, http.StateIdle)
+	near.table.drain(time.Now().Add(patience))
 	near.SetReadDeadline(time.Now().Add(patience))
 	if n, err := near.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -72,7 +72,7 @@
 // an unread request has just arrived on, no open request and no new idle one.
 func TestMakeRoom(t *testing.T) {
 	p := newPeer(t)
-	c := newClients(nil, 100)
+	c := newClientConnections(nil, 100)
 	dial := func() (near, far net.Conn) {
 		far, err := net.Dial("tcp", p.address())
 		if err != nil {
@@ -88,24 +88,24 @@
 		go func() {
 			if _, err := near.Read(make([]byte, 16)); err != nil {
 				near.Close()
-				c.state(near, http.StateClosed)
+				c.onConnState(near, http.StateClosed)
 			}
 		}()
 		return near
 	}
 	pair := func(s http.ConnState, age time.Duration) (near *clientConn, far net.Conn) {
 		conn, far := dial()
-		near = c.take(conn)
+		near = c.tryAdd(conn)
 		if s == http.StateIdle {
-			c.state(near, http.StateActive)
+			c.onConnState(near, http.StateActive)
 		}
-		c.state(near, s)
-		near.since = near.since.Add(-age)
+		c.onConnState(near, s)
+		near.lastActive = near.lastActive.Add(-age)
 		return near, far
 	}
 	arrived, far := pair(http.StateNew, time.Hour)
 	io.WriteString(far, "G")
-	for end := time.Now().Add(patience); alive(arrived.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(patience); isQuiet(arrived.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // the byte is on its way through the kernel
 	}
 	resting := served(http.StateIdle, time.Hour, pair)
@@ -116,11 +116,11 @@
 	}
 	silent := served(http.StateNew, time.Minute, pair)
 	working, _ := pair(http.StateActive, 0)
-	recent := served(http.StateIdle, idleGrace/2, pair)
+	recent := served(http.StateIdle, evictionGrace/2, pair)
 	fresh, _ := pair(http.StateNew, 0)
 	// In the order of their last sign of life: the half request counts from its first byte.
 	c.mu.Lock()
-	c.idle.MoveAfter(half.place, recent.place)
+	c.idle.MoveAfter(half.idleElement, recent.idleElement)
 	c.mu.Unlock()
 	for i, step := range []struct {
 		most int
@@ -134,38 +134,38 @@
 		{4, false, []*clientConn{arrived, working, half, fresh}},
 	} {
 		c.mu.Lock()
-		c.most = step.most
-		half.since, fresh.since = time.Now(), time.Now() // however long the steps before have taken
+		c.maxConns = step.most
+		half.lastActive, fresh.lastActive = time.Now(), time.Now() // however long the steps before have taken
 		c.mu.Unlock()
 		next, _ := dial()
-		got := c.take(next)
-		for end := time.Now().Add(leastGrace / 2); step.room && got == nil && time.Now().Before(end); {
+		got := c.tryAdd(next)
+		for end := time.Now().Add(minEvictionGrace / 2); step.room && got == nil && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // what is ending needs its server for it
-			got = c.take(next)
+			got = c.tryAdd(next)
 		}
 		if (got != nil) != step.room {
 			t.Errorf("step %d: room %t", i, got != nil)
 		}
 		if got != nil {
-			c.state(got, http.StateClosed)
+			c.onConnState(got, http.StateClosed)
 		}
 		c.mu.Lock()
-		if len(c.conns) != len(step.kept) || c.ending != 0 {
-			t.Errorf("step %d: %d connections kept, want %d; %d more are ending", i, len(c.conns), len(step.kept), c.ending)
+		if len(c.conns) != len(step.kept) || c.closing != 0 {
+			t.Errorf("step %d: %d connections kept, want %d; %d more are ending", i, len(c.conns), len(step.kept), c.closing)
 		}
 		for n, conn := range step.kept {
-			if _, kept := c.conns[conn]; !kept || conn.ending {
+			if _, kept := c.conns[conn]; !kept || conn.closing {
 				t.Errorf("step %d: connection %d was not kept", i, n)
 			}
 		}
 		c.mu.Unlock()
 	}
 	for conn := range c.conns {
-		c.state(conn, http.StateClosed)
+		c.onConnState(conn, http.StateClosed)
 	}
-	c.most = 1
+	c.maxConns = 1
 	next, _ := dial()
-	if c.take(next) == nil || c.idle.Len() != 1 {
+	if c.tryAdd(next) == nil || c.idle.Len() != 1 {
 		t.Errorf("no room when all have gone; %d idle", c.idle.Len())
 	}
 }
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -7,18 +7,18 @@
 // no deadline. All gateways must share its origin: the windows of their leases
 // are cut from it.
 type clock struct {
-	base time.Time
-	unix float64
+	start     time.Time
+	startUnix float64
 }
 
 func newClock() clock {
 	base := time.Now()
-	return clock{base: base, unix: float64(base.UnixNano()) / 1e9}
+	return clock{start: base, startUnix: float64(base.UnixNano()) / 1e9}
 }
 
-func (c clock) now() float64 { return c.unix + time.Since(c.base).Seconds() }
+func (c clock) now() float64 { return c.startUnix + time.Since(c.start).Seconds() }
 
-// at is the moment t for deadlines of sockets.
-func (c clock) at(t float64) time.Time {
-	return c.base.Add(time.Duration((t - c.unix) * float64(time.Second)))
+// toTime is the moment t for deadlines of sockets.
+func (c clock) toTime(t float64) time.Time {
+	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,15 +19,15 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string
-	Counter   string // empty where the deployment has none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int // file descriptors
-	Known     Listing
+	Name          string
+	Listen        string // where clients connect
+	Discovery     string
+	Counter       string // empty where the deployment has none
+	Seed          uint64
+	Cores         float64
+	MemoryMB      int
+	Sockets       int // file descriptors
+	CachedListing Listing
 	wire.Deployment
 
 	// Log takes the gateway's lines; nil: slog.Default. It doesn't come from the file.
@@ -44,8 +44,8 @@
 
 // least are the limits below which a gateway can't do its work.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 128
+	minMemoryMB = 16
+	minSockets  = 128
 )
 
 // ReadConfig reads the configuration file at path.
@@ -79,7 +79,7 @@
 		return Config{}, errors.New("no settings")
 	}
 	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Counter: raw.Counter,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Known: raw.Known}
+		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, CachedListing: raw.Known}
 	var err error
 	if c.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
 		return Config{}, err
@@ -87,11 +87,11 @@
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// check finds what a gateway could not run with, before any socket is opened.
-func (c *Config) check() error {
+// validate finds what a gateway could not run with, before any socket is opened.
+func (c *Config) validate() error {
 	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
 	if c.Settings.Counter {
 		addresses["counter"] = c.Counter
@@ -109,7 +109,7 @@
 		}
 	}
 	for i, class := range c.Classes {
-		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > mostPatience.Seconds() || class.PriorityWeight < 0 || class.DedupeWindow < 0 {
+		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > maxClientTimeout.Seconds() || class.PriorityWeight < 0 || class.DedupeWindow < 0 {
 			return fmt.Errorf("class %q: aim, deadline, worth or window is out of range", c.ClassNames[i])
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 	}
 	switch {
-	case c.Cores <= 0 || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets:
+	case c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets:
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
 		return fmt.Errorf("settings: rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.GatewayIndex != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
-		c.KeepAlive != 15 || c.Sockets != 1024 || c.Known.Generation != 41 || c.Zones[1] != "b" {
+		c.KeepAlive != 15 || c.Sockets != 1024 || c.CachedListing.Generation != 41 || c.Zones[1] != "b" {
 		t.Errorf("read %+v", c)
 	}
 	for _, bad := range [][2]string{
@@ -78,7 +78,7 @@
 func TestClock(t *testing.T) {
 	c := newClock()
 	at := c.now()
-	if d := time.Since(c.at(at)); d < 0 || d > patience || time.Since(time.Unix(int64(at), 0)) > patience {
+	if d := time.Since(c.toTime(at)); d < 0 || d > patience || time.Since(time.Unix(int64(at), 0)) > patience {
 		t.Errorf("now is %f, %v ago", at, d)
 	}
 }
@@ -89,7 +89,7 @@
 	for _, c := range []struct{ memory, sockets, want int }{
 		{192, 1024, 720}, {192, 256, 144}, {32, 256, 144}, {32, 1024, 341},
 	} {
-		if got := (&Config{MemoryMB: c.memory, Sockets: c.sockets}).mostClients(); got != c.want {
+		if got := (&Config{MemoryMB: c.memory, Sockets: c.sockets}).maxClientConns(); got != c.want {
 			t.Errorf("%d MB, %d sockets: %d, want %d", c.memory, c.sockets, got, c.want)
 		}
 	}
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -20,17 +20,17 @@
 	total   float64
 }
 
-func startCounter(t *testing.T, address string) (c *counter, add func(amount float64) *call, replies chan reply) {
-	c = newCounter(address, patience)
+func startCounter(t *testing.T, address string) (c *counterClient, add func(amount float64) *counterCall, replies chan reply) {
+	c = newCounterClient(address, patience)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies = make(chan reply, 64)
-	return c, func(amount float64) *call {
-		k := &call{name: 7, amount: amount, keep: time.Minute}
-		k.report = func(k *call, o policy.Outcome, total float64) { replies <- reply{k.amount, o, total} }
-		if !c.add(k) {
+	return c, func(amount float64) *counterCall {
+		k := &counterCall{key: 7, amount: amount, ttl: time.Minute}
+		k.report = func(k *counterCall, o policy.Outcome, total float64) { replies <- reply{k.amount, o, total} }
+		if !c.enqueue(k) {
 			t.Fatal("the stream is full")
 		}
 		return k
@@ -57,7 +57,7 @@
 	}
 	// The first is given up by the loop. Its late answer keeps its place, lest each
 	// later call be told the total of the one before.
-	late.givenUp.Store(true)
+	late.abandoned.Store(true)
 	total(conn, 200, "1")
 	total(conn, 200, "-1.5\n")
 	total(conn, 503, "")
@@ -96,7 +96,7 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n12", policy.Failed},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), policy.Failed},
 		{"HTTP/1.1 2x0 OK\r\n\r\n12", policy.Failed},
-		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), policy.Failed},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxCounterResponseBytes), policy.Failed},
 		{"HTTP/1.1 102 Processing\r\n\r\n", policy.ConnectionReset},
 		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", policy.ConnectionReset},
 	} {
@@ -131,7 +131,7 @@
 	add(1)
 	conn, r := far.accept(t)
 	readRequest(t, r)
-	time.Sleep(counterStuck + 200*time.Millisecond) // the moment that is to be crossed
+	time.Sleep(counterIOTimeout + 200*time.Millisecond) // the moment that is to be crossed
 	total(conn, 200, "5")
 	if got := wait(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
 		t.Errorf("reply %v", got)
@@ -147,10 +147,10 @@
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
-	for until := time.Now().Add(patience); !stuck.begun.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(patience); !stuck.responseStarted.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the answer's beginning is on its way
 	}
-	stuck.givenUp.Store(true)
+	stuck.abandoned.Store(true)
 	add(2)
 	conn, r = far.accept(t)
 	readRequest(t, r)
@@ -166,28 +166,28 @@
 // the bound, calls go out on the last one.
 func TestCounterConnectionsBounded(t *testing.T) {
 	far := newPeer(t)
-	c := newCounter(far.address(), patience)
+	c := newCounterClient(far.address(), patience)
 	var open atomic.Int64
-	open.Store(streamConns - 1) // stand still already
+	open.Store(maxConnsPerStream - 1) // stand still already
 	conn, err := c.dial(context.Background(), &open)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	overdue := &call{}
-	overdue.givenUp.Store(true)
-	conn.head.Store(overdue)
-	if conn.stands() {
+	overdue := &counterCall{}
+	overdue.abandoned.Store(true)
+	conn.headCall.Store(overdue)
+	if conn.headOfLineBlocked() {
 		t.Error("another connection would be opened past the bound")
 	}
 	open.Add(-1)
-	if !conn.stands() {
+	if !conn.headOfLineBlocked() {
 		t.Error("a connection that stands still is kept below the bound")
 	}
 	open.Add(1)
 	conn.Close()
 	c.readers.Wait()
-	if n := open.Load(); n != streamConns-1 {
+	if n := open.Load(); n != maxConnsPerStream-1 {
 		t.Errorf("%d connections count as open after one has ended", n)
 	}
 }
@@ -206,14 +206,14 @@
 // A call that was given up before it was written must not be added later.
 func TestCounterGivenUpUnwritten(t *testing.T) {
 	far := newPeer(t)
-	c := newCounter(far.address(), patience)
+	c := newCounterClient(far.address(), patience)
 	reported := make(chan policy.Outcome, 2)
-	report := func(_ *call, o policy.Outcome, _ float64) { reported <- o }
-	k := &call{name: 1, amount: 1, keep: time.Minute, report: report}
-	k.givenUp.Store(true)
-	next := &call{name: 1, amount: 2, keep: time.Minute, report: report}
-	c.add(k)
-	c.add(next)
+	report := func(_ *counterCall, o policy.Outcome, _ float64) { reported <- o }
+	k := &counterCall{key: 1, amount: 1, ttl: time.Minute, report: report}
+	k.abandoned.Store(true)
+	next := &counterCall{key: 1, amount: 2, ttl: time.Minute, report: report}
+	c.enqueue(k)
+	c.enqueue(next)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.run(ctx)
@@ -231,8 +231,8 @@
 func TestCounterForgotten(t *testing.T) {
 	far := newPeer(t)
 	c, add, replies := startCounter(t, far.address())
-	for range 2 * int(idleBroken) {
-		c.trust.note(time.Now(), 2*idleLeast, true)
+	for range 2 * int(minBreaks) {
+		c.idleEstimator.observe(time.Now(), 2*minIdleBucket, true)
 	}
 	for range 2 {
 		add(1)
@@ -240,7 +240,7 @@
 		readRequest(t, r)
 		total(conn, 200, "1")
 		wait(t, replies, "reply")
-		time.Sleep(10 * idleLeast) // the rest itself is what is tested
+		time.Sleep(10 * minIdleBucket) // the rest itself is what is tested
 	}
 }
 
@@ -248,7 +248,7 @@
 func TestCounterLearnsOfForgotten(t *testing.T) {
 	far := newPeer(t)
 	c, add, replies := startCounter(t, far.address())
-	for round := 0; c.trust.limit(time.Now()) == math.MaxInt64; round++ {
+	for round := 0; c.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
 			t.Fatal("nothing was learnt")
 		}
@@ -257,7 +257,7 @@
 		readRequest(t, r)
 		total(conn, 200, "1")
 		wait(t, replies, "reply")
-		time.Sleep(2 * idleLeast)
+		time.Sleep(2 * minIdleBucket)
 		add(2)
 		readRequest(t, r)
 		conn.Close()
@@ -271,7 +271,7 @@
 // doubt.
 func TestCounterClosedIdle(t *testing.T) {
 	far := newPeer(t)
-	c := newCounter(far.address(), patience)
+	c := newCounterClient(far.address(), patience)
 	var open atomic.Int64
 	conn, err := c.dial(context.Background(), &open)
 	if err != nil {
@@ -280,18 +280,18 @@
 	defer conn.Close()
 	other, _ := far.accept(t)
 	conn.SetDeadline(time.Now().Add(-time.Second)) // of an earlier call
-	if !conn.usable(0) {
+	if !conn.reusable(0) {
 		t.Error("a connection in good health is not usable")
 	}
-	if conn.usable(counterIdle + time.Second) {
+	if conn.reusable(counterIdleTimeout + time.Second) {
 		t.Error("usable after the idle limit")
 	}
 	other.Close()
 	until := time.Now().Add(patience)
-	for alive(conn.Conn) && time.Now().Before(until) {
+	for isQuiet(conn.Conn) && time.Now().Before(until) {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
-	if conn.usable(0) {
+	if conn.reusable(0) {
 		t.Error("usable after the counter closed it")
 	}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	watchShare      = 0.5                     // of the time that sends to a draining backend may go on: a watch stands open so long
-	answerShare     = 0.25                    // of that time: what an answer may take beside
-	leastAnswer     = 200 * time.Millisecond  // the shortest time for one
-	mostWatchAnswer = 1400 * time.Millisecond // and the longest: what a silent watch missed comes with the next in under 6 s
-	mostListWait    = 4500 * time.Millisecond // for a whole list, where nothing is sent by an older one
-	watchRetry      = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
-	mostListing     = 4 << 20                 // bytes of one answer
-	listPath        = "/registry/instances"
-	complaintGap    = 10 * time.Second // between lines about a discovery that stays down
+	watchTimeShare       = 0.5                     // of the time that sends to a draining backend may go on: a watch stands open so long
+	responseTimeShare    = 0.25                    // of that time: what an answer may take beside
+	minResponseTime      = 200 * time.Millisecond  // the shortest time for one
+	maxWatchResponseTime = 1400 * time.Millisecond // and the longest: what a silent watch missed comes with the next in under 6 s
+	maxListTimeout       = 4500 * time.Millisecond // for a whole list, where nothing is sent by an older one
+	watchRetryDelay      = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
+	maxListingBytes      = 4 << 20                 // bytes of one answer
+	instancesPath        = "/registry/instances"
+	warnInterval         = 10 * time.Second // between lines about a discovery that stays down
 )
 
 // Listing is discovery's list of backends, or the changes to it.
@@ -58,128 +58,128 @@
 	return policy.BackendID(h.Sum32())
 }
 
-// backend translates an entry. The module's clock is Unix time (see clock), so
+// toBackend translates an entry. The module's clock is Unix time (see clock), so
 // a start needs its unit changed only.
-func (i Instance) backend(d *wire.Deployment) (policy.Backend, error) {
-	state, known := lifecycles[i.Lifecycle]
-	zone := slices.Index(d.Zones, i.Zone)
+func (instance Instance) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
+	state, known := lifecycles[instance.Lifecycle]
+	zone := slices.Index(deployment.Zones, instance.Zone)
 	switch {
-	case i.ID == "" || !known:
-		return policy.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", i.ID, i.Lifecycle)
+	case instance.ID == "" || !known:
+		return policy.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", instance.ID, instance.Lifecycle)
 	case zone < 0 && state != policy.Removed:
 		// Two unknown zones must not pass for one that drops repeats.
-		return policy.Backend{}, fmt.Errorf("instance %q: zone %q is not known", i.ID, i.Zone)
-	case math.IsNaN(i.Weight) || i.StartedAtMs < 0:
-		return policy.Backend{}, fmt.Errorf("instance %q: impossible weight or start", i.ID)
+		return policy.Backend{}, fmt.Errorf("instance %q: zone %q is not known", instance.ID, instance.Zone)
+	case math.IsNaN(instance.Weight) || instance.StartedAtMs < 0:
+		return policy.Backend{}, fmt.Errorf("instance %q: impossible weight or start", instance.ID)
 	}
-	return policy.Backend{ID: backendID(i.ID), Zone: zone, Kind: slices.Index(d.Kinds, i.MachineType), Cell: i.Cell,
-		State: state, Weight: i.Weight, StartedAt: float64(i.StartedAtMs) / 1000}, nil
+	return policy.Backend{ID: backendID(instance.ID), Zone: zone, Kind: slices.Index(deployment.Kinds, instance.MachineType), Cell: instance.Cell,
+		State: state, Weight: instance.Weight, StartedAt: float64(instance.StartedAtMs) / 1000}, nil
 }
 
-// watcher follows discovery and hands on each answer.
-type watcher struct {
-	address      string
-	wait, answer time.Duration // how long a watch stands open, and what an answer may take beside
-	client       *http.Client
-	since        int64
-	listed       bool // a whole list has come
-	inUse        bool // requests are sent by a list, be it an older one
-	late         int  // calls for the whole list, in a row, that ended before it had come
-	heard        func(Listing)
-	log          *slog.Logger
+// discoveryWatcher follows discovery and hands on each answer.
+type discoveryWatcher struct {
+	address                    string
+	watchTimeout, responseTime time.Duration // how long a watch stands open, and what an answer may take beside
+	client                     *http.Client
+	generation                 int64
+	hasList                    bool // a whole list has come
+	listInUse                  bool // requests are sent by a list, be it an older one
+	listTimeouts               int  // calls for the whole list, in a row, that ended before it had come
+	onListing                  func(Listing)
+	log                        *slog.Logger
 }
 
-// newWatcher makes a watch for a gateway that may go on sending to a draining
+// newDiscoveryWatcher makes a watch for a gateway that may go on sending to a draining
 // backend for so long. A watch that has fallen silent, or that discovery
 // forgot while it was down, misses drains that count as told. So each call is
-// over, and the next on its way, well within that time. inUse tells that requests
+// over, and the next on its way, well within that time. listInUse tells that requests
 // are sent by an older list meanwhile.
-func newWatcher(address string, drainGrace time.Duration, inUse bool, heard func(Listing)) *watcher {
-	w := &watcher{address: address, inUse: inUse, heard: heard, log: slog.Default(),
+func newDiscoveryWatcher(address string, drainGrace time.Duration, listInUse bool, onListing func(Listing)) *discoveryWatcher {
+	w := &discoveryWatcher{address: address, listInUse: listInUse, onListing: onListing, log: slog.Default(),
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2}}}
-	w.answer = min(max(time.Duration(answerShare*float64(drainGrace)), leastAnswer), mostWatchAnswer)
-	w.wait = time.Duration(watchShare / answerShare * float64(w.answer))
+	w.responseTime = min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
+	w.watchTimeout = time.Duration(watchTimeShare / responseTimeShare * float64(w.responseTime))
 	return w
 }
 
 // run asks until ctx ends: once for the list, from then on for changes. A
 // failed call is made again soon, on a new connection, from the last version
 // that arrived; what changed meanwhile comes with its answer.
-func (w *watcher) run(ctx context.Context) {
+func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	var complained time.Time
+	var warnedAt time.Time
 	for ctx.Err() == nil {
-		l, err := w.ask(ctx)
+		listing, err := w.poll(ctx)
 		if err == nil {
-			w.since, w.listed, w.inUse, w.late = l.Generation, true, true, 0
-			w.heard(l)
+			w.generation, w.hasList, w.listInUse, w.listTimeouts = listing.Generation, true, true, 0
+			w.onListing(listing)
 			continue
 		}
-		if !w.listed && errors.Is(err, context.DeadlineExceeded) {
-			w.late++
+		if !w.hasList && errors.Is(err, context.DeadlineExceeded) {
+			w.listTimeouts++
 		}
-		if ctx.Err() == nil && time.Since(complained) > complaintGap {
-			complained = time.Now()
+		if ctx.Err() == nil && time.Since(warnedAt) > warnInterval {
+			warnedAt = time.Now()
 			w.log.Warn("discovery can't be asked", "address", w.address, "error", err)
 		}
 		w.client.CloseIdleConnections()
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
 
-// listLimit is the time for the whole list. Each call that was too short makes the
+// listTimeout is the time for the whole list. Each call that was too short makes the
 // next one longer: a list that is always cut off would never be had. While
 // requests are sent by an older list, no call may outlast a watch.
-func (w *watcher) listLimit() time.Duration {
-	most := w.wait + w.answer
-	if !w.inUse {
-		most = max(most, mostListWait)
+func (w *discoveryWatcher) listTimeout() time.Duration {
+	maxTimeout := w.watchTimeout + w.responseTime
+	if !w.listInUse {
+		maxTimeout = max(maxTimeout, maxListTimeout)
 	}
-	limit := w.answer
-	for n := 0; n < w.late && limit < most; n++ {
-		limit *= 2
+	timeout := w.responseTime
+	for n := 0; n < w.listTimeouts && timeout < maxTimeout; n++ {
+		timeout *= 2
 	}
-	return min(limit, most)
+	return min(timeout, maxTimeout)
 }
 
-func (w *watcher) ask(ctx context.Context) (l Listing, err error) {
-	url, limit := "http://"+w.address+listPath, w.listLimit()
-	if w.listed {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.since, w.wait.Milliseconds())
-		limit = w.wait + w.answer
+func (w *discoveryWatcher) poll(ctx context.Context) (listing Listing, err error) {
+	url, timeout := "http://"+w.address+instancesPath, w.listTimeout()
+	if w.hasList {
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.watchTimeout.Milliseconds())
+		timeout = w.watchTimeout + w.responseTime
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostListing))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListingBytes))
 	if err != nil {
-		return l, err
+		return listing, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		w.listed = false // the version may be the trouble: start from the whole list
-		return l, fmt.Errorf("status %s", resp.Status)
+		w.hasList = false // the version may be the trouble: start from the whole list
+		return listing, fmt.Errorf("status %s", resp.Status)
 	}
-	if err := json.Unmarshal(body, &l); err != nil {
-		w.listed = false
-		return l, fmt.Errorf("list: %w", err)
+	if err := json.Unmarshal(body, &listing); err != nil {
+		w.hasList = false
+		return listing, fmt.Errorf("list: %w", err)
 	}
-	if !w.listed {
-		l.Reset = true // a call without a version is answered with all there are
+	if !w.hasList {
+		listing.Reset = true // a call without a version is answered with all there are
 	}
-	if l.Reset && l.Instances == nil {
-		w.listed = false
-		return l, errors.New("list: no instances in it") // Taken for an empty one, it would end all service
+	if listing.Reset && listing.Instances == nil {
+		w.hasList = false
+		return listing, errors.New("list: no instances in it") // Taken for an empty one, it would end all service
 	}
-	return l, nil
+	return listing, nil
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -46,7 +46,7 @@
 func (r *registry) address() string { return r.Listener.Addr().String() }
 
 // watchFor runs a watch until the test ends.
-func watchFor(t *testing.T, w *watcher) {
+func watchFor(t *testing.T, w *discoveryWatcher) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { w.run(ctx) })
@@ -57,13 +57,13 @@
 // to a backend that drains may still go on; also when the next one is as silent.
 func TestSilentWatch(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
-		w := newWatcher("", grace, true, nil)
-		if lasts := w.wait + w.answer + watchRetry; lasts > grace*9/10 {
+		w := newDiscoveryWatcher("", grace, true, nil)
+		if lasts := w.watchTimeout + w.responseTime + watchRetryDelay; lasts > grace*9/10 {
 			t.Errorf("a call lasts %v of a grace of %v", lasts, grace)
 		}
 	}
 	far := newPeer(t)
-	watchFor(t, newWatcher(far.address(), 800*time.Millisecond, true, func(Listing) {}))
+	watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(Listing) {}))
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -81,9 +81,9 @@
 	r := newRig(t, backend, other)
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
-	spoilt := listing(false, "Terminating", backend)
+	spoilt := listingOf(false, "Terminating", backend)
 	spoilt.Instances[0].Zone = "nowhere"
-	odd := listing(false, "Leaving", other)
+	odd := listingOf(false, "Leaving", other)
 	r.registry.answers <- Listing{Generation: 2, Instances: append(spoilt.Instances, odd.Instances...)}
 	wait(t, r.registry.calls, "next watch")
 	_, answers := r.client(t, ask("GET", "glance", ""))
@@ -95,7 +95,7 @@
 func TestWatch(t *testing.T) {
 	r := newRegistry(t)
 	heard := make(chan Listing, 64)
-	watchFor(t, newWatcher(r.address(), 2*time.Second, true, func(l Listing) { heard <- l }))
+	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l Listing) { heard <- l }))
 	none := []Instance{}
 
 	// Each step: the call that is expected, its answer, and what is handed on.
@@ -133,7 +133,7 @@
 func TestInstances(t *testing.T) {
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
-		StartedAtMs: 1500}.backend(d)
+		StartedAtMs: 1500}.toBackend(d)
 	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5, StartedAt: 1.5}
 	if err != nil || b != want {
 		t.Errorf("%+v, %v; want %+v", b, err, want)
@@ -147,7 +147,7 @@
 		{ID: "s-1", Zone: "c", Lifecycle: "Ready"},
 		{ID: "s-1", Zone: "a", Lifecycle: "Ready", StartedAtMs: -1},
 	} {
-		if _, err := bad.backend(d); err == nil {
+		if _, err := bad.toBackend(d); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
--- a/internal/gateway/discovery_told_test.go
+++ b/internal/gateway/discovery_told_test.go
@@ -21,13 +21,13 @@
 // and the answer to the next one fit in the time after which a change counts as told.
 func TestChangeIsHeardInTime(t *testing.T) {
 	for grace := time.Duration(0); grace <= time.Minute; grace += 100 * time.Millisecond {
-		w := newWatcher("", grace, false, nil)
-		if lasts := w.wait + w.answer + watchRetry + w.answer; lasts > toldWithin {
+		w := newDiscoveryWatcher("", grace, false, nil)
+		if lasts := w.watchTimeout + w.responseTime + watchRetryDelay + w.responseTime; lasts > toldWithin {
 			t.Fatalf("with a grace of %v a change may be heard after %v", grace, lasts)
 		}
-		for w.late = range 10 {
-			if lasts := w.listLimit() + watchRetry + w.answer; lasts > toldWithin {
-				t.Fatalf("with a grace of %v and %d lists that came late, one may be heard after %v", grace, w.late, lasts)
+		for w.listTimeouts = range 10 {
+			if lasts := w.listTimeout() + watchRetryDelay + w.responseTime; lasts > toldWithin {
+				t.Fatalf("with a grace of %v and %d lists that came late, one may be heard after %v", grace, w.listTimeouts, lasts)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 			t.Parallel()
 			far := newPeer(t)
 			heard := make(chan Listing, 8)
-			watchFor(t, newWatcher(far.address(), 800*time.Millisecond, false, func(l Listing) { heard <- l }))
+			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l Listing) { heard <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -98,7 +98,7 @@
 	heard := make(chan Listing, 8)
 	tell := func(l Listing) { heard <- l }
 	far := newCrowded(t)
-	watchFor(t, newWatcher(far.address, 800*time.Millisecond, true, tell))
+	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, tell))
 	for end := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port) // where nobody listens yet
-	watchFor(t, newWatcher(address, 800*time.Millisecond, true, tell))
-	time.Sleep(2 * watchRetry) // some calls are refused
+	watchFor(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, tell))
+	time.Sleep(2 * watchRetryDelay) // some calls are refused
 	if err := syscall.Listen(fd, 8); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 			}))
 			t.Cleanup(slow.Close)
 			heard := make(chan Listing, 8)
-			watchFor(t, newWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l Listing) { heard <- l }))
+			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l Listing) { heard <- l }))
 			wait(t, heard, "list")
 		})
 	}
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -38,10 +38,10 @@
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
 		f.Add(seed)
 	}
-	front := &frontend{deploy: &wire.Deployment{Settings: policy.Settings{FleetSize: 3, MaxUnits: 4}}}
+	front := &frontend{deployment: &wire.Deployment{Settings: policy.Settings{FleetSize: 3, MaxUnits: 4}}}
 	f.Fuzz(func(t *testing.T, text string) {
 		var q policy.Request
-		err := front.terms(&q, text)
+		err := front.decodeQuota(&q, text)
 		if err == nil && !(q.Units > 0 && q.Units <= 4 && q.Gateways >= 1 && q.Gateways <= 3 && q.FirstGateway >= 0 && q.FirstGateway < 3) {
 			t.Errorf("%q was taken: %+v", text, q)
 		}
@@ -67,8 +67,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
-		res, reuse := c.answer(http.MethodGet)
-		if res.outcome == policy.Served && len(res.body) > mostBody || res.outcome == policy.ConnectionReset && reuse {
+		res, reuse := c.readResponse(http.MethodGet)
+		if res.outcome == policy.Served && len(res.body) > maxBodyBytes || res.outcome == policy.ConnectionReset && reuse {
 			t.Errorf("outcome %d, %d bytes, used again %t", res.outcome, len(res.body), reuse)
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	reserved     = 64              // descriptors for the counter, discovery and the runtime
-	clientShare  = 0.75            // of the other descriptors, for clients; backends get the rest
-	clientMemory = 0.25            // of the memory, for what stands idle with clients
-	clientCost   = 24 << 10        // bytes of an idle connection: two buffers, a stack and its entries in tables
-	knownAfter   = 3 * time.Second // without discovery, the list known from before has to do
+	reservedFDs       = 64              // descriptors for the counter, discovery and the runtime
+	clientFDShare     = 0.75            // of the other descriptors, for clients; backends get the rest
+	clientMemoryShare = 0.25            // of the memory, for what stands idle with clients
+	clientConnBytes   = 24 << 10        // bytes of an idle connection: two buffers, a stack and its entries in tables
+	cachedListDelay   = 3 * time.Second // without discovery, the list known from before has to do
 )
 
 // Reload tells a running gateway that its configuration has been replaced.
@@ -37,125 +37,125 @@
 	return serve(ctx, c, listener, reload)
 }
 
-// mostClients is how many connections of clients the limits bear.
-func (c *Config) mostClients() int {
-	bySockets := clientShare * float64(c.Sockets-reserved)
-	byMemory := clientMemory * float64(c.MemoryMB<<20) / clientCost
+// maxClientConns is how many connections of clients the limits bear.
+func (c *Config) maxClientConns() int {
+	bySockets := clientFDShare * float64(c.Sockets-reservedFDs)
+	byMemory := clientMemoryShare * float64(c.MemoryMB<<20) / clientConnBytes
 	return int(min(bySockets, byMemory))
 }
 
-// gateway is a running gateway: its parts, and what ends them.
-type gateway struct {
-	config  *Config
-	log     *slog.Logger
-	front   *frontend
-	clients *clients
-	server  *http.Server
-	served  chan error // the end of the server's accepting
-	calls   *counter   // nil where the deployment has none
+// server is a running gateway: its parts, and what ends them.
+type server struct {
+	config            *Config
+	log               *slog.Logger
+	frontend          *frontend
+	clientConnections *clientConnections
+	httpServer        *http.Server
+	serveErr          chan error     // the end of the server's accepting
+	counter           *counterClient // nil where the deployment has none
 
-	inner     context.Context // of all parts but those of the clients; it ends after them
-	parts     sync.WaitGroup
-	discovery string // the address that is watched
-	unwatch   func() // ends the watch and waits for its end
+	partsContext     context.Context // of all parts but those of the clients; it ends after them
+	parts            sync.WaitGroup
+	discoveryAddress string // the address that is watched
+	stopWatch        func() // ends the watch and waits for its end
 }
 
-func serve(ctx context.Context, c *Config, listener net.Listener, reload Reload) error {
-	most := c.mostClients()
-	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), c.Sockets-reserved-most)
-	g := &gateway{config: c, log: c.logger()}
-	if c.Settings.Counter {
-		g.calls = newCounter(c.Counter, seconds(c.CounterTimeout))
+func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
+	maxClients := config.maxClientConns()
+	pools := newConnectionPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), config.Sockets-reservedFDs-maxClients)
+	s := &server{config: config, log: config.logger()}
+	if config.Settings.Counter {
+		s.counter = newCounterClient(config.Counter, seconds(config.CounterTimeout))
 	}
-	g.front = &frontend{deploy: &c.Deployment}
-	loop := newLoop(c, pools, g.calls, func() { g.ready("discovery") })
-	g.front.loop = loop
+	s.frontend = &frontend{deployment: &config.Deployment}
+	loop := newEventLoop(config, pools, s.counter, func() { s.markReady("discovery") })
+	s.frontend.loop = loop
 
-	inner, stop := context.WithCancel(context.Background())
-	g.inner = inner
+	partsContext, stopParts := context.WithCancel(context.Background())
+	s.partsContext = partsContext
 	defer loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
-	defer g.parts.Wait()
-	defer stop()
-	loop.list(c.Known, policy.CachedList)
-	g.parts.Go(func() { loop.run(inner) })
-	g.parts.Go(func() { pools.sweep(inner) })
-	g.parts.Go(func() { loop.metrics.report(inner, g.log) })
-	if g.calls != nil {
-		g.parts.Go(func() { g.calls.run(inner) })
+	defer s.parts.Wait()
+	defer stopParts()
+	loop.applyListing(config.CachedListing, policy.CachedList)
+	s.parts.Go(func() { loop.run(partsContext) })
+	s.parts.Go(func() { pools.sweepIdle(partsContext) })
+	s.parts.Go(func() { loop.metrics.logPeriodically(partsContext, s.log) })
+	if s.counter != nil {
+		s.parts.Go(func() { s.counter.run(partsContext) })
 	}
-	g.watch(c.Discovery, len(c.Known.Instances) > 0)
-	known := time.AfterFunc(knownAfter, func() {
-		if len(c.Known.Instances) > 0 {
-			g.ready("the list known from before")
+	s.watchDiscovery(config.Discovery, len(config.CachedListing.Instances) > 0)
+	cachedListTimer := time.AfterFunc(cachedListDelay, func() {
+		if len(config.CachedListing.Instances) > 0 {
+			s.markReady("the list known from before")
 		}
 	})
-	defer known.Stop()
+	defer cachedListTimer.Stop()
 
-	g.clients = newClients(listener, most)
-	g.clients.metrics, g.clients.log = &loop.metrics, g.log
-	g.server = g.front.server(g.clients, c.longestDeadline()+seconds(c.AnswerSlack))
-	g.server.ErrorLog = slog.NewLogLogger(g.log.Handler(), slog.LevelWarn)
-	g.served = make(chan error, 1)
-	g.parts.Go(func() { g.served <- g.server.Serve(g.clients) })
-	g.log.Info("started", "listen", listener.Addr().String(), "discovery", c.Discovery, "counter", c.Counter,
-		"known_backends", len(c.Known.Instances), "most_clients", most)
-	asked := make(chan time.Time, 1)
-	defer context.AfterFunc(ctx, func() { asked <- time.Now() })() // a reload may be under way
+	s.clientConnections = newClientConnections(listener, maxClients)
+	s.clientConnections.metrics, s.clientConnections.log = &loop.metrics, s.log
+	s.httpServer = s.frontend.newServer(s.clientConnections, config.longestDeadline()+seconds(config.AnswerSlack))
+	s.httpServer.ErrorLog = slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)
+	s.serveErr = make(chan error, 1)
+	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
+	s.log.Info("started", "listen", listener.Addr().String(), "discovery", config.Discovery, "counter", config.Counter,
+		"known_backends", len(config.CachedListing.Instances), "most_clients", maxClients)
+	stopRequested := make(chan time.Time, 1)
+	defer context.AfterFunc(ctx, func() { stopRequested <- time.Now() })() // a reload may be under way
 	for {
 		select {
-		case err := <-g.served:
+		case err := <-s.serveErr:
 			return fmt.Errorf("clients: %w", err)
-		case at := <-asked:
-			return g.shutdown(at)
+		case requestedAt := <-stopRequested:
+			return s.shutdown(requestedAt)
 		case <-reload.Signal:
-			g.reload(reload.Read)
+			s.reload(reload.Read)
 		}
 	}
 }
 
-// ready lets the front send clients here, once.
-func (g *gateway) ready(list string) {
-	if g.front.ready.CompareAndSwap(false, true) {
-		g.log.Info("ready", "list", list)
+// markReady lets the front send clients here, once.
+func (s *server) markReady(list string) {
+	if s.frontend.ready.CompareAndSwap(false, true) {
+		s.log.Info("ready", "list", list)
 	}
 }
 
-// watch follows discovery at an address. inUse tells that requests are sent by an
+// watchDiscovery follows discovery at an address. listInUse tells that requests are sent by an
 // older list meanwhile.
-func (g *gateway) watch(address string, inUse bool) {
-	ctx, cancel := context.WithCancel(g.inner)
+func (s *server) watchDiscovery(address string, listInUse bool) {
+	ctx, cancel := context.WithCancel(s.partsContext)
 	ended := make(chan struct{})
-	w := newWatcher(address, seconds(g.config.DrainGrace), inUse, g.front.loop.hear)
-	w.log = g.log
-	g.parts.Go(func() {
+	watcher := newDiscoveryWatcher(address, seconds(s.config.DrainGrace), listInUse, s.frontend.loop.endpointsUpdated)
+	watcher.log = s.log
+	s.parts.Go(func() {
 		defer close(ended)
-		w.run(ctx)
+		watcher.run(ctx)
 	})
-	g.discovery = address
-	g.unwatch = func() { cancel(); <-ended }
+	s.discoveryAddress = address
+	s.stopWatch = func() { cancel(); <-ended }
 }
 
 // reload takes up the addresses of a new configuration. One that can't be read or
 // run with changes nothing.
-func (g *gateway) reload(read func() (Config, error)) {
+func (s *server) reload(read func() (Config, error)) {
 	next, err := read()
 	if err != nil {
-		g.log.Warn("the old configuration stays", "error", err)
+		s.log.Warn("the old configuration stays", "error", err)
 		return
 	}
-	c := g.config
-	if g.calls != nil && next.Settings.Counter {
-		g.calls.move(next.Counter)
+	c := s.config
+	if s.counter != nil && next.Settings.Counter {
+		s.counter.setAddress(next.Counter)
 	}
-	if next.Discovery != g.discovery {
+	if next.Discovery != s.discoveryAddress {
 		// A version of the old address may mean nothing to the new one. The new watch
 		// starts from the whole list; until that comes, the old list stands.
-		g.unwatch()
-		g.watch(next.Discovery, true)
+		s.stopWatch()
+		s.watchDiscovery(next.Discovery, true)
 	}
 	restart := next.Listen != c.Listen || next.Sockets != c.Sockets || next.MemoryMB != c.MemoryMB ||
 		next.Cores != c.Cores || !reflect.DeepEqual(next.Deployment, c.Deployment)
-	g.log.Info("discovery and counter are as the new configuration says", "discovery", next.Discovery,
+	s.log.Info("discovery and counter are as the new configuration says", "discovery", next.Discovery,
 		"counter", next.Counter, "rest_needs_restart", restart)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -68,12 +68,12 @@
 	if got := r.ready(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the list is had: %d", got)
 	}
-	r.registry.answers <- listing(true, "Ready", backends...)
+	r.registry.answers <- listingOf(true, "Ready", backends...)
 	r.until(t, http.StatusOK)
 	return r
 }
 
-func listing(reset bool, lifecycle string, backends ...*peer) Listing {
+func listingOf(reset bool, lifecycle string, backends ...*peer) Listing {
 	l := Listing{Generation: 1, Reset: reset, Instances: []Instance{}}
 	for _, b := range backends {
 		l.Instances = append(l.Instances, Instance{ID: b.address(), HostPort: b.address(), Zone: "a", MachineType: "m",
@@ -104,8 +104,8 @@
 var asked atomic.Int64 // requests have ids of their own
 
 func ask(method, class, body string, change ...string) string {
-	headers := map[string]string{idHeader: fmt.Sprintf("%016x", asked.Add(1)), classHeader: class, planHeader: "basic",
-		clientHeader: "00000000b4d65521", leftHeader: "15000", termsHeader: "units=2,spread=2,first=1", keyHeader: "k1"}
+	headers := map[string]string{correlationIDHeader: fmt.Sprintf("%016x", asked.Add(1)), classHeader: class, planHeader: "basic",
+		apiKeyHeader: "00000000b4d65521", timeLeftHeader: "15000", quotaHeader: "units=2,spread=2,first=1", idempotencyKeyHeader: "k1"}
 	path := "/" + class
 	for i := 0; i < len(change); i += 2 {
 		if change[i] == "path" {
@@ -174,34 +174,34 @@
 		name, text string
 		status     int
 	}{
-		{"no id", ask("GET", "lookup", "", idHeader, ""), 400},
+		{"no id", ask("GET", "lookup", "", correlationIDHeader, ""), 400},
 		{"unknown class", ask("GET", "lookups", ""), 400},
 		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400},
 		{"a path with no first part", ask("GET", "lookup", "", "path", "//lookup"), 400},
 		{"unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", ask("GET", "lookup", "", clientHeader, "b4d65521"), 400},
-		{"a customer too high", ask("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
-		{"no time", ask("GET", "lookup", "", leftHeader, ""), 400},
-		{"no time left", ask("GET", "lookup", "", leftHeader, "0"), 400},
-		{"time without end", ask("GET", "lookup", "", leftHeader, "99999999999999999999"), 400},
-		{"no terms", ask("GET", "lookup", "", termsHeader, ""), 400},
-		{"no number", ask("GET", "lookup", "", termsHeader, "units=NaN,spread=2,first=0"), 400},
-		{"too many units", ask("GET", "lookup", "", termsHeader, "units=5,spread=2,first=0"), 400},
-		{"a set beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
-		{"a gateway beyond the fleet", ask("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
-		{"no key", ask("POST", "booking", "x", keyHeader, ""), 400},
+		{"a short customer", ask("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400},
+		{"a customer too high", ask("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400},
+		{"no time", ask("GET", "lookup", "", timeLeftHeader, ""), 400},
+		{"no time left", ask("GET", "lookup", "", timeLeftHeader, "0"), 400},
+		{"time without end", ask("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
+		{"no terms", ask("GET", "lookup", "", quotaHeader, ""), 400},
+		{"no number", ask("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400},
+		{"too many units", ask("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400},
+		{"a set beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400},
+		{"a gateway beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400},
+		{"no key", ask("POST", "booking", "x", idempotencyKeyHeader, ""), 400},
 		{"the wrong method", ask("POST", "lookup", "x"), 405},
 		{"a keyed GET", ask("GET", "booking", ""), 405},
-		{"a large body", ask("POST", "booking", strings.Repeat("x", mostBody+1)), 413},
+		{"a large body", ask("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413},
 		{"a large body in chunks", ask("POST", "booking", "", "Transfer-Encoding", "chunked") +
 			"2\r\nok\r\n0\r\n\r\n", 411},
-		{"a set told twice", ask("GET", "lookup", "", termsHeader, "units=1,spread=2,spread=1,first=0"), 400},
+		{"a set told twice", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400},
 		{"a header told twice", ask("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
 		{"a GET with a body", ask("GET", "lookup", "x"), 400},
 		{"two lengths", ask("POST", "booking", "ok", "content-length", "3"), 400},
 		{"a negative length", ask("POST", "booking", "", "Content-Length", "-2"), 400},
 		{"HTTP/1.0", strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*mostHeader)), 431},
+		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
 	} {
 		_, answers := r.client(t, c.text)
 		if resp := wait(t, answers, "answer to "+c.name); resp.StatusCode != c.status || !resp.Close {
@@ -236,11 +236,11 @@
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	_, first := r.client(t, ask("POST", "booking", "mine", idHeader, "one"))
+	_, first := r.client(t, ask("POST", "booking", "mine", correlationIDHeader, "one"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	for range 2 {
-		_, second := r.client(t, ask("GET", "lookup", "", idHeader, "one"))
+		_, second := r.client(t, ask("GET", "lookup", "", correlationIDHeader, "one"))
 		if resp := wait(t, second, "answer to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
@@ -317,7 +317,7 @@
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.1, "depth": 20}`,
 		`"fleetSize": 2`, `"fleetSize": 6`, // so many that own shares pay for nothing while the counter answers
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 1`).Replace, backend)
-	_, answers := r.client(t, ask("GET", "lookup", "", termsHeader, "units=2,spread=6,first=1"))
+	_, answers := r.client(t, ask("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
 	serveOne(t, backend, "ok")
@@ -448,14 +448,14 @@
 	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the request that was held: status %d", resp.StatusCode)
 	}
-	other.answers <- listing(true, "Ready", second)
+	other.answers <- listingOf(true, "Ready", second)
 	if query := wait(t, other.calls, "watch"); query != "since=1&timeout_ms=2800" {
 		t.Errorf("watch %q", query)
 	}
 	if _, err := cr.ReadByte(); err != io.EOF {
 		t.Errorf("the old counter's connection: %v", err)
 	}
-	_, answers := r.client(t, ask("GET", "lookup", "", clientHeader, "0000000000000001"))
+	_, answers := r.client(t, ask("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
 	calls, cr = moved.accept(t)
 	call, _ = readRequest(t, cr)
 	total(calls, 200, call.URL.Query().Get("add"))
@@ -496,7 +496,7 @@
 	// The call after the one that told of the drain shows that it was heard.
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
-	r.registry.answers <- listing(false, "Terminating", backend)
+	r.registry.answers <- listingOf(false, "Terminating", backend)
 	wait(t, r.registry.calls, "next watch")
 	_, answers := r.client(t, ask("GET", "glance", ""))
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -23,7 +23,7 @@
 
 // busy is a gateway whose loop a test can hold up.
 type busy struct {
-	loop    *Loop
+	loop    *eventLoop
 	address string
 	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it hears a list
 	held    chan struct{}
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	b := &busy{held: make(chan struct{})}
-	pools := newPools(patience, time.Minute, 100)
-	b.loop = newLoop(&c, pools, nil, func() {
+	pools := newConnectionPools(patience, time.Minute, 100)
+	b.loop = newEventLoop(&c, pools, nil, func() {
 		if gate := b.gate.Swap(nil); gate != nil {
 			b.held <- struct{}{}
 			<-*gate
@@ -48,19 +48,19 @@
 	for i := range leavers {
 		told.Instances = append(told.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	b.loop.list(told, policy.FullList)
+	b.loop.applyListing(told, policy.FullList)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.address = l.Addr().String()
-	front := &frontend{loop: b.loop, deploy: &c.Deployment}
-	callers := newClients(way(l), 2*leavers)
-	server := front.server(callers, patience)
+	front := &frontend{loop: b.loop, deployment: &c.Deployment}
+	callers := newClientConnections(way(l), 2*leavers)
+	server := front.newServer(callers, patience)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { b.loop.run(ctx) })
-	wg.Go(func() { pools.sweep(ctx) })
+	wg.Go(func() { pools.sweepIdle(ctx) })
 	wg.Go(func() { server.Serve(callers) })
 	t.Cleanup(func() { server.Close(); stop(); wg.Wait(); b.loop.attempts.Wait() })
 	return b
@@ -71,7 +71,7 @@
 	t.Helper()
 	gate := make(chan struct{})
 	b.gate.Store(&gate)
-	b.loop.post(listed{kind: policy.Delta})
+	b.loop.post(listingReceived{kind: policy.Delta})
 	wait(t, b.held, "list")
 	free = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(free)
@@ -103,7 +103,7 @@
 // served has a client that stays sent on and answered.
 func (b *busy) served(t *testing.T, id string) {
 	t.Helper()
-	resp, err := exchangeOn(t, dial(t, b.address, ""), ask("GET", "lookup", "", idHeader, id, termsHeader, alone))
+	resp, err := exchangeOn(t, dial(t, b.address, ""), ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, alone))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
@@ -123,14 +123,14 @@
 			var begun atomic.Int32
 			came, answer := make(chan struct{}, leavers), make(chan struct{})
 			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				switch id := r.Header.Get(idHeader); {
+				switch id := r.Header.Get(correlationIDHeader); {
 				case id == "stays":
 				case after.Load():
 					begun.Add(1)
 				default:
 					came <- struct{}{}
 					<-answer
-					w.Header().Set(notRunHeader, "1")
+					w.Header().Set(unprocessedHeader, "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
 			}))
@@ -142,7 +142,7 @@
 				free = b.hold(t)
 			}
 			for range leavers {
-				conns = append(conns, dial(t, b.address, ask("GET", "lookup", "", termsHeader, alone)))
+				conns = append(conns, dial(t, b.address, ask("GET", "lookup", "", quotaHeader, alone)))
 			}
 			if first {
 				b.inboxHas(t, leavers) // they have arrived
@@ -173,7 +173,7 @@
 	t.Parallel()
 	backend := newCrowded(t)
 	b := newBusy(t, backend.address, unchangedWay)
-	conn := dial(t, b.address, ask("POST", "payment", "x", termsHeader, alone))
+	conn := dial(t, b.address, ask("POST", "payment", "x", quotaHeader, alone))
 	for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -198,7 +198,7 @@
 			t.Parallel()
 			var begun atomic.Int32
 			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if r.Header.Get(idHeader) != "stays" {
+				if r.Header.Get(correlationIDHeader) != "stays" {
 					begun.Add(1)
 				}
 			}))
@@ -208,7 +208,7 @@
 				return &gated{Listener: l, accepted: func() { <-gate }}
 			})
 			for range leavers {
-				leave(dial(t, b.address, ask("POST", "booking", "x", termsHeader, alone)))
+				leave(dial(t, b.address, ask("POST", "booking", "x", quotaHeader, alone)))
 			}
 			close(gate)
 			b.served(t, "stays") // it was accepted after them
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -22,7 +22,7 @@
 }
 
 // runHollow runs a hollow gateway with one backend until the test, or what it returns, ends it.
-func runHollow(t *testing.T, settings, counter string, backend Backend) (h *Hollow, end func()) {
+func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
 	discovery := newRegistry(t)
 	discovery.answers <- Listing{Generation: 1, Reset: true, Instances: []Instance{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
@@ -63,7 +63,7 @@
 	got, sent := map[int]int{}, atomic.Int64{}
 	for n := range 3 * burst {
 		began, answered := time.Now(), make(chan int, 2)
-		h.Ask(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
+		h.Submit(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
 		status := wait(t, answered, "answer")
 		got[status]++
@@ -80,12 +80,12 @@
 	agree := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		made, unanswered := h.Calls()
+		made, unanswered := h.CounterCalls()
 		return made > 0 && made == calls && unanswered == 0
 	}
 	for until := time.Now().Add(patience); !agree(); time.Sleep(time.Millisecond) { // one may be on its way
 		if time.Now().After(until) {
-			made, unanswered := h.Calls()
+			made, unanswered := h.CounterCalls()
 			t.Fatalf("%d calls told of, %d of them unanswered, and the counter had others", made, unanswered)
 		}
 	}
@@ -96,7 +96,7 @@
 	h, end := runHollow(t, testSettings, "127.0.0.1:1", steady(time.Hour))
 	answered, sent := make(chan int, 2), make(chan struct{})
 	ask := func(id string, sent func()) {
-		h.Ask(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
+		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
 	}
 	ask("one", func() { close(sent) })
 	wait(t, sent, "send")
@@ -111,10 +111,10 @@
 
 // Nothing is sent to a backend that discovery does not list.
 func TestHollowUnlisted(t *testing.T) {
-	b := &hollowBackends{loop: &Loop{}, backend: steady(0)}
+	b := &hollowTransport{loop: &eventLoop{}, backend: steady(0)}
 	a, ends := newAttempt(time.Hour), make(chan policy.Outcome, 1)
-	a.x.sent = func() { t.Error("told as sent") }
-	b.begin(a, func(r result) { ends <- r.outcome })
+	a.request.onSent = func() { t.Error("told as sent") }
+	b.startAttempt(a, func(r attemptResult) { ends <- r.outcome })
 	if got := wait(t, ends, "end"); got != policy.ConnectFailed {
 		t.Errorf("ended as %v", got)
 	}
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -25,16 +25,16 @@
 		{"two may be chance", 300 * time.Millisecond, 0, 2, 0, forever},
 		{"breaks at random", 300 * time.Millisecond, 80, 10, 0, forever},
 		{"a rest that is always trusted", time.Millisecond, 0, 9, 0, forever},
-		{"beyond the longest step", time.Hour, 0, 9, 0, idleLeast << (idleSteps - 1)},
-		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleSpan, forever},
+		{"beyond the longest step", time.Hour, 0, 9, 0, minIdleBucket << (idleBuckets - 1)},
+		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, forever},
 	} {
-		var trust idleTrust
+		var trust idleLimitEstimator
 		now := time.Now()
 		for range c.held {
-			trust.note(now, c.rest, false)
+			trust.observe(now, c.rest, false)
 		}
 		for range c.broken {
-			trust.note(now, c.rest, true)
+			trust.observe(now, c.rest, true)
 		}
 		if got := trust.limit(now.Add(c.later)); got != c.want {
 			t.Errorf("%s: limit %v, want %v", c.name, got, c.want)
@@ -47,22 +47,22 @@
 func TestForgottenConnections(t *testing.T) {
 	t.Parallel()
 	far := newPeer(t)
-	p := newPools(patience, patience, 8)
+	p := newConnectionPools(patience, patience, 8)
 	defer func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		p.sweep(ctx)
+		p.sweepIdle(ctx)
 	}()
-	p.update(1, far.address(), 0)
+	p.updateEndpoint(1, far.address(), 0)
 	attemptOnce := func() chan policy.Outcome {
-		a := &attempt{x: &exchange{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
-			until: time.Now().Add(patience)}
-		a.ctx, a.cancel = context.WithCancel(context.Background())
+		a := &attempt{request: &clientRequest{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
+			socketDeadline: time.Now().Add(patience)}
+		a.ctx, a.cancelContext = context.WithCancel(context.Background())
 		ended := make(chan policy.Outcome, 1)
-		go func() { defer a.cancel(); ended <- p.attempt(a).outcome }()
+		go func() { defer a.cancelContext(); ended <- p.roundTrip(a).outcome }()
 		return ended
 	}
-	for round := 0; p.trust.limit(time.Now()) == math.MaxInt64; round++ {
+	for round := 0; p.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
 			t.Fatal("nothing was learnt")
 		}
@@ -73,7 +73,7 @@
 		if got := wait(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
-		time.Sleep(2 * idleLeast) // the rest itself is what is tested
+		time.Sleep(2 * minIdleBucket) // the rest itself is what is tested
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
@@ -86,11 +86,11 @@
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	wait(t, ended, "outcome")
-	limit := p.trust.limit(time.Now())
-	for range int(idleBroken) {
-		p.trust.note(time.Now(), limit, true) // lest it fade while this test waits
+	limit := p.idleEstimator.limit(time.Now())
+	for range int(minBreaks) {
+		p.idleEstimator.observe(time.Now(), limit, true) // lest it fade while this test waits
 	}
-	time.Sleep(limit + idleLeast)
+	time.Sleep(limit + minIdleBucket)
 	ended = attemptOnce()
 	conn, r = far.accept(t)
 	readRequest(t, r)
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -12,8 +12,8 @@
 // The counts are told by name, by reason and by outcome, and zeros are left out.
 func TestMetricsLine(t *testing.T) {
 	var m metrics
-	m.add(requestsTaken)
-	m.refused[policy.ReasonQuota].Add(2)
+	m.add(requestsAccepted)
+	m.rejected[policy.ReasonQuota].Add(2)
 	m.attempts[policy.TimedOut].Add(3)
 	var text bytes.Buffer
 	slog.New(slog.NewTextHandler(&text, nil)).Info("counts", "since_start", &m)
--- a/internal/gateway/queued_test.go
+++ b/internal/gateway/queued_test.go
@@ -38,15 +38,15 @@
 		}
 		near, _ := p.accept(t)
 		t.Cleanup(func() { far.Close(); near.Close() })
-		io.WriteString(far, ask("GET", "lookup", "", leftHeader, "5000"))
-		for end := time.Now().Add(patience); alive(near) && time.Now().Before(end); {
+		io.WriteString(far, ask("GET", "lookup", "", timeLeftHeader, "5000"))
+		for end := time.Now().Add(patience); isQuiet(near) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		return near
 	}
 	q := queue{make(chan net.Conn, 10)}
-	table := newClients(q, 1)
-	f := &frontend{loop: &Loop{clock: newClock()}, deploy: &c.Deployment}
+	table := newClientConnections(q, 1)
+	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &c.Deployment}
 	accept := func() *clientConn {
 		conn, err := table.Accept()
 		if err != nil {
@@ -62,19 +62,19 @@
 	if left := told(first); left < 4900*time.Millisecond {
 		t.Errorf("no wait: %v of 5 s are left", left)
 	}
-	// Two find no room, for leastGrace each; the third does.
+	// Two find no room, for minEvictionGrace each; the third does.
 	for range 3 {
 		q.conns <- dial()
 	}
 	began := time.Now()
-	time.AfterFunc(2*leastGrace+leastGrace/2, func() {
+	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		table.forget(first)
 	})
 	third := accept()
 	waited := time.Since(began)
-	if left := told(third); left > 5*time.Second-waited+5*time.Millisecond || waited < 2*leastGrace {
+	if left := told(third); left > 5*time.Second-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
 		t.Errorf("after a wait of %v, %v of 5 s are left", waited, left)
 	}
 	// Room again, and nobody waits.
@@ -97,10 +97,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = r.WithContext(context.WithValue(r.Context(), connKey{}, conn))
-	x, _, err := f.read(httptest.NewRecorder(), r)
+	r = r.WithContext(context.WithValue(r.Context(), connContextKey{}, conn))
+	x, _, err := f.decode(httptest.NewRecorder(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.loop.clock.at(x.ask.Deadline)
+	return f.loop.clock.toTime(x.decoded.Deadline)
 }
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -112,7 +112,7 @@
 			backend, counter := newPeer(t), newPeer(t)
 			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
 			id := fmt.Sprintf("left-%d", extra)
-			conn, answers := r.client(t, ask("GET", "lookup", "", idHeader, id))
+			conn, answers := r.client(t, ask("GET", "lookup", "", correlationIDHeader, id))
 			calls, cr := counter.accept(t)
 			call, _ := readRequest(t, cr) // the request waits for its units
 			io.WriteString(conn, strings.Repeat("x", extra))
@@ -123,7 +123,7 @@
 			total(calls, http.StatusOK, call.URL.Query().Get("add"))
 			_, answers = r.client(t, ask("GET", "lookup", ""))
 			bc, br := backend.accept(t)
-			if req, _ := readRequest(t, br); req.Header.Get(idHeader) == id {
+			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) == id {
 				t.Error("the request of the one that left was sent on")
 			}
 			total(bc, http.StatusOK, "ok")
@@ -143,7 +143,7 @@
 	conn, _ := r.client(t, ask("GET", "lookup", ""))
 	_, br := backend.accept(t)
 	readRequest(t, br)
-	go io.WriteString(conn, strings.Repeat("x", 4*mostAhead)) // ends with the connection
+	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("the attempt's connection: %v", err)
 	}
@@ -326,7 +326,7 @@
 			}
 			at := wait(t, waiting, "read")
 			io.WriteString(conn, ask("GET", "glance", ""))
-			for end := time.Now().Add(patience); alive(at.TCPConn) && time.Now().Before(end); {
+			for end := time.Now().Add(patience); isQuiet(at.TCPConn) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond) // the request is on its way through the kernel
 			}
 			r.stop()
@@ -362,7 +362,7 @@
 			r.stop()
 			select {
 			case <-c.ended: // the stop has closed idle connections
-			case <-time.After(frontDelay / 4): // or waits for this one
+			case <-time.After(lateConnectionDelay / 4): // or waits for this one
 			}
 			close(stopped)
 		}
@@ -381,7 +381,7 @@
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took > frontDelay/2 {
+	if took := time.Since(began); took > lateConnectionDelay/2 {
 		t.Errorf("closed %.3f s after the other idle ones", took.Seconds())
 	}
 }
@@ -457,7 +457,7 @@
 			r := newRigWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 			r.list(t, backend.address)
-			conn, answers := r.client(t, ask("POST", "payment", "x", idHeader, "left"))
+			conn, answers := r.client(t, ask("POST", "payment", "x", correlationIDHeader, "left"))
 			for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
@@ -470,10 +470,10 @@
 					t.Fatal("its dial goes on")
 				}
 			}
-			_, answers = r.client(t, ask("POST", "payment", "x", idHeader, "stays"))
+			_, answers = r.client(t, ask("POST", "payment", "x", correlationIDHeader, "stays"))
 			bc, br := backend.accept(t)
-			if req, _ := readRequest(t, br); req.Header.Get(idHeader) != "stays" {
-				t.Errorf("request %q was sent on", req.Header.Get(idHeader))
+			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) != "stays" {
+				t.Errorf("request %q was sent on", req.Header.Get(correlationIDHeader))
 			}
 			total(bc, http.StatusOK, "ok")
 			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
@@ -520,7 +520,7 @@
 	for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	told := listing(true, "Ready", other)
+	told := listingOf(true, "Ready", other)
 	told.Instances = append(told.Instances, Instance{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
 	r.registry.answers <- told
 	serveOne(t, other, "ok")
@@ -562,7 +562,7 @@
 	}
 	wait(t, waiting, "connection")
 	r.stop()
-	time.Sleep(newStopSchedule(20*time.Second).listen + 50*time.Millisecond) // the moment that is to be crossed
+	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
 	close(gate)
 	for _, answers := range all {
 		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
@@ -634,7 +634,7 @@
 	if err := wait(t, r.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took, most := time.Since(began), newStopSchedule(time.Second).listen+reading/2; took > most {
+	if took, most := time.Since(began), newShutdownSchedule(time.Second).listenUntil+reading/2; took > most {
 		t.Errorf("ended %v after the stop, want %v at most", took, most)
 	}
 }
@@ -683,21 +683,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLoop(&c, newPools(patience, time.Minute, 8), newCounter(far.address(), patience), func() {})
-	l.list(listing(true, "Ready", backend), policy.FullList)
+	l := newEventLoop(&c, newConnectionPools(patience, time.Minute, 8), newCounterClient(far.address(), patience), func() {})
+	l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
-	x := &exchange{id: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-		ask: policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15}}
-	l.arrive(x)
-	for _, calls := range l.calls {
-		l.take(callDone{calls[0], policy.Served, calls[0].amount})
+	x := &clientRequest{correlationID: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
+		decoded: policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15}}
+	l.startRequest(x)
+	for _, calls := range l.pendingCalls {
+		l.handleMessage(counterCallDone{calls[0], policy.Served, calls[0].amount})
 	}
 	if len(x.attempts) != 1 {
 		t.Fatalf("%d attempts by the grant", len(x.attempts))
 	}
-	l.take(clientGone{x})
-	if !x.attempts[0].ended || len(x.reply) != 0 || len(l.live) != 0 {
-		t.Errorf("attempt ended %t, %d answers, %d live", x.attempts[0].ended, len(x.reply), len(l.live))
+	l.handleMessage(clientDisconnected{x})
+	if !x.attempts[0].ended || len(x.response) != 0 || len(l.requests) != 0 {
+		t.Errorf("attempt ended %t, %d answers, %d live", x.attempts[0].ended, len(x.response), len(l.requests))
 	}
 	close(l.stopped)
 	l.attempts.Wait() // it has been called off, whatever the backend does
@@ -741,25 +741,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, ends := range map[string]func(*Loop, *exchange){
-		"the time-out of the attempt": func(l *Loop, x *exchange) { l.due(timerEntry{attempt: x.attempts[0]}) },
-		"a client that leaves":        func(l *Loop, x *exchange) { l.take(clientGone{x}) },
+	for name, ends := range map[string]func(*eventLoop, *clientRequest){
+		"the time-out of the attempt": func(l *eventLoop, x *clientRequest) { l.fireTimer(timerEntry{attempt: x.attempts[0]}) },
+		"a client that leaves":        func(l *eventLoop, x *clientRequest) { l.handleMessage(clientDisconnected{x}) },
 	} {
 		backend := newPeer(t)
-		p := newPools(patience, time.Minute, 8)
-		l := newLoop(&c, p, nil, func() {})
-		l.list(listing(true, "Ready", backend), policy.FullList)
+		p := newConnectionPools(patience, time.Minute, 8)
+		l := newEventLoop(&c, p, nil, func() {})
+		l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
 		now := l.clock.now()
-		x := &exchange{id: "one", method: "POST", uri: "/payment", host: "h", header: http.Header{}, reply: make(chan answer, 2),
-			ask: policy.Request{Class: 2, Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15}}
-		l.arrive(x)
+		x := &clientRequest{correlationID: "one", method: "POST", uri: "/payment", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
+			decoded: policy.Request{Class: 2, Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15}}
+		l.startRequest(x)
 		_, br := backend.accept(t)
 		readRequest(t, br)
 		ends(l, x)
-		owed := len(x.reply)
-		l.take(attemptDone{x.attempts[0], result{outcome: policy.Served, header: http.Header{}, body: []byte("late")}})
-		if len(x.reply) != owed || len(l.live) != 0 || x.out != 0 {
-			t.Errorf("%s: %d answers for %d, %d requests live", name, len(x.reply), owed, len(l.live))
+		owed := len(x.response)
+		l.handleMessage(attemptDone{x.attempts[0], attemptResult{outcome: policy.Served, header: http.Header{}, body: []byte("late")}})
+		if len(x.response) != owed || len(l.requests) != 0 || x.attemptsInFlight != 0 {
+			t.Errorf("%s: %d answers for %d, %d requests live", name, len(x.response), owed, len(l.requests))
 		}
 		if _, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("%s: the attempt's connection: %v", name, err)
@@ -786,7 +786,7 @@
 	}
 	defer slow.Close()
 	io.WriteString(slow, ask("GET", "lookup", ""))
-	serveOne(t, backend, strings.Repeat("x", mostBody))
+	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
 	for range 2 { // on a connection of its own, or on the first again
 		_, answers := r.client(t, ask("GET", "glance", ""))
 		resp := wait(t, answers, "another client's answer")
@@ -806,17 +806,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &frontend{loop: &Loop{clock: newClock()}, deploy: &c.Deployment}
+	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &c.Deployment}
 	for left, most := range map[string]float64{"3600000": 20, "7000": 7} {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", "", leftHeader, left))))
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", "", timeLeftHeader, left))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, _, err := f.read(httptest.NewRecorder(), r)
+		x, _, err := f.decode(httptest.NewRecorder(), r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.ask.Deadline - x.ask.SentAt + answerMargin; got < most-0.001 || got > most+0.001 {
+		if got := x.decoded.Deadline - x.decoded.SentAt + responseMargin; got < most-0.001 || got > most+0.001 {
 			t.Errorf("%s ms: held for up to %.3f s, want %.3f", left, got, most)
 		}
 	}
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -67,7 +67,7 @@
 // calls sums up the calls of the group's gateways to the counter so far.
 func (g *group) calls() (c calls) {
 	for _, h := range g.gateways {
-		made, unanswered := h.Calls()
+		made, unanswered := h.CounterCalls()
 		c.made, c.unanswered = c.made+made, c.unanswered+unanswered
 	}
 	return c
@@ -131,7 +131,7 @@
 func (g *group) ask(t try) {
 	r := policy.Request{Customer: t.c.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstGateway: g.First + t.c.first,
 		Gateways: g.Spread, Deadline: (g.deadline - time.Since(t.due)).Seconds(), IsRetry: t.repeat}
-	g.gateways[t.c.first+t.place].Ask(r, t.id, func() { g.sent(t) },
+	g.gateways[t.c.first+t.place].Submit(r, t.id, func() { g.sent(t) },
 		func(status int, wait float64) { g.answered(t, status, seconds(wait)) })
 }
 
