--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -23,21 +23,21 @@
 // instance is one gateway; gateway is nil while it is stopped.
 type instance struct {
 	settings policy.Settings
-	gateway  *policy.Engine
+	engine   *policy.Engine
 	actions  []policy.Action
-	listed   bool // it is in the order of this reply
+	inReply  bool // it is in the order of this reply
 }
 
 // host keeps the instances apart: nothing passes from one to another.
 type host struct {
-	instances map[uint32]*instance
-	order     []uint32 // instances with events in this batch
+	instances  map[uint32]*instance
+	replyOrder []uint32 // instances with events in this batch
 }
 
 // serve answers each batch until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriter(out)
+	writer := bufio.NewWriter(out)
 	h := host{instances: map[uint32]*instance{}}
 	var reply wire.Reply
 	for {
@@ -48,64 +48,64 @@
 		if err != nil {
 			return err
 		}
-		if err := h.run(batch, &reply); err != nil {
+		if err := h.handleBatch(batch, &reply); err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Seq, err)
 		}
-		if _, err := w.Write(reply.Bytes()); err != nil {
+		if _, err := writer.Write(reply.Bytes()); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// run hands a batch to its instances and fills the reply.
-func (h *host) run(b wire.Batch, reply *wire.Reply) error {
-	reply.Reset(b.Seq)
-	h.order = h.order[:0]
-	for _, rec := range b.Records {
-		if err := h.record(b.Now, rec); err != nil {
+// handleBatch hands a batch to its instances and fills the reply.
+func (h *host) handleBatch(batch wire.Batch, reply *wire.Reply) error {
+	reply.Reset(batch.Seq)
+	h.replyOrder = h.replyOrder[:0]
+	for _, rec := range batch.Records {
+		if err := h.handleRecord(batch.Now, rec); err != nil {
 			return err
 		}
 	}
-	for _, number := range h.order {
-		i := h.instances[number]
-		i.listed = false
-		if err := reply.Add(number, i.actions); err != nil {
+	for _, id := range h.replyOrder {
+		inst := h.instances[id]
+		inst.inReply = false
+		if err := reply.Add(id, inst.actions); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) record(now float64, rec wire.Record) error {
-	i := h.instances[rec.Gateway]
-	if i == nil {
+func (h *host) handleRecord(now float64, rec wire.Record) error {
+	inst := h.instances[rec.Instance]
+	if inst == nil {
 		if rec.Start == nil {
-			return fmt.Errorf("instance %d has not started", rec.Gateway)
+			return fmt.Errorf("instance %d has not started", rec.Instance)
 		}
-		i = &instance{}
-		h.instances[rec.Gateway] = i
+		inst = &instance{}
+		h.instances[rec.Instance] = inst
 	}
-	if !i.listed {
-		i.listed, i.actions = true, i.actions[:0]
-		h.order = append(h.order, rec.Gateway)
+	if !inst.inReply {
+		inst.inReply, inst.actions = true, inst.actions[:0]
+		h.replyOrder = append(h.replyOrder, rec.Instance)
 	}
 	switch {
 	case rec.Start != nil:
-		i.settings = rec.Start.Settings
-		i.actions = i.actions[:0]
-		i.gateway, i.actions = policy.New(rec.Start.Settings, rec.Start.Seed, now, i.actions)
+		inst.settings = rec.Start.Settings
+		inst.actions = inst.actions[:0]
+		inst.engine, inst.actions = policy.New(rec.Start.Settings, rec.Start.Seed, now, inst.actions)
 	case rec.Stop:
-		i.gateway, i.actions = nil, i.actions[:0]
-	case i.gateway != nil: // events for a stopped instance are void
-		if r, ok := rec.Event.(policy.Request); ok {
-			if r.Class >= len(i.settings.Classes) || r.Plan >= len(i.settings.Plans) {
-				return fmt.Errorf("request %d: no such class or plan in the settings", r.ID)
+		inst.engine, inst.actions = nil, inst.actions[:0]
+	case inst.engine != nil: // events for a stopped instance are void
+		if request, ok := rec.Event.(policy.Request); ok {
+			if request.Class >= len(inst.settings.Classes) || request.Plan >= len(inst.settings.Plans) {
+				return fmt.Errorf("request %d: no such class or plan in the settings", request.ID)
 			}
 		}
-		i.actions = i.gateway.Handle(now, rec.Event, i.actions)
+		inst.actions = inst.engine.Handle(now, rec.Event, inst.actions)
 	}
 	return nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,7 +13,7 @@
 const settings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
 	"tickS": 0.002, "allowed": {"mostTries": 2}}`
 
-func batch(seq uint32, records ...[]byte) []byte {
+func encodeBatch(seq uint32, records ...[]byte) []byte {
 	var body []byte
 	for _, r := range records {
 		body = append(body, r...)
@@ -32,8 +32,8 @@
 }
 
 func TestRestartInOneBatch(t *testing.T) {
-	in := batch(1, instanceRecord(2), attach(), []byte{25}, attach())
-	in = append(in, batch(2)...)
+	in := encodeBatch(1, instanceRecord(2), attach(), []byte{25}, attach())
+	in = append(in, encodeBatch(2)...)
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 func TestUnknownPlanAndInstance(t *testing.T) {
 	ask := append([]byte{18}, make([]byte, 37)...)
 	ask[10] = 9 // plan
-	for _, in := range [][]byte{batch(1, instanceRecord(2), attach(), ask), batch(1, instanceRecord(2), []byte{25})} {
+	for _, in := range [][]byte{encodeBatch(1, instanceRecord(2), attach(), ask), encodeBatch(1, instanceRecord(2), []byte{25})} {
 		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
 			t.Error("no error")
 		}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -124,7 +124,7 @@
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
 		return fmt.Errorf("settings: rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
-	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
+	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.IdleTimeout <= 0:
 		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
 	case c.Settings.Counter && c.CounterTimeout <= 0:
 		return errors.New("settings: the counter's time-out must be above 0")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,7 +62,7 @@
 
 func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
 	maxClients := config.maxClientConns()
-	pools := newConnectionPools(seconds(config.ConnectTimeout), seconds(config.KeepAlive), config.Sockets-reservedFDs-maxClients)
+	pools := newConnectionPools(seconds(config.ConnectTimeout), seconds(config.IdleTimeout), config.Sockets-reservedFDs-maxClients)
 	s := &server{config: config, log: config.logger()}
 	if config.Settings.Counter {
 		s.counter = newCounterClient(config.Counter, seconds(config.CounterTimeout))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,85 +7,85 @@
 	"amberlb/policy"
 )
 
-// options mirrors the JSON of an Attach record; unknown keys are passed over.
-type options struct {
-	Allowed struct {
-		Cancel          bool    `json:"cancel"`
-		ConnectTimeoutS float64 `json:"connectTimeoutS"`
-		KeepaliveS      float64 `json:"keepaliveS"`
-		MaxOpen         int     `json:"maxOpen"`
-		MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
-		MayDuplicate    bool    `json:"mayDuplicate"`
-		MostTries       int     `json:"mostTries"`
-		Probes          bool    `json:"probes"`
-		RetryAfter      bool    `json:"retryAfter"`
+// settingsJSON mirrors the JSON of an Attach record; unknown keys are passed over.
+type settingsJSON struct {
+	Capabilities struct {
+		CanCancel         bool    `json:"cancel"`
+		ConnectTimeoutS   float64 `json:"connectTimeoutS"`
+		IdleTimeoutS      float64 `json:"keepaliveS"`
+		MaxOpen           int     `json:"maxOpen"`
+		MaxRetryAfterS    float64 `json:"maxRetryAfterS"`
+		CanHedge          bool    `json:"mayDuplicate"`
+		MaxAttempts       int     `json:"mostTries"`
+		CanProbe          bool    `json:"probes"`
+		CanSendRetryAfter bool    `json:"retryAfter"`
 	} `json:"allowed"`
 	Classes []struct {
-		AimStretch float64 `json:"aimStretch"`
-		DeadlineS  float64 `json:"deadlineS"`
-		Effect     string  `json:"effect"`
-		KeyScope   string  `json:"keyScope"`
-		LateWorth  float64 `json:"lateWorth"`
-		Name       string  `json:"name"`
-		ObjectiveS float64 `json:"objectiveS"`
-		Points     float64 `json:"points"`
-		Streamed   bool    `json:"streamed"`
-		WindowS    float64 `json:"windowS"`
+		ObjectivePerUnitS float64 `json:"aimStretch"`
+		DeadlineS         float64 `json:"deadlineS"`
+		Idempotency       string  `json:"effect"`
+		DedupeScope       string  `json:"keyScope"`
+		LateWeightShare   float64 `json:"lateWorth"`
+		Name              string  `json:"name"`
+		ObjectiveS        float64 `json:"objectiveS"`
+		PriorityWeight    float64 `json:"points"`
+		Streamed          bool    `json:"streamed"`
+		DedupeWindowS     float64 `json:"windowS"`
 	} `json:"classes"`
-	Discovery  string `json:"discovery"`
-	FamilyInfo struct {
+	Discovery    string `json:"discovery"`
+	QuotaCounter struct {
 		CounterPrice    float64 `json:"counterPrice"`
 		CounterTimeoutS float64 `json:"counterTimeoutS"`
 		HasCounter      bool    `json:"hasCounter"`
-		MostUnits       float64 `json:"mostUnits"`
-		TruedUp         bool    `json:"truedUp"`
+		MaxUnits        float64 `json:"mostUnits"`
+		UnitsEstimated  bool    `json:"truedUp"`
 	} `json:"familyInfo"`
 	FleetSize  int `json:"fleetSize"`
 	LoadReport struct {
-		Fields []string `json:"fields"`
-		How    string   `json:"how"`
+		Fields   []string `json:"fields"`
+		Delivery string   `json:"how"`
 	} `json:"loadReport"`
-	Kinds       []string `json:"kinds"`
-	Localities  []string `json:"localities"`
-	Locality    int      `json:"locality"`
-	Obligations struct {
-		AnswerSlackS float64 `json:"answerSlackS"`
-		ColdFrom     float64 `json:"coldFrom"`
-		ColdS        float64 `json:"coldS"`
-		DrainGraceS  float64 `json:"drainGraceS"`
-		FallMultiple float64 `json:"fallMultiple"`
-		OverloadForS float64 `json:"overloadForS"`
+	Kinds        []string `json:"kinds"`
+	Zones        []string `json:"localities"`
+	Zone         int      `json:"locality"`
+	Requirements struct {
+		AnswerSlackS      float64 `json:"answerSlackS"`
+		SlowStartMinShare float64 `json:"coldFrom"`
+		SlowStartWindowS  float64 `json:"coldS"`
+		DrainGraceS       float64 `json:"drainGraceS"`
+		OverloadFactor    float64 `json:"fallMultiple"`
+		OverloadDurationS float64 `json:"overloadForS"`
 	} `json:"obligations"`
-	Packages []struct {
-		AtOnce        float64 `json:"atOnce"`
-		BeyondCosts   float64 `json:"beyondCosts"`
-		CapSlack      float64 `json:"capSlack"`
-		CeilingBurst  float64 `json:"ceilingBurst"`
-		Depth         float64 `json:"depth"`
-		Name          string  `json:"name"`
-		NeverOverRate float64 `json:"neverOverRate"`
-		OverWorth     float64 `json:"overWorth"`
-		Pays          float64 `json:"pays"`
-		UnitsPerS     float64 `json:"unitsPerS"`
+	Plans []struct {
+		MaxConcurrent   float64 `json:"atOnce"`
+		OverQuotaCost   float64 `json:"beyondCosts"`
+		CeilingSlack    float64 `json:"capSlack"`
+		CeilingBurst    float64 `json:"ceilingBurst"`
+		Burst           float64 `json:"depth"`
+		Name            string  `json:"name"`
+		CeilingRate     float64 `json:"neverOverRate"`
+		OverQuotaWeight float64 `json:"overWorth"`
+		WeightFactor    float64 `json:"pays"`
+		Rate            float64 `json:"unitsPerS"`
 	} `json:"packages"`
 	Prices struct {
-		CrossZone float64 `json:"crossZone"`
-		LateFail  float64 `json:"lateFail"`
-		Probe     float64 `json:"probe"`
-		Waste     float64 `json:"waste"`
+		CrossZone   float64 `json:"crossZone"`
+		LateFailure float64 `json:"lateFail"`
+		Probe       float64 `json:"probe"`
+		Waste       float64 `json:"waste"`
 	} `json:"prices"`
 	Rank    int     `json:"rank"`
 	TickS   float64 `json:"tickS"`
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]policy.Idempotency{"": policy.Idempotent, "repeatable": policy.Idempotent,
+var idempotencyByName = map[string]policy.Idempotency{"": policy.Idempotent, "repeatable": policy.Idempotent,
 	"by_key": policy.IdempotentByKey, "once": policy.NonIdempotent}
 
-var scopes = map[string]policy.DedupeScope{"": policy.ScopeAll, "all": policy.ScopeAll,
+var dedupeScopesByName = map[string]policy.DedupeScope{"": policy.ScopeAll, "all": policy.ScopeAll,
 	"zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
-var loadFields = map[string]policy.LoadField{"busy_reqs": policy.LoadInFlight, "pending": policy.LoadQueued,
+var loadFieldsByName = map[string]policy.LoadField{"busy_reqs": policy.LoadInFlight, "pending": policy.LoadQueued,
 	"cpu_share": policy.LoadCPU, "svc_ms": policy.LoadServiceMillis,
 	"served_ps": policy.LoadServedPerSecond, "failed_ps": policy.LoadErrorsPerSecond}
 
@@ -94,7 +94,7 @@
 type Deployment struct {
 	policy.Settings
 	ClassNames, PlanNames, Zones, Kinds []string
-	KeepAlive                           float64 // seconds; idle connections are closed after it
+	IdleTimeout                         float64 // seconds; idle connections are closed after it
 }
 
 // ParseSettings reads the settings of an Attach record.
@@ -105,42 +105,42 @@
 
 // ParseDeployment reads the settings with the names in them.
 func ParseDeployment(text []byte) (Deployment, error) {
-	var o options
-	if err := json.Unmarshal(text, &o); err != nil {
+	var parsed settingsJSON
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{Zones: o.Localities, Kinds: o.Kinds, KeepAlive: o.Allowed.KeepaliveS}
-	for _, c := range o.Classes {
+	d := Deployment{Zones: parsed.Zones, Kinds: parsed.Kinds, IdleTimeout: parsed.Capabilities.IdleTimeoutS}
+	for _, c := range parsed.Classes {
 		d.ClassNames = append(d.ClassNames, c.Name)
 	}
-	for _, p := range o.Packages {
+	for _, p := range parsed.Plans {
 		d.PlanNames = append(d.PlanNames, p.Name)
 	}
 	var err error
-	d.Settings, err = o.settings()
+	d.Settings, err = parsed.policySettings()
 	return d, err
 }
 
-// settings translates the options into what the decisions need.
-func (o *options) settings() (policy.Settings, error) {
-	s := o.figures()
-	for _, c := range o.Classes {
-		effect, known := effects[c.Effect]
+// policySettings translates the options into what the decisions need.
+func (j *settingsJSON) policySettings() (policy.Settings, error) {
+	s := j.generalSettings()
+	for _, c := range j.Classes {
+		idempotency, known := idempotencyByName[c.Idempotency]
 		if !known {
-			return s, fmt.Errorf("settings: effect %q is not known", c.Effect)
+			return s, fmt.Errorf("settings: effect %q is not known", c.Idempotency)
 		}
-		scope, known := scopes[c.KeyScope]
-		if !known && effect == policy.IdempotentByKey {
-			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
+		scope, known := dedupeScopesByName[c.DedupeScope]
+		if !known && idempotency == policy.IdempotentByKey {
+			return s, fmt.Errorf("settings: key scope %q is not known", c.DedupeScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{LatencyObjective: c.ObjectiveS, ObjectivePerUnit: c.AimStretch,
-			Deadline: c.DeadlineS, PriorityWeight: c.Points, LateWeightShare: c.LateWorth, Idempotency: effect,
-			DedupeScope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
+		s.Classes = append(s.Classes, policy.Class{LatencyObjective: c.ObjectiveS, ObjectivePerUnit: c.ObjectivePerUnitS,
+			Deadline: c.DeadlineS, PriorityWeight: c.PriorityWeight, LateWeightShare: c.LateWeightShare, Idempotency: idempotency,
+			DedupeScope: scope, DedupeWindow: c.DedupeWindowS, Streamed: c.Streamed})
 	}
-	for _, p := range o.Packages {
-		s.Plans = append(s.Plans, policy.Plan{WeightFactor: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverQuotaWeight: p.OverWorth, OverQuotaCost: p.BeyondCosts,
-			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
+	for _, p := range j.Plans {
+		s.Plans = append(s.Plans, policy.Plan{WeightFactor: p.WeightFactor, Rate: p.Rate, Burst: p.Burst,
+			MaxConcurrent: int(p.MaxConcurrent), OverQuotaWeight: p.OverQuotaWeight, OverQuotaCost: p.OverQuotaCost,
+			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
 		return s, fmt.Errorf("settings: no classes or no packages")
@@ -148,34 +148,34 @@
 	return s, nil
 }
 
-// figures translates all that is neither a class nor a plan.
-func (o *options) figures() policy.Settings {
+// generalSettings translates all that is neither a class nor a plan.
+func (j *settingsJSON) generalSettings() policy.Settings {
 	s := policy.Settings{
-		GatewayIndex: o.Rank, FleetSize: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
-		PollDiscovery:      o.Discovery == "ask",
-		ApproximateWeights: o.Weights == "rough" || o.Weights == "nominal",
-		LoadInline:         o.LoadReport.How == "inline",
+		GatewayIndex: j.Rank, FleetSize: j.FleetSize, Zone: j.Zone, Tick: j.TickS,
+		PollDiscovery:      j.Discovery == "ask",
+		ApproximateWeights: j.Weights == "rough" || j.Weights == "nominal",
+		LoadInline:         j.LoadReport.Delivery == "inline",
 
-		Counter:        o.FamilyInfo.HasCounter,
-		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
-		CounterPrice:   o.FamilyInfo.CounterPrice,
-		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsEstimated: o.FamilyInfo.TruedUp,
+		Counter:        j.QuotaCounter.HasCounter,
+		CounterTimeout: j.QuotaCounter.CounterTimeoutS,
+		CounterPrice:   j.QuotaCounter.CounterPrice,
+		MaxUnits:       j.QuotaCounter.MaxUnits,
+		UnitsEstimated: j.QuotaCounter.UnitsEstimated,
 
-		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
-		CanSendRetryAfter: o.Allowed.RetryAfter, MaxRetryAfter: o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxOpenRequests: o.Allowed.MaxOpen,
-		ConnectTimeout: o.Allowed.ConnectTimeoutS,
+		CanCancel: j.Capabilities.CanCancel, CanProbe: j.Capabilities.CanProbe, CanHedge: j.Capabilities.CanHedge,
+		CanSendRetryAfter: j.Capabilities.CanSendRetryAfter, MaxRetryAfter: j.Capabilities.MaxRetryAfterS,
+		MaxAttempts: j.Capabilities.MaxAttempts, MaxOpenRequests: j.Capabilities.MaxOpen,
+		ConnectTimeout: j.Capabilities.ConnectTimeoutS,
 
-		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
-		SlowStartMinShare: o.Obligations.ColdFrom, SlowStartWindow: o.Obligations.ColdS,
-		OverloadFactor: o.Obligations.FallMultiple, OverloadDuration: o.Obligations.OverloadForS,
+		AnswerSlack: j.Requirements.AnswerSlackS, DrainGrace: j.Requirements.DrainGraceS,
+		SlowStartMinShare: j.Requirements.SlowStartMinShare, SlowStartWindow: j.Requirements.SlowStartWindowS,
+		OverloadFactor: j.Requirements.OverloadFactor, OverloadDuration: j.Requirements.OverloadDurationS,
 
-		CrossZonePrice: o.Prices.CrossZone, WastePrice: o.Prices.Waste,
-		LateFailurePrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
+		CrossZonePrice: j.Prices.CrossZone, WastePrice: j.Prices.Waste,
+		LateFailurePrice: j.Prices.LateFailure, ProbePrice: j.Prices.Probe,
 	}
-	for _, f := range o.LoadReport.Fields {
-		s.LoadFields = append(s.LoadFields, loadFields[f])
+	for _, f := range j.LoadReport.Fields {
+		s.LoadFields = append(s.LoadFields, loadFieldsByName[f])
 	}
 	return s
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,7 +42,7 @@
 	if r != want || r.Deadline <= b.Now || r.Deadline > b.Now+1 {
 		t.Errorf("got %+v", r)
 	}
-	if b.Records[1].Event != (policy.TimerFired{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
+	if b.Records[1].Event != (policy.TimerFired{Token: 0x4d}) || b.Records[2].Instance != 5 ||
 		b.Records[2].Event != (policy.ClientDisconnected{Request: 0x0e6f2b19}) {
 		t.Errorf("got %+v", b.Records[1:])
 	}
