--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -21,10 +21,10 @@
 				t.Fatal(err)
 			}
 			defer reader.Close()
-			classes := []soak.Class{{Name: string(soak.Once), Effect: soak.Once, Deadline: time.Second}}
+			classes := []soak.Class{{Name: string(soak.NonIdempotent), Idempotency: soak.NonIdempotent, Deadline: time.Second}}
 			_, discovery := hangingBackends(t, soak.NewClock())
 			options := gatewayOptions(t, classes, discovery)
-			config, err := options.Config()
+			config, err := options.ConfigFile()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -60,8 +60,8 @@
 			sendings := sweep{deadline: deadline, until: deadline + time.Second, half: true}.play(t)
 			for _, s := range sendings {
 				if s.Status == 0 {
-					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", s.ID, s.First.Seconds(), s.Sent.Seconds(),
-						s.Ended.Seconds(), s.Err)
+					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", s.ID, s.FirstByteAt.Seconds(), s.SentAt.Seconds(),
+						s.EndedAt.Seconds(), s.Err)
 				}
 			}
 		})
@@ -70,10 +70,10 @@
 
 // play starts a gateway, stops it, and reports each broken rule. The gateway gets SIGKILL at the earliest moment, and must
 // have ended before.
-func (s sweep) play(t *testing.T) []soak.Sending {
+func (s sweep) play(t *testing.T) []soak.ClientAttempt {
 	t.Helper()
 	clock := soak.NewClock()
-	classes := []soak.Class{{Name: string(soak.Once), Effect: soak.Once, Deadline: s.deadline}}
+	classes := []soak.Class{{Name: string(soak.NonIdempotent), Idempotency: soak.NonIdempotent, Deadline: s.deadline}}
 	backends, discovery := hangingBackends(t, clock)
 	process, listen := startProcess(t, classes, discovery)
 	var conns []*soak.Conn
@@ -85,39 +85,39 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	life := soak.Life{Gateway: 1, Number: 1, Stopped: clock.Now()}
+	life := soak.Process{Gateway: 1, Number: 1, SigtermAt: clock.Now()}
 	process.Signal(syscall.SIGTERM)
-	sendings := make([]soak.Sending, len(conns))
+	sendings := make([]soak.ClientAttempt, len(conns))
 	var sending sync.WaitGroup
 	for i, conn := range conns {
 		sending.Go(func() {
 			moment := time.Duration(i) * sweepStep
-			request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.Once), Method: "POST", Body: 12,
-				Patience: s.deadline}
+			request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST", BodyBytes: 12,
+				Timeout: s.deadline}
 			if s.half {
 				request.Pieces, request.PieceGap = 2, moment
 			} else {
-				time.Sleep(time.Until(clock.At(life.Stopped + moment)))
+				time.Sleep(time.Until(clock.At(life.SigtermAt + moment)))
 			}
 			sendings[i], _ = conn.Do(request)
 		})
 	}
 	select {
 	case <-process.Done():
-	case <-time.After(time.Until(clock.At(life.Stopped + soak.KillAfter(classes)))):
-		life.Killed = clock.Now()
-		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come", (life.Killed - life.Stopped).Seconds())
+	case <-time.After(time.Until(clock.At(life.SigtermAt + soak.KillAfter(classes)))):
+		life.SigkillAt = clock.Now()
+		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come", (life.SigkillAt - life.SigtermAt).Seconds())
 	}
-	life.Err, life.Ended, life.Log = process.Close(), clock.Now(), process.Log()
+	life.Err, life.EndedAt, life.Log = process.Close(), clock.Now(), process.Log()
 	sending.Wait()
-	history := soak.History{Sendings: sendings, Lives: []soak.Life{life}}
+	history := soak.History{ClientAttempts: sendings, Processes: []soak.Process{life}}
 	for _, b := range backends {
-		history.Attempts = append(history.Attempts, b.Attempts()...)
+		history.BackendAttempts = append(history.BackendAttempts, b.Attempts()...)
 	}
-	if len(history.Attempts) == 0 {
+	if len(history.BackendAttempts) == 0 {
 		t.Error("no request reached a backend: the sweep did not play")
 	}
-	for _, fault := range soak.Check(history).Faults {
+	for _, fault := range soak.Check(history).Violations {
 		t.Error(fault)
 	}
 	return sendings
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { process.Close() })
-	if _, err := process.Ready(t.Context(), patience); err != nil {
+	if _, err := process.WaitReady(t.Context(), patience); err != nil {
 		t.Fatal(err)
 	}
 	return process, options.Listen
@@ -145,8 +145,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup := soak.Setup{Name: "n1", Listen: listen, Discovery: discovery, Sockets: 1024, Classes: classes, Env: commandEnv}
-	options, err := setup.Options()
+	setup := soak.GatewayOptions{Name: "n1", Listen: listen, Discovery: discovery, DescriptorLimit: 1024, Classes: classes, Env: commandEnv}
+	options, err := setup.ProcessOptions()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,11 +195,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, fault := range result.Verdict.Faults {
+			for _, fault := range result.Verdict.Violations {
 				t.Error(fault)
 			}
-			if v := result.Verdict; result.Partial || v.Served < 100 || v.Refused+v.Failed == 0 {
-				t.Errorf("partial %t: %d served, %d refused, %d failed: it did not play", result.Partial, v.Served, v.Refused, v.Failed)
+			if v := result.Verdict; result.Partial || v.Served < 100 || v.Rejected+v.Failed == 0 {
+				t.Errorf("partial %t: %d served, %d refused, %d failed: it did not play", result.Partial, v.Served, v.Rejected, v.Failed)
 			}
 		})
 	}
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -26,31 +26,31 @@
 )
 
 const (
-	kept   = 0
-	broken = 1 // a bound, or the run itself
-	badUse = 2
+	exitOK     = 0
+	exitFailed = 1 // a bound, or the run itself
+	exitUsage  = 2
 )
 
 type arguments struct {
 	Run struct {
-		common
+		experimentArguments
 	} `cmd:"" help:"Run one experiment."`
 	Sweep struct {
-		common
+		experimentArguments
 		Over string `required:"" placeholder:"KEY=V1,V2,..." help:"What takes which values, such as backends=42,200,2000."`
 	} `cmd:"" help:"Run an experiment at several values of one key, and fit a slope to each figure."`
 	Soak   soakArguments `cmd:"" help:"Play seeded trouble on real gateways, and check what became of every request."`
 	Hollow struct{}      `cmd:"" hidden:"" help:"Run the job of hollow gateways on standard input."`
 }
 
-type common struct {
+type experimentArguments struct {
 	File     string `arg:"" help:"The experiment, such as lab/quick.toml."`
 	Report   string `help:"Where the JSON report goes. Else to logs/ under the experiment's name."`
 	Baseline string `placeholder:"DIR" help:"A checkout of an earlier version, which is built as its deploy file says and measured first."`
 }
 
-// errUse is a bad file or argument.
-type errUse struct{ error }
+// usageError is a bad file or argument.
+type usageError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -60,36 +60,36 @@
 
 // run is the program: it returns its exit status.
 func run(ctx context.Context, args []string, in io.Reader, out, errs io.Writer) int {
-	var a arguments
-	left := -1
-	parser, err := kong.New(&a, kong.Name("fleetlab"), kong.Writers(out, errs), kong.Exit(func(status int) { left = status }),
+	var parsed arguments
+	helpStatus := -1
+	parser, err := kong.New(&parsed, kong.Name("fleetlab"), kong.Writers(out, errs), kong.Exit(func(status int) { helpStatus = status }),
 		kong.Description("Measures gateways, real and hollow, between stand-ins."))
 	if err != nil {
 		panic(err) // the arguments' declaration is wrong
 	}
 	command, err := parser.Parse(args)
-	if left >= 0 {
-		return left // it was asked for help
+	if helpStatus >= 0 {
+		return helpStatus // it was asked for help
 	}
 	if err != nil {
 		fmt.Fprintln(errs, "fleetlab:", oneLine(err))
-		return badUse
+		return exitUsage
 	}
-	status := kept
+	status := exitOK
 	switch command.Command() {
 	case "hollow":
 		err = runHollow(ctx, in, out)
 	case "soak":
-		status, err = runSoak(ctx, a.Soak, out, errs)
+		status, err = runSoak(ctx, parsed.Soak, out, errs)
 	case "sweep <file>":
-		status, err = measure(ctx, a.Sweep.common, a.Sweep.Over, out, errs)
+		status, err = runExperiment(ctx, parsed.Sweep.experimentArguments, parsed.Sweep.Over, out, errs)
 	default:
-		status, err = measure(ctx, a.Run.common, "", out, errs)
+		status, err = runExperiment(ctx, parsed.Run.experimentArguments, "", out, errs)
 	}
-	if use := (errUse{}); errors.As(err, &use) {
-		status = badUse
+	if use := (usageError{}); errors.As(err, &use) {
+		status = exitUsage
 	} else if err != nil {
-		status = broken
+		status = exitFailed
 	}
 	if err != nil {
 		fmt.Fprintln(errs, "fleetlab:", oneLine(err))
@@ -101,33 +101,33 @@
 
 // runHollow runs the job that it reads, and writes the result.
 func runHollow(ctx context.Context, in io.Reader, out io.Writer) error {
-	var j hollow.Job
-	if err := json.NewDecoder(in).Decode(&j); err != nil {
-		return errUse{fmt.Errorf("job: %w", err)}
+	var job hollow.Job
+	if err := json.NewDecoder(in).Decode(&job); err != nil {
+		return usageError{fmt.Errorf("job: %w", err)}
 	}
-	result, err := hollow.Run(ctx, j)
+	result, err := hollow.Run(ctx, job)
 	if err != nil {
 		return err
 	}
 	return json.NewEncoder(out).Encode(result)
 }
 
-// measure runs an experiment, over the given values if there are any, prints
+// runExperiment runs an experiment, over the given values if there are any, prints
 // what it gave and writes the report.
-func measure(ctx context.Context, c common, over string, out, errs io.Writer) (int, error) {
-	e, err := experiment.Read(c.File, over)
+func runExperiment(ctx context.Context, args experimentArguments, sweep string, out, errs io.Writer) (int, error) {
+	exp, err := experiment.Read(args.File, sweep)
 	if err != nil {
-		return 0, errUse{err}
+		return 0, usageError{err}
 	}
 	log := slog.New(slog.NewTextHandler(errs, nil))
 	lab := experiment.Lab{Log: log}
-	if lab.Root, err = root(); err != nil {
-		return 0, errUse{err}
+	if lab.Root, err = moduleRoot(); err != nil {
+		return 0, usageError{err}
 	}
-	if c.Baseline != "" {
-		before, err := baselineVersion(ctx, c.Baseline, log)
+	if args.Baseline != "" {
+		before, err := baselineVersion(ctx, args.Baseline, log)
 		if err != nil {
-			return 0, errUse{err}
+			return 0, usageError{err}
 		}
 		lab.Versions = append(lab.Versions, before)
 	}
@@ -136,28 +136,28 @@
 		return 0, err
 	}
 	lab.Versions = append(lab.Versions, after)
-	report, err := lab.Run(ctx, c.File, e)
+	report, err := lab.Run(ctx, args.File, exp)
 	if err != nil {
-		return 0, errUse{err}
+		return 0, usageError{err}
 	}
-	report.Baseline = c.Baseline
+	report.Baseline = args.Baseline
 	report.Print(out)
-	path := c.Report
+	path := args.Report
 	if path == "" {
-		path = filepath.Join(lab.Root, "logs", strings.TrimSuffix(filepath.Base(c.File), ".toml")+".json")
+		path = filepath.Join(lab.Root, "logs", strings.TrimSuffix(filepath.Base(args.File), ".toml")+".json")
 	}
 	if err := report.Write(path); err != nil {
 		return 0, err
 	}
 	log.Info("report", "file", path)
-	if !report.Kept || report.Partial {
-		return broken, nil
+	if !report.Passed || report.Partial {
+		return exitFailed, nil
 	}
-	return kept, nil
+	return exitOK, nil
 }
 
-// root is the directory of the module that this one stands in.
-func root() (string, error) {
+// moduleRoot is the directory of the module that this one stands in.
+func moduleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", err
@@ -213,7 +213,7 @@
 		return experiment.Version{}, err
 	}
 	own, err := os.Executable()
-	return experiment.Version{Name: experiment.After, Gateway: gateway, Fleetlab: own}, err
+	return experiment.Version{Name: experiment.Candidate, Gateway: gateway, Fleetlab: own}, err
 }
 
 // baselineVersion builds the earlier version that is checked out in the directory dir. Its gateway is started as its own
@@ -231,5 +231,5 @@
 	if err != nil {
 		return experiment.Version{}, fmt.Errorf("baseline: %w", err)
 	}
-	return experiment.Version{Name: experiment.Before, Gateway: gateway, Fleetlab: fleetlab}, nil
+	return experiment.Version{Name: experiment.Baseline, Gateway: gateway, Fleetlab: fleetlab}, nil
 }
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -86,7 +86,7 @@
 	}
 	t.Setenv(asCommand, "1")
 	return &experiment.Lab{Root: ".", Log: slog.New(slog.NewTextHandler(watcher{log, watch}, nil)),
-		Versions: []experiment.Version{{Name: experiment.After, Gateway: real.Program{Command: "exec ./amberlb", Dir: dir},
+		Versions: []experiment.Version{{Name: experiment.Candidate, Gateway: real.Program{Command: "exec ./amberlb", Dir: dir},
 			Fleetlab: os.Args[0]}}}
 }
 
@@ -114,10 +114,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Partial || !r.Kept || len(r.Runs) != 1 || r.Seed != 7 {
+	if r.Partial || !r.Passed || len(r.Runs) != 1 || r.Seed != 7 {
 		t.Fatalf("%+v\n%s", r, log.String())
 	}
-	f := r.Runs[0].Figures
+	f := r.Runs[0].Metrics
 	if sum := f["served_share"] + f["refused_share"] + f["failed_share"] + f["dropped"]/f["requests"]; sum < 0.9999 || sum > 1.0001 {
 		t.Errorf("shares of the requests sum up to %g", sum)
 	}
@@ -150,7 +150,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &back)
 	}
-	if err != nil || back.Commit == "" || len(back.Experiment.Groups) != 2 || len(back.Runs[0].Figures) != len(f) || len(back.Verdicts) != 1 {
+	if err != nil || back.Commit == "" || len(back.Experiment.Groups) != 2 || len(back.Runs[0].Metrics) != len(f) || len(back.Verdicts) != 1 {
 		t.Errorf("%v: %+v", err, back)
 	}
 	var table bytes.Buffer
@@ -182,10 +182,10 @@
 		t.Fatal(err)
 	}
 	said := fmt.Sprint(r.Runs[0].Partial)
-	if !r.Partial || r.Kept || !strings.Contains(said, "real: ") || !strings.Contains(said, "hollow: not begun") {
-		t.Errorf("partial %t, kept %t: %s", r.Partial, r.Kept, said)
+	if !r.Partial || r.Passed || !strings.Contains(said, "real: ") || !strings.Contains(said, "hollow: not begun") {
+		t.Errorf("partial %t, kept %t: %s", r.Partial, r.Passed, said)
 	}
-	if r.Runs[0].Figures["list_bytes"] == 0 {
+	if r.Runs[0].Metrics["list_bytes"] == 0 {
 		t.Error("what was measured before is gone")
 	}
 	if left := children(t); len(left) > 0 {
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := experiment.Version{Name: experiment.Before, Gateway: real.Program{Command: "exec bin/earlier-name", Dir: dir},
+	want := experiment.Version{Name: experiment.Baseline, Gateway: real.Program{Command: "exec bin/earlier-name", Dir: dir},
 		Fleetlab: filepath.Join(dir, "bin", "fleetlab")}
 	if version != want {
 		t.Errorf("got %+v, want %+v", version, want)
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	mostSeeds  = 10_000
-	mostJobs   = 8 // a run has up to four gateways
-	leastLong  = 6 * time.Second
-	mostLong   = time.Hour
-	mostFaults = 10 // that are told of one run
+	maxSeeds      = 10_000
+	maxJobs       = 8 // a run has up to four gateways
+	minDuration   = 6 * time.Second
+	maxDuration   = time.Hour
+	maxViolations = 10 // that are told of one run
 )
 
 // soakArguments are the arguments of the soak.
@@ -31,12 +31,12 @@
 
 func (a soakArguments) check() error {
 	switch {
-	case a.Seeds < 1 || a.Seeds > mostSeeds:
-		return fmt.Errorf("--seeds %d: 1 to %d", a.Seeds, mostSeeds)
-	case a.For < leastLong || a.For > mostLong:
-		return fmt.Errorf("--for %v: %v to %v", a.For, leastLong, mostLong)
-	case a.Jobs < 1 || a.Jobs > mostJobs:
-		return fmt.Errorf("--jobs %d: 1 to %d", a.Jobs, mostJobs)
+	case a.Seeds < 1 || a.Seeds > maxSeeds:
+		return fmt.Errorf("--seeds %d: 1 to %d", a.Seeds, maxSeeds)
+	case a.For < minDuration || a.For > maxDuration:
+		return fmt.Errorf("--for %v: %v to %v", a.For, minDuration, maxDuration)
+	case a.Jobs < 1 || a.Jobs > maxJobs:
+		return fmt.Errorf("--jobs %d: 1 to %d", a.Jobs, maxJobs)
 	}
 	return nil
 }
@@ -44,45 +44,45 @@
 var errInterrupted = errors.New("interrupted: the last seeds are partial")
 
 // runSoak plays the seeds and tells what was found, a line a seed and the story of each fault.
-func runSoak(ctx context.Context, a soakArguments, out, errs io.Writer) (status int, err error) {
-	if err := a.check(); err != nil {
-		return 0, errUse{err}
+func runSoak(ctx context.Context, args soakArguments, out, errs io.Writer) (status int, err error) {
+	if err := args.check(); err != nil {
+		return 0, usageError{err}
 	}
 	log := slog.New(slog.NewTextHandler(errs, nil))
-	dir, err := root()
+	dir, err := moduleRoot()
 	if err != nil {
-		return 0, errUse{err}
+		return 0, usageError{err}
 	}
 	gateway, err := build(ctx, dir, log)
 	if err != nil {
 		return 0, err
 	}
-	results := make([]soak.Result, a.Seeds)
-	var playing errgroup.Group
-	playing.SetLimit(a.Jobs)
+	results := make([]soak.Result, args.Seeds)
+	var group errgroup.Group
+	group.SetLimit(args.Jobs)
 	for i := range results {
-		playing.Go(func() error {
+		group.Go(func() error {
 			if ctx.Err() != nil {
 				return nil
 			}
-			plan := soak.NewPlan(a.Seed+uint64(i), a.For)
+			plan := soak.NewPlan(args.Seed+uint64(i), args.For)
 			r, err := soak.Run(ctx, plan, soak.Options{Program: gateway, Log: log})
 			results[i] = r
 			return err
 		})
 	}
-	err = playing.Wait()
-	status, partial := kept, false
+	err = group.Wait()
+	status, partial := exitOK, false
 	for _, r := range results {
-		if r.Plan.Seed == 0 && r.Plan.Length == 0 {
+		if r.Plan.Seed == 0 && r.Plan.Duration == 0 {
 			partial = true // never begun
 			continue
 		}
 		partial = partial || r.Partial
-		if len(r.Verdict.Faults) > 0 {
-			status = broken
+		if len(r.Verdict.Violations) > 0 {
+			status = exitFailed
 		}
-		printSoak(out, r)
+		printSoakResult(out, r)
 	}
 	if err == nil && partial {
 		err = errInterrupted
@@ -90,15 +90,15 @@
 	return status, err
 }
 
-func printSoak(out io.Writer, r soak.Result) {
+func printSoakResult(out io.Writer, r soak.Result) {
 	v := r.Verdict
 	fmt.Fprintf(out, "seed %d: %d gateways, %d stops, longest deadline %v, crowd %d: %d served, %d refused, %d failed, %d left, "+
 		"%d crossed a close, %d ended by a kill with no warning, %d excused, %d faults\n", r.Plan.Seed, r.Plan.Gateways, len(r.Plan.Stops),
-		soak.KillAfter(r.Plan.Classes)-soak.KillDelay, r.Plan.Crowd, v.Served, v.Refused, v.Failed, v.Left, v.Crossed, v.Abrupt, v.Excused,
-		len(v.Faults))
-	for i, f := range v.Faults {
-		if i == mostFaults {
-			fmt.Fprintf(out, "and %d more\n", len(v.Faults)-i)
+		soak.KillAfter(r.Plan.Classes)-soak.KillDelay, r.Plan.IdleConns, v.Served, v.Rejected, v.Failed, v.Disconnected, v.CloseRaces, v.KilledUnwarned, v.ExcusedByKill,
+		len(v.Violations))
+	for i, f := range v.Violations {
+		if i == maxViolations {
+			fmt.Fprintf(out, "and %d more\n", len(v.Violations)-i)
 			break
 		}
 		fmt.Fprintln(out, f)
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	idle        = 10 * time.Second      // a connection that rests so long is closed
-	writeWait   = 10 * time.Second      // for a caller that doesn't read its answers
-	look        = 20 * time.Millisecond // between looks at the clock while an answer isn't due, which a fault may change
-	readBytes   = 2 << 10               // a line at most
-	mostPending = 4096                  // calls without an answer on a connection; more are read later
-	mostAmount  = 1e9
-	mostLife    = 60_000 // ms
-	mostName    = 64     // bytes
+	idleTimeout       = 10 * time.Second      // a connection that rests so long is closed
+	writeTimeout      = 10 * time.Second      // for a caller that doesn't read its answers
+	pollInterval      = 20 * time.Millisecond // between looks at the clock while an answer isn't due, which a fault may change
+	maxLineBytes      = 2 << 10               // a line at most
+	maxPending        = 4096                  // calls without an answer on a connection; more are read later
+	maxAmount         = 1e9
+	maxLifetimeMillis = 60_000 // ms
+	maxNameBytes      = 64     // bytes
 )
 
 // The kinds of answers.
 const (
-	served = iota
-	turnedAway
-	badCall
-	noSuchCall
+	statusOK = iota
+	statusOverloaded
+	statusBadRequest
+	statusNotFound
 )
 
-// answer is one that is due on the clock of service; 0: at once.
-type answer struct {
+// response is one that is due on the clock of service; 0: at once.
+type response struct {
 	status int
 	total  float64
 	due    time.Duration
@@ -47,163 +47,163 @@
 	counter *Counter
 
 	mu      sync.Mutex
-	pending []answer // in order
+	pending []response // in order
 	writing bool
-	mute    bool       // has left a call without an answer; it never answers again
-	room    *sync.Cond // pending has become shorter
+	muted   bool       // has left a call without an answer; it never answers again
+	notFull *sync.Cond // pending has become shorter
 }
 
 func (c *Counter) serve(nc net.Conn) {
 	defer nc.Close()
 	k := &conn{Conn: nc, counter: c}
-	k.room = sync.NewCond(&k.mu)
-	k.read()
+	k.notFull = sync.NewCond(&k.mu)
+	k.readCalls()
 	k.mu.Lock()
 	for k.writing {
-		k.room.Wait()
+		k.notFull.Wait()
 	}
 	k.mu.Unlock()
 }
 
-// read takes calls until the caller closes, rests too long or writes what can't
+// readCalls takes calls until the caller closes, rests too long or writes what can't
 // be read.
-func (k *conn) read() {
-	r := bufio.NewReaderSize(k.Conn, readBytes)
+func (k *conn) readCalls() {
+	r := bufio.NewReaderSize(k.Conn, maxLineBytes)
 	var q request.Request
 	for {
-		if r.Buffered() == 0 && !k.rest(r) {
+		if r.Buffered() == 0 && !k.awaitCall(r) {
 			return
 		}
 		err := q.Read(r)
 		if err != nil && !errors.Is(err, request.ErrMalformed) {
 			return
 		}
-		k.answer(err, &q)
+		k.enqueueResponse(err, &q)
 		if err != nil || q.Close {
 			return
 		}
 	}
 }
 
-// rest waits for the next call and returns false if there is none.
-func (k *conn) rest(r *bufio.Reader) bool {
+// awaitCall waits for the next call and returns false if there is none.
+func (k *conn) awaitCall(r *bufio.Reader) bool {
 	for {
-		k.SetReadDeadline(time.Now().Add(idle))
+		k.SetReadDeadline(time.Now().Add(idleTimeout))
 		_, err := r.Peek(1)
 		if err == nil {
 			return true
 		}
 		k.mu.Lock()
-		waits := len(k.pending) > 0 || k.writing || k.mute
+		busy := len(k.pending) > 0 || k.writing || k.muted
 		k.mu.Unlock()
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !waits {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !busy {
 			return false
 		}
 	}
 }
 
-// answer serves a call that was read with err and puts its answer in line.
-func (k *conn) answer(err error, q *request.Request) {
+// enqueueResponse serves a call that was read with err and puts its answer in line.
+func (k *conn) enqueueResponse(err error, q *request.Request) {
 	c := k.counter
-	c.calls.Add(1)
-	s := c.state.Load()
+	c.callCount.Add(1)
+	fault := c.state.Load()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.mute = k.mute || s.Silent
-	for len(k.pending) >= mostPending && !k.mute {
-		k.room.Wait()
+	k.muted = k.muted || fault.Blackhole
+	for len(k.pending) >= maxPending && !k.muted {
+		k.notFull.Wait()
 	}
-	if k.mute {
+	if k.muted {
 		return
 	}
-	a := answer{status: badCall}
+	a := response{status: statusBadRequest}
 	if err == nil {
 		var name []byte
 		var amount float64
-		var life time.Duration
-		if name, amount, life, a.status = parse(q); a.status == served {
-			a = c.call(s, name, amount, life)
+		var lifetime time.Duration
+		if name, amount, lifetime, a.status = parseCall(q); a.status == statusOK {
+			a = c.handleCall(fault, name, amount, lifetime)
 		}
 	}
 	k.pending = append(k.pending, a)
 	if !k.writing {
 		k.writing = true
-		c.serving.Go(k.write)
+		c.serving.Go(k.writeResponses)
 	}
 }
 
-// write writes answers as they fall due until none is pending.
-func (k *conn) write() {
+// writeResponses writes answers as they fall due until none is pending.
+func (k *conn) writeResponses() {
 	var text []byte
 	for {
 		k.mu.Lock()
-		s := k.counter.state.Load()
-		clock := s.at(k.counter.now())
-		n := 0
-		for n < len(k.pending) && k.pending[n].due <= clock {
-			n++
+		fault := k.counter.state.Load()
+		serviceNow := fault.serviceClock(k.counter.now())
+		ready := 0
+		for ready < len(k.pending) && k.pending[ready].due <= serviceNow {
+			ready++
 		}
-		if n > 0 && s.Silent || k.counter.closed.Load() {
-			k.mute = true
+		if ready > 0 && fault.Blackhole || k.counter.closed.Load() {
+			k.muted = true
 		}
-		if k.mute {
+		if k.muted {
 			k.pending = nil
 		}
 		if len(k.pending) == 0 {
 			k.writing = false
-			k.room.Broadcast()
+			k.notFull.Broadcast()
 			k.mu.Unlock()
 			return
 		}
 		text = text[:0]
-		for _, a := range k.pending[:n] {
-			text = a.append(text)
+		for _, a := range k.pending[:ready] {
+			text = a.appendHTTP(text)
 		}
-		k.pending = k.pending[n:]
+		k.pending = k.pending[ready:]
 		var wait time.Duration
-		if n == 0 {
-			wait = min(time.Duration(float64(k.pending[0].due-clock)*s.Slow), look)
+		if ready == 0 {
+			wait = min(time.Duration(float64(k.pending[0].due-serviceNow)*fault.SlowFactor), pollInterval)
 		}
-		k.room.Broadcast()
+		k.notFull.Broadcast()
 		k.mu.Unlock()
-		if n == 0 {
+		if ready == 0 {
 			time.Sleep(wait)
 			continue
 		}
-		k.SetWriteDeadline(time.Now().Add(writeWait))
+		k.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := k.Write(text); err != nil {
 			k.mu.Lock()
-			k.mute = true
+			k.muted = true
 			k.mu.Unlock()
 			k.Close() // ends the reader
 		}
 	}
 }
 
-// append writes the answer as HTTP.
-func (a answer) append(b []byte) []byte {
+// appendHTTP writes the answer as HTTP.
+func (a response) appendHTTP(b []byte) []byte {
 	switch a.status {
-	case served:
+	case statusOK:
 		var digits [32]byte
 		total := strconv.AppendFloat(digits[:0], a.total, 'f', -1, 64)
 		b = append(b, "HTTP/1.1 200 OK\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(total)), 10)
 		b = append(b, "\r\n\r\n"...)
 		return append(b, total...)
-	case turnedAway:
+	case statusOverloaded:
 		return append(b, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"...)
-	case badCall:
+	case statusBadRequest:
 		return append(b, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"...)
 	}
 	return append(b, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"...)
 }
 
-// parse reads a call. The name is taken as it stands in the path.
-func parse(q *request.Request) (name []byte, amount float64, life time.Duration, status int) {
+// parseCall reads a call. The name is taken as it stands in the path.
+func parseCall(q *request.Request) (name []byte, amount float64, lifetime time.Duration, status int) {
 	path, query, _ := bytes.Cut(q.Target, []byte("?"))
 	name, found := bytes.CutPrefix(path, []byte("/v1/count/"))
-	if !found || len(name) == 0 || len(name) > mostName || string(q.Method) != "POST" {
-		return nil, 0, 0, noSuchCall
+	if !found || len(name) == 0 || len(name) > maxNameBytes || string(q.Method) != "POST" {
+		return nil, 0, 0, statusNotFound
 	}
 	var add, ttl []byte
 	for len(query) > 0 {
@@ -217,12 +217,12 @@
 		}
 	}
 	amount, err := strconv.ParseFloat(string(add), 64)
-	if err != nil || !(math.Abs(amount) <= mostAmount) {
-		return nil, 0, 0, badCall
+	if err != nil || !(math.Abs(amount) <= maxAmount) {
+		return nil, 0, 0, statusBadRequest
 	}
 	ms, err := strconv.ParseUint(string(ttl), 10, 63)
 	if err != nil || ms < 1 {
-		return nil, 0, 0, badCall
+		return nil, 0, 0, statusBadRequest
 	}
-	return name, amount, time.Duration(min(ms, mostLife)) * time.Millisecond, served
+	return name, amount, time.Duration(min(ms, maxLifetimeMillis)) * time.Millisecond, statusOK
 }
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -19,63 +19,63 @@
 // Options say what the counter bears: Parts / Service calls a second, if names
 // are spread evenly.
 type Options struct {
-	Parts   int           // names are spread over so many by xxhash; each serves one call at a time
-	Service time.Duration // a call's turn at its part
-	Waiting int           // calls that wait at a part at most; more are turned away with 503
+	Shards      int           // names are spread over so many by xxhash; each serves one call at a time
+	ServiceTime time.Duration // a call's turn at its part
+	MaxQueued   int           // calls that wait at a part at most; more are turned away with 503
 }
 
 // Fault is how the counter ails. The zero value is well.
 type Fault struct {
 	// Silent: it reads calls, adds nothing and answers nothing, as if cut off. Its
 	// connections are reset when the silence ends.
-	Silent   bool
-	Refusing bool    // it turns every call away with 503
-	Slow     float64 // turns take so many times as long, those under way too; 0: 1
+	Blackhole  bool
+	Rejecting  bool    // it turns every call away with 503
+	SlowFactor float64 // turns take so many times as long, those under way too; 0: 1
 }
 
 // Stats is what the counter has done since its start.
 type Stats struct {
-	Calls, TurnedAway uint64 // calls read whole, and those of them that got 503
-	Names, MostNames  int    // alive now, and at most at once
-	Wire              tally.Traffic
+	Calls, Rejected  uint64 // calls read whole, and those of them that got 503
+	Names, PeakNames int    // alive now, and at most at once
+	Traffic          tally.Traffic
 }
 
 // Counter is the stand-in. Its methods may be called from many goroutines.
 type Counter struct {
-	options Options
-	start   time.Time
-	parts   []*part
-	state   atomic.Pointer[state]
-	setting sync.Mutex // changes of state
+	options   Options
+	startedAt time.Time
+	shards    []*shard
+	state     atomic.Pointer[faultState]
+	stateMu   sync.Mutex // changes of state
 
-	calls, turnedAway atomic.Uint64
-	names, mostNames  atomic.Int64
-	closed            atomic.Bool // no answer is written any more
+	callCount, rejectedCount atomic.Uint64
+	nameCount, peakNames     atomic.Int64
+	closed                   atomic.Bool // no answer is written any more
 
 	listener *tally.Listener
 	serving  sync.WaitGroup
 }
 
-// state is a fault with the clock of service, which a slow counter's parts go by:
+// faultState is a fault with the clock of service, which a slow counter's parts go by:
 // it stood at served when the fault began at since, and runs slowed from there.
-type state struct {
+type faultState struct {
 	Fault
-	since, served time.Duration
+	faultStart, serviceClockAtFault time.Duration
 }
 
-// at returns what the clock of service shows.
-func (s *state) at(now time.Duration) time.Duration {
-	return s.served + time.Duration(float64(now-s.since)/s.Slow)
+// serviceClock returns what the clock of service shows.
+func (s *faultState) serviceClock(now time.Duration) time.Duration {
+	return s.serviceClockAtFault + time.Duration(float64(now-s.faultStart)/s.SlowFactor)
 }
 
 // New makes a counter that is well. Parts under 1 count as 1.
 func New(o Options) *Counter {
-	o.Parts = max(o.Parts, 1)
-	c := &Counter{options: o, start: time.Now(), parts: make([]*part, o.Parts)}
-	for i := range c.parts {
-		c.parts[i] = &part{names: make(map[string]*name)}
+	o.Shards = max(o.Shards, 1)
+	c := &Counter{options: o, startedAt: time.Now(), shards: make([]*shard, o.Shards)}
+	for i := range c.shards {
+		c.shards[i] = &shard{names: make(map[string]*entry)}
 	}
-	c.state.Store(&state{Fault: Fault{Slow: 1}})
+	c.state.Store(&faultState{Fault: Fault{SlowFactor: 1}})
 	return c
 }
 
@@ -87,7 +87,7 @@
 		return "", err
 	}
 	c.listener = tally.Listen(l)
-	context.AfterFunc(ctx, func() { c.shut() })
+	context.AfterFunc(ctx, func() { c.closeListener() })
 	c.serving.Go(func() { c.listener.Serve(&c.serving, c.serve) })
 	return l.Addr().String(), nil
 }
@@ -97,80 +97,80 @@
 	if c.listener == nil {
 		return nil
 	}
-	err := c.shut()
+	err := c.closeListener()
 	c.serving.Wait()
 	return err
 }
 
-func (c *Counter) shut() error {
+func (c *Counter) closeListener() error {
 	c.closed.Store(true)
-	return c.listener.Shut()
+	return c.listener.CloseAll()
 }
 
 // Stats returns the counts so far. It needs a Start before.
 func (c *Counter) Stats() Stats {
-	s := Stats{Calls: c.calls.Load(), TurnedAway: c.turnedAway.Load(), Wire: c.listener.Traffic()}
-	for _, p := range c.parts {
+	s := Stats{Calls: c.callCount.Load(), Rejected: c.rejectedCount.Load(), Traffic: c.listener.Traffic()}
+	for _, p := range c.shards {
 		p.mu.Lock()
-		c.names.Add(-int64(p.sweep(c.now())))
+		c.nameCount.Add(-int64(p.evictExpired(c.now())))
 		p.mu.Unlock()
 	}
-	s.Names, s.MostNames = int(c.names.Load()), int(c.mostNames.Load())
+	s.Names, s.PeakNames = int(c.nameCount.Load()), int(c.peakNames.Load())
 	return s
 }
 
-// Set makes the counter ail in this way from now on.
-func (c *Counter) Set(f Fault) {
-	c.setting.Lock()
-	defer c.setting.Unlock()
-	if f.Slow <= 0 {
-		f.Slow = 1
+// SetFault makes the counter ail in this way from now on.
+func (c *Counter) SetFault(f Fault) {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if f.SlowFactor <= 0 {
+		f.SlowFactor = 1
 	}
 	now, old := c.now(), c.state.Load()
-	c.state.Store(&state{Fault: f, since: now, served: old.at(now)})
-	if old.Silent && !f.Silent {
+	c.state.Store(&faultState{Fault: f, faultStart: now, serviceClockAtFault: old.serviceClock(now)})
+	if old.Blackhole && !f.Blackhole {
 		// A connection that swallowed a call stays mute until then, so no later call
 		// gets the answer in its place.
-		c.listener.Reset()
+		c.listener.ResetConns()
 	}
 }
 
-// Forget loses all names, as a counter that starts anew.
-func (c *Counter) Forget() {
-	for _, p := range c.parts {
+// Reset loses all names, as a counter that starts anew.
+func (c *Counter) Reset() {
+	for _, p := range c.shards {
 		p.mu.Lock()
-		c.names.Add(-int64(p.forget()))
+		c.nameCount.Add(-int64(p.removeAll()))
 		p.mu.Unlock()
 	}
 }
 
-func (c *Counter) now() time.Duration { return time.Since(c.start) }
+func (c *Counter) now() time.Duration { return time.Since(c.startedAt) }
 
-// call serves one call and returns its answer.
-func (c *Counter) call(s *state, name []byte, amount float64, life time.Duration) answer {
-	p := c.parts[xxhash.Sum64(name)%uint64(len(c.parts))]
+// handleCall serves one call and returns its answer.
+func (c *Counter) handleCall(fault *faultState, name []byte, amount float64, lifetime time.Duration) response {
+	p := c.shards[xxhash.Sum64(name)%uint64(len(c.shards))]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := c.now()
-	if s.Refusing {
-		return c.turnAway()
+	if fault.Rejecting {
+		return c.reject()
 	}
-	due, ok := p.take(s.at(now), c.options.Service, c.options.Waiting)
+	due, ok := p.reserveTurn(fault.serviceClock(now), c.options.ServiceTime, c.options.MaxQueued)
 	if !ok {
-		return c.turnAway()
+		return c.reject()
 	}
-	total, made, ended := p.add(now, name, amount, life)
-	alive := c.names.Add(-int64(ended))
-	if made {
-		alive = c.names.Add(1)
+	total, created, expired := p.add(now, name, amount, lifetime)
+	alive := c.nameCount.Add(-int64(expired))
+	if created {
+		alive = c.nameCount.Add(1)
 	}
-	for most := c.mostNames.Load(); alive > most && !c.mostNames.CompareAndSwap(most, alive); {
-		most = c.mostNames.Load()
+	for peak := c.peakNames.Load(); alive > peak && !c.peakNames.CompareAndSwap(peak, alive); {
+		peak = c.peakNames.Load()
 	}
-	return answer{status: served, total: total, due: due}
+	return response{status: statusOK, total: total, due: due}
 }
 
-func (c *Counter) turnAway() answer {
-	c.turnedAway.Add(1)
-	return answer{status: turnedAway}
+func (c *Counter) reject() response {
+	c.rejectedCount.Add(1)
+	return response{status: statusOverloaded}
 }
--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestPipelinedTotalsAreExactAndInOrder(t *testing.T) {
-	c, dial := start(t, Options{Parts: 7, Service: 20 * time.Microsecond, Waiting: 10_000})
+	c, dial := start(t, Options{Shards: 7, ServiceTime: 20 * time.Microsecond, MaxQueued: 10_000})
 	k := dial()
 	const calls, names = 3000, 10
 	go func() {
@@ -95,7 +95,7 @@
 		k.want(200, totals[i%names])
 	}
 	s := c.Stats()
-	if s.Calls != calls || s.TurnedAway != 0 || s.Names != names || s.MostNames != names || s.Wire.Conns != 1 {
+	if s.Calls != calls || s.Rejected != 0 || s.Names != names || s.PeakNames != names || s.Traffic.Conns != 1 {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 func TestNameLivesFromItsFirstCall(t *testing.T) {
-	p := New(Options{}).parts[0]
+	p := New(Options{}).shards[0]
 	for _, call := range []struct {
 		at    time.Duration
 		total float64
@@ -126,62 +126,62 @@
 			t.Errorf("at %v: total %v, want %v", call.at, total, call.total)
 		}
 	}
-	if p.sweep(12 * time.Second); len(p.names) != 0 || len(p.lives) != 0 {
+	if p.evictExpired(12 * time.Second); len(p.names) != 0 || len(p.byExpiry) != 0 {
 		t.Error("an ended name is still kept")
 	}
 }
 
 func TestTurnsAwayAboveWaiting(t *testing.T) {
-	p := New(Options{}).parts[0]
+	p := New(Options{}).shards[0]
 	const service, waiting = time.Millisecond, 2
 	for _, call := range []struct {
 		at, due time.Duration
 		ok      bool
 	}{{0, service, true}, {0, 2 * service, true}, {0, 3 * service, true}, {0, 0, false}, {service - 1, 0, false},
 		{service, 4 * service, true}, {service, 0, false}, {10 * service, 11 * service, true}} {
-		if due, ok := p.take(call.at, service, waiting); due != call.due || ok != call.ok {
+		if due, ok := p.reserveTurn(call.at, service, waiting); due != call.due || ok != call.ok {
 			t.Errorf("at %v: due %v, %v; want %v, %v", call.at, due, ok, call.due, call.ok)
 		}
 	}
 
-	c, dial := start(t, Options{Parts: 1, Service: time.Hour})
+	c, dial := start(t, Options{Shards: 1, ServiceTime: time.Hour})
 	first, second := dial(), dial()
 	first.write("n", 1)
 	c.eventually(t, 1)
 	second.write("n", 1)
 	second.want(503, 0)
-	c.Set(Fault{Slow: 1e-9}) // a turn under way goes by the new pace
+	c.SetFault(Fault{SlowFactor: 1e-9}) // a turn under way goes by the new pace
 	first.want(200, 1)
-	if s := c.Stats(); s.Calls != 2 || s.TurnedAway != 1 {
+	if s := c.Stats(); s.Calls != 2 || s.Rejected != 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestFaults(t *testing.T) {
-	c, dial := start(t, Options{Parts: 1, Waiting: 10})
+	c, dial := start(t, Options{Shards: 1, MaxQueued: 10})
 	k := dial()
 	k.write("n", 1)
 	k.want(200, 1)
-	c.Set(Fault{Refusing: true})
+	c.SetFault(Fault{Rejecting: true})
 	k.write("n", 1)
 	k.want(503, 0)
-	c.Set(Fault{Silent: true})
+	c.SetFault(Fault{Blackhole: true})
 	k.write("n", 1)
 	c.eventually(t, 3)
-	c.Set(Fault{})
+	c.SetFault(Fault{})
 	if b, err := k.r.ReadByte(); err == nil {
 		t.Fatalf("a silent counter wrote %q", b)
 	}
 	k = dial()
 	k.write("n", 1)
 	k.want(200, 2)
-	c.Forget()
+	c.Reset()
 	k.write("n", 1)
 	k.want(200, 1)
 }
 
 func TestCloseDoesNotWaitForTurns(t *testing.T) {
-	c, dial := start(t, Options{Service: time.Hour})
+	c, dial := start(t, Options{ServiceTime: time.Hour})
 	dial().write("n", 1)
 	c.eventually(t, 1)
 	if err := c.Close(); err != nil {
--- a/internal/lab/counter/part.go
+++ b/internal/lab/counter/part.go
@@ -6,81 +6,81 @@
 	"time"
 )
 
-// part serves the calls for its names, one at a time in the order they came. It
+// shard serves the calls for its names, one at a time in the order they came. It
 // knows no clock; see Counter.
-type part struct {
-	mu    sync.Mutex
-	dues  []time.Duration // ends of the turns not yet over, in order
-	names map[string]*name
-	lives lives // the same names, the one that ends first on top
+type shard struct {
+	mu          sync.Mutex
+	finishTimes []time.Duration // ends of the turns not yet over, in order
+	names       map[string]*entry
+	byExpiry    expiryHeap // the same names, the one that ends first on top
 }
 
-// name is one total with its end, which calls after the first don't move.
-type name struct {
-	key   string
-	total float64
-	ends  time.Duration
+// entry is one total with its end, which calls after the first don't move.
+type entry struct {
+	key       string
+	total     float64
+	expiresAt time.Duration
 }
 
-// take gives a call a turn of the length of service, which ends at due. Both due
+// reserveTurn gives a call a turn of the length of service, which ends at due. Both due
 // and served, the time now, are on the clock of service. ok is false if so many
 // calls wait already.
-func (p *part) take(served, service time.Duration, waiting int) (due time.Duration, ok bool) {
-	over := 0
-	for over < len(p.dues) && p.dues[over] <= served {
-		over++
+func (p *shard) reserveTurn(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
+	finished := 0
+	for finished < len(p.finishTimes) && p.finishTimes[finished] <= serviceNow {
+		finished++
 	}
-	p.dues = p.dues[over:]
-	if len(p.dues) > waiting { // one has its turn, the rest wait
+	p.finishTimes = p.finishTimes[finished:]
+	if len(p.finishTimes) > maxQueued { // one has its turn, the rest wait
 		return 0, false
 	}
-	due = served + service
-	if n := len(p.dues); n > 0 {
-		due = p.dues[n-1] + service
+	due = serviceNow + serviceTime
+	if n := len(p.finishTimes); n > 0 {
+		due = p.finishTimes[n-1] + serviceTime
 	}
-	p.dues = append(p.dues, due)
+	p.finishTimes = append(p.finishTimes, due)
 	return due, true
 }
 
 // add adds to a name that lives for so long from its first call on. made tells
 // that it is new, ended how many names ended before.
-func (p *part) add(now time.Duration, key []byte, amount float64, life time.Duration) (total float64, made bool, ended int) {
-	ended = p.sweep(now)
-	n := p.names[string(key)]
-	if n == nil {
-		made = true
-		n = &name{key: string(key), ends: now + life}
-		p.names[n.key] = n
-		heap.Push(&p.lives, n)
+func (p *shard) add(now time.Duration, key []byte, amount float64, lifetime time.Duration) (total float64, created bool, expired int) {
+	expired = p.evictExpired(now)
+	e := p.names[string(key)]
+	if e == nil {
+		created = true
+		e = &entry{key: string(key), expiresAt: now + lifetime}
+		p.names[e.key] = e
+		heap.Push(&p.byExpiry, e)
 	}
-	n.total += amount
-	return n.total, made, ended
+	e.total += amount
+	return e.total, created, expired
 }
 
-// sweep forgets the names that have ended and returns how many.
-func (p *part) sweep(now time.Duration) (ended int) {
-	for len(p.lives) > 0 && p.lives[0].ends <= now {
-		delete(p.names, heap.Pop(&p.lives).(*name).key)
-		ended++
+// evictExpired forgets the names that have ended and returns how many.
+func (p *shard) evictExpired(now time.Duration) (expired int) {
+	for len(p.byExpiry) > 0 && p.byExpiry[0].expiresAt <= now {
+		delete(p.names, heap.Pop(&p.byExpiry).(*entry).key)
+		expired++
 	}
-	return ended
+	return expired
 }
 
-// forget forgets all names and returns how many there were.
-func (p *part) forget() (ended int) {
-	ended = len(p.names)
-	p.names, p.lives = make(map[string]*name), nil
-	return ended
+// removeAll forgets all names and returns how many there were.
+func (p *shard) removeAll() (removed int) {
+	removed = len(p.names)
+	p.names, p.byExpiry = make(map[string]*entry), nil
+	return removed
 }
 
-// lives is a heap of names by their ends.
-type lives []*name
+// expiryHeap is a heap of names by their ends.
+type expiryHeap []*entry
 
-func (l lives) Len() int           { return len(l) }
-func (l lives) Less(i, j int) bool { return l[i].ends < l[j].ends }
-func (l lives) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
-func (l *lives) Push(x any)        { *l = append(*l, x.(*name)) }
-func (l *lives) Pop() any {
+func (l expiryHeap) Len() int           { return len(l) }
+func (l expiryHeap) Less(i, j int) bool { return l[i].expiresAt < l[j].expiresAt }
+func (l expiryHeap) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
+func (l *expiryHeap) Push(x any)        { *l = append(*l, x.(*entry)) }
+func (l *expiryHeap) Pop() any {
 	last := len(*l) - 1
 	n := (*l)[last]
 	(*l)[last] = nil
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, points, err := e.points()
+	_, points, err := e.sweepPoints()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	}
 	for i, spread := range []int{1, 4} {
 		e := &points[i]
-		if len(e.Groups) != 1 || e.Groups[0].Spread != spread || e.Groups[0].Name != fmt.Sprint("calm-", spread) || e.Groups[0].Gateways != spread || e.Tenants.Spread != spread ||
+		if len(e.Groups) != 1 || e.Groups[0].SubsetSize != spread || e.Groups[0].Name != fmt.Sprint("calm-", spread) || e.Groups[0].Gateways != spread || e.Tenants.SubsetSize != spread ||
 			e.Backends.Count != 10 || e.Fleet.Gateways != 2+spread {
 			t.Errorf("at %d: %+v", spread, e)
 		}
@@ -156,7 +156,7 @@
 		if use := rate / rates[tenant.Plan]; use > 0.5+1e-9 || use <= 0.25 {
 			t.Errorf("tenant %d asks for %g of its quota", i, use)
 		}
-		if tenant.First+tenant.Spread > 2 || tenant.ID >= 1<<33 {
+		if tenant.FirstGateway+tenant.SubsetSize > 2 || tenant.ID >= 1<<33 {
 			t.Errorf("tenant %+v", tenant)
 		}
 	}
@@ -170,31 +170,31 @@
 	for _, processes := range []int{1, 2, 7} {
 		e := read(t, strings.Replace(sound, "real = 2", fmt.Sprintf("real = 2\nhollow = 12\nprocesses = %d", processes), 1), "")[0]
 		next, groups := 2, 0
-		for _, j := range e.jobs() {
+		for _, j := range e.hollowJobs() {
 			in := 0
-			for _, g := range e.Groups[j.group : j.group+j.groups] {
+			for _, g := range e.Groups[j.firstGroup : j.firstGroup+j.groupCount] {
 				in += g.Gateways
 			}
-			if j.first != next || j.gateways < 1 || j.groups > 0 && (j.group != groups || in != j.gateways) {
+			if j.firstRank != next || j.gateways < 1 || j.groupCount > 0 && (j.firstGroup != groups || in != j.gateways) {
 				t.Errorf("%d processes: %+v after %d", processes, j, next)
 			}
-			next, groups = j.first+j.gateways, groups+j.groups
+			next, groups = j.firstRank+j.gateways, groups+j.groupCount
 		}
-		if next != 14 || groups != 2 || len(e.jobs()) > 2*processes {
+		if next != 14 || groups != 2 || len(e.hollowJobs()) > 2*processes {
 			t.Errorf("%d processes: up to %d, %d groups", processes, next, groups)
 		}
 	}
 }
 
 func TestFit(t *testing.T) {
-	s, ok := fit([]float64{1, 2, 4}, []float64{5, 7, 11})
+	s, ok := leastSquares([]float64{1, 2, 4}, []float64{5, 7, 11})
 	if !ok || math.Abs(s.Slope-2) > 1e-9 || math.Abs(s.Intercept-3) > 1e-9 || math.Abs(s.R2-1) > 1e-9 || s.Points != 3 {
 		t.Errorf("%+v", s)
 	}
-	if s, _ = fit([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}); math.Abs(s.Slope-0.8) > 1e-9 || math.Abs(s.R2-0.64) > 1e-9 {
+	if s, _ = leastSquares([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}); math.Abs(s.Slope-0.8) > 1e-9 || math.Abs(s.R2-0.64) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
-	if s, ok = fit([]float64{3, 3}, []float64{1, 2}); ok {
+	if s, ok = leastSquares([]float64{3, 3}, []float64{1, 2}); ok {
 		t.Errorf("through one value: %+v", s)
 	}
 }
@@ -203,15 +203,15 @@
 // what was not measured keeps none.
 func TestVerdicts(t *testing.T) {
 	limit := 1.0
-	bounds := []Bound{{Figure: "ready_s", Most: &limit}, {Figure: "tries", Group: "a*", Least: &limit}}
+	bounds := []Bound{{Metric: "ready_s", Max: &limit}, {Metric: "tries", Group: "a*", Min: &limit}}
 	runs := []Run{
-		{Version: Before, Figures: Figures{"ready_s": 9}, Groups: map[string]Figures{"a1": {}}},
-		{Version: After, Value: 1, Figures: Figures{"ready_s": 1}, Groups: map[string]Figures{"a1": {"tries": 1}, "a2": {"tries": 0}, "b": {}}},
-		{Version: After, Value: 2, Figures: Figures{}},
+		{Version: Baseline, Metrics: Metrics{"ready_s": 9}, Groups: map[string]Metrics{"a1": {}}},
+		{Version: Candidate, Value: 1, Metrics: Metrics{"ready_s": 1}, Groups: map[string]Metrics{"a1": {"tries": 1}, "a2": {"tries": 0}, "b": {}}},
+		{Version: Candidate, Value: 2, Metrics: Metrics{}},
 	}
 	var got []string
-	for _, v := range judge(bounds, runs) {
-		got = append(got, fmt.Sprintf("%g %s %s %t %t", v.Value, v.Figure, v.Group, v.Got != nil, v.Kept))
+	for _, v := range evaluateBounds(bounds, runs) {
+		got = append(got, fmt.Sprintf("%g %s %s %t %t", v.Value, v.Metric, v.Group, v.Measured != nil, v.Passed))
 	}
 	want := "1 ready_s  true true,1 tries a1 true true,1 tries a2 true false,2 ready_s  false false,2 tries a* false false"
 	if text := strings.Join(got, ","); text != want {
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -14,14 +14,14 @@
 	"amberlb/internal/lab/proc"
 )
 
-// runHollow measures hollow gateways and the groups of customers behind them.
-func (e *Experiment) runHollow(ctx context.Context, v Version, r *Run, log *slog.Logger) error {
-	s, err := newStandins(ctx, e)
+// measureHollow measures hollow gateways and the groups of customers behind them.
+func (e *Experiment) measureHollow(ctx context.Context, v Version, r *Run, log *slog.Logger) error {
+	s, err := startStandins(ctx, e)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	log.Info("hollow gateways start", "gateways", e.hollow(), "groups", len(e.Groups))
+	log.Info("hollow gateways start", "gateways", e.hollowGateways(), "groups", len(e.Groups))
 	var children []*proc.Process
 	defer func() {
 		for _, c := range children {
@@ -29,8 +29,8 @@
 		}
 	}()
 	began := s.sample()
-	for _, j := range e.jobs() {
-		text, err := e.job(j, s)
+	for _, j := range e.hollowJobs() {
+		text, err := e.encodeJob(j, s)
 		if err != nil {
 			return err
 		}
@@ -40,50 +40,50 @@
 		}
 		children = append(children, c)
 	}
-	ended := allDone(children)
-	listed, err := s.allListed(ctx, e.hollow(), seconds(e.Fleet.ReadyIn+e.Restart.WithinS), ended)
+	ended := allExited(children)
+	listed, err := s.awaitLists(ctx, e.hollowGateways(), seconds(e.Fleet.ReadyTimeoutS+e.Restart.StaggerS), ended)
 	if err != nil {
 		return err
 	}
-	r.Figures["hollow_lists_per_s"] = float64(listed.registry.Whole) / listed.at.Sub(began.at).Seconds()
-	r.Figures["hollow_list_bytes"] = float64(listed.registry.Wire.Bytes())
+	r.Metrics["hollow_lists_per_s"] = float64(listed.discovery.FullLists) / listed.at.Sub(began.at).Seconds()
+	r.Metrics["hollow_list_bytes"] = float64(listed.discovery.Traffic.Bytes())
 	log.Info("lists are out", "seconds", listed.at.Sub(began.at).Seconds())
-	defer s.startChurn(ctx, e.Churn.PerSecond)()
-	samples, err := s.follow(ctx, ended)
+	defer s.startChurn(ctx, e.Churn.ReplacementsPerSecond)()
+	samples, err := s.sampleUntilDone(ctx, ended)
 	if err != nil {
 		return err
 	}
-	spans, err := e.gather(children, r)
+	measuredSeconds, err := e.collectResults(children, r)
 	if err != nil {
 		return err
 	}
 	if len(e.Groups) > 0 {
-		e.counted(samples, spans, r.Figures)
+		e.recordControlMetrics(samples, measuredSeconds, r.Metrics)
 	}
 	last := samples[len(samples)-1]
-	r.Figures["hollow_lists"], r.Figures["hollow_counter_calls"] = float64(last.registry.Whole), float64(last.counter.Calls)
+	r.Metrics["hollow_lists"], r.Metrics["hollow_counter_calls"] = float64(last.discovery.FullLists), float64(last.counter.Calls)
 	return nil
 }
 
-// job is what the process of hollow gateways is told, as JSON.
-func (e *Experiment) job(j span, s *standins) ([]byte, error) {
-	settings, err := e.settings(j.first)
+// encodeJob is what the process of hollow gateways is told, as JSON.
+func (e *Experiment) encodeJob(j hollowJob, s *standins) ([]byte, error) {
+	settings, err := e.settings(j.firstRank)
 	if err != nil {
 		return nil, err
 	}
-	job := hollow.Job{Seed: e.Seed, Settings: settings, First: j.first, Gateways: j.gateways, Fleet: e.Fleet.Gateways,
-		Discovery: s.discovery, Counter: s.counted, ServiceS: e.Backends.ServiceMS / 1000, WarmS: e.WarmSeconds, RunS: e.Seconds,
-		MemoryMB: e.jobMB(j), StartSpreadS: e.Restart.WithinS}
-	first := j.first
-	for n, g := range e.Groups[j.group : j.group+j.groups] {
-		job.Groups = append(job.Groups, hollow.Group{Name: g.Name, First: first, Gateways: g.Gateways, Spread: g.Spread,
-			Customers: g.Customers, PerSecond: g.PerSecond, Zipf: g.Zipf, Plan: j.group + n, Units: g.Units, Shift: g.Shift})
+	job := hollow.Job{Seed: e.Seed, Settings: settings, First: j.firstRank, Gateways: j.gateways, Fleet: e.Fleet.Gateways,
+		Discovery: s.discoveryAddress, Counter: s.counterAddress, ServiceS: e.Backends.ServiceTimeMS / 1000, WarmS: e.WarmupSeconds, RunS: e.Seconds,
+		MemoryMB: e.jobMB(j), StartSpreadS: e.Restart.StaggerS}
+	first := j.firstRank
+	for n, g := range e.Groups[j.firstGroup : j.firstGroup+j.groupCount] {
+		job.Groups = append(job.Groups, hollow.Group{Name: g.Name, First: first, Gateways: g.Gateways, Spread: g.SubsetSize,
+			Customers: g.Customers, PerSecond: g.RequestsPerSecond, Zipf: g.ZipfExponent, Plan: j.firstGroup + n, Units: g.UnitsPerRequest, Shift: g.ShiftingWeights})
 		first += g.Gateways
 	}
 	return json.Marshal(job)
 }
 
-func allDone(children []*proc.Process) <-chan struct{} {
+func allExited(children []*proc.Process) <-chan struct{} {
 	all := make(chan struct{})
 	go func() {
 		defer close(all)
@@ -94,27 +94,27 @@
 	return all
 }
 
-// allListed waits until n whole lists are out and returns a sample of that time.
-func (s *standins) allListed(ctx context.Context, n int, most time.Duration, ended <-chan struct{}) (sample, error) {
-	late := time.After(most)
+// awaitLists waits until n whole lists are out and returns a sample of that time.
+func (s *standins) awaitLists(ctx context.Context, n int, timeout time.Duration, ended <-chan struct{}) (sample, error) {
+	deadline := time.After(timeout)
 	for {
-		if now := s.sample(); now.registry.Whole >= uint64(n) {
+		if now := s.sample(); now.discovery.FullLists >= uint64(n) {
 			return now, nil
 		}
 		select {
 		case <-ctx.Done():
 			return sample{}, context.Cause(ctx)
-		case <-late:
+		case <-deadline:
 			return sample{}, errors.New("hollow gateways are without a list in time")
 		case <-ended:
 			return s.sample(), nil // their results tell more
-		case <-time.After(listPoll):
+		case <-time.After(listPollInterval):
 		}
 	}
 }
 
-// follow samples the stand-ins until the processes have ended.
-func (s *standins) follow(ctx context.Context, ended <-chan struct{}) ([]sample, error) {
+// sampleUntilDone samples the stand-ins until the processes have ended.
+func (s *standins) sampleUntilDone(ctx context.Context, ended <-chan struct{}) ([]sample, error) {
 	var samples []sample
 	for {
 		select {
@@ -122,81 +122,81 @@
 			return append(samples, s.sample()), nil
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
-		case <-time.After(sampleGap):
+		case <-time.After(sampleInterval):
 			samples = append(samples, s.sample())
 		}
 	}
 }
 
-// counted puts in the control traffic while the load of all processes counted.
+// recordControlMetrics puts in the control traffic while the load of all processes counted.
 // The last sample is of their end, and spans tell how long before it, in seconds,
 // each one's load began to count.
-func (e *Experiment) counted(samples []sample, spans []float64, f Figures) {
+func (e *Experiment) recordControlMetrics(samples []sample, measuredSeconds []float64, f Metrics) {
 	end := samples[len(samples)-1].at
-	from, to := end.Add(-seconds(slices.Min(spans))), end.Add(-seconds(slices.Max(spans)-e.Seconds))
-	var inside []sample
+	from, to := end.Add(-seconds(slices.Min(measuredSeconds))), end.Add(-seconds(slices.Max(measuredSeconds)-e.Seconds))
+	var measured []sample
 	for _, s := range samples {
 		if !s.at.Before(from) && !s.at.After(to) {
-			inside = append(inside, s)
+			measured = append(measured, s)
 		}
 	}
-	if len(inside) < 2 {
+	if len(measured) < 2 {
 		return
 	}
-	before, after := inside[0], inside[len(inside)-1]
-	discovery, counter := after.traffic(&before, e.hollow())
+	before, after := measured[0], measured[len(measured)-1]
+	discovery, counter := after.controlTraffic(&before, e.hollowGateways())
 	f["hollow_control_bytes_per_s"] = discovery + counter
-	if e.Counter.Parts > 0 {
+	if e.Counter.Shards > 0 {
 		calls := float64(after.counter.Calls - before.counter.Calls)
 		f["hollow_counter_calls_per_s"] = calls / after.at.Sub(before.at).Seconds()
-		f.share("hollow_counter_turned_away_share", float64(after.counter.TurnedAway-before.counter.TurnedAway), calls)
+		f.setRatio("hollow_counter_turned_away_share", float64(after.counter.Rejected-before.counter.Rejected), calls)
 	}
 }
 
-// gather reads the results of the processes of hollow gateways, whose times to
+// collectResults reads the results of the processes of hollow gateways, whose times to
 // be ready are those of the slowest process, and returns how long each one's load
 // counted, in seconds.
-func (e *Experiment) gather(children []*proc.Process, r *Run) ([]float64, error) {
-	var spans []float64
+func (e *Experiment) collectResults(children []*proc.Process, r *Run) ([]float64, error) {
+	var measuredSeconds []float64
 	ready, cpu, memory := 0.0, 0.0, 0.0
 	for _, c := range children {
 		if err := c.Wait(); err != nil {
 			return nil, fmt.Errorf("hollow gateways ended with %w: %s", err, c.Stderr())
 		}
 		var result hollow.Result
-		if err := json.Unmarshal(c.Output(), &result); err != nil {
+		if err := json.Unmarshal(c.Stdout(), &result); err != nil {
 			return nil, fmt.Errorf("result of hollow gateways: %w", err)
 		}
-		spans = append(spans, result.SpanS)
+		measuredSeconds = append(measuredSeconds, result.SpanS)
 		ready += float64(result.Ready.Count)
 		cpu += result.CPUSeconds / result.SpanS
 		memory += result.PeakMB
 		for name, at := range map[string]float64{"hollow_ready_p50_s": result.Ready.P50, "hollow_ready_p90_s": result.Ready.P90,
 			"hollow_ready_p99_s": result.Ready.P99, "hollow_ready_max_s": result.Ready.Max} {
-			r.Figures[name] = max(r.Figures[name], at)
+			r.Metrics[name] = max(r.Metrics[name], at)
 		}
 		for _, g := range result.Groups {
-			r.Groups[g.Name] = ofGroup(&g)
+			r.Groups[g.Name] = groupMetrics(&g)
 		}
 	}
-	n := float64(e.hollow())
-	r.Figures["hollow_ready"], r.Figures["hollow_memory_mb"] = ready, memory
+	n := float64(e.hollowGateways())
+	r.Metrics["hollow_ready"], r.Metrics["hollow_memory_mb"] = ready, memory
 	if len(e.Groups) > 0 {
-		r.Figures["hollow_cpu_share"] = cpu / n
+		r.Metrics["hollow_cpu_share"] = cpu / n
 	}
-	return spans, nil
+	return measuredSeconds, nil
 }
 
-func ofGroup(g *hollow.GroupResult) Figures {
+func groupMetrics(g *hollow.GroupResult) Metrics {
 	tries := float64(g.Tries)
-	f := Figures{"tries": tries, "dropped": float64(g.Dropped)}
-	f.share("calls_per_request", float64(g.Calls), tries)
-	f.share("calls_unanswered_share", float64(g.CallsUnanswered), float64(g.Calls))
-	f.share("refused_share", float64(g.Refused), tries)
-	f.share("refused_inside_share", float64(g.RefusedInside), tries)
-	f.share("refused_half_full_share", float64(g.RefusedHalfFull), tries)
-	f.share("beyond_share", float64(g.Beyond), tries)
-	f.share("failed_share", float64(g.Failed), tries)
+	f := Metrics{"tries": tries, "dropped": float64(g.Dropped)}
+	f.setRatio("calls_per_request", float64(g.Calls), tries)
+	f.setRatio("calls_unanswered_share", float64(g.CallsUnanswered), float64(g.Calls))
+	f.setRatio("refused_share", float64(g.Refused), tries)
+	f.setRatio("refused_inside_share", float64(g.RefusedInside), tries)
+	f.setRatio("refused_half_full_share", float64(g.RefusedHalfFull), tries)
+	f.setRatio("beyond_share", float64(g.Beyond), tries)
+	f.setRatio("failed_share", float64(g.Failed), tries)
 	if g.Served > 0 {
 		f["p50_ms"], f["p99_ms"] = g.Latency.P50, g.Latency.P99
 	}
--- a/internal/lab/experiment/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -23,34 +23,34 @@
 // reports. When ctx ends, what was started is ended, and the report says what is
 // partial. The error is one of the experiment, found before anything is started.
 func (l *Lab) Run(ctx context.Context, file string, e Experiment) (*Report, error) {
-	o, points, err := e.points()
+	sweep, points, err := e.sweepPoints()
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{File: file, Experiment: e, Seed: e.Seed, Commit: commit(l.Root), Started: time.Now().UTC().Round(time.Second),
-		Machine: machine()}
+	report := &Report{File: file, Experiment: e, Seed: e.Seed, Commit: commitID(l.Root), Started: time.Now().UTC().Round(time.Second),
+		Machine: describeMachine()}
 	for i := range points {
 		for _, v := range l.Versions {
-			if o.key != "" {
-				l.Log.Info("point", "version", v.Name, o.key, o.values[i])
+			if sweep.key != "" {
+				l.Log.Info("point", "version", v.Name, sweep.key, sweep.values[i])
 			}
-			run := points[i].run(ctx, v, l.Log)
-			run.Key, run.Value = o.key, o.values[i]
+			run := points[i].runVersion(ctx, v, l.Log)
+			run.Key, run.Value = sweep.key, sweep.values[i]
 			for _, why := range run.Partial {
 				l.Log.Warn("partial", "why", why)
 			}
-			r.Partial = r.Partial || len(run.Partial) > 0
-			r.Runs = append(r.Runs, run)
+			report.Partial = report.Partial || len(run.Partial) > 0
+			report.Runs = append(report.Runs, run)
 		}
 	}
-	r.TookS = time.Since(r.Started).Seconds()
-	r.Slopes = slopes(r.Runs)
-	r.Verdicts = judge(e.Bounds, r.Runs)
-	r.Kept = true
-	for _, v := range r.Verdicts {
-		r.Kept = r.Kept && v.Kept
+	report.DurationS = time.Since(report.Started).Seconds()
+	report.Slopes = fitSlopes(report.Runs)
+	report.Verdicts = evaluateBounds(e.Bounds, report.Runs)
+	report.Passed = true
+	for _, v := range report.Verdicts {
+		report.Passed = report.Passed && v.Passed
 	}
-	return r, nil
+	return report, nil
 }
 
 // Write writes the report to a file, as JSON.
@@ -65,8 +65,8 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// commit names the commit of a checkout, and says if it holds changes beside.
-func commit(root string) string {
+// commitID names the commit of a checkout, and says if it holds changes beside.
+func commitID(root string) string {
 	head, err := exec.Command("git", "-C", root, "rev-parse", "HEAD").Output()
 	if err != nil {
 		return "unknown"
@@ -78,7 +78,7 @@
 	return strings.TrimSpace(string(head))
 }
 
-func machine() Machine {
+func describeMachine() Machine {
 	m := Machine{Cores: runtime.NumCPU()}
 	m.MemoryMB, _ = machineMB() // the checks have read it before
 	if load, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/internal/lab/experiment/real.go
+++ b/internal/lab/experiment/real.go
@@ -12,91 +12,91 @@
 	"amberlb/internal/lab/real"
 )
 
-// runReal measures real gateways: their start, a quiet time, then a load.
-func (e *Experiment) runReal(ctx context.Context, v Version, r *Run, log *slog.Logger) (err error) {
-	s, err := newStandins(ctx, e)
+// measureProcesses measures real gateways: their start, a quiet time, then a load.
+func (e *Experiment) measureProcesses(ctx context.Context, v Version, r *Run, log *slog.Logger) (err error) {
+	s, err := startStandins(ctx, e)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	bytes, err := s.listBytes(ctx)
+	listBytes, err := s.listBytes(ctx)
 	if err != nil {
 		return err
 	}
-	r.Figures["list_bytes"] = float64(bytes)
+	r.Metrics["list_bytes"] = float64(listBytes)
 	var gateways []*real.Gateway
 	defer func() {
 		for _, g := range gateways {
 			err = errors.Join(err, g.Stop())
 		}
 	}()
-	log.Info("gateways start", "gateways", e.Fleet.Real, "backends", e.Backends.Count)
-	for rank := range e.Fleet.Real {
+	log.Info("gateways start", "gateways", e.Fleet.GatewayProcesses, "backends", e.Backends.Count)
+	for rank := range e.Fleet.GatewayProcesses {
 		settings, err := e.settings(rank)
 		if err != nil {
 			return err
 		}
-		g, err := real.Start(ctx, v.Gateway, real.Options{Name: fmt.Sprintf("g-%05d", rank), Discovery: s.discovery, Counter: s.counted,
+		g, err := real.Start(ctx, v.Gateway, real.Options{Name: fmt.Sprintf("g-%05d", rank), Discovery: s.discoveryAddress, Counter: s.counterAddress,
 			Seed: e.Seed + uint64(rank), Cores: e.Fleet.Cores, MemoryMB: e.Fleet.MemoryMB, Settings: settings})
 		if err != nil {
 			return err
 		}
 		gateways = append(gateways, g)
 	}
-	if ready, err := e.ready(ctx, gateways, r); err != nil || !ready {
+	if ready, err := e.awaitReady(ctx, gateways, r); err != nil || !ready {
 		return err
 	}
-	defer s.startChurn(ctx, e.Churn.PerSecond)()
-	if err := e.quiet(ctx, s, gateways, r, log); err != nil {
+	defer s.startChurn(ctx, e.Churn.ReplacementsPerSecond)()
+	if err := e.measureIdle(ctx, s, gateways, r, log); err != nil {
 		return err
 	}
-	return e.load(ctx, s, gateways, r, log)
+	return e.measureLoad(ctx, s, gateways, r, log)
 }
 
-// ready waits for all gateways. If one is not ready in time there is no more to
+// awaitReady waits for all gateways. If one is not ready in time there is no more to
 // measure, which is a figure too.
-func (e *Experiment) ready(ctx context.Context, gateways []*real.Gateway, r *Run) (bool, error) {
+func (e *Experiment) awaitReady(ctx context.Context, gateways []*real.Gateway, r *Run) (bool, error) {
 	never, slowest := 0, time.Duration(0)
 	for _, g := range gateways {
-		took, err := g.Ready(ctx, seconds(e.Fleet.ReadyIn))
+		took, err := g.WaitReady(ctx, seconds(e.Fleet.ReadyTimeoutS))
 		switch {
-		case errors.Is(err, real.ErrNeverReady):
+		case errors.Is(err, real.ErrReadyTimeout):
 			never++
 		case err != nil:
 			return false, err
 		}
 		slowest = max(slowest, took)
 	}
-	r.Figures["never_ready"] = float64(never)
+	r.Metrics["never_ready"] = float64(never)
 	if never == 0 {
-		r.Figures["ready_s"] = slowest.Seconds()
+		r.Metrics["ready_s"] = slowest.Seconds()
 	}
 	return never == 0, nil
 }
 
-// quiet measures gateways that are asked for nothing.
-func (e *Experiment) quiet(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
-	if e.QuietSeconds == 0 {
+// measureIdle measures gateways that are asked for nothing.
+func (e *Experiment) measureIdle(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
+	if e.IdleSeconds == 0 {
 		return nil
 	}
-	log.Info("quiet", "seconds", e.QuietSeconds)
+	log.Info("quiet", "seconds", e.IdleSeconds)
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	before, after, used, err := s.during(ctx, gateways, seconds(e.QuietSeconds))
+	before, after, used, err := s.measureDuring(ctx, gateways, seconds(e.IdleSeconds))
 	if err != nil {
 		return err
 	}
 	n := len(gateways)
-	r.Figures["quiet_core_share"] = used.CPU.Seconds() / after.at.Sub(before.at).Seconds() / float64(n)
-	discovery, counter := after.traffic(&before, n)
-	r.Figures["quiet_control_bytes_per_s"] = discovery + counter
+	r.Metrics["quiet_core_share"] = used.CPU.Seconds() / after.at.Sub(before.at).Seconds() / float64(n)
+	discovery, counter := after.controlTraffic(&before, n)
+	r.Metrics["quiet_control_bytes_per_s"] = discovery + counter
 	return nil
 }
 
-// used samples the stand-ins and the gateways: their processor time together, and
+// sampleUsage samples the stand-ins and the gateways: their processor time together, and
 // the memory of the largest.
-func (s *standins) used(gateways []*real.Gateway) (sample, proc.Usage, error) {
+func (s *standins) sampleUsage(gateways []*real.Gateway) (sample, proc.Usage, error) {
 	var sum proc.Usage
 	for _, g := range gateways {
 		u, err := g.Usage()
@@ -104,32 +104,32 @@
 			return sample{}, sum, err
 		}
 		sum.CPU += u.CPU
-		sum.PeakBytes = max(sum.PeakBytes, u.PeakBytes)
+		sum.PeakRSS = max(sum.PeakRSS, u.PeakRSS)
 	}
 	return s.sample(), sum, nil
 }
 
-// during samples before and after a while, and tells what the gateways used in it:
+// measureDuring samples before and after a while, and tells what the gateways used in it:
 // their processor time, and the peak of the largest one's memory up to its end.
-func (s *standins) during(ctx context.Context, gateways []*real.Gateway, d time.Duration) (before, after sample, used proc.Usage, err error) {
-	before, start, err := s.used(gateways)
+func (s *standins) measureDuring(ctx context.Context, gateways []*real.Gateway, d time.Duration) (before, after sample, used proc.Usage, err error) {
+	before, start, err := s.sampleUsage(gateways)
 	if err == nil {
 		err = sleep(ctx, d)
 	}
 	if err != nil {
 		return before, after, used, err
 	}
-	after, used, err = s.used(gateways)
+	after, used, err = s.sampleUsage(gateways)
 	used.CPU -= start.CPU
 	return before, after, used, err
 }
 
-// load measures gateways at work.
-func (e *Experiment) load(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
+// measureLoad measures gateways at work.
+func (e *Experiment) measureLoad(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
 	tenants, _ := e.tenants()
-	l := real.Load{Seed: e.Seed, PerSecond: e.Tenants.PerGateway * float64(len(gateways)), Tenants: tenants, Zipf: e.Tenants.Zipf,
-		Class: class, Patience: patience, Service: millis(e.Backends.ServiceMS)}
-	log.Info("load", "seconds", e.WarmSeconds+e.Seconds, "requests_per_s", l.PerSecond, "tenants", e.Tenants.Count)
+	l := real.Load{Seed: e.Seed, RequestsPerSecond: e.Tenants.RequestsPerGateway * float64(len(gateways)), Tenants: tenants, ZipfExponent: e.Tenants.ZipfExponent,
+		Class: class, ClientTimeout: clientTimeout, ServiceTime: millis(e.Backends.ServiceTimeMS)}
+	log.Info("load", "seconds", e.WarmupSeconds+e.Seconds, "requests_per_s", l.RequestsPerSecond, "tenants", e.Tenants.Count)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var result real.Result
@@ -137,45 +137,45 @@
 	defer driving.Wait()
 	defer cancel()
 	driving.Go(func() {
-		result = l.Drive(ctx, gateways, time.Now(), seconds(e.WarmSeconds), seconds(e.Seconds))
+		result = l.Run(ctx, gateways, time.Now(), seconds(e.WarmupSeconds), seconds(e.Seconds))
 	})
-	if err := sleep(ctx, seconds(e.WarmSeconds)); err != nil {
+	if err := sleep(ctx, seconds(e.WarmupSeconds)); err != nil {
 		return err
 	}
-	before, after, used, err := s.during(ctx, gateways, seconds(e.Seconds))
+	before, after, used, err := s.measureDuring(ctx, gateways, seconds(e.Seconds))
 	if err != nil {
 		return err
 	}
 	driving.Wait()
-	e.loaded(r.Figures, &result, &before, &after, used.CPU, len(gateways))
-	r.Figures["memory_peak_mb"] = float64(used.PeakBytes) / (1 << 20)
+	e.recordLoadMetrics(r.Metrics, &result, &before, &after, used.CPU, len(gateways))
+	r.Metrics["memory_peak_mb"] = float64(used.PeakRSS) / (1 << 20)
 	return context.Cause(ctx)
 }
 
-// loaded puts in the figures of a load on n gateways.
-func (e *Experiment) loaded(f Figures, result *real.Result, before, after *sample, cpu time.Duration, n int) {
-	due := float64(result.Due)
+// recordLoadMetrics puts in the figures of a load on n gateways.
+func (e *Experiment) recordLoadMetrics(f Metrics, result *real.Result, before, after *sample, cpu time.Duration, n int) {
+	due := float64(result.Scheduled)
 	f["requests"], f["dropped"] = due, float64(result.Dropped)
 	f["requests_per_s"] = due / e.Seconds / float64(n)
-	f.share("served_share", float64(result.Served), due)
-	f.share("refused_share", float64(result.Refused), due)
-	f.share("failed_share", float64(result.Failed), due)
-	f.share("cpu_ms_per_request", float64(cpu)/float64(time.Millisecond), due)
+	f.setRatio("served_share", float64(result.Served), due)
+	f.setRatio("refused_share", float64(result.Rejected), due)
+	f.setRatio("failed_share", float64(result.Failed), due)
+	f.setRatio("cpu_ms_per_request", float64(cpu)/float64(time.Millisecond), due)
 	if result.Served > 0 {
-		f["added_p50_ms"], f["added_p90_ms"], f["added_p99_ms"] = result.Added.P50, result.Added.P90, result.Added.P99
-		f["added_p999_ms"], f["added_max_ms"] = result.Added.P999, result.Added.Max
-		f["late_p99_ms"] = result.Late.P99
+		f["added_p50_ms"], f["added_p90_ms"], f["added_p99_ms"] = result.AddedLatency.P50, result.AddedLatency.P90, result.AddedLatency.P99
+		f["added_p999_ms"], f["added_max_ms"] = result.AddedLatency.P999, result.AddedLatency.Max
+		f["late_p99_ms"] = result.ScheduleLag.P99
 	}
-	discovery, counter := after.traffic(before, n)
+	discovery, counter := after.controlTraffic(before, n)
 	f["control_bytes_per_s"] = discovery + counter
-	if e.Counter.Parts > 0 {
+	if e.Counter.Shards > 0 {
 		calls := float64(after.counter.Calls - before.counter.Calls)
 		f["counter_bytes_per_s"] = counter
-		f.share("counter_calls_per_request", calls, due)
-		f.share("counter_turned_away_share", float64(after.counter.TurnedAway-before.counter.TurnedAway), calls)
+		f.setRatio("counter_calls_per_request", calls, due)
+		f.setRatio("counter_turned_away_share", float64(after.counter.Rejected-before.counter.Rejected), calls)
 		f["counter_names"] = float64(after.counter.Names)
 	}
-	f["backend_connections"], f["backend_connections_at_one"] = float64(after.origin.MostOpen), float64(after.origin.MostAtOne)
-	f.share("backend_handshakes_per_request", float64(after.origin.Handshakes-before.origin.Handshakes), due)
-	f["backends_reached"] = float64(after.origin.Reached)
+	f["backend_connections"], f["backend_connections_at_one"] = float64(after.backends.PeakConns), float64(after.backends.PeakConnsPerBackend)
+	f.setRatio("backend_handshakes_per_request", float64(after.backends.Handshakes-before.backends.Handshakes), due)
+	f["backends_reached"] = float64(after.backends.BackendsReached)
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// After and Before name the versions of the programs that a report compares.
+// Candidate and Baseline name the versions of the programs that a report compares.
 // Bounds bind After alone.
 const (
-	After  = "after"
-	Before = "before"
+	Candidate = "after"
+	Baseline  = "before"
 )
 
 // Report is all that an experiment gave.
@@ -22,10 +22,10 @@
 	Commit     string     `json:"commit"`             // of this version; "unknown" outside a repository
 	Baseline   string     `json:"baseline,omitempty"` // directory of the earlier version's programs
 	Started    time.Time  `json:"started"`
-	TookS      float64    `json:"took_s"`
+	DurationS  float64    `json:"took_s"`
 	Machine    Machine    `json:"machine"`
 	Partial    bool       `json:"partial"` // something was not measured to its end; the runs say what
-	Kept       bool       `json:"kept"`    // all bounds were
+	Passed     bool       `json:"kept"`    // all bounds were
 	Runs       []Run      `json:"runs"`
 	Slopes     []Slope    `json:"slopes,omitempty"`
 	Verdicts   []Verdict  `json:"bounds,omitempty"`
@@ -43,29 +43,29 @@
 	Version string             `json:"version"`
 	Key     string             `json:"key,omitempty"` // what was swept, and its value here
 	Value   float64            `json:"value"`
-	Figures Figures            `json:"figures"`
-	Groups  map[string]Figures `json:"groups,omitempty"`
+	Metrics Metrics            `json:"figures"`
+	Groups  map[string]Metrics `json:"groups,omitempty"`
 	Partial []string           `json:"partial,omitempty"` // what was not measured to its end, and why
 }
 
 // Verdict is a bound at one run.
 type Verdict struct {
 	Bound
-	Value float64  `json:"value"`         // of what was swept
-	Got   *float64 `json:"got,omitempty"` // nil: not measured, and so not kept
-	Kept  bool     `json:"kept"`
+	Value    float64  `json:"value"`         // of what was swept
+	Measured *float64 `json:"got,omitempty"` // nil: not measured, and so not kept
+	Passed   bool     `json:"kept"`
 }
 
-// judge holds the bounds against the runs of this version, each group on its own.
-func judge(bounds []Bound, runs []Run) []Verdict {
+// evaluateBounds holds the bounds against the runs of this version, each group on its own.
+func evaluateBounds(bounds []Bound, runs []Run) []Verdict {
 	var verdicts []Verdict
 	for _, r := range runs {
-		if r.Version != After {
+		if r.Version != Candidate {
 			continue
 		}
 		for _, b := range bounds {
 			if b.Group == "" {
-				verdicts = append(verdicts, b.verdict(r.Value, r.Figures))
+				verdicts = append(verdicts, b.evaluate(r.Value, r.Metrics))
 				continue
 			}
 			matched := 0
@@ -73,23 +73,23 @@
 				if ok, _ := path.Match(b.Group, name); ok {
 					one := b
 					one.Group = name
-					verdicts = append(verdicts, one.verdict(r.Value, r.Groups[name]))
+					verdicts = append(verdicts, one.evaluate(r.Value, r.Groups[name]))
 					matched++
 				}
 			}
 			if matched == 0 {
-				verdicts = append(verdicts, b.verdict(r.Value, nil))
+				verdicts = append(verdicts, b.evaluate(r.Value, nil))
 			}
 		}
 	}
 	return verdicts
 }
 
-func (b Bound) verdict(value float64, f Figures) Verdict {
+func (b Bound) evaluate(value float64, f Metrics) Verdict {
 	v := Verdict{Bound: b, Value: value}
-	if got, measured := f[b.Figure]; measured {
-		v.Got = &got
-		v.Kept = (b.Most == nil || got <= *b.Most) && (b.Least == nil || got >= *b.Least)
+	if got, measured := f[b.Metric]; measured {
+		v.Measured = &got
+		v.Passed = (b.Max == nil || got <= *b.Max) && (b.Min == nil || got >= *b.Min)
 	}
 	return v
 }
@@ -98,7 +98,7 @@
 // squares: figure = Intercept + Slope x value.
 type Slope struct {
 	Version   string  `json:"version"`
-	Figure    string  `json:"figure"`
+	Metric    string  `json:"figure"`
 	Group     string  `json:"group,omitempty"`
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
@@ -106,19 +106,19 @@
 	Points    int     `json:"points"`
 }
 
-// slopes fits every figure that was measured at two values or more.
-func slopes(runs []Run) []Slope {
+// fitSlopes fits every figure that was measured at two values or more.
+func fitSlopes(runs []Run) []Slope {
 	var all []Slope
-	for _, version := range []string{Before, After} {
-		for _, f := range figures {
+	for _, version := range []string{Baseline, Candidate} {
+		for _, f := range metrics {
 			points := map[string][2][]float64{} // by group: values, figures
 			for _, r := range runs {
 				if r.Version != version {
 					continue
 				}
 				scopes := r.Groups
-				if !f.ofGroup {
-					scopes = map[string]Figures{"": r.Figures}
+				if !f.perGroup {
+					scopes = map[string]Metrics{"": r.Metrics}
 				}
 				for group, scope := range scopes {
 					if y, measured := scope[f.name]; measured {
@@ -128,8 +128,8 @@
 				}
 			}
 			for _, group := range slices.Sorted(maps.Keys(points)) {
-				if s, ok := fit(points[group][0], points[group][1]); ok {
-					s.Version, s.Figure, s.Group = version, f.name, group
+				if s, ok := leastSquares(points[group][0], points[group][1]); ok {
+					s.Version, s.Metric, s.Group = version, f.name, group
 					all = append(all, s)
 				}
 			}
@@ -138,8 +138,8 @@
 	return all
 }
 
-// fit is the line through the points; there is none through a single value.
-func fit(xs, ys []float64) (Slope, bool) {
+// leastSquares is the line through the points; there is none through a single value.
+func leastSquares(xs, ys []float64) (Slope, bool) {
 	n := float64(len(xs))
 	var mx, my, xx, xy, yy float64
 	for i := range xs {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	class       = "lookup" // the settings' only one
-	patience    = 2 * time.Second
-	drainGrace  = 2 * time.Second
-	settleTime  = time.Second      // after a gateway is ready, before the quiet is measured
-	phaseMargin = 20 * time.Second // of a phase, beside the times that the file states
-	stopGrace   = 5 * time.Second  // for a process of hollow gateways
-	listPoll    = 20 * time.Millisecond
-	sampleGap   = 250 * time.Millisecond
+	class            = "lookup" // the settings' only one
+	clientTimeout    = 2 * time.Second
+	drainGrace       = 2 * time.Second
+	settleTime       = time.Second      // after a gateway is ready, before the quiet is measured
+	phaseMargin      = 20 * time.Second // of a phase, beside the times that the file states
+	stopGrace        = 5 * time.Second  // for a process of hollow gateways
+	listPollInterval = 20 * time.Millisecond
+	sampleInterval   = 250 * time.Millisecond
 )
 
 // Version is a version of the programs that are measured.
@@ -29,21 +29,21 @@
 	Fleetlab string       // path of the program whose verb `hollow` holds hollow gateways
 }
 
-// longest is the time after which a phase is ended by force.
-func (e *Experiment) longest() time.Duration {
-	return seconds(e.Fleet.ReadyIn+e.QuietSeconds+e.WarmSeconds+e.Seconds+e.Restart.WithinS) + phaseMargin
+// phaseTimeout is the time after which a phase is ended by force.
+func (e *Experiment) phaseTimeout() time.Duration {
+	return seconds(e.Fleet.ReadyTimeoutS+e.IdleSeconds+e.WarmupSeconds+e.Seconds+e.Restart.StaggerS) + phaseMargin
 }
 
-// run measures one version: the real gateways first, then, with the machine to
+// runVersion measures one version: the real gateways first, then, with the machine to
 // themselves, the hollow ones.
-func (e *Experiment) run(ctx context.Context, v Version, log *slog.Logger) Run {
-	r := Run{Version: v.Name, Figures: Figures{}, Groups: map[string]Figures{}}
+func (e *Experiment) runVersion(ctx context.Context, v Version, log *slog.Logger) Run {
+	r := Run{Version: v.Name, Metrics: Metrics{}, Groups: map[string]Metrics{}}
 	phase := func(name string, measure func(context.Context, Version, *Run, *slog.Logger) error) {
 		if ctx.Err() != nil {
 			r.Partial = append(r.Partial, name+": not begun: "+context.Cause(ctx).Error())
 			return
 		}
-		ctx, cancel := context.WithTimeoutCause(ctx, e.longest(), errors.New("it took too long"))
+		ctx, cancel := context.WithTimeoutCause(ctx, e.phaseTimeout(), errors.New("it took too long"))
 		defer cancel()
 		if err := measure(ctx, v, &r, log.With("version", v.Name, "phase", name)); err != nil {
 			if cause := context.Cause(ctx); cause != nil {
@@ -52,18 +52,18 @@
 			r.Partial = append(r.Partial, name+": "+oneLine(err))
 		}
 	}
-	if e.Fleet.Real > 0 {
-		phase("real", e.runReal)
+	if e.Fleet.GatewayProcesses > 0 {
+		phase("real", e.measureProcesses)
 	}
-	if e.hollow() > 0 {
-		phase("hollow", e.runHollow)
+	if e.hollowGateways() > 0 {
+		phase("hollow", e.measureHollow)
 	}
 	return r
 }
 
 // sleep waits, or returns why ctx ended.
 func sleep(ctx context.Context, d time.Duration) error {
-	if !pause.For(ctx, d) {
+	if !pause.Sleep(ctx, d) {
 		return context.Cause(ctx)
 	}
 	return nil
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	originPorts = 4
-	churnTick   = 100 * time.Millisecond // changes of the list come in batches
+	backendListeners = 4
+	churnInterval    = 100 * time.Millisecond // changes of the list come in batches
 )
 
 var (
@@ -27,30 +27,30 @@
 // standins are the services that one phase of a run talks to, of its own, so that
 // all traffic on them is this phase's.
 type standins struct {
-	registry           *registry.Registry
-	counter            *counter.Counter // nil: none
-	origin             *origin.Origin
-	discovery, counted string // addresses; no counter: ""
-	listed, spare      []gateway.Instance
+	discoveryServer                  *registry.Server
+	counter                          *counter.Counter // nil: none
+	backends                         *origin.Pool
+	discoveryAddress, counterAddress string // addresses; no counter: ""
+	listedBackends, spareBackends    []gateway.Instance
 }
 
-// newStandins starts them; they serve until ctx ends or close.
-func newStandins(ctx context.Context, e *Experiment) (*standins, error) {
-	s := &standins{origin: origin.New(origin.Options{Service: millis(e.Backends.ServiceMS), Listeners: originPorts})}
-	if err := s.origin.Start(ctx); err != nil {
+// startStandins starts them; they serve until ctx ends or close.
+func startStandins(ctx context.Context, e *Experiment) (*standins, error) {
+	s := &standins{backends: origin.New(origin.Options{ServiceTime: millis(e.Backends.ServiceTimeMS), Listeners: backendListeners})}
+	if err := s.backends.Start(ctx); err != nil {
 		return nil, err
 	}
-	all := s.origin.Instances(e.Backends.Count+e.spare(), zones, kinds)
-	s.listed, s.spare = all[:e.Backends.Count:e.Backends.Count], all[e.Backends.Count:]
-	s.registry = registry.New(slices.Clone(s.listed), registry.Options{WholePerSecond: e.Discovery.WholePerSecond})
+	all := s.backends.Instances(e.Backends.Count+e.spareBackends(), zones, kinds)
+	s.listedBackends, s.spareBackends = all[:e.Backends.Count:e.Backends.Count], all[e.Backends.Count:]
+	s.discoveryServer = registry.New(slices.Clone(s.listedBackends), registry.Options{FullListsPerSecond: e.Discovery.FullListsPerSecond})
 	var err error
-	if s.discovery, err = s.registry.Start(ctx); err != nil {
+	if s.discoveryAddress, err = s.discoveryServer.Start(ctx); err != nil {
 		s.close()
 		return nil, err
 	}
-	if e.Counter.Parts > 0 {
-		s.counter = counter.New(counter.Options{Parts: e.Counter.Parts, Service: millis(e.Counter.ServiceMS), Waiting: e.Counter.Waiting})
-		if s.counted, err = s.counter.Start(ctx); err != nil {
+	if e.Counter.Shards > 0 {
+		s.counter = counter.New(counter.Options{Shards: e.Counter.Shards, ServiceTime: millis(e.Counter.ServiceTimeMS), MaxQueued: e.Counter.MaxQueued})
+		if s.counterAddress, err = s.counter.Start(ctx); err != nil {
 			s.close()
 			return nil, err
 		}
@@ -58,44 +58,46 @@
 	return s, nil
 }
 
-// spare is how many backends churn may need in a phase beside those that are listed.
-func (e *Experiment) spare() int { return int(e.Churn.PerSecond * e.longest().Seconds()) }
+// spareBackends is how many backends churn may need in a phase beside those that are listed.
+func (e *Experiment) spareBackends() int {
+	return int(e.Churn.ReplacementsPerSecond * e.phaseTimeout().Seconds())
+}
 
 func (s *standins) close() {
-	s.registry.Close()
+	s.discoveryServer.Close()
 	if s.counter != nil {
 		s.counter.Close()
 	}
-	s.origin.Close()
+	s.backends.Close()
 }
 
 // sample is what the stand-ins have counted at one time.
 type sample struct {
-	at       time.Time
-	registry registry.Stats
-	counter  counter.Stats // zero without one
-	origin   origin.Stats
+	at        time.Time
+	discovery registry.Stats
+	counter   counter.Stats // zero without one
+	backends  origin.Stats
 }
 
 func (s *standins) sample() sample {
-	now := sample{at: time.Now(), registry: s.registry.Stats(), origin: s.origin.Stats()}
+	now := sample{at: time.Now(), discovery: s.discoveryServer.Stats(), backends: s.backends.Stats()}
 	if s.counter != nil {
 		now.counter = s.counter.Stats()
 	}
 	return now
 }
 
-// traffic is what the control connections had on the wire since an earlier
+// controlTraffic is what the control connections had on the wire since an earlier
 // sample, in bytes a second of each of n gateways.
-func (now *sample) traffic(since *sample, n int) (discovery, counter float64) {
+func (now *sample) controlTraffic(since *sample, n int) (discovery, counter float64) {
 	per := now.at.Sub(since.at).Seconds() * float64(n)
-	return float64(now.registry.Wire.Bytes()-since.registry.Wire.Bytes()) / per,
-		float64(now.counter.Wire.Bytes()-since.counter.Wire.Bytes()) / per
+	return float64(now.discovery.Traffic.Bytes()-since.discovery.Traffic.Bytes()) / per,
+		float64(now.counter.Traffic.Bytes()-since.counter.Traffic.Bytes()) / per
 }
 
 // listBytes asks for the whole list, as a gateway does at its start, and returns its size.
 func (s *standins) listBytes(ctx context.Context) (int64, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.discovery+"/registry/instances", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.discoveryAddress+"/registry/instances", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -111,15 +113,15 @@
 func (s *standins) startChurn(ctx context.Context, perSecond float64) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var churning sync.WaitGroup
-	churning.Go(func() { s.churn(ctx, perSecond) })
+	churning.Go(func() { s.replaceBackends(ctx, perSecond) })
 	return func() { cancel(); churning.Wait() }
 }
 
-// churn replaces so many backends a second until ctx ends, for as long as a phase
+// replaceBackends replaces so many backends a second until ctx ends, for as long as a phase
 // may last:
 // the oldest is Terminating first and Gone after the grace of drains, and a new
 // one, just started, stands in its place.
-func (s *standins) churn(ctx context.Context, perSecond float64) {
+func (s *standins) replaceBackends(ctx context.Context, perSecond float64) {
 	if perSecond <= 0 {
 		return
 	}
@@ -128,9 +130,9 @@
 		gone gateway.Instance
 	}
 	var draining []drain
-	ticker := time.NewTicker(churnTick)
+	ticker := time.NewTicker(churnInterval)
 	defer ticker.Stop()
-	start, done := time.Now(), 0
+	start, replaced := time.Now(), 0
 	for {
 		select {
 		case <-ctx.Done():
@@ -141,17 +143,17 @@
 				delta = append(delta, draining[0].gone)
 				draining = draining[1:]
 			}
-			for ; done < int(now.Sub(start).Seconds()*perSecond) && len(s.spare) > 0; done++ {
-				old, next := s.listed[0], s.spare[0]
+			for ; replaced < int(now.Sub(start).Seconds()*perSecond) && len(s.spareBackends) > 0; replaced++ {
+				old, next := s.listedBackends[0], s.spareBackends[0]
 				next.StartedAtMs = now.UnixMilli()
-				s.listed, s.spare = append(s.listed[1:], next), s.spare[1:]
+				s.listedBackends, s.spareBackends = append(s.listedBackends[1:], next), s.spareBackends[1:]
 				old.Lifecycle = "Terminating"
 				delta = append(delta, old, next)
 				old.Lifecycle = "Gone"
 				draining = append(draining, drain{now, old})
 			}
 			if len(delta) > 0 {
-				s.registry.Change(delta)
+				s.discoveryServer.ApplyDelta(delta)
 			}
 		}
 	}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -22,15 +22,15 @@
 		heads = append(heads, run.label(r))
 	}
 	row(heads...)
-	for _, f := range figures {
-		if !f.main || f.ofGroup {
+	for _, f := range metrics {
+		if !f.primary || f.perGroup {
 			continue
 		}
 		cells, any := []string{f.name}, false
 		for _, run := range r.Runs {
-			value, measured := run.Figures[f.name]
+			value, measured := run.Metrics[f.name]
 			any = any || measured
-			cells = append(cells, number(value, measured))
+			cells = append(cells, formatNumber(value, measured))
 		}
 		if any {
 			row(cells...)
@@ -42,18 +42,18 @@
 		}
 		row()
 		heads := []string{"group, " + run.label(r)}
-		for _, f := range figures {
-			if f.ofGroup && f.main {
+		for _, f := range metrics {
+			if f.perGroup && f.primary {
 				heads = append(heads, f.name)
 			}
 		}
 		row(heads...)
 		for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
 			cells := []string{name}
-			for _, f := range figures {
-				if f.ofGroup && f.main {
+			for _, f := range metrics {
+				if f.perGroup && f.primary {
 					value, measured := run.Groups[name][f.name]
-					cells = append(cells, number(value, measured))
+					cells = append(cells, formatNumber(value, measured))
 				}
 			}
 			row(cells...)
@@ -70,8 +70,8 @@
 	row()
 	row("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
 	for _, s := range r.Slopes {
-		if slices.ContainsFunc(figures, func(f figure) bool { return f.name == s.Figure && f.ofGroup == (s.Group != "") && f.main }) {
-			row(s.Figure, s.Version, s.Group, number(s.Slope, true), number(s.Intercept, true), number(s.R2, true))
+		if slices.ContainsFunc(metrics, func(f metric) bool { return f.name == s.Metric && f.perGroup == (s.Group != "") && f.primary }) {
+			row(s.Metric, s.Version, s.Group, formatNumber(s.Slope, true), formatNumber(s.Intercept, true), formatNumber(s.R2, true))
 		}
 	}
 }
@@ -83,11 +83,11 @@
 		if b == nil {
 			return ""
 		}
-		return number(*b, true)
+		return formatNumber(*b, true)
 	}
 	broken := 0
 	for _, v := range r.Verdicts {
-		if v.Kept {
+		if v.Passed {
 			continue
 		}
 		if broken++; broken == 1 {
@@ -95,13 +95,13 @@
 			row("broken bound", "group", "at", "most", "least", "got")
 		}
 		got, at := "not measured", ""
-		if v.Got != nil {
-			got = number(*v.Got, true)
+		if v.Measured != nil {
+			got = formatNumber(*v.Measured, true)
 		}
-		if r.Experiment.Over != "" {
-			at = number(v.Value, true)
+		if r.Experiment.Sweep != "" {
+			at = formatNumber(v.Value, true)
 		}
-		row(v.Figure, v.Group, at, limit(v.Most), limit(v.Least), got)
+		row(v.Metric, v.Group, at, limit(v.Max), limit(v.Min), got)
 	}
 	row()
 	row(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
@@ -116,7 +116,7 @@
 func (run *Run) label(r *Report) string {
 	var words []string
 	if run.Key != "" {
-		words = append(words, run.Key+"="+number(run.Value, true))
+		words = append(words, run.Key+"="+formatNumber(run.Value, true))
 	}
 	if r.Baseline != "" || len(words) == 0 {
 		words = append(words, run.Version)
@@ -124,8 +124,8 @@
 	return strings.Join(words, " ")
 }
 
-// number prints three figures, more only of what is above 999.
-func number(v float64, measured bool) string {
+// formatNumber prints three figures, more only of what is above 999.
+func formatNumber(v float64, measured bool) string {
 	if !measured {
 		return "-"
 	}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { reg.Close() })
-	count := counter.New(counter.Options{Parts: 4, Waiting: 1000})
+	count := counter.New(counter.Options{Shards: 4, MaxQueued: 1000})
 	address, err := count.Start(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -114,15 +114,15 @@
 
 // Refusals are judged by what the store holds then, sends by whether it has the units.
 func TestJudgement(t *testing.T) {
-	c := &customer{store: truth.New(1e-9, 10)}
-	g := &group{Group: Group{Units: 2}, begin: time.Now()}
+	c := &customer{bucket: truth.New(1e-9, 10)}
+	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
 	refuse := func(counts bool) {
-		g.answered(try{c: c, counts: counts, due: time.Now(), done: func() {}}, http.StatusTooManyRequests, 0)
+		g.onAnswer(attempt{customer: c, measured: counts, due: time.Now(), done: func() {}}, http.StatusTooManyRequests, 0)
 	}
 	refuse(false)
 	for range 6 {
 		refuse(true) // with 10, 8, 6, 4, 2 and 0 units in the store
-		g.sent(try{c: c, counts: true})
+		g.onForwarded(attempt{customer: c, measured: true})
 	}
 	if r := g.result; r.Refused != 6 || r.RefusedInside != 5 || r.RefusedHalfFull != 3 || r.Beyond != 1 {
 		t.Errorf("judged %+v", r)
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -64,16 +64,16 @@
 	Latency                                 load.Quantiles // ms of those served, from when the first try fell due
 }
 
-// host is the run of gateways of a job.
-type host struct {
+// jobRun is the run of gateways of a job.
+type jobRun struct {
 	Job
 	deployment wire.Deployment
 	gateways   []*gateway.Hollow // by number, from First
 }
 
-// newHost reads a job and says what is wrong with it.
-func newHost(j Job) (*host, error) {
-	h := &host{Job: j, gateways: make([]*gateway.Hollow, max(j.Gateways, 0))}
+// newJobRun reads a job and says what is wrong with it.
+func newJobRun(j Job) (*jobRun, error) {
+	h := &jobRun{Job: j, gateways: make([]*gateway.Hollow, max(j.Gateways, 0))}
 	var err error
 	if h.deployment, err = wire.ParseDeployment(j.Settings); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 		return nil, errors.New("a time or the memory is out of range")
 	}
 	for n, g := range j.Groups {
-		if err := h.check(g); err != nil {
+		if err := h.validateGroup(g); err != nil {
 			return nil, fmt.Errorf("group %q: %w", g.Name, err)
 		}
 		for _, other := range j.Groups[:n] {
@@ -97,7 +97,7 @@
 	return h, nil
 }
 
-func (h *host) check(g Group) error {
+func (h *jobRun) validateGroup(g Group) error {
 	switch {
 	case g.Gateways < 1 || g.First < h.First || g.First+g.Gateways > h.First+h.Gateways:
 		return errors.New("its gateways are not all in this process")
@@ -105,7 +105,7 @@
 		return fmt.Errorf("sets of %d among %d gateways", g.Spread, g.Gateways)
 	case g.Customers < 1 || g.PerSecond <= 0 || g.Zipf < 0 || g.Units <= 0:
 		return errors.New("customers, rate, exponent or units are out of range")
-	case g.Customers > mostCustomers/h.Fleet:
+	case g.Customers > maxCustomerIDs/h.Fleet:
 		return fmt.Errorf("%d customers are too many", g.Customers)
 	case g.Plan < 0 || g.Plan >= len(h.deployment.Plans) || g.Class < 0 || g.Class >= len(h.deployment.Classes):
 		return errors.New("the settings have no such plan or class")
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	mostCustomers = 1 << 33         // their numbers are below it
-	listTime      = 3 * time.Minute // for the first list, after the last gateway's start
-	drainMargin   = 2 * time.Second // for the last answers, after the longest deadline
+	maxCustomerIDs = 1 << 33         // their numbers are below it
+	listTimeout    = 3 * time.Minute // for the first list, after the last gateway's start
+	drainMargin    = 2 * time.Second // for the last answers, after the longest deadline
 )
 
-// service is the backend of all hollow gateways: it serves each request, in the same time.
-type service time.Duration
+// fixedServiceTime is the backend of all hollow gateways: it serves each request, in the same time.
+type fixedServiceTime time.Duration
 
-func (s service) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
+func (s fixedServiceTime) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
 	return time.Duration(s), policy.Served
 }
 
@@ -33,53 +33,53 @@
 // it returns. The load begins once all gateways have their list. Where ctx ends before the load is over, the
 // result tells what was done by then, and the error is ctx's.
 func Run(ctx context.Context, j Job) (Result, error) {
-	h, err := newHost(j)
+	h, err := newJobRun(j)
 	if err != nil {
 		return Result{}, fmt.Errorf("job: %w", err)
 	}
 	if j.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(j.MemoryMB) << 20)
 	}
-	inner, stop := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	defer running.Wait()
+	gatewaysCtx, stop := context.WithCancel(ctx)
+	var gatewaysRunning sync.WaitGroup
+	defer gatewaysRunning.Wait()
 	defer stop()
-	var ready load.Latency
-	if err := h.start(inner, &running, &ready); err != nil {
+	var ready load.LatencyHistogram
+	if err := h.startGateways(gatewaysCtx, &gatewaysRunning, &ready); err != nil {
 		return Result{}, err
 	}
-	groups := make([]*group, len(j.Groups))
+	groups := make([]*groupLoad, len(j.Groups))
 	for n, g := range j.Groups {
-		groups[n] = h.newGroup(g)
+		groups[n] = h.newGroupLoad(g)
 	}
-	begin := time.Now()
+	loadStart := time.Now()
 	// A gateway that is stuck may never answer; its open requests fail when it is ended.
-	loaded, cancel := context.WithDeadline(inner, begin.Add(h.longest()))
+	loadCtx, cancel := context.WithDeadline(gatewaysCtx, loadStart.Add(h.loadTimeout()))
 	defer cancel()
-	var driving sync.WaitGroup
+	var loads sync.WaitGroup
 	for _, g := range groups {
-		driving.Go(func() { g.drive(loaded, begin) })
+		loads.Go(func() { g.runLoad(loadCtx, loadStart) })
 	}
-	warm := time.NewTimer(seconds(j.WarmS))
-	defer warm.Stop()
+	warmupTimer := time.NewTimer(seconds(j.WarmS))
+	defer warmupTimer.Stop()
 	select {
-	case <-warm.C:
+	case <-warmupTimer.C:
 	case <-ctx.Done():
 	}
-	from, cpu := time.Now(), usage().cpu
-	before := make([]calls, len(groups))
+	measuredFrom, cpuBefore := time.Now(), readUsage().cpu
+	before := make([]counterCalls, len(groups))
 	for n, g := range groups {
-		before[n] = g.calls()
+		before[n] = g.counterCalls()
 	}
-	driving.Wait()
-	result := Result{Ready: ready.Quantiles(time.Second), Gateways: j.Gateways, SpanS: time.Since(from).Seconds()}
-	used := usage()
-	result.CPUSeconds, result.PeakMB = (used.cpu - cpu).Seconds(), used.peakMB
+	loads.Wait()
+	result := Result{Ready: ready.Quantiles(time.Second), Gateways: j.Gateways, SpanS: time.Since(measuredFrom).Seconds()}
+	used := readUsage()
+	result.CPUSeconds, result.PeakMB = (used.cpu - cpuBefore).Seconds(), used.peakMB
 	stop()
-	running.Wait()
+	gatewaysRunning.Wait()
 	for n, g := range groups {
-		g.clients.Wait() // the gateways have ended, so each has its answer
-		after := g.calls()
+		g.pendingClients.Wait() // the gateways have ended, so each has its answer
+		after := g.counterCalls()
 		g.result.Calls, g.result.CallsUnanswered = after.made-before[n].made, after.unanswered-before[n].unanswered
 		g.result.Latency = g.latency.Quantiles(time.Millisecond)
 		result.Groups = append(result.Groups, g.result)
@@ -88,8 +88,8 @@
 	return result, ctx.Err()
 }
 
-// start starts all gateways and waits for their lists.
-func (h *host) start(ctx context.Context, running *sync.WaitGroup, ready *load.Latency) error {
+// startGateways starts all gateways and waits for their lists.
+func (h *jobRun) startGateways(ctx context.Context, running *sync.WaitGroup, ready *load.LatencyHistogram) error {
 	failed := make(chan error, h.Gateways)
 	var starting sync.WaitGroup
 	starting.Add(h.Gateways)
@@ -97,11 +97,11 @@
 		running.Go(func() {
 			listed := sync.OnceFunc(starting.Done)
 			defer listed()
-			if !pause.For(ctx, seconds(h.StartSpreadS*float64(n)/float64(h.Gateways))) {
+			if !pause.Sleep(ctx, seconds(h.StartSpreadS*float64(n)/float64(h.Gateways))) {
 				return
 			}
 			began := time.Now()
-			g, err := gateway.NewHollow(h.config(h.First+n), service(seconds(h.ServiceS)))
+			g, err := gateway.NewHollow(h.gatewayConfig(h.First+n), fixedServiceTime(seconds(h.ServiceS)))
 			if err != nil {
 				failed <- err
 				return
@@ -112,7 +112,7 @@
 			case <-g.Ready():
 				ready.Record(time.Since(began))
 			case <-ctx.Done():
-			case <-time.After(seconds(h.StartSpreadS) + listTime):
+			case <-time.After(seconds(h.StartSpreadS) + listTimeout):
 				failed <- fmt.Errorf("gateway %d has no list", h.First+n)
 			}
 		})
@@ -126,16 +126,16 @@
 	}
 }
 
-// config is that of the gateway with a number.
-func (h *host) config(rank int) *gateway.Config {
+// gatewayConfig is that of the gateway with a number.
+func (h *jobRun) gatewayConfig(rank int) *gateway.Config {
 	c := &gateway.Config{Name: fmt.Sprintf("h-%05d", rank), Discovery: h.Discovery, Counter: h.Counter,
 		Seed: rand.New(rand.NewPCG(h.Seed, uint64(rank)<<1|1)).Uint64(), Deployment: h.deployment}
 	c.GatewayIndex, c.FleetSize = rank, h.Fleet
 	return c
 }
 
-// longest is when the last request is over at the latest, since the load began.
-func (h *host) longest() time.Duration {
+// loadTimeout is when the last request is over at the latest, since the load began.
+func (h *jobRun) loadTimeout() time.Duration {
 	most := 0.0
 	for _, g := range h.Groups {
 		most = max(most, h.deployment.Classes[g.Class].Deadline)
@@ -145,16 +145,16 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// resources are what the process has used since its start.
-type resources struct {
+// resourceUsage are what the process has used since its start.
+type resourceUsage struct {
 	cpu    time.Duration
 	peakMB float64
 }
 
-func usage() resources {
+func readUsage() resourceUsage {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err) // it can't fail with these arguments
 	}
-	return resources{time.Duration(u.Utime.Nano() + u.Stime.Nano()), float64(u.Maxrss) / 1024}
+	return resourceUsage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), float64(u.Maxrss) / 1024}
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -14,7 +14,7 @@
 // The gaps of a Poisson stream are exponential: their standard deviation is their mean.
 func TestPoisson(t *testing.T) {
 	const n, rate = 200_000, 250.0
-	a, again := Poisson(seeded(), rate), Poisson(seeded(), rate)
+	a, again := NewPoisson(seeded(), rate), NewPoisson(seeded(), rate)
 	var last time.Duration
 	sum, squares := 0.0, 0.0
 	for range n {
@@ -33,9 +33,9 @@
 
 func TestTenants(t *testing.T) {
 	for exponent, want := range map[float64][3]float64{0: {1. / 3, 1. / 3, 1. / 3}, 1: {6. / 11, 3. / 11, 2. / 11}} {
-		tenants, rng, got := NewTenants(3, exponent), seeded(), [3]float64{}
+		tenants, rng, got := NewTenantDistribution(3, exponent), seeded(), [3]float64{}
 		for range 100_000 {
-			got[tenants.Pick(rng)] += 1e-5
+			got[tenants.Sample(rng)] += 1e-5
 		}
 		for i := range got {
 			if math.Abs(got[i]-want[i]) > 0.01 {
@@ -50,13 +50,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		const stall, service = time.Second, 10 * time.Millisecond
 		start := time.Now()
-		want, expect := 0, Poisson(seeded(), 100)
+		want, expect := 0, NewPoisson(seeded(), 100)
 		for expect.Next() < 4*time.Second {
 			want++
 		}
-		var all Latency
+		var all LatencyHistogram
 		calls, late := 0, 0
-		Drive(t.Context(), Poisson(seeded(), 100), start, 4*time.Second, 1000, func(due time.Time, n int, done func()) {
+		RunOpenLoop(t.Context(), NewPoisson(seeded(), 100), start, 4*time.Second, 1000, func(due time.Time, n int, done func()) {
 			if n != calls {
 				t.Errorf("request %d came as number %d", n, calls)
 			}
@@ -88,7 +88,7 @@
 		dropped, began := 0, time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		Drive(ctx, Poisson(seeded(), 100), began, time.Second, 3, func(_ time.Time, _ int, done func()) {
+		RunOpenLoop(ctx, NewPoisson(seeded(), 100), began, time.Second, 3, func(_ time.Time, _ int, done func()) {
 			if over = append(over, done); len(over) == 3 {
 				time.AfterFunc(500*time.Millisecond, over[0])
 			}
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/origin/origin_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBackendsAreToldApart(t *testing.T) {
-	o := New(Options{Service: time.Millisecond, Listeners: 2})
+	o := New(Options{ServiceTime: time.Millisecond, Listeners: 2})
 	if err := o.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -61,13 +61,13 @@
 			}
 		}
 	}
-	eventually("all open", func(s Stats) bool { return s.Open == 5 })
+	eventually("all open", func(s Stats) bool { return s.OpenConns == 5 })
 	s := o.Stats()
-	if s.Requests != 8 || s.Probes != 4 || s.Handshakes != 5 || s.MostOpen != 5 || s.MostAtOne != 3 || s.Reached != 2 || s.Wire.Conns != 5 {
+	if s.Requests != 8 || s.Probes != 4 || s.Handshakes != 5 || s.PeakConns != 5 || s.PeakConnsPerBackend != 3 || s.BackendsReached != 2 || s.Traffic.Conns != 5 {
 		t.Errorf("%+v", s)
 	}
 	for _, nc := range conns {
 		nc.Close()
 	}
-	eventually("all closed", func(s Stats) bool { return s.Open == 0 && s.MostOpen == 5 })
+	eventually("all closed", func(s Stats) bool { return s.OpenConns == 0 && s.PeakConns == 5 })
 }
--- a/internal/lab/pause/pause.go
+++ b/internal/lab/pause/pause.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits and tells whether ctx still stands.
-func For(ctx context.Context, d time.Duration) bool {
+// Sleep waits and tells whether ctx still stands.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	tick       = 10 * time.Millisecond // unit of the times in /proc/PID/stat
-	mostStderr = 64 << 10
-	mostOutput = 16 << 20
-	pipesAfter = 2 * time.Second // after a child's end, for what others may still hold of its pipes
+	clockTick     = 10 * time.Millisecond // unit of the times in /proc/PID/stat
+	maxStderr     = 64 << 10
+	maxStdout     = 16 << 20
+	pipeWaitDelay = 2 * time.Second // after a child's end, for what others may still hold of its pipes
 )
 
 // Usage is what a process has used.
 type Usage struct {
-	CPU              time.Duration // user and system, in steps of 10 ms
-	PeakBytes, Bytes int64         // resident memory: the most so far, and now
+	CPU          time.Duration // user and system, in steps of 10 ms
+	PeakRSS, RSS int64         // resident memory: the most so far, and now
 }
 
-// Of reads the usage of a process. It is an error if the process has ended.
-func Of(pid int) (Usage, error) {
+// ReadUsage reads the usage of a process. It is an error if the process has ended.
+func ReadUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
@@ -41,16 +41,16 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	u, err := parse(string(stat), string(status))
+	u, err := parseUsage(string(stat), string(status))
 	if err != nil {
 		return Usage{}, fmt.Errorf("process %d: %w", pid, err)
 	}
 	return u, nil
 }
 
-// parse reads the two files. The name in stat may hold blanks and parentheses,
+// parseUsage reads the two files. The name in stat may hold blanks and parentheses,
 // so its fields are counted from the last parenthesis.
-func parse(stat, status string) (u Usage, err error) {
+func parseUsage(stat, status string) (u Usage, err error) {
 	name := strings.LastIndex(stat, ") ")
 	fields := strings.Fields(stat[name+1:]) // the first is the third of the file
 	if name < 0 || len(fields) < 13 {
@@ -61,17 +61,17 @@
 		if err != nil {
 			return u, fmt.Errorf("stat: %w", err)
 		}
-		u.CPU += time.Duration(n) * tick
+		u.CPU += time.Duration(n) * clockTick
 	}
-	if u.PeakBytes, err = memory(status, "VmHWM:"); err != nil {
+	if u.PeakRSS, err = memoryField(status, "VmHWM:"); err != nil {
 		return u, err
 	}
-	u.Bytes, err = memory(status, "VmRSS:")
+	u.RSS, err = memoryField(status, "VmRSS:")
 	return u, err
 }
 
-// memory returns a line of status in bytes. An ended process has none.
-func memory(status, key string) (int64, error) {
+// memoryField returns a line of status in bytes. An ended process has none.
+func memoryField(status, key string) (int64, error) {
 	for line := range strings.Lines(status) {
 		if value, ok := strings.CutPrefix(line, key); ok {
 			n, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
@@ -86,21 +86,21 @@
 	Pid int
 
 	cmd            *exec.Cmd
-	stdout, stderr keeper
+	stdout, stderr boundedBuffer
 	done           chan struct{}
-	err            error // of the end; read after done
+	exitErr        error // of the end; read after done
 }
 
 // Start runs a program with env added to this process's environment and stdin as
 // its input (nil: none). It is killed when ctx ends, and when this process dies.
 func Start(ctx context.Context, name string, env []string, stdin io.Reader, arg ...string) (*Process, error) {
 	p := &Process{cmd: exec.CommandContext(ctx, name, arg...), done: make(chan struct{})}
-	p.stdout = keeper{most: mostOutput, first: true}
-	p.stderr = keeper{most: mostStderr}
+	p.stdout = boundedBuffer{limit: maxStdout, keepHead: true}
+	p.stderr = boundedBuffer{limit: maxStderr}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.Stdin, p.cmd.Stdout, p.cmd.Stderr = stdin, &p.stdout, &p.stderr
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	p.cmd.WaitDelay = pipesAfter
+	p.cmd.WaitDelay = pipeWaitDelay
 	started := make(chan error)
 	go func() {
 		// The signal at the parent's death comes when the thread that started
@@ -110,7 +110,7 @@
 		err := p.cmd.Start()
 		started <- err
 		if err == nil {
-			p.err = p.cmd.Wait()
+			p.exitErr = p.cmd.Wait()
 			close(p.done)
 		}
 	}()
@@ -124,7 +124,7 @@
 // Wait returns when the process has ended, with nil for exit status 0 alone.
 func (p *Process) Wait() error {
 	<-p.done
-	return p.err
+	return p.exitErr
 }
 
 // Done is closed when the process has ended.
@@ -134,46 +134,46 @@
 // returns what Wait does.
 func (p *Process) Stop(grace time.Duration) error {
 	p.cmd.Process.Signal(syscall.SIGTERM) // an error says that it has ended
-	late := time.NewTimer(grace)
-	defer late.Stop()
+	killTimer := time.NewTimer(grace)
+	defer killTimer.Stop()
 	select {
 	case <-p.done:
-	case <-late.C:
+	case <-killTimer.C:
 		p.cmd.Process.Kill()
 	}
 	return p.Wait()
 }
 
-// Output returns the first 16 MiB of what it wrote to its standard output.
-func (p *Process) Output() []byte { return p.stdout.bytes() }
+// Stdout returns the first 16 MiB of what it wrote to its standard output.
+func (p *Process) Stdout() []byte { return p.stdout.bytes() }
 
 // Stderr returns the last 64 KiB of what it wrote to its standard error.
 func (p *Process) Stderr() string { return string(p.stderr.bytes()) }
 
-// keeper keeps the first or the last bytes written to it.
-type keeper struct {
-	mu    sync.Mutex
-	most  int
-	first bool
-	kept  []byte
+// boundedBuffer keeps the first or the last bytes written to it.
+type boundedBuffer struct {
+	mu       sync.Mutex
+	limit    int
+	keepHead bool
+	data     []byte
 }
 
-func (k *keeper) Write(p []byte) (int, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.first {
-		k.kept = append(k.kept, p[:min(len(p), k.most-len(k.kept))]...)
+func (b *boundedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.keepHead {
+		b.data = append(b.data, p[:min(len(p), b.limit-len(b.data))]...)
 		return len(p), nil
 	}
-	k.kept = append(k.kept, p...)
-	if over := len(k.kept) - k.most; over > 0 {
-		k.kept = append(k.kept[:0], k.kept[over:]...)
+	b.data = append(b.data, p...)
+	if excess := len(b.data) - b.limit; excess > 0 {
+		b.data = append(b.data[:0], b.data[excess:]...)
 	}
 	return len(p), nil
 }
 
-func (k *keeper) bytes() []byte {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return bytes.Clone(k.kept)
+func (b *boundedBuffer) bytes() []byte {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return bytes.Clone(b.data)
 }
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -22,7 +22,7 @@
 		os.Exit(m.Run())
 	case "echo":
 		io.Copy(os.Stdout, os.Stdin)
-		fmt.Fprint(os.Stderr, strings.Repeat("x", mostStderr), "end")
+		fmt.Fprint(os.Stderr, strings.Repeat("x", maxStderr), "end")
 		os.Exit(3)
 	case "busy":
 		memory := make([]byte, block)
@@ -70,17 +70,17 @@
 func TestUsageOfABusyChild(t *testing.T) {
 	p := child(t, t.Context(), "busy", nil)
 	ready(t, p)
-	u, err := Of(p.Pid)
+	u, err := ReadUsage(p.Pid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u.CPU < 90*time.Millisecond || u.CPU > time.Minute || u.PeakBytes < block || u.PeakBytes > 64*block || u.Bytes > u.PeakBytes {
+	if u.CPU < 90*time.Millisecond || u.CPU > time.Minute || u.PeakRSS < block || u.PeakRSS > 64*block || u.RSS > u.PeakRSS {
 		t.Errorf("%+v", u)
 	}
 	if err := p.Stop(30 * time.Second); err == nil || !strings.Contains(err.Error(), "terminated") {
 		t.Errorf("stopped: %v", err)
 	}
-	if u, err := Of(p.Pid); err == nil {
+	if u, err := ReadUsage(p.Pid); err == nil {
 		t.Errorf("an ended process uses %+v", u)
 	}
 }
@@ -90,10 +90,10 @@
 	if err := p.Wait(); err == nil || err.Error() != "exit status 3" {
 		t.Error(err)
 	}
-	if out := string(p.Output()); out != "a job" {
+	if out := string(p.Stdout()); out != "a job" {
 		t.Errorf("output %q", out)
 	}
-	if s := p.Stderr(); len(s) != mostStderr || !strings.HasSuffix(s, "xend") {
+	if s := p.Stderr(); len(s) != maxStderr || !strings.HasSuffix(s, "xend") {
 		t.Errorf("%d bytes of standard error kept", len(s))
 	}
 }
@@ -120,9 +120,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Of(pid); err != nil {
+	if _, err := ReadUsage(pid); err != nil {
 		t.Fatal(err)
 	}
 	p.Stop(0)
-	eventually(t, "the end of the child's child", func() bool { _, err := Of(pid); return err != nil })
+	eventually(t, "the end of the child's child", func() bool { _, err := ReadUsage(pid); return err != nil })
 }
--- a/internal/lab/registry/pace.go
+++ b/internal/lab/registry/pace.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// mostCatchUp is how late a turn may come and still not delay those after it: the
+// maxCatchUp is how late a turn may come and still not delay those after it: the
 // system's timers are that coarse.
-const mostCatchUp = 10 * time.Millisecond
+const maxCatchUp = 10 * time.Millisecond
 
-// pace gives turns at a bounded rate, first come first served. Who leaves gives up
+// rateLimiter gives turns at a bounded rate, first come first served. Who leaves gives up
 // the place in the line and costs no turn.
-type pace struct {
-	gap   time.Duration
-	turns chan struct{}
+type rateLimiter struct {
+	interval time.Duration
+	tokens   chan struct{}
 }
 
-func newPace(perSecond float64) *pace {
-	return &pace{gap: time.Duration(float64(time.Second) / perSecond), turns: make(chan struct{})}
+func newRateLimiter(perSecond float64) *rateLimiter {
+	return &rateLimiter{interval: time.Duration(float64(time.Second) / perSecond), tokens: make(chan struct{})}
 }
 
 // run gives turns until ctx ends.
-func (p *pace) run(ctx context.Context) {
+func (l *rateLimiter) run(ctx context.Context) {
 	next := time.Now()
 	for {
 		select {
@@ -32,19 +32,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p.turns <- struct{}{}: // waiting callers get it in their order
+		case l.tokens <- struct{}{}: // waiting callers get it in their order
 		}
-		if late := time.Now().Add(-mostCatchUp); next.Before(late) {
-			next = late
+		if earliest := time.Now().Add(-maxCatchUp); next.Before(earliest) {
+			next = earliest
 		}
-		next = next.Add(p.gap)
+		next = next.Add(l.interval)
 	}
 }
 
-// turn waits for one. It returns false if ctx ends first.
-func (p *pace) turn(ctx context.Context) bool {
+// wait waits for one. It returns false if ctx ends first.
+func (l *rateLimiter) wait(ctx context.Context) bool {
 	select {
-	case <-p.turns:
+	case <-l.tokens:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/registry/registry.go
@@ -19,42 +19,42 @@
 )
 
 const (
-	listPath    = "/registry/instances"
-	mostWait    = 60 * time.Second
-	mostChanges = 1024 // kept; a caller with an older version gets the whole list
-	gone        = "Gone"
+	listPath        = "/registry/instances"
+	maxWatchTimeout = 60 * time.Second
+	maxChanges      = 1024 // kept; a caller with an older version gets the whole list
+	lifecycleGone   = "Gone"
 )
 
 // Options say how the registry paces itself.
 type Options struct {
-	WholePerSecond float64 // whole lists it hands out a second over all callers, the rest wait in turn; 0: no bound
+	FullListsPerSecond float64 // whole lists it hands out a second over all callers, the rest wait in turn; 0: no bound
 }
 
 // Stats is what the registry has done since its start.
 type Stats struct {
-	Calls, Whole, Deltas uint64 // calls, and answers to them: whole lists and lists of changes, empty ones too
-	Entries              uint64 // instances in these answers
-	Wire                 tally.Traffic
+	Calls, FullLists, DeltaLists uint64 // calls, and answers to them: whole lists and lists of changes, empty ones too
+	Entries                      uint64 // instances in these answers
+	Traffic                      tally.Traffic
 }
 
-// Registry is the stand-in. Its methods may be called from many goroutines.
-type Registry struct {
-	pace *pace
+// Server is the stand-in. Its methods may be called from many goroutines.
+type Server struct {
+	fullListLimiter *rateLimiter
 
 	mu         sync.Mutex
 	generation int64
 	instances  []gateway.Instance
-	at         map[string]int // in instances, by id
+	indexByID  map[string]int // in instances, by id
 	changes    []change       // the last ones, each a generation
 	changed    chan struct{}  // closed at the next change
-	whole      *answer        // of this generation; nil until asked for
-	deltas     map[int64]*answer
+	fullList   *encodedList   // of this generation; nil until asked for
+	deltaLists map[int64]*encodedList
 
-	calls, wholes, deltaAnswers, entries atomic.Uint64
+	callCount, fullListCount, deltaListCount, entryCount atomic.Uint64
 
-	listener *tally.Listener
-	server   *http.Server
-	serving  sync.WaitGroup
+	listener   *tally.Listener
+	httpServer *http.Server
+	serving    sync.WaitGroup
 }
 
 // change is what one call of Change told.
@@ -63,128 +63,128 @@
 	entries    []gateway.Instance
 }
 
-// answer is a list that is encoded once and handed to many.
-type answer struct {
+// encodedList is a list that is encoded once and handed to many.
+type encodedList struct {
 	body    []byte
 	entries int
-	whole   bool
+	full    bool
 }
 
 // New makes a registry of version 1 with these instances.
-func New(instances []gateway.Instance, o Options) *Registry {
-	r := &Registry{generation: 1, at: make(map[string]int), changed: make(chan struct{}), deltas: make(map[int64]*answer)}
-	r.apply(instances)
-	if o.WholePerSecond > 0 {
-		r.pace = newPace(o.WholePerSecond)
+func New(instances []gateway.Instance, o Options) *Server {
+	s := &Server{generation: 1, indexByID: make(map[string]int), changed: make(chan struct{}), deltaLists: make(map[int64]*encodedList)}
+	s.apply(instances)
+	if o.FullListsPerSecond > 0 {
+		s.fullListLimiter = newRateLimiter(o.FullListsPerSecond)
 	}
-	return r
+	return s
 }
 
 // Start listens on a port of loopback that the system chooses, and serves until
 // ctx ends or Close.
-func (r *Registry) Start(ctx context.Context) (address string, err error) {
+func (s *Server) Start(ctx context.Context) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	r.listener = tally.Listen(l)
+	s.listener = tally.Listen(l)
 	ctx, cancel := context.WithCancel(ctx)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+listPath, r.list)
-	r.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
-	context.AfterFunc(ctx, func() { r.listener.Shut() })
-	if r.pace != nil {
-		r.serving.Go(func() { r.pace.run(ctx) })
+	mux.HandleFunc("GET "+listPath, s.handleList)
+	s.httpServer = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
+	context.AfterFunc(ctx, func() { s.listener.CloseAll() })
+	if s.fullListLimiter != nil {
+		s.serving.Go(func() { s.fullListLimiter.run(ctx) })
 	}
-	r.serving.Go(func() {
+	s.serving.Go(func() {
 		defer cancel()
-		r.server.Serve(r.listener)
+		s.httpServer.Serve(s.listener)
 	})
 	return l.Addr().String(), nil
 }
 
 // Close resets all connections and waits for their goroutines.
-func (r *Registry) Close() error {
-	if r.listener == nil {
+func (s *Server) Close() error {
+	if s.listener == nil {
 		return nil
 	}
-	err := r.listener.Shut()
-	r.serving.Wait()
-	return errors.Join(err, r.server.Shutdown(context.Background()))
+	err := s.listener.CloseAll()
+	s.serving.Wait()
+	return errors.Join(err, s.httpServer.Shutdown(context.Background()))
 }
 
-// Change applies a delta, in which a Gone instance leaves the list, and wakes the
+// ApplyDelta applies a delta, in which a Gone instance leaves the list, and wakes the
 // watches. It returns the new version.
-func (r *Registry) Change(entries []gateway.Instance) int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.generation++
-	r.apply(entries)
-	r.changes = append(r.changes, change{r.generation, entries})
-	if over := len(r.changes) - mostChanges; over > 0 {
-		r.changes = r.changes[over:]
+func (s *Server) ApplyDelta(entries []gateway.Instance) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.generation++
+	s.apply(entries)
+	s.changes = append(s.changes, change{s.generation, entries})
+	if excess := len(s.changes) - maxChanges; excess > 0 {
+		s.changes = s.changes[excess:]
 	}
-	r.whole = nil
-	clear(r.deltas)
-	close(r.changed)
-	r.changed = make(chan struct{})
-	return r.generation
+	s.fullList = nil
+	clear(s.deltaLists)
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return s.generation
 }
 
 // Stats returns the counts so far. It needs a Start before.
-func (r *Registry) Stats() Stats {
-	return Stats{Calls: r.calls.Load(), Whole: r.wholes.Load(), Deltas: r.deltaAnswers.Load(),
-		Entries: r.entries.Load(), Wire: r.listener.Traffic()}
+func (s *Server) Stats() Stats {
+	return Stats{Calls: s.callCount.Load(), FullLists: s.fullListCount.Load(), DeltaLists: s.deltaListCount.Load(),
+		Entries: s.entryCount.Load(), Traffic: s.listener.Traffic()}
 }
 
 // apply puts entries into the list.
-func (r *Registry) apply(entries []gateway.Instance) {
+func (s *Server) apply(entries []gateway.Instance) {
 	for _, e := range entries {
-		i, known := r.at[e.ID]
+		i, known := s.indexByID[e.ID]
 		switch {
-		case e.Lifecycle != gone && known:
-			r.instances[i] = e
-		case e.Lifecycle != gone:
-			r.at[e.ID] = len(r.instances)
-			r.instances = append(r.instances, e)
+		case e.Lifecycle != lifecycleGone && known:
+			s.instances[i] = e
+		case e.Lifecycle != lifecycleGone:
+			s.indexByID[e.ID] = len(s.instances)
+			s.instances = append(s.instances, e)
 		case known:
-			last := len(r.instances) - 1
-			r.instances[i] = r.instances[last]
-			r.at[r.instances[i].ID] = i
-			r.instances = r.instances[:last]
-			delete(r.at, e.ID)
+			last := len(s.instances) - 1
+			s.instances[i] = s.instances[last]
+			s.indexByID[s.instances[i].ID] = i
+			s.instances = s.instances[:last]
+			delete(s.indexByID, e.ID)
 		}
 	}
 }
 
-// list answers a call.
-func (r *Registry) list(w http.ResponseWriter, req *http.Request) {
-	r.calls.Add(1)
+// handleList answers a call.
+func (s *Server) handleList(w http.ResponseWriter, req *http.Request) {
+	s.callCount.Add(1)
 	query := req.URL.Query()
-	since, err1 := number(query, "since")
-	ms, err2 := number(query, "timeout_ms")
+	since, err1 := queryInt(query, "since")
+	timeoutMillis, err2 := queryInt(query, "timeout_ms")
 	if err := errors.Join(err1, err2); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	wait := time.Duration(min(ms, mostWait.Milliseconds())) * time.Millisecond
-	a, ok := r.wait(req.Context(), since, wait)
+	timeout := time.Duration(min(timeoutMillis, maxWatchTimeout.Milliseconds())) * time.Millisecond
+	listing, ok := s.awaitList(req.Context(), since, timeout)
 	if !ok {
 		return
 	}
-	if a.whole {
-		r.wholes.Add(1)
+	if listing.full {
+		s.fullListCount.Add(1)
 	} else {
-		r.deltaAnswers.Add(1)
+		s.deltaListCount.Add(1)
 	}
-	r.entries.Add(uint64(a.entries))
+	s.entryCount.Add(uint64(listing.entries))
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.Write(a.body)
+	w.Header().Set("Content-Length", strconv.Itoa(len(listing.body)))
+	w.Write(listing.body)
 }
 
-// number returns a whole number of a query, 0 if it isn't there.
-func number(query url.Values, key string) (int64, error) {
+// queryInt returns a whole number of a query, 0 if it isn't there.
+func queryInt(query url.Values, key string) (int64, error) {
 	if !query.Has(key) {
 		return 0, nil
 	}
@@ -192,80 +192,80 @@
 	return int64(n), err
 }
 
-// wait returns the answer for a caller that has version since (0: none) once
+// awaitList returns the answer for a caller that has version since (0: none) once
 // there is something newer or the time is over. ok is false if ctx ends first.
-func (r *Registry) wait(ctx context.Context, since int64, timeout time.Duration) (a *answer, ok bool) {
-	r.mu.Lock()
-	if since == r.generation && timeout > 0 {
-		changed := r.changed
-		r.mu.Unlock()
-		over := time.NewTimer(timeout)
-		defer over.Stop()
+func (s *Server) awaitList(ctx context.Context, since int64, timeout time.Duration) (listing *encodedList, ok bool) {
+	s.mu.Lock()
+	if since == s.generation && timeout > 0 {
+		changed := s.changed
+		s.mu.Unlock()
+		timer := time.NewTimer(timeout)
+		defer timer.Stop()
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return nil, false
 		}
-		r.mu.Lock()
+		s.mu.Lock()
 	}
-	if !r.kept(since) && r.pace != nil {
-		r.mu.Unlock()
-		if !r.pace.turn(ctx) {
+	if !s.hasChangesSince(since) && s.fullListLimiter != nil {
+		s.mu.Unlock()
+		if !s.fullListLimiter.wait(ctx) {
 			return nil, false
 		}
-		r.mu.Lock()
+		s.mu.Lock()
 	}
-	defer r.mu.Unlock()
-	if r.kept(since) {
-		return r.delta(since), true
+	defer s.mu.Unlock()
+	if s.hasChangesSince(since) {
+		return s.deltaSince(since), true
 	}
-	return r.wholeList(), true
+	return s.currentFullList(), true
 }
 
-// kept tells whether all changes after a version are known.
-func (r *Registry) kept(since int64) bool {
-	return since > 0 && since <= r.generation && since >= r.generation-int64(len(r.changes))
+// hasChangesSince tells whether all changes after a version are known.
+func (s *Server) hasChangesSince(since int64) bool {
+	return since > 0 && since <= s.generation && since >= s.generation-int64(len(s.changes))
 }
 
-func (r *Registry) wholeList() *answer {
-	if r.whole == nil {
-		r.whole = r.encode(r.instances, true)
+func (s *Server) currentFullList() *encodedList {
+	if s.fullList == nil {
+		s.fullList = s.encode(s.instances, true)
 	}
-	return r.whole
+	return s.fullList
 }
 
-// delta returns the last word on each instance that changed after a version.
-func (r *Registry) delta(since int64) *answer {
-	if a := r.deltas[since]; a != nil {
-		return a
+// deltaSince returns the last word on each instance that changed after a version.
+func (s *Server) deltaSince(since int64) *encodedList {
+	if listing := s.deltaLists[since]; listing != nil {
+		return listing
 	}
-	entries, at := []gateway.Instance{}, make(map[string]int)
-	for _, c := range r.changes {
+	entries, indexByID := []gateway.Instance{}, make(map[string]int)
+	for _, c := range s.changes {
 		if c.generation <= since {
 			continue
 		}
 		for _, e := range c.entries {
-			if i, known := at[e.ID]; known {
+			if i, known := indexByID[e.ID]; known {
 				entries[i] = e
 				continue
 			}
-			at[e.ID] = len(entries)
+			indexByID[e.ID] = len(entries)
 			entries = append(entries, e)
 		}
 	}
-	a := r.encode(entries, false)
-	r.deltas[since] = a
-	return a
+	listing := s.encode(entries, false)
+	s.deltaLists[since] = listing
+	return listing
 }
 
-func (r *Registry) encode(entries []gateway.Instance, whole bool) *answer {
+func (s *Server) encode(entries []gateway.Instance, full bool) *encodedList {
 	if entries == nil {
 		entries = []gateway.Instance{} // null would be no list
 	}
-	body, err := json.Marshal(gateway.Listing{Generation: r.generation, Reset: whole, Instances: entries})
+	body, err := json.Marshal(gateway.Listing{Generation: s.generation, Reset: full, Instances: entries})
 	if err != nil {
 		panic(err) // an infinite weight, which the lab never makes
 	}
-	return &answer{body: body, entries: len(entries), whole: whole}
+	return &encodedList{body: body, entries: len(entries), full: full}
 }
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/registry/registry_test.go
@@ -16,7 +16,7 @@
 	return gateway.Instance{ID: id, HostPort: "127.1.0.0:1", Zone: "a", Lifecycle: lifecycle, Weight: 1}
 }
 
-func start(t *testing.T, instances ...gateway.Instance) (*Registry, func(query string) gateway.Listing) {
+func start(t *testing.T, instances ...gateway.Instance) (*Server, func(query string) gateway.Listing) {
 	r := New(instances, Options{})
 	address, err := r.Start(t.Context())
 	if err != nil {
@@ -62,7 +62,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	changed := time.Now()
-	if g := r.Change([]gateway.Instance{instance("y", "Terminating")}); g != 2 {
+	if g := r.ApplyDelta([]gateway.Instance{instance("y", "Terminating")}); g != 2 {
 		t.Errorf("version %d", g)
 	}
 	want(t, <-heard, 2, false, "y:Terminating")
@@ -71,18 +71,18 @@
 	}
 	want(t, get("?since=2&timeout_ms=1"), 2, false)
 	s := r.Stats()
-	if s.Calls != 3 || s.Whole != 1 || s.Deltas != 2 || s.Entries != 3 || s.Wire.Out == 0 {
+	if s.Calls != 3 || s.FullLists != 1 || s.DeltaLists != 2 || s.Entries != 3 || s.Traffic.BytesOut == 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestOldVersionGetsTheWholeList(t *testing.T) {
 	r, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
-	for i := range mostChanges {
-		r.Change([]gateway.Instance{instance("y", []string{"Terminating", "Ready"}[i%2])})
+	for i := range maxChanges {
+		r.ApplyDelta([]gateway.Instance{instance("y", []string{"Terminating", "Ready"}[i%2])})
 	}
-	const last = mostChanges + 2
-	r.Change([]gateway.Instance{instance("x", "Gone"), instance("z", "Ready")})
+	const last = maxChanges + 2
+	r.ApplyDelta([]gateway.Instance{instance("x", "Gone"), instance("z", "Ready")})
 	want(t, get("?since=2"), last, false, "y:Ready", "x:Gone", "z:Ready")
 	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // y was Terminating first
 	want(t, get("?since=1"), last, true, "y:Ready", "z:Ready")
@@ -92,7 +92,7 @@
 func TestWholeListsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		p := newPace(10)
+		p := newRateLimiter(10)
 		go p.run(ctx)
 		turns := make(chan bool, 200)
 		for i := range cap(turns) {
@@ -102,7 +102,7 @@
 				defer leave()
 				caller = c
 			}
-			go func() { turns <- p.turn(caller) }()
+			go func() { turns <- p.wait(caller) }()
 		}
 		time.Sleep(5050 * time.Millisecond)
 		served := 0
--- a/internal/lab/request/request.go
+++ b/internal/lab/request/request.go
@@ -20,7 +20,7 @@
 // no use after it.
 var ErrMalformed = errors.New("malformed request")
 
-const mostLines = 100
+const maxHeaderLines = 100
 
 // Read reads a whole request and throws its body away. A line must fit in r's
 // buffer. Any error other than ErrMalformed is the connection's.
@@ -37,7 +37,7 @@
 	}
 	q.Method, q.Target, q.Close = method, target, false
 	length := 0
-	for range mostLines {
+	for range maxHeaderLines {
 		if line, err = readLine(r); err != nil {
 			return err
 		}
--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -14,17 +14,17 @@
 
 // Behavior is what a backend does with a request.
 type Behavior struct {
-	Service time.Duration // before the answer
-	Hang    bool          // there is no answer
+	ServiceTime time.Duration // before the answer
+	Hang        bool          // there is no answer
 }
 
-// Attempt is what a backend saw of one request.
-type Attempt struct {
+// BackendAttempt is what a backend saw of one request.
+type BackendAttempt struct {
 	ID, Backend string
-	First       time.Duration // its first byte came
-	Taken       time.Duration // it was whole
-	Ended       time.Duration // it was answered, or its connection ended; 0: neither until the run's end
-	Told        time.Duration // the time that the gateway said it would wait
+	FirstByteAt time.Duration // its first byte came
+	ReceivedAt  time.Duration // it was whole
+	EndedAt     time.Duration // it was answered, or its connection ended; 0: neither until the run's end
+	Timeout     time.Duration // the time that the gateway said it would wait
 	Answered    bool
 }
 
@@ -39,7 +39,7 @@
 	conns connSet
 
 	mu       sync.Mutex
-	attempts []*Attempt
+	attempts []*BackendAttempt
 }
 
 // StartBackend starts a backend on a port of loopback that the system chooses. behavior is asked once for each request;
@@ -65,10 +65,10 @@
 }
 
 // Attempts returns what the backend has seen so far.
-func (b *Backend) Attempts() []Attempt {
+func (b *Backend) Attempts() []BackendAttempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make([]Attempt, len(b.attempts))
+	all := make([]BackendAttempt, len(b.attempts))
 	for i, a := range b.attempts {
 		all[i] = *a
 	}
@@ -107,20 +107,20 @@
 		return false
 	}
 	ms, _ := strconv.Atoi(req.Header.Get(timeHeader))
-	a := &Attempt{ID: req.Header.Get(idHeader), Backend: b.Name, First: first, Taken: b.clock.Now(),
-		Told: time.Duration(ms) * time.Millisecond}
+	a := &BackendAttempt{ID: req.Header.Get(idHeader), Backend: b.Name, FirstByteAt: first, ReceivedAt: b.clock.Now(),
+		Timeout: time.Duration(ms) * time.Millisecond}
 	b.mu.Lock()
 	b.attempts = append(b.attempts, a)
 	b.mu.Unlock()
-	does := b.behavior(a.Taken)
+	planned := b.behavior(a.ReceivedAt)
 	answered := false
 	switch {
-	case does.Hang:
+	case planned.Hang:
 		r.ReadByte() // returns as the connection ends: no further request is due on it
 	default:
-		ended, stop := watch(conn, r)
+		ended, stop := watchClose(conn, r)
 		select {
-		case <-time.After(does.Service):
+		case <-time.After(planned.ServiceTime):
 			stop()
 			_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(a.ID), a.ID)
 			answered = err == nil
@@ -128,23 +128,23 @@
 		}
 	}
 	b.mu.Lock()
-	a.Ended, a.Answered = b.clock.Now(), answered
+	a.EndedAt, a.Answered = b.clock.Now(), answered
 	b.mu.Unlock()
 	return answered
 }
 
-// watch reports the end of a connection on which nothing is due. stop ends the watch, and waits for its end.
-func watch(conn net.Conn, r *bufio.Reader) (ended <-chan struct{}, stop func()) {
-	over, gone := make(chan struct{}), make(chan struct{})
+// watchClose reports the end of a connection on which nothing is due. stop ends the watch, and waits for its end.
+func watchClose(conn net.Conn, r *bufio.Reader) (peerClosed <-chan struct{}, stop func()) {
+	done, closed := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		if _, err := r.Peek(1); err != nil && !isTimeout(err) {
-			close(gone)
+			close(closed)
 		}
 	}()
-	return gone, func() {
+	return closed, func() {
 		conn.SetReadDeadline(time.Unix(1, 0))
-		<-over
+		<-done
 		conn.SetReadDeadline(time.Time{})
 	}
 }
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -11,74 +11,74 @@
 const ms = time.Millisecond
 
 // took is an attempt of the request "a" at a backend.
-func took(first, ended, told time.Duration) Attempt {
-	return Attempt{ID: "a", Backend: "b", First: first, Taken: first, Ended: ended, Told: told}
+func took(first, ended, told time.Duration) BackendAttempt {
+	return BackendAttempt{ID: "a", Backend: "b", FirstByteAt: first, ReceivedAt: first, EndedAt: ended, Timeout: told}
 }
 
 // Each rule is found broken where it is, and only there.
 func TestCheck(t *testing.T) {
-	sending := Sending{ID: "a", Class: string(Once), Gateway: 1, Life: 1, First: 100 * ms, Sent: 100 * ms, Patience: time.Second, Ended: 150 * ms}
+	sending := ClientAttempt{ID: "a", Class: string(NonIdempotent), Gateway: 1, ProcessNumber: 1, FirstByteAt: 100 * ms, SentAt: 100 * ms, Timeout: time.Second, EndedAt: 150 * ms}
 	served := sending
 	served.Status = 200
 	ended := sending
 	ended.Err = io.EOF
-	later := func(s *Sending) { s.First, s.Sent, s.Ended = 9*time.Second, 9*time.Second, 9050*ms }
+	later := func(s *ClientAttempt) { s.FirstByteAt, s.SentAt, s.EndedAt = 9*time.Second, 9*time.Second, 9050*ms }
 	for name, c := range map[string]struct {
-		rule     Rule // "": none
-		change   func(*Sending)
-		sending  Sending
-		attempts []Attempt
-		life     Life
-		changes  []Change
+		rule     Invariant // "": none
+		change   func(*ClientAttempt)
+		sending  ClientAttempt
+		attempts []BackendAttempt
+		life     Process
+		changes  []ListChange
 		outages  []Outage
 	}{
-		"served":                    {sending: served, attempts: []Attempt{took(110*ms, 140*ms, 900*ms)}},
-		"ended after an attempt":    {rule: Lost, sending: ended, attempts: []Attempt{took(110*ms, 150*ms, 900*ms)}},
+		"served":                    {sending: served, attempts: []BackendAttempt{took(110*ms, 140*ms, 900*ms)}},
+		"ended after an attempt":    {rule: LostRequest, sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)}},
 		"ended unread":              {sending: ended},
-		"ended long after it":       {rule: Lost, sending: ended, change: func(s *Sending) { s.Ended = 500 * ms }},
-		"ended twice":               {rule: Lost, sending: ended, change: func(s *Sending) { s.Resent = true }},
-		"never reached the gateway": {sending: ended, change: func(s *Sending) { s.Resent, s.Refused = true, true }},
-		"never whole":               {sending: ended, change: func(s *Sending) { s.Sent = 0 }},
-		"an answer cut":             {rule: Lost, sending: ended, change: func(s *Sending) { s.Began = true }},
-		"no answer":                 {rule: Lost, sending: ended, change: func(s *Sending) { s.Err = os.ErrDeadlineExceeded }},
-		"a late answer":             {rule: Lost, sending: served, change: func(s *Sending) { s.Ended = 1700 * ms }},
-		"killed, early in the stop": {sending: ended, attempts: []Attempt{took(110*ms, 150*ms, 900*ms)},
-			life: Life{Stopped: 50 * ms, Killed: 150 * ms}},
-		"killed, late in the stop": {rule: Lost, sending: ended, attempts: []Attempt{took(900*ms, 950*ms, 100*ms)},
-			change: func(s *Sending) { s.First, s.Sent, s.Ended = 900*ms, 900*ms, 950*ms },
-			life:   Life{Stopped: 50 * ms, Killed: 950 * ms}},
-		"run twice": {rule: Duplicate, sending: served,
-			attempts: []Attempt{took(110*ms, 120*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
-		"two out at once": {rule: Duplicate, sending: served, change: func(s *Sending) { s.Class, s.Ended = string(Repeatable), 600*ms },
-			attempts: []Attempt{took(110*ms, 500*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
-		"too much time":  {rule: Overtime, sending: served, attempts: []Attempt{took(110*ms, 140*ms, 1300*ms)}},
-		"begun too late": {rule: AfterLeft, sending: sending, change: func(s *Sending) { s.Left = true }, attempts: []Attempt{took(400*ms, 500*ms, 500*ms)}},
-		"gone":           {sending: sending, change: func(s *Sending) { s.Left = true }, attempts: []Attempt{took(200*ms, 500*ms, 500*ms)}},
-		"drained long ago": {rule: Drained, sending: served, change: later, attempts: []Attempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []Change{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}}},
-		"drained just now": {sending: served, change: later, attempts: []Attempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []Change{{Backend: "b", At: 7 * time.Second}}},
-		"drained, and back": {sending: served, change: later, attempts: []Attempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []Change{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}}},
-		"drained unseen": {sending: served, change: later, attempts: []Attempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []Change{{Backend: "b", At: time.Second}}, outages: []Outage{{0, 2 * time.Second}}},
-		"killed with no warning": {sending: ended, attempts: []Attempt{took(110*ms, 150*ms, 900*ms)},
-			life: Life{Killed: 150 * ms, abrupt: true}},
-		"ended badly":   {rule: Crash, sending: served, life: Life{Err: errors.New("exit status 1")}},
-		"slow to start": {rule: NotReady, sending: served, life: Life{Ready: 11 * time.Second}},
-		"never started": {rule: NotReady, sending: served, life: Life{neverStarted: true}},
+		"ended long after it":       {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.EndedAt = 500 * ms }},
+		"ended twice":               {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.Resent = true }},
+		"never reached the gateway": {sending: ended, change: func(s *ClientAttempt) { s.Resent, s.Unreached = true, true }},
+		"never whole":               {sending: ended, change: func(s *ClientAttempt) { s.SentAt = 0 }},
+		"an answer cut":             {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.AnswerStarted = true }},
+		"no answer":                 {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.Err = os.ErrDeadlineExceeded }},
+		"a late answer":             {rule: LostRequest, sending: served, change: func(s *ClientAttempt) { s.EndedAt = 1700 * ms }},
+		"killed, early in the stop": {sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)},
+			life: Process{SigtermAt: 50 * ms, SigkillAt: 150 * ms}},
+		"killed, late in the stop": {rule: LostRequest, sending: ended, attempts: []BackendAttempt{took(900*ms, 950*ms, 100*ms)},
+			change: func(s *ClientAttempt) { s.FirstByteAt, s.SentAt, s.EndedAt = 900*ms, 900*ms, 950*ms },
+			life:   Process{SigtermAt: 50 * ms, SigkillAt: 950 * ms}},
+		"run twice": {rule: DuplicateExecution, sending: served,
+			attempts: []BackendAttempt{took(110*ms, 120*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
+		"two out at once": {rule: DuplicateExecution, sending: served, change: func(s *ClientAttempt) { s.Class, s.EndedAt = string(Idempotent), 600*ms },
+			attempts: []BackendAttempt{took(110*ms, 500*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
+		"too much time":  {rule: TimeoutTooLong, sending: served, attempts: []BackendAttempt{took(110*ms, 140*ms, 1300*ms)}},
+		"begun too late": {rule: SentAfterDisconnect, sending: sending, change: func(s *ClientAttempt) { s.Disconnected = true }, attempts: []BackendAttempt{took(400*ms, 500*ms, 500*ms)}},
+		"gone":           {sending: sending, change: func(s *ClientAttempt) { s.Disconnected = true }, attempts: []BackendAttempt{took(200*ms, 500*ms, 500*ms)}},
+		"drained long ago": {rule: SentToDrained, sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
+			changes: []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}}},
+		"drained just now": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
+			changes: []ListChange{{Backend: "b", At: 7 * time.Second}}},
+		"drained, and back": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
+			changes: []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}}},
+		"drained unseen": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
+			changes: []ListChange{{Backend: "b", At: time.Second}}, outages: []Outage{{0, 2 * time.Second}}},
+		"killed with no warning": {sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)},
+			life: Process{SigkillAt: 150 * ms, killedUnwarned: true}},
+		"ended badly":   {rule: UnexpectedExit, sending: served, life: Process{Err: errors.New("exit status 1")}},
+		"slow to start": {rule: NotReady, sending: served, life: Process{ReadyAt: 11 * time.Second}},
+		"never started": {rule: NotReady, sending: served, life: Process{neverReady: true}},
 	} {
 		if c.change != nil {
 			c.change(&c.sending)
 		}
 		c.life.Gateway, c.life.Number = 1, 1
-		v := Check(History{Sendings: []Sending{c.sending}, Attempts: c.attempts, Lives: []Life{c.life}, Changes: c.changes,
+		v := Check(History{ClientAttempts: []ClientAttempt{c.sending}, BackendAttempts: c.attempts, Processes: []Process{c.life}, ListChanges: c.changes,
 			Outages: c.outages})
 		switch {
-		case c.rule == "" && len(v.Faults) > 0, c.rule != "" && len(v.Faults) != 1:
-			t.Errorf("%s: %v", name, v.Faults)
-		case c.rule != "" && v.Faults[0].Rule != c.rule:
-			t.Errorf("%s: found %s", name, v.Faults[0].Rule)
+		case c.rule == "" && len(v.Violations) > 0, c.rule != "" && len(v.Violations) != 1:
+			t.Errorf("%s: %v", name, v.Violations)
+		case c.rule != "" && v.Violations[0].Invariant != c.rule:
+			t.Errorf("%s: found %s", name, v.Violations[0].Invariant)
 		}
 	}
 }
@@ -89,16 +89,16 @@
 	if len(one.Stops) == 0 || len(one.Stops) != len(same.Stops) || one.Stops[0].At != same.Stops[0].At || one.Backends != same.Backends {
 		t.Errorf("%+v\n%+v", one, same)
 	}
-	if one.Stops[0].Rest == other.Stops[0].Rest {
+	if one.Stops[0].RestartDelay == other.Stops[0].RestartDelay {
 		t.Error("two seeds give one plan")
 	}
 	for seed := range uint64(200) {
 		p := NewPlan(seed, 10*time.Second)
-		if len(p.Stops) == 0 || p.Hanging < 1 || p.Hanging >= p.Backends {
-			t.Errorf("seed %d: %d stops, %d of %d backends hang", seed, len(p.Stops), p.Hanging, p.Backends)
+		if len(p.Stops) == 0 || p.HangingBackends < 1 || p.HangingBackends >= p.Backends {
+			t.Errorf("seed %d: %d stops, %d of %d backends hang", seed, len(p.Stops), p.HangingBackends, p.Backends)
 		}
 		for _, s := range p.Stops {
-			if s.Front < 200*ms || s.Front > 400*ms || s.At+KillAfter(p.Classes) > p.Length {
+			if s.FrontDelay < 200*ms || s.FrontDelay > 400*ms || s.At+KillAfter(p.Classes) > p.Duration {
 				t.Errorf("seed %d: %+v", seed, s)
 			}
 		}
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -40,9 +40,9 @@
 		if c.ends {
 			far.(*net.TCPConn).CloseWrite()
 		}
-		s, _ := conn.Do(Request{ID: "a", Class: "c", Method: "GET", Patience: time.Second, LeaveAfter: c.leave})
-		if s.Left != c.left || s.Status != c.status {
-			t.Errorf("%s: left %t, status %d, %v", name, s.Left, s.Status, s.Err)
+		s, _ := conn.Do(Request{ID: "a", Class: "c", Method: "GET", Timeout: time.Second, DisconnectAfter: c.leave})
+		if s.Disconnected != c.left || s.Status != c.status {
+			t.Errorf("%s: left %t, status %d, %v", name, s.Disconnected, s.Status, s.Err)
 		}
 		conn.Close()
 		far.Close()
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Trouble is what a proxy does to the bytes that pass it. The zero value passes them on as they come.
-type Trouble struct {
-	MostDelay  time.Duration // each piece is held for up to this
-	SplitShare float64       // of the pieces that are passed on in two
-	ResetShare float64       // of the connections that are reset at a random moment of their use
-	MostUse    time.Duration // up to when after its start such a connection is reset
+// NetworkFaults is what a proxy does to the bytes that pass it. The zero value passes them on as they come.
+type NetworkFaults struct {
+	MaxDelay      time.Duration // each piece is held for up to this
+	SplitShare    float64       // of the pieces that are passed on in two
+	ResetShare    float64       // of the connections that are reset at a random moment of their use
+	MaxResetDelay time.Duration // up to when after its start such a connection is reset
 }
 
 const proxyBuffer = 16 << 10
@@ -22,125 +22,125 @@
 // Proxy passes the bytes of connections on to another address, with some trouble. Its methods may be called from many
 // goroutines.
 type Proxy struct {
-	target   string
-	trouble  Trouble
-	listener net.Listener
-	passing  sync.WaitGroup
+	target     string
+	faults     NetworkFaults
+	listener   net.Listener
+	forwarding sync.WaitGroup
 
 	conns connSet
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	refused map[string]bool // addresses of clients for whom the target was not to be reached
-	silent  bool            // nothing passes
-	silence chan struct{}   // closed as the next silence begins
+	mu             sync.Mutex
+	rng            *rand.Rand
+	unreached      map[string]bool // addresses of clients for whom the target was not to be reached
+	blackholed     bool            // nothing passes
+	blackholeStart chan struct{}   // closed as the next silence begins
 }
 
 // StartProxy starts a proxy on a port of loopback that the system chooses.
-func StartProxy(target string, trouble Trouble, seed uint64) (*Proxy, error) {
+func StartProxy(target string, faults NetworkFaults, seed uint64) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, trouble: trouble, listener: l, rng: rand.New(rand.NewPCG(seed, 1)),
-		refused: map[string]bool{}, silence: make(chan struct{})}
-	p.passing.Go(p.accept)
+	p := &Proxy{target: target, faults: faults, listener: l, rng: rand.New(rand.NewPCG(seed, 1)),
+		unreached: map[string]bool{}, blackholeStart: make(chan struct{})}
+	p.forwarding.Go(p.accept)
 	return p, nil
 }
 
 // Address is where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Refused tells whether the connection of a client from this address never reached the target.
-func (p *Proxy) Refused(client net.Addr) bool {
+// Unreached tells whether the connection of a client from this address never reached the target.
+func (p *Proxy) Unreached(client net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refused[client.String()]
+	return p.unreached[client.String()]
 }
 
-// Silence keeps all from passing, or ends that. What passed through a connection that has been silent is lost: it stays
+// SetBlackhole keeps all from passing, or ends that. What passed through a connection that has been silent is lost: it stays
 // silent until one of its ends closes it.
-func (p *Proxy) Silence(silent bool) {
+func (p *Proxy) SetBlackhole(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if silent && !p.silent {
-		close(p.silence)
-		p.silence = make(chan struct{})
+	if on && !p.blackholed {
+		close(p.blackholeStart)
+		p.blackholeStart = make(chan struct{})
 	}
-	p.silent = silent
+	p.blackholed = on
 }
 
-// heard returns a channel that is closed once a connection that begins now has fallen silent.
-func (p *Proxy) heard() <-chan struct{} {
+// blackholeStarted returns a channel that is closed once a connection that begins now has fallen silent.
+func (p *Proxy) blackholeStarted() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.silent {
-		over := make(chan struct{})
-		close(over)
-		return over
+	if p.blackholed {
+		started := make(chan struct{})
+		close(started)
+		return started
 	}
-	return p.silence
+	return p.blackholeStart
 }
 
 // Close ends all connections and waits for their goroutines.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.conns.close()
-	p.passing.Wait()
+	p.forwarding.Wait()
 }
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		downstream, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.passing.Go(func() { p.pass(near.(*net.TCPConn)) })
+		p.forwarding.Go(func() { p.forward(downstream.(*net.TCPConn)) })
 	}
 }
 
-// pass carries one connection until both of its directions have ended.
-func (p *Proxy) pass(near *net.TCPConn) {
-	conn, err := net.DialTimeout("tcp", p.target, dialLimit)
+// forward carries one connection until both of its directions have ended.
+func (p *Proxy) forward(downstream *net.TCPConn) {
+	conn, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		p.mu.Lock()
-		p.refused[near.RemoteAddr().String()] = true
+		p.unreached[downstream.RemoteAddr().String()] = true
 		p.mu.Unlock()
-		near.Close()
+		downstream.Close()
 		return
 	}
-	far := conn.(*net.TCPConn)
-	if !p.conns.add(near, far) {
+	upstream := conn.(*net.TCPConn)
+	if !p.conns.add(downstream, upstream) {
 		return
 	}
-	defer p.conns.remove(near, far)
-	if p.chance(p.trouble.ResetShare) {
-		reset := time.AfterFunc(p.span(p.trouble.MostUse), func() { abort(near, far) })
-		defer reset.Stop()
+	defer p.conns.remove(downstream, upstream)
+	if p.randomlyTrue(p.faults.ResetShare) {
+		resetTimer := time.AfterFunc(p.randomDelay(p.faults.MaxResetDelay), func() { resetConns(downstream, upstream) })
+		defer resetTimer.Stop()
 	}
-	silent := p.heard()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, silent) })
-	both.Go(func() { p.copy(near, far, silent) })
-	both.Wait()
+	blackholed := p.blackholeStarted()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyOneWay(upstream, downstream, blackholed) })
+	directions.Go(func() { p.copyOneWay(downstream, upstream, blackholed) })
+	directions.Wait()
 }
 
-// copy carries one direction, its end included.
-func (p *Proxy) copy(to, from *net.TCPConn, silent <-chan struct{}) {
+// copyOneWay carries one direction, its end included.
+func (p *Proxy) copyOneWay(to, from *net.TCPConn, blackholed <-chan struct{}) {
 	buffer := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-silent:
+		case <-blackholed:
 			if err != nil {
-				abort(to, from)
+				resetConns(to, from)
 				return
 			}
 			continue
 		default:
 		}
 		if n > 0 {
-			if p.write(to, buffer[:n]) != nil {
+			if p.writePiece(to, buffer[:n]) != nil {
 				from.Close() // the other end is gone: what still comes has nowhere to go
 				return
 			}
@@ -150,49 +150,49 @@
 			to.CloseWrite()
 			return
 		case err != nil:
-			abort(to, from)
+			resetConns(to, from)
 			return
 		}
 	}
 }
 
-// write passes a piece on, late or in two.
-func (p *Proxy) write(to net.Conn, piece []byte) error {
-	if p.trouble.MostDelay > 0 {
-		time.Sleep(p.span(p.trouble.MostDelay))
+// writePiece passes a piece on, late or in two.
+func (p *Proxy) writePiece(to net.Conn, piece []byte) error {
+	if p.faults.MaxDelay > 0 {
+		time.Sleep(p.randomDelay(p.faults.MaxDelay))
 	}
-	if len(piece) > 1 && p.chance(p.trouble.SplitShare) {
-		half := 1 + int(p.span(time.Duration(len(piece)-1)))
+	if len(piece) > 1 && p.randomlyTrue(p.faults.SplitShare) {
+		half := 1 + int(p.randomDelay(time.Duration(len(piece)-1)))
 		if _, err := to.Write(piece[:half]); err != nil {
 			return err
 		}
 		piece = piece[half:]
-		time.Sleep(p.span(p.trouble.MostDelay))
+		time.Sleep(p.randomDelay(p.faults.MaxDelay))
 	}
 	_, err := to.Write(piece)
 	return err
 }
 
-// abort resets both ends.
-func abort(conns ...*net.TCPConn) {
+// resetConns resets both ends.
+func resetConns(conns ...*net.TCPConn) {
 	for _, conn := range conns {
 		conn.SetLinger(0)
 		conn.Close()
 	}
 }
 
-func (p *Proxy) chance(share float64) bool {
+func (p *Proxy) randomlyTrue(share float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64() < share
 }
 
-// span is a random time below most.
-func (p *Proxy) span(most time.Duration) time.Duration {
-	if most <= 0 {
+// randomDelay is a random time below most.
+func (p *Proxy) randomDelay(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.rng.Int64N(int64(most)))
+	return time.Duration(p.rng.Int64N(int64(limit)))
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	quickest  = 2 * time.Millisecond // of the backends' service times
-	slowest   = 40 * time.Millisecond
-	startMost = 30 * time.Second // for a gateway to be ready
-	lastWait  = 2 * time.Second  // after the last client, for attempts to end at the backends
+	minServiceTime = 2 * time.Millisecond // of the backends' service times
+	maxServiceTime = 40 * time.Millisecond
+	startTimeout   = 30 * time.Second // for a gateway to be ready
+	settleTime     = 2 * time.Second  // after the last client, for attempts to end at the backends
 )
 
 // Options are a run's.
@@ -39,76 +39,76 @@
 	Partial bool // it was interrupted
 }
 
-// run is a run under way.
-type run struct {
-	plan     Plan
-	options  Options
-	clock    Clock
-	backends []*Backend
-	backing  []*Proxy // before the backends
-	nodes    []*node
-	registry *registry.Registry
-	finding  *Proxy // before it
-	listed   []gateway.Instance
+// runner is a run under way.
+type runner struct {
+	plan           Plan
+	options        Options
+	clock          Clock
+	backends       []*Backend
+	backendProxies []*Proxy // before the backends
+	gateways       []*gatewayNode
+	discovery      *registry.Server
+	discoveryProxy *Proxy // before it
+	backendList    []gateway.Instance
 
-	mu       sync.Mutex
-	sendings []Sending
-	lives    []Life
-	changes  []Change
-	requests int
+	mu             sync.Mutex
+	clientAttempts []ClientAttempt
+	processes      []Process
+	listChanges    []ListChange
+	requestCount   int
 }
 
-// node is one gateway through all its lives.
-type node struct {
-	number int
-	setup  Setup
-	proxy  *Proxy // before it
+// gatewayNode is one gateway through all its lives.
+type gatewayNode struct {
+	number  int
+	options GatewayOptions
+	proxy   *Proxy // before it
 
-	mu       sync.Mutex
-	life     int
-	admitted bool // the front brings new connections
-	abrupt   int  // the last life that was killed with no warning
-	process  *real.Gateway
-	record   Life
+	mu                 sync.Mutex
+	processNumber      int
+	inRotation         bool // the front brings new connections
+	lastKilledUnwarned int  // the last life that was killed with no warning
+	process            *real.Gateway
+	current            Process
 }
 
 // Run plays a plan and checks what was recorded. An error says that the run could not be set up; all that it
 // started has ended when it returns.
 func Run(ctx context.Context, plan Plan, options Options) (result Result, err error) {
-	r := &run{plan: plan, options: options, clock: NewClock()}
+	r := &runner{plan: plan, options: options, clock: NewClock()}
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Until(r.clock.At(plan.Length)))
+	ctx, cancel := context.WithTimeout(ctx, time.Until(r.clock.At(plan.Duration)))
 	defer cancel()
-	var playing sync.WaitGroup
-	for i := range plan.Gateways * plan.Workers {
-		playing.Go(func() { r.work(ctx, uint64(i)) })
+	var group sync.WaitGroup
+	for i := range plan.Gateways * plan.ClientsPerGateway {
+		group.Go(func() { r.runClient(ctx, uint64(i)) })
 	}
-	for _, n := range r.nodes {
-		playing.Go(func() { r.crowd(ctx, n) })
+	for _, n := range r.gateways {
+		group.Go(func() { r.holdIdleConns(ctx, n) })
 	}
-	for _, n := range r.nodes {
-		playing.Go(func() { r.restarts(ctx, n) })
+	for _, n := range r.gateways {
+		group.Go(func() { r.playStops(ctx, n) })
 	}
-	playing.Go(func() { r.drain(ctx) })
-	playing.Go(func() { r.outages(ctx) })
-	playing.Wait()
+	group.Go(func() { r.playDrains(ctx) })
+	group.Go(func() { r.playOutages(ctx) })
+	group.Wait()
 	result.Partial = !errors.Is(ctx.Err(), context.DeadlineExceeded)
-	r.endAll()
-	time.Sleep(lastWait)
+	r.stopAll()
+	time.Sleep(settleTime)
 	result.Plan = plan
-	result.History = History{Sendings: r.sendings, Lives: r.lives, Changes: r.changes, Outages: plan.Outages}
+	result.History = History{ClientAttempts: r.clientAttempts, Processes: r.processes, ListChanges: r.listChanges, Outages: plan.Outages}
 	for _, b := range r.backends {
-		result.History.Attempts = append(result.History.Attempts, b.Attempts()...)
+		result.History.BackendAttempts = append(result.History.BackendAttempts, b.Attempts()...)
 	}
 	result.Verdict = Check(result.History)
 	return result, nil
 }
 
 // start starts the stand-ins and the gateways.
-func (r *run) start(ctx context.Context) error {
+func (r *runner) start(ctx context.Context) error {
 	var list []gateway.Instance
 	for i := range r.plan.Backends {
 		b, err := StartBackend(fmt.Sprintf("b-%d", i), r.clock, r.behavior(i))
@@ -116,20 +116,20 @@
 			return err
 		}
 		r.backends = append(r.backends, b)
-		p, err := StartProxy(b.Address(), r.plan.Backing, r.plan.Seed+uint64(i))
+		p, err := StartProxy(b.Address(), r.plan.BackendFaults, r.plan.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
-		r.backing = append(r.backing, p)
+		r.backendProxies = append(r.backendProxies, p)
 		list = append(list, gateway.Instance{ID: b.Name, HostPort: p.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
-	r.listed = list
-	r.registry = registry.New(slices.Clone(list), registry.Options{})
-	found, err := r.registry.Start(context.WithoutCancel(ctx))
+	r.backendList = list
+	r.discovery = registry.New(slices.Clone(list), registry.Options{})
+	address, err := r.discovery.Start(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
 	}
-	if r.finding, err = StartProxy(found, Trouble{}, r.plan.Seed); err != nil {
+	if r.discoveryProxy, err = StartProxy(address, NetworkFaults{}, r.plan.Seed); err != nil {
 		return err
 	}
 	for i := range r.plan.Gateways {
@@ -137,13 +137,13 @@
 		if err != nil {
 			return err
 		}
-		n := &node{number: i, setup: Setup{Name: fmt.Sprintf("n%d", i), Listen: listen, Discovery: r.finding.Address(), Sockets: r.plan.Sockets,
+		n := &gatewayNode{number: i, options: GatewayOptions{Name: fmt.Sprintf("n%d", i), Listen: listen, Discovery: r.discoveryProxy.Address(), DescriptorLimit: r.plan.DescriptorLimit,
 			Classes: r.plan.Classes, Env: r.options.Env}}
-		if n.proxy, err = StartProxy(listen, r.plan.Clients, r.plan.Seed+uint64(1000+i)); err != nil {
+		if n.proxy, err = StartProxy(listen, r.plan.ClientFaults, r.plan.Seed+uint64(1000+i)); err != nil {
 			return err
 		}
-		r.nodes = append(r.nodes, n)
-		if err := r.begin(ctx, n); err != nil {
+		r.gateways = append(r.gateways, n)
+		if err := r.startProcess(ctx, n); err != nil {
 			return err
 		}
 	}
@@ -151,51 +151,51 @@
 }
 
 // close ends what is left.
-func (r *run) close() {
-	for _, n := range r.nodes {
+func (r *runner) close() {
+	for _, n := range r.gateways {
 		if n.process != nil {
 			n.process.Close()
 		}
 		n.proxy.Close()
 	}
-	for _, p := range r.backing {
+	for _, p := range r.backendProxies {
 		p.Close()
 	}
 	for _, b := range r.backends {
 		b.Close()
 	}
-	if r.finding != nil {
-		r.finding.Close()
+	if r.discoveryProxy != nil {
+		r.discoveryProxy.Close()
 	}
-	if r.registry != nil {
-		r.registry.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 }
 
 // behavior is what a backend does. Some hang from just before a SIGTERM to after its SIGKILL.
-func (r *run) behavior(number int) func(time.Duration) Behavior {
+func (r *runner) behavior(number int) func(time.Duration) Behavior {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(100+number)))
 	var mu sync.Mutex
 	return func(now time.Duration) Behavior {
 		mu.Lock()
 		defer mu.Unlock()
 		for i, s := range r.plan.Stops {
-			hangs := (number+i)%r.plan.Backends < r.plan.Hanging
-			if hangs && now > s.At-200*time.Millisecond && now < s.At+KillAfter(r.plan.Classes) {
+			hanging := (number+i)%r.plan.Backends < r.plan.HangingBackends
+			if hanging && now > s.At-200*time.Millisecond && now < s.At+KillAfter(r.plan.Classes) {
 				return Behavior{Hang: true}
 			}
 		}
-		return Behavior{Service: span(rng, quickest, slowest)}
+		return Behavior{ServiceTime: randomDuration(rng, minServiceTime, maxServiceTime)}
 	}
 }
 
-// begin starts a gateway's next process and lets the front bring clients once it is ready.
-func (r *run) begin(ctx context.Context, n *node) error {
+// startProcess starts a gateway's next process and lets the front bring clients once it is ready.
+func (r *runner) startProcess(ctx context.Context, n *gatewayNode) error {
 	n.mu.Lock()
-	n.life++
+	n.processNumber++
 	n.mu.Unlock()
-	n.record = Life{Gateway: n.number, Number: n.life, Started: r.clock.Now()}
-	options, err := n.setup.Options()
+	n.current = Process{Gateway: n.number, Number: n.processNumber, StartedAt: r.clock.Now()}
+	options, err := n.options.ProcessOptions()
 	if err != nil {
 		return err
 	}
@@ -203,49 +203,49 @@
 	if n.process, err = real.Start(context.WithoutCancel(ctx), r.options.Program, options); err != nil {
 		return err
 	}
-	if _, err := n.process.Ready(ctx, startMost); err != nil {
+	if _, err := n.process.WaitReady(ctx, startTimeout); err != nil {
 		if ctx.Err() == nil {
-			n.record.neverStarted = true
+			n.current.neverReady = true
 		} else {
-			n.record.abrupt, n.record.Killed = true, r.clock.Now()
+			n.current.killedUnwarned, n.current.SigkillAt = true, r.clock.Now()
 		}
-		r.ended(n)
+		r.recordEnd(n)
 		return err
 	}
-	n.record.Ready = r.clock.Now()
-	n.admit(true)
+	n.current.ReadyAt = r.clock.Now()
+	n.setInRotation(true)
 	return nil
 }
 
-// ended records the end of a process.
-func (r *run) ended(n *node) {
-	n.record.Err, n.record.Ended, n.record.Log = n.process.Close(), r.clock.Now(), n.process.Log()
+// recordEnd records the end of a process.
+func (r *runner) recordEnd(n *gatewayNode) {
+	n.current.Err, n.current.EndedAt, n.current.Log = n.process.Close(), r.clock.Now(), n.process.Log()
 	n.process = nil
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives = append(r.lives, n.record)
+	r.processes = append(r.processes, n.current)
 }
 
-func (n *node) admit(yes bool) {
+func (n *gatewayNode) setInRotation(inRotation bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.admitted = yes
+	n.inRotation = inRotation
 }
 
-// restarts plays the stops of one gateway.
-func (r *run) restarts(ctx context.Context, n *node) {
+// playStops plays the stops of one gateway.
+func (r *runner) playStops(ctx context.Context, n *gatewayNode) {
 	for _, s := range r.plan.Stops {
 		if s.Gateway != n.number {
 			continue
 		}
-		if !pause.For(ctx, time.Until(r.clock.At(s.At-time.Second))) {
+		if !pause.Sleep(ctx, time.Until(r.clock.At(s.At-time.Second))) {
 			return
 		}
-		r.stop(n, s)
-		if !pause.For(ctx, s.Rest) {
+		r.stopProcess(n, s)
+		if !pause.Sleep(ctx, s.RestartDelay) {
 			return
 		}
-		if err := r.begin(ctx, n); err != nil && ctx.Err() == nil {
+		if err := r.startProcess(ctx, n); err != nil && ctx.Err() == nil {
 			r.options.Log.Error("a gateway does not start", "gateway", n.number, "error", err)
 		}
 		if n.process == nil {
@@ -254,93 +254,93 @@
 	}
 }
 
-// stop ends a process as a planned restart does, with more signals beside.
-func (r *run) stop(n *node, s Stop) {
+// stopProcess ends a process as a planned restart does, with more signals beside.
+func (r *runner) stopProcess(n *gatewayNode, s Stop) {
 	type moment struct {
 		at     time.Duration
 		signal syscall.Signal
 	}
-	if s.Abrupt {
-		r.kill(n, s)
+	if s.KillOnly {
+		r.killProcess(n, s)
 		return
 	}
 	moments := []moment{{s.At, syscall.SIGTERM}}
 	for _, extra := range s.Signals {
-		moments = append(moments, moment{s.At + extra.After, extra.Signal})
+		moments = append(moments, moment{s.At + extra.Offset, extra.Signal})
 	}
 	slices.SortStableFunc(moments, func(a, b moment) int { return int(a.at - b.at) })
-	front := time.AfterFunc(time.Until(r.clock.At(s.At+s.Front)), func() { n.admit(false) })
-	defer front.Stop()
+	frontTimer := time.AfterFunc(time.Until(r.clock.At(s.At+s.FrontDelay)), func() { n.setInRotation(false) })
+	defer frontTimer.Stop()
 	kill := s.At + KillAfter(r.plan.Classes)
 	for _, m := range moments {
-		if m.at < kill && !r.await(n, m.at) {
+		if m.at < kill && !r.waitUntil(n, m.at) {
 			break
 		}
 		if m.at >= kill {
 			continue
 		}
-		if m.signal == syscall.SIGTERM && n.record.Stopped == 0 {
-			n.record.Stopped = r.clock.Now()
-			kill = n.record.Stopped + KillAfter(r.plan.Classes)
+		if m.signal == syscall.SIGTERM && n.current.SigtermAt == 0 {
+			n.current.SigtermAt = r.clock.Now()
+			kill = n.current.SigtermAt + KillAfter(r.plan.Classes)
 		}
-		n.record.signals = append(n.record.signals, signal{At: r.clock.Now(), Name: m.signal.String()})
+		n.current.signals = append(n.current.signals, signalRecord{At: r.clock.Now(), Name: m.signal.String()})
 		n.process.Signal(m.signal)
 	}
-	if r.await(n, kill) {
-		n.record.Killed = r.clock.Now()
+	if r.waitUntil(n, kill) {
+		n.current.SigkillAt = r.clock.Now()
 		n.process.Signal(syscall.SIGKILL)
 	}
-	n.admit(false)
-	r.ended(n)
+	n.setInRotation(false)
+	r.recordEnd(n)
 }
 
-// kill ends a process with no warning; the front notices only later.
-func (r *run) kill(n *node, s Stop) {
-	r.await(n, s.At)
+// killProcess ends a process with no warning; the front notices only later.
+func (r *runner) killProcess(n *gatewayNode, s Stop) {
+	r.waitUntil(n, s.At)
 	n.mu.Lock()
-	n.abrupt = n.life
+	n.lastKilledUnwarned = n.processNumber
 	n.mu.Unlock()
-	n.record.abrupt, n.record.Killed = true, r.clock.Now()
+	n.current.killedUnwarned, n.current.SigkillAt = true, r.clock.Now()
 	n.process.Signal(syscall.SIGKILL)
-	time.Sleep(s.Front)
-	n.admit(false)
-	r.ended(n)
+	time.Sleep(s.FrontDelay)
+	n.setInRotation(false)
+	r.recordEnd(n)
 }
 
-// drain plays the changes of the list.
-func (r *run) drain(ctx context.Context) {
+// playDrains plays the changes of the list.
+func (r *runner) playDrains(ctx context.Context) {
 	for _, d := range r.plan.Drains {
 		for _, step := range []struct {
 			at        time.Duration
 			lifecycle string
-		}{{d.At, "Terminating"}, {d.Gone, "Gone"}, {d.BackAt, "Ready"}} {
-			if !pause.For(ctx, time.Until(r.clock.At(step.at))) {
+		}{{d.DrainAt, "Terminating"}, {d.GoneAt, "Gone"}, {d.ReadyAt, "Ready"}} {
+			if !pause.Sleep(ctx, time.Until(r.clock.At(step.at))) {
 				return
 			}
-			entry := r.listed[d.Backend]
+			entry := r.backendList[d.Backend]
 			entry.Lifecycle = step.lifecycle
-			r.registry.Change([]gateway.Instance{entry})
+			r.discovery.ApplyDelta([]gateway.Instance{entry})
 			r.mu.Lock()
-			r.changes = append(r.changes, Change{Backend: entry.ID, At: r.clock.Now(), Ready: step.lifecycle == "Ready"})
+			r.listChanges = append(r.listChanges, ListChange{Backend: entry.ID, At: r.clock.Now(), Ready: step.lifecycle == "Ready"})
 			r.mu.Unlock()
 		}
 	}
 }
 
-// outages plays the silences of discovery.
-func (r *run) outages(ctx context.Context) {
+// playOutages plays the silences of discovery.
+func (r *runner) playOutages(ctx context.Context) {
 	for _, o := range r.plan.Outages {
-		if !pause.For(ctx, time.Until(r.clock.At(o.From))) {
+		if !pause.Sleep(ctx, time.Until(r.clock.At(o.From))) {
 			return
 		}
-		r.finding.Silence(true)
-		pause.For(ctx, time.Until(r.clock.At(o.To)))
-		r.finding.Silence(false)
+		r.discoveryProxy.SetBlackhole(true)
+		pause.Sleep(ctx, time.Until(r.clock.At(o.To)))
+		r.discoveryProxy.SetBlackhole(false)
 	}
 }
 
-// await waits for a moment. It returns false if the process ends first.
-func (r *run) await(n *node, at time.Duration) bool {
+// waitUntil waits for a moment. It returns false if the process ends first.
+func (r *runner) waitUntil(n *gatewayNode, at time.Duration) bool {
 	select {
 	case <-n.process.Done():
 		return false
@@ -349,13 +349,13 @@
 	}
 }
 
-// endAll stops what still runs, at the end.
-func (r *run) endAll() {
-	var ending sync.WaitGroup
-	for _, n := range r.nodes {
+// stopAll stops what still runs, at the end.
+func (r *runner) stopAll() {
+	var stopping sync.WaitGroup
+	for _, n := range r.gateways {
 		if n.process != nil {
-			ending.Go(func() { r.stop(n, Stop{At: r.clock.Now()}) })
+			stopping.Go(func() { r.stopProcess(n, Stop{At: r.clock.Now()}) })
 		}
 	}
-	ending.Wait()
+	stopping.Wait()
 }
--- a/internal/lab/soak/setup.go
+++ b/internal/lab/soak/setup.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	planName  = "standard"
-	memoryMB  = 192                    // limit of a gateway
-	counted   = 3 * time.Second        // a longer deadline counts as this where a kill is due
-	KillDelay = 700 * time.Millisecond // from SIGTERM and the longest deadline to the earliest SIGKILL
+	planName           = "standard"
+	memoryMB           = 192                    // limit of a gateway
+	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this where a kill is due
+	KillDelay          = 700 * time.Millisecond // from SIGTERM and the longest deadline to the earliest SIGKILL
 )
 
 // Class is one class of requests in a gateway's settings.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Deadline time.Duration
+	Name        string
+	Idempotency Idempotency
+	Deadline    time.Duration
 }
 
-// Effect says how often a request may take effect, in the settings' words.
-type Effect string
+// Idempotency says how often a request may take effect, in the settings' words.
+type Idempotency string
 
 // The effects.
 const (
-	Repeatable Effect = "repeatable"
-	ByKey      Effect = "by_key"
-	Once       Effect = "once"
+	Idempotent      Idempotency = "repeatable"
+	IdempotentByKey Idempotency = "by_key"
+	NonIdempotent   Idempotency = "once"
 )
 
-// Setup is what a gateway is told.
-type Setup struct {
+// GatewayOptions is what a gateway is told.
+type GatewayOptions struct {
 	Name, Listen, Discovery string
-	Sockets                 int // limit of descriptors
+	DescriptorLimit         int // limit of descriptors
 	Classes                 []Class
 	Env                     []string // for its program
 }
 
-// Options are the setup as a real gateway's.
-func (s Setup) Options() (real.Options, error) {
+// ProcessOptions are the setup as a real gateway's.
+func (s GatewayOptions) ProcessOptions() (real.Options, error) {
 	settings, err := s.settings()
 	return real.Options{Name: s.Name, Discovery: s.Discovery, Seed: 1, Cores: 1, MemoryMB: memoryMB, Settings: settings,
-		Listen: s.Listen, Sockets: s.Sockets, Env: s.Env}, err
+		Listen: s.Listen, DescriptorLimit: s.DescriptorLimit, Env: s.Env}, err
 }
 
-func (s Setup) settings() (json.RawMessage, error) {
+func (s GatewayOptions) settings() (json.RawMessage, error) {
 	var classes []map[string]any
 	for _, c := range s.Classes {
-		class := map[string]any{"name": c.Name, "effect": c.Effect, "points": 1, "lateWorth": 0.5,
+		class := map[string]any{"name": c.Name, "effect": c.Idempotency, "points": 1, "lateWorth": 0.5,
 			"objectiveS": c.Deadline.Seconds() / 2, "deadlineS": c.Deadline.Seconds()}
-		if c.Effect == ByKey {
+		if c.Idempotency == IdempotentByKey {
 			class["keyScope"], class["windowS"] = "all", 8
 		}
 		classes = append(classes, class)
@@ -73,5 +73,5 @@
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, counted) + KillDelay
+	return min(longest, maxCountedDeadline) + KillDelay
 }
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -13,37 +13,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// headerBytes is what a segment has beside its payload: IPv4 20, TCP 20,
+// segmentHeaderBytes is what a segment has beside its payload: IPv4 20, TCP 20,
 // timestamps 12.
-const headerBytes = 52
+const segmentHeaderBytes = 52
 
-const acceptRest = 10 * time.Millisecond // after an accept that failed
+const acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
 
 // Traffic is what passed over the connections of a listener, both ways.
 type Traffic struct {
-	In, Out  uint64 // payload bytes read and written by the listener's side
-	Segments uint64 // TCP segments both ways by TCP_INFO, pure acknowledgements among them
-	Conns    uint64 // connections accepted
+	BytesIn, BytesOut uint64 // payload bytes read and written by the listener's side
+	Segments          uint64 // TCP segments both ways by TCP_INFO, pure acknowledgements among them
+	Conns             uint64 // connections accepted
 }
 
 // Bytes returns the bytes on the wire, headers included. What follows a
 // connection's close (its FIN and the acknowledgement) is not in it.
-func (t Traffic) Bytes() uint64 { return t.In + t.Out + headerBytes*t.Segments }
+func (t Traffic) Bytes() uint64 { return t.BytesIn + t.BytesOut + segmentHeaderBytes*t.Segments }
 
 // Listener counts the traffic of the connections that it accepts. Its methods
 // may be called from many goroutines.
 type Listener struct {
 	net.Listener
 
-	mu    sync.Mutex
-	live  map[*conn]struct{}
-	ended Traffic // of closed connections, and Conns of all
-	shut  bool
+	mu            sync.Mutex
+	openConns     map[*conn]struct{}
+	closedTraffic Traffic // of closed connections, and Conns of all
+	closed        bool
 }
 
 // Listen wraps l. Segments stay 0 for connections that are not TCP.
 func Listen(l net.Listener) *Listener {
-	return &Listener{Listener: l, live: make(map[*conn]struct{})}
+	return &Listener{Listener: l, openConns: make(map[*conn]struct{})}
 }
 
 // Accept waits for the next connection, which counts until it is closed.
@@ -55,12 +55,12 @@
 	c := &conn{Conn: nc, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut {
+	if l.closed {
 		nc.Close()
 		return nil, net.ErrClosed
 	}
-	l.live[c] = struct{}{}
-	l.ended.Conns++
+	l.openConns[c] = struct{}{}
+	l.closedTraffic.Conns++
 	return c, nil
 }
 
@@ -73,7 +73,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRest) // out of descriptors, most likely
+			time.Sleep(acceptRetryDelay) // out of descriptors, most likely
 			continue
 		}
 		serving.Go(func() { handle(nc) })
@@ -84,18 +84,18 @@
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.ended
-	for c := range l.live {
-		t.add(c)
+	t := l.closedTraffic
+	for c := range l.openConns {
+		t.addConn(c)
 	}
 	return t
 }
 
-// Reset ends all live connections with a reset; the listener goes on.
-func (l *Listener) Reset() {
+// ResetConns ends all live connections with a reset; the listener goes on.
+func (l *Listener) ResetConns() {
 	l.mu.Lock()
-	conns := make([]*conn, 0, len(l.live))
-	for c := range l.live {
+	conns := make([]*conn, 0, len(l.openConns))
+	for c := range l.openConns {
 		conns = append(conns, c)
 	}
 	l.mu.Unlock()
@@ -107,13 +107,13 @@
 	}
 }
 
-// Shut closes the listener and resets all its connections.
-func (l *Listener) Shut() error {
+// CloseAll closes the listener and resets all its connections.
+func (l *Listener) CloseAll() error {
 	l.mu.Lock()
-	l.shut = true
+	l.closed = true
 	l.mu.Unlock()
 	err := l.Listener.Close()
-	l.Reset()
+	l.ResetConns()
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -122,30 +122,30 @@
 
 // Plus is the traffic of both.
 func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{In: t.In + o.In, Out: t.Out + o.Out, Segments: t.Segments + o.Segments, Conns: t.Conns + o.Conns}
+	return Traffic{BytesIn: t.BytesIn + o.BytesIn, BytesOut: t.BytesOut + o.BytesOut, Segments: t.Segments + o.Segments, Conns: t.Conns + o.Conns}
 }
 
-func (t *Traffic) add(c *conn) {
-	*t = t.Plus(Traffic{In: c.in.Load(), Out: c.out.Load(), Segments: segments(c.Conn)})
+func (t *Traffic) addConn(c *conn) {
+	*t = t.Plus(Traffic{BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(), Segments: segments(c.Conn)})
 }
 
 // conn counts its payload. Its segments are read from the kernel when asked for,
 // and for the last time as it closes.
 type conn struct {
 	net.Conn
-	listener *Listener
-	in, out  atomic.Uint64
+	listener          *Listener
+	bytesIn, bytesOut atomic.Uint64
 }
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.in.Add(uint64(n))
+	c.bytesIn.Add(uint64(n))
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.out.Add(uint64(n))
+	c.bytesOut.Add(uint64(n))
 	return n, err
 }
 
@@ -153,9 +153,9 @@
 func (c *conn) Close() error {
 	l := c.listener
 	l.mu.Lock()
-	if _, live := l.live[c]; live {
-		delete(l.live, c)
-		l.ended.add(c)
+	if _, open := l.openConns[c]; open {
+		delete(l.openConns, c)
+		l.closedTraffic.addConn(c)
 	}
 	l.mu.Unlock()
 	return c.Conn.Close()
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/tally/tally_test.go
@@ -37,7 +37,7 @@
 	check := func() Traffic {
 		t.Helper()
 		got := l.Traffic()
-		if got.In != conns*in || got.Out != conns*out || got.Conns != conns {
+		if got.BytesIn != conns*in || got.BytesOut != conns*out || got.Conns != conns {
 			t.Errorf("got %+v", got)
 		}
 		// A segment of loopback holds up to 64 KiB, so each connection needs three of data
@@ -48,7 +48,7 @@
 		return got
 	}
 	live := check()
-	if err := l.Shut(); err != nil {
+	if err := l.CloseAll(); err != nil {
 		t.Fatal(err)
 	}
 	if ended := check(); ended.Segments < live.Segments {
--- a/internal/lab/truth/truth.go
+++ b/internal/lab/truth/truth.go
@@ -7,51 +7,53 @@
 	"time"
 )
 
-// Store is the quota's store of one customer. Its gateways share it: all methods may be called from any
+// TokenBucket is the quota's store of one customer. Its gateways share it: all methods may be called from any
 // goroutine. Times count from the store's start; one that lies before the last passes for the last.
-type Store struct {
+type TokenBucket struct {
 	rate, burst float64 // units a second, units
 
-	mu    sync.Mutex
-	units float64
-	at    time.Duration
+	mu        sync.Mutex
+	tokens    float64
+	updatedAt time.Duration
 }
 
 // New makes a store that is full and refills at rate units a second up to burst. A rate of 0 stands for no quota:
 // every send is inside, and there always is room.
-func New(rate, burst float64) *Store { return &Store{rate: rate, burst: burst, units: burst} }
+func New(rate, burst float64) *TokenBucket {
+	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
+}
 
-// fill brings the store up to now.
-func (s *Store) fill(now time.Duration) {
-	if now > s.at {
-		s.units = min(s.units+s.rate*(now-s.at).Seconds(), s.burst)
-		s.at = now
+// refill brings the store up to now.
+func (b *TokenBucket) refill(now time.Duration) {
+	if now > b.updatedAt {
+		b.tokens = min(b.tokens+b.rate*(now-b.updatedAt).Seconds(), b.burst)
+		b.updatedAt = now
 	}
 }
 
-// Sent notes that a try was first sent on, and tells whether it was inside the quota: if the store had its units,
+// Take notes that a try was first sent on, and tells whether it was inside the quota: if the store had its units,
 // which it then takes. A send beyond the quota takes nothing.
-func (s *Store) Sent(now time.Duration, units float64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fill(now)
-	if s.rate == 0 {
+func (b *TokenBucket) Take(now time.Duration, units float64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.refill(now)
+	if b.rate == 0 {
 		return true
 	}
-	if s.units < units {
+	if b.tokens < units {
 		return false
 	}
-	s.units -= units
+	b.tokens -= units
 	return true
 }
 
-// Has tells whether the store has the units, so that a refusal now is one inside the quota.
-func (s *Store) Has(now time.Duration, units float64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fill(now)
-	return s.rate == 0 || s.units >= units
+// CanTake tells whether the store has the units, so that a refusal now is one inside the quota.
+func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.refill(now)
+	return b.rate == 0 || b.tokens >= units
 }
 
-// Half tells whether half of the burst or more is unused.
-func (s *Store) Half(now time.Duration) bool { return s.Has(now, s.burst/2) }
+// HalfFull tells whether half of the burst or more is unused.
+func (b *TokenBucket) HalfFull(now time.Duration) bool { return b.CanTake(now, b.burst/2) }
