--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"amberlb/internal/gateway"
-	"amberlb/internal/lab/real"
-	"amberlb/internal/lab/registry"
+	"amberlb/internal/lab/discovery"
+	"amberlb/internal/lab/gatewayprocess"
 	"amberlb/internal/lab/soak"
 )
 
@@ -124,10 +124,10 @@
 }
 
 // startProcess starts a gateway as the command does and waits until it is ready.
-func startProcess(t *testing.T, classes []soak.Class, discovery string) (process *real.Gateway, listen string) {
+func startProcess(t *testing.T, classes []soak.Class, discovery string) (process *gatewayprocess.Gateway, listen string) {
 	t.Helper()
 	options := gatewayOptions(t, classes, discovery)
-	process, err := real.Start(t.Context(), real.Program{Command: "exec " + os.Args[0], Dir: "."}, options)
+	process, err := gatewayprocess.Start(t.Context(), gatewayprocess.Program{Command: "exec " + os.Args[0], Dir: "."}, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,9 +139,9 @@
 }
 
 // gatewayOptions are those of a gateway of its own at a free address.
-func gatewayOptions(t *testing.T, classes []soak.Class, discovery string) real.Options {
+func gatewayOptions(t *testing.T, classes []soak.Class, discovery string) gatewayprocess.Options {
 	t.Helper()
-	listen, err := real.FreeAddress()
+	listen, err := gatewayprocess.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 }
 
 // hangingBackends starts backends that take requests and never answer, and a discovery that lists them.
-func hangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discovery string) {
+func hangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
 	var list []gateway.Instance
 	for i := range 12 {
@@ -166,7 +166,7 @@
 		backends = append(backends, b)
 		list = append(list, gateway.Instance{ID: b.Name, HostPort: b.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
-	r := registry.New(list, registry.Options{})
+	r := discovery.New(list, discovery.Options{})
 	address, err := r.Start(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			result, err := soak.Run(t.Context(), soak.NewPlan(seed, length), soak.Options{
-				Program: real.Program{Command: "exec " + os.Args[0], Dir: "."},
+				Program: gatewayprocess.Program{Command: "exec " + os.Args[0], Dir: "."},
 				Env:     commandEnv, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -21,8 +21,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"amberlb/internal/lab/experiment"
+	"amberlb/internal/lab/gatewayprocess"
 	"amberlb/internal/lab/hollow"
-	"amberlb/internal/lab/real"
 )
 
 const (
@@ -192,18 +192,18 @@
 }
 
 // build builds the version in the directory root as its deploy file says, and returns its gateway.
-func build(ctx context.Context, root string, log *slog.Logger) (real.Program, error) {
+func build(ctx context.Context, root string, log *slog.Logger) (gatewayprocess.Program, error) {
 	deploy, err := readDeployFile(root)
 	if err != nil {
-		return real.Program{}, err
+		return gatewayprocess.Program{}, err
 	}
 	log.Info("build", "command", deploy.Build)
 	command := exec.CommandContext(ctx, "/bin/sh", "-c", deploy.Build)
 	command.Dir = root
 	if output, err := command.CombinedOutput(); err != nil {
-		return real.Program{}, fmt.Errorf("build: %w: %s", err, output)
+		return gatewayprocess.Program{}, fmt.Errorf("build: %w: %s", err, output)
 	}
-	return real.Program{Command: deploy.Run, Dir: root}, nil
+	return gatewayprocess.Program{Command: deploy.Run, Dir: root}, nil
 }
 
 // currentVersion builds the version that this program belongs to.
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 
 	"amberlb/internal/lab/experiment"
-	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/gatewayprocess"
 )
 
 // asCommand makes the test binary stand in for the command, also as the child
@@ -86,7 +86,7 @@
 	}
 	t.Setenv(asCommand, "1")
 	return &experiment.Lab{Root: ".", Log: slog.New(slog.NewTextHandler(watcher{log, watch}, nil)),
-		Versions: []experiment.Version{{Name: experiment.Candidate, Gateway: real.Program{Command: "exec ./amberlb", Dir: dir},
+		Versions: []experiment.Version{{Name: experiment.Candidate, Gateway: gatewayprocess.Program{Command: "exec ./amberlb", Dir: dir},
 			Fleetlab: os.Args[0]}}}
 }
 
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := experiment.Version{Name: experiment.Baseline, Gateway: real.Program{Command: "exec bin/earlier-name", Dir: dir},
+	want := experiment.Version{Name: experiment.Baseline, Gateway: gatewayprocess.Program{Command: "exec bin/earlier-name", Dir: dir},
 		Fleetlab: filepath.Join(dir, "bin", "fleetlab")}
 	if version != want {
 		t.Errorf("got %+v, want %+v", version, want)
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/backend/pool.go
@@ -1,6 +1,6 @@
-// Package origin stands in for a fleet of backends. Each has an address of its own
+// Package backend stands in for a fleet of backends. Each has an address of its own
 // in 127.0.0.0/8; a few listeners serve them all.
-package origin
+package backend
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"amberlb/internal/gateway"
+	"amberlb/internal/lab/netstats"
 	"amberlb/internal/lab/request"
-	"amberlb/internal/lab/tally"
 )
 
 const (
@@ -46,13 +46,13 @@
 	Handshakes                                uint64 // connections accepted
 	OpenConns, PeakConns, PeakConnsPerBackend int    // connections: now, at most, and at most at one backend
 	BackendsReached                           int    // distinct backends that got a request
-	Traffic                                   tally.Traffic
+	Traffic                                   netstats.Traffic
 }
 
 // Pool is the stand-in. Its methods may be called from many goroutines.
 type Pool struct {
 	options   Options
-	listeners []*tally.Listener
+	listeners []*netstats.Listener
 	serving   sync.WaitGroup
 
 	requests, probes atomic.Uint64
@@ -94,7 +94,7 @@
 		if err != nil {
 			return errors.Join(err, p.Close())
 		}
-		t := tally.Listen(l)
+		t := netstats.Listen(l)
 		p.listeners = append(p.listeners, t)
 		context.AfterFunc(ctx, func() { t.CloseAll() })
 		p.serving.Go(func() { t.Serve(&p.serving, p.serve) })
--- a/internal/lab/origin/origin_test.go
+++ b/internal/lab/backend/pool_test.go
@@ -1,4 +1,4 @@
-package origin
+package backend
 
 import (
 	"bufio"
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"amberlb/internal/lab/tally"
+	"amberlb/internal/lab/netstats"
 )
 
 // Options say what the counter bears: Parts / Service calls a second, if names
@@ -37,7 +37,7 @@
 type Stats struct {
 	Calls, Rejected  uint64 // calls read whole, and those of them that got 503
 	Names, PeakNames int    // alive now, and at most at once
-	Traffic          tally.Traffic
+	Traffic          netstats.Traffic
 }
 
 // Counter is the stand-in. Its methods may be called from many goroutines.
@@ -52,7 +52,7 @@
 	nameCount, peakNames     atomic.Int64
 	closed                   atomic.Bool // no answer is written any more
 
-	listener *tally.Listener
+	listener *netstats.Listener
 	serving  sync.WaitGroup
 }
 
@@ -86,7 +86,7 @@
 	if err != nil {
 		return "", err
 	}
-	c.listener = tally.Listen(l)
+	c.listener = netstats.Listen(l)
 	context.AfterFunc(ctx, func() { c.closeListener() })
 	c.serving.Go(func() { c.listener.Serve(&c.serving, c.serve) })
 	return l.Addr().String(), nil
--- a/internal/lab/pause/pause.go
+++ b/internal/lab/ctxtime/sleep.go
@@ -1,5 +1,5 @@
-// Package pause waits for a while, or until a run is over.
-package pause
+// Package ctxtime waits for a while, or until a run is over.
+package ctxtime
 
 import (
 	"context"
--- a/internal/lab/registry/registry.go
+++ b/internal/lab/discovery/server.go
@@ -1,6 +1,6 @@
-// Package registry stands in for discovery: the list of backends, whole or as
+// Package discovery stands in for discovery: the list of backends, whole or as
 // what changed, with watches that wait for a change.
-package registry
+package discovery
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"time"
 
 	"amberlb/internal/gateway"
-	"amberlb/internal/lab/tally"
+	"amberlb/internal/lab/netstats"
 )
 
 const (
@@ -34,7 +34,7 @@
 type Stats struct {
 	Calls, FullLists, DeltaLists uint64 // calls, and answers to them: whole lists and lists of changes, empty ones too
 	Entries                      uint64 // instances in these answers
-	Traffic                      tally.Traffic
+	Traffic                      netstats.Traffic
 }
 
 // Server is the stand-in. Its methods may be called from many goroutines.
@@ -52,7 +52,7 @@
 
 	callCount, fullListCount, deltaListCount, entryCount atomic.Uint64
 
-	listener   *tally.Listener
+	listener   *netstats.Listener
 	httpServer *http.Server
 	serving    sync.WaitGroup
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		return "", err
 	}
-	s.listener = tally.Listen(l)
+	s.listener = netstats.Listen(l)
 	ctx, cancel := context.WithCancel(ctx)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listPath, s.handleList)
--- a/internal/lab/registry/registry_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"context"
--- a/internal/lab/experiment/real.go
+++ b/internal/lab/experiment/processes.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"amberlb/internal/lab/gatewayprocess"
 	"amberlb/internal/lab/proc"
-	"amberlb/internal/lab/real"
 )
 
 // measureProcesses measures real gateways: their start, a quiet time, then a load.
@@ -24,7 +24,7 @@
 		return err
 	}
 	r.Metrics["list_bytes"] = float64(listBytes)
-	var gateways []*real.Gateway
+	var gateways []*gatewayprocess.Gateway
 	defer func() {
 		for _, g := range gateways {
 			err = errors.Join(err, g.Stop())
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		g, err := real.Start(ctx, v.Gateway, real.Options{Name: fmt.Sprintf("g-%05d", rank), Discovery: s.discoveryAddress, Counter: s.counterAddress,
+		g, err := gatewayprocess.Start(ctx, v.Gateway, gatewayprocess.Options{Name: fmt.Sprintf("g-%05d", rank), Discovery: s.discoveryAddress, Counter: s.counterAddress,
 			Seed: e.Seed + uint64(rank), Cores: e.Fleet.Cores, MemoryMB: e.Fleet.MemoryMB, Settings: settings})
 		if err != nil {
 			return err
@@ -55,12 +55,12 @@
 
 // awaitReady waits for all gateways. If one is not ready in time there is no more to
 // measure, which is a figure too.
-func (e *Experiment) awaitReady(ctx context.Context, gateways []*real.Gateway, r *Run) (bool, error) {
+func (e *Experiment) awaitReady(ctx context.Context, gateways []*gatewayprocess.Gateway, r *Run) (bool, error) {
 	never, slowest := 0, time.Duration(0)
 	for _, g := range gateways {
 		took, err := g.WaitReady(ctx, seconds(e.Fleet.ReadyTimeoutS))
 		switch {
-		case errors.Is(err, real.ErrReadyTimeout):
+		case errors.Is(err, gatewayprocess.ErrReadyTimeout):
 			never++
 		case err != nil:
 			return false, err
@@ -75,7 +75,7 @@
 }
 
 // measureIdle measures gateways that are asked for nothing.
-func (e *Experiment) measureIdle(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
+func (e *Experiment) measureIdle(ctx context.Context, s *standins, gateways []*gatewayprocess.Gateway, r *Run, log *slog.Logger) error {
 	if e.IdleSeconds == 0 {
 		return nil
 	}
@@ -96,7 +96,7 @@
 
 // sampleUsage samples the stand-ins and the gateways: their processor time together, and
 // the memory of the largest.
-func (s *standins) sampleUsage(gateways []*real.Gateway) (sample, proc.Usage, error) {
+func (s *standins) sampleUsage(gateways []*gatewayprocess.Gateway) (sample, proc.Usage, error) {
 	var sum proc.Usage
 	for _, g := range gateways {
 		u, err := g.Usage()
@@ -111,7 +111,7 @@
 
 // measureDuring samples before and after a while, and tells what the gateways used in it:
 // their processor time, and the peak of the largest one's memory up to its end.
-func (s *standins) measureDuring(ctx context.Context, gateways []*real.Gateway, d time.Duration) (before, after sample, used proc.Usage, err error) {
+func (s *standins) measureDuring(ctx context.Context, gateways []*gatewayprocess.Gateway, d time.Duration) (before, after sample, used proc.Usage, err error) {
 	before, start, err := s.sampleUsage(gateways)
 	if err == nil {
 		err = sleep(ctx, d)
@@ -125,14 +125,14 @@
 }
 
 // measureLoad measures gateways at work.
-func (e *Experiment) measureLoad(ctx context.Context, s *standins, gateways []*real.Gateway, r *Run, log *slog.Logger) error {
+func (e *Experiment) measureLoad(ctx context.Context, s *standins, gateways []*gatewayprocess.Gateway, r *Run, log *slog.Logger) error {
 	tenants, _ := e.tenants()
-	l := real.Load{Seed: e.Seed, RequestsPerSecond: e.Tenants.RequestsPerGateway * float64(len(gateways)), Tenants: tenants, ZipfExponent: e.Tenants.ZipfExponent,
+	l := gatewayprocess.Load{Seed: e.Seed, RequestsPerSecond: e.Tenants.RequestsPerGateway * float64(len(gateways)), Tenants: tenants, ZipfExponent: e.Tenants.ZipfExponent,
 		Class: class, ClientTimeout: clientTimeout, ServiceTime: millis(e.Backends.ServiceTimeMS)}
 	log.Info("load", "seconds", e.WarmupSeconds+e.Seconds, "requests_per_s", l.RequestsPerSecond, "tenants", e.Tenants.Count)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var result real.Result
+	var result gatewayprocess.Result
 	var driving sync.WaitGroup
 	defer driving.Wait()
 	defer cancel()
@@ -153,7 +153,7 @@
 }
 
 // recordLoadMetrics puts in the figures of a load on n gateways.
-func (e *Experiment) recordLoadMetrics(f Metrics, result *real.Result, before, after *sample, cpu time.Duration, n int) {
+func (e *Experiment) recordLoadMetrics(f Metrics, result *gatewayprocess.Result, before, after *sample, cpu time.Duration, n int) {
 	due := float64(result.Scheduled)
 	f["requests"], f["dropped"] = due, float64(result.Dropped)
 	f["requests_per_s"] = due / e.Seconds / float64(n)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"amberlb/internal/lab/pause"
-	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/ctxtime"
+	"amberlb/internal/lab/gatewayprocess"
 )
 
 const (
@@ -24,9 +24,9 @@
 
 // Version is a version of the programs that are measured.
 type Version struct {
-	Name     string       // After or Before
-	Gateway  real.Program // a real gateway
-	Fleetlab string       // path of the program whose verb `hollow` holds hollow gateways
+	Name     string                 // Candidate or Baseline
+	Gateway  gatewayprocess.Program // a real gateway
+	Fleetlab string                 // path of the program whose verb `hollow` holds hollow gateways
 }
 
 // phaseTimeout is the time after which a phase is ended by force.
@@ -63,7 +63,7 @@
 
 // sleep waits, or returns why ctx ended.
 func sleep(ctx context.Context, d time.Duration) error {
-	if !pause.Sleep(ctx, d) {
+	if !ctxtime.Sleep(ctx, d) {
 		return context.Cause(ctx)
 	}
 	return nil
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/gatewayprocess"
 )
 
 const (
@@ -63,7 +63,7 @@
 // tenants are the customers of the real gateways, the busiest first, and their
 // plans: one for each halving of the rate. A tenant's gateways are real as far as
 // these suffice; beyond them the set goes on among gateways that are not here.
-func (e *Experiment) tenants() ([]real.Tenant, []planJSON) {
+func (e *Experiment) tenants() ([]gatewayprocess.Tenant, []planJSON) {
 	config := &e.Tenants
 	if e.Fleet.GatewayProcesses == 0 {
 		return nil, nil
@@ -73,7 +73,7 @@
 		sum += math.Pow(float64(i+1), -config.ZipfExponent)
 	}
 	busiest := config.RequestsPerGateway * float64(max(e.Fleet.GatewayProcesses, config.SubsetSize)) / sum / config.Utilization // units a second of its quota
-	var all []real.Tenant
+	var all []gatewayprocess.Tenant
 	var plans []planJSON
 	for i := range config.Count {
 		planIndex := int(config.ZipfExponent * math.Log2(float64(i+1)))
@@ -82,7 +82,7 @@
 			plans = append(plans, newPlan(fmt.Sprintf("tenants-%d", n), busiest/math.Exp2(float64(n)), config.BurstS, 1))
 		}
 		startPositions := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // sets start so that they lie among the real ones
-		all = append(all, real.Tenant{ID: firstTenantID + uint64(i), Plan: plans[planIndex].Name, SubsetSize: config.SubsetSize, FirstGateway: i % startPositions})
+		all = append(all, gatewayprocess.Tenant{ID: firstTenantID + uint64(i), Plan: plans[planIndex].Name, SubsetSize: config.SubsetSize, FirstGateway: i % startPositions})
 	}
 	return all, plans
 }
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"amberlb/internal/gateway"
+	"amberlb/internal/lab/backend"
 	"amberlb/internal/lab/counter"
-	"amberlb/internal/lab/origin"
-	"amberlb/internal/lab/registry"
+	"amberlb/internal/lab/discovery"
 )
 
 const (
@@ -27,22 +27,22 @@
 // standins are the services that one phase of a run talks to, of its own, so that
 // all traffic on them is this phase's.
 type standins struct {
-	discoveryServer                  *registry.Server
+	discoveryServer                  *discovery.Server
 	counter                          *counter.Counter // nil: none
-	backends                         *origin.Pool
+	backends                         *backend.Pool
 	discoveryAddress, counterAddress string // addresses; no counter: ""
 	listedBackends, spareBackends    []gateway.Instance
 }
 
 // startStandins starts them; they serve until ctx ends or close.
 func startStandins(ctx context.Context, e *Experiment) (*standins, error) {
-	s := &standins{backends: origin.New(origin.Options{ServiceTime: millis(e.Backends.ServiceTimeMS), Listeners: backendListeners})}
+	s := &standins{backends: backend.New(backend.Options{ServiceTime: millis(e.Backends.ServiceTimeMS), Listeners: backendListeners})}
 	if err := s.backends.Start(ctx); err != nil {
 		return nil, err
 	}
 	all := s.backends.Instances(e.Backends.Count+e.spareBackends(), zones, kinds)
 	s.listedBackends, s.spareBackends = all[:e.Backends.Count:e.Backends.Count], all[e.Backends.Count:]
-	s.discoveryServer = registry.New(slices.Clone(s.listedBackends), registry.Options{FullListsPerSecond: e.Discovery.FullListsPerSecond})
+	s.discoveryServer = discovery.New(slices.Clone(s.listedBackends), discovery.Options{FullListsPerSecond: e.Discovery.FullListsPerSecond})
 	var err error
 	if s.discoveryAddress, err = s.discoveryServer.Start(ctx); err != nil {
 		s.close()
@@ -74,9 +74,9 @@
 // sample is what the stand-ins have counted at one time.
 type sample struct {
 	at        time.Time
-	discovery registry.Stats
+	discovery discovery.Stats
 	counter   counter.Stats // zero without one
-	backends  origin.Stats
+	backends  backend.Stats
 }
 
 func (s *standins) sample() sample {
--- a/internal/lab/real/gateway.go
+++ b/internal/lab/gatewayprocess/gateway.go
@@ -1,6 +1,6 @@
-// Package real starts real gateways as a deployment does, each a process of its
+// Package gatewayprocess starts real gateways as a deployment does, each a process of its
 // own, and sends them the requests of many tenants.
-package real
+package gatewayprocess
 
 import (
 	"context"
--- a/internal/lab/real/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -1,4 +1,4 @@
-package real
+package gatewayprocess
 
 import (
 	"context"
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -10,7 +10,7 @@
 
 	"amberlb/internal/gateway"
 	"amberlb/internal/lab/load"
-	"amberlb/internal/lab/truth"
+	"amberlb/internal/lab/oracle"
 	"amberlb/policy"
 )
 
@@ -43,7 +43,7 @@
 type customer struct {
 	id            policy.CustomerID
 	firstGateway  int // of its gateways, in the group
-	bucket        *truth.TokenBucket
+	bucket        *oracle.TokenBucket
 	weights       []float64     // of its gateways; nil: even
 	nextWeightsAt time.Duration // when the weights are drawn again
 }
@@ -56,7 +56,7 @@
 		customers: make([]customer, g.Customers), result: GroupResult{Name: g.Name}}
 	for i := range newLoad.customers {
 		newLoad.customers[i] = customer{id: policy.CustomerID(g.First + i*h.Fleet), // no other group has this First
-			firstGateway: newLoad.rng.IntN(g.Gateways - g.Spread + 1), bucket: truth.New(plan.Rate, plan.Burst)}
+			firstGateway: newLoad.rng.IntN(g.Gateways - g.Spread + 1), bucket: oracle.New(plan.Rate, plan.Burst)}
 		if g.Shift {
 			newLoad.customers[i].weights = make([]float64, g.Spread)
 		}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -11,8 +11,8 @@
 
 	"amberlb/internal/gateway"
 	"amberlb/internal/lab/counter"
-	"amberlb/internal/lab/registry"
-	"amberlb/internal/lab/truth"
+	"amberlb/internal/lab/discovery"
+	"amberlb/internal/lab/oracle"
 )
 
 const settings = `{"tickS": 0.002, "localities": ["a"], "kinds": ["m"],
@@ -24,8 +24,8 @@
 
 // job has a group without a quota and one that asks for twice its own.
 func job(t *testing.T) (Job, *counter.Counter) {
-	reg := registry.New([]gateway.Instance{{ID: "b-1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1},
-		{ID: "b-2", HostPort: "127.0.0.2:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}, registry.Options{})
+	reg := discovery.New([]gateway.Instance{{ID: "b-1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1},
+		{ID: "b-2", HostPort: "127.0.0.2:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}, discovery.Options{})
 	discovery, err := reg.Start(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 
 // Refusals are judged by what the store holds then, sends by whether it has the units.
 func TestJudgement(t *testing.T) {
-	c := &customer{bucket: truth.New(1e-9, 10)}
+	c := &customer{bucket: oracle.New(1e-9, 10)}
 	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
 	refuse := func(counts bool) {
 		g.onAnswer(attempt{customer: c, measured: counts, due: time.Now(), done: func() {}}, http.StatusTooManyRequests, 0)
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -13,7 +13,7 @@
 	"amberlb/internal/lab/load"
 	"amberlb/policy"
 
-	"amberlb/internal/lab/pause"
+	"amberlb/internal/lab/ctxtime"
 )
 
 const (
@@ -97,7 +97,7 @@
 		running.Go(func() {
 			listed := sync.OnceFunc(starting.Done)
 			defer listed()
-			if !pause.Sleep(ctx, seconds(h.StartSpreadS*float64(n)/float64(h.Gateways))) {
+			if !ctxtime.Sleep(ctx, seconds(h.StartSpreadS*float64(n)/float64(h.Gateways))) {
 				return
 			}
 			began := time.Now()
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/netstats/listener.go
@@ -1,6 +1,6 @@
-// Package tally counts the traffic of a listener: payload, TCP segments and
+// Package netstats counts the traffic of a listener: payload, TCP segments and
 // connections, so that a run can tell what its gateways cost a network.
-package tally
+package netstats
 
 import (
 	"errors"
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/netstats/listener_test.go
@@ -1,4 +1,4 @@
-package tally
+package netstats
 
 import (
 	"io"
--- a/internal/lab/truth/truth.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -1,6 +1,6 @@
-// Package truth keeps a customer's quota exactly, as the rules count it: one store for all gateways, which no
+// Package oracle keeps a customer's quota exactly, as the rules count it: one store for all gateways, which no
 // real gateway can see. What gateways let in and refuse is held against it.
-package truth
+package oracle
 
 import (
 	"sync"
--- a/internal/lab/truth/truth_test.go
+++ b/internal/lab/oracle/tokenbucket_test.go
@@ -1,4 +1,4 @@
-package truth
+package oracle
 
 import (
 	"testing"
--- a/internal/lab/soak/setup.go
+++ b/internal/lab/soak/gatewayoptions.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"amberlb/internal/lab/real"
+	"amberlb/internal/lab/gatewayprocess"
 )
 
 const (
@@ -40,9 +40,9 @@
 }
 
 // ProcessOptions are the setup as a real gateway's.
-func (s GatewayOptions) ProcessOptions() (real.Options, error) {
+func (s GatewayOptions) ProcessOptions() (gatewayprocess.Options, error) {
 	settings, err := s.settings()
-	return real.Options{Name: s.Name, Discovery: s.Discovery, Seed: 1, Cores: 1, MemoryMB: memoryMB, Settings: settings,
+	return gatewayprocess.Options{Name: s.Name, Discovery: s.Discovery, Seed: 1, Cores: 1, MemoryMB: memoryMB, Settings: settings,
 		Listen: s.Listen, DescriptorLimit: s.DescriptorLimit, Env: s.Env}, err
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"amberlb/internal/gateway"
-	"amberlb/internal/lab/pause"
-	"amberlb/internal/lab/real"
-	"amberlb/internal/lab/registry"
+	"amberlb/internal/lab/ctxtime"
+	"amberlb/internal/lab/discovery"
+	"amberlb/internal/lab/gatewayprocess"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // Options are a run's.
 type Options struct {
-	Program real.Program
+	Program gatewayprocess.Program
 	Env     []string // for the program
 	Log     *slog.Logger
 }
@@ -47,7 +47,7 @@
 	backends       []*Backend
 	backendProxies []*Proxy // before the backends
 	gateways       []*gatewayNode
-	discovery      *registry.Server
+	discovery      *discovery.Server
 	discoveryProxy *Proxy // before it
 	backendList    []gateway.Instance
 
@@ -68,7 +68,7 @@
 	processNumber      int
 	inRotation         bool // the front brings new connections
 	lastKilledUnwarned int  // the last life that was killed with no warning
-	process            *real.Gateway
+	process            *gatewayprocess.Gateway
 	current            Process
 }
 
@@ -124,7 +124,7 @@
 		list = append(list, gateway.Instance{ID: b.Name, HostPort: p.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
 	r.backendList = list
-	r.discovery = registry.New(slices.Clone(list), registry.Options{})
+	r.discovery = discovery.New(slices.Clone(list), discovery.Options{})
 	address, err := r.discovery.Start(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 		return err
 	}
 	for i := range r.plan.Gateways {
-		listen, err := real.FreeAddress()
+		listen, err := gatewayprocess.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -200,7 +200,7 @@
 		return err
 	}
 	// The end of the run doesn't kill the process: it is stopped as ever.
-	if n.process, err = real.Start(context.WithoutCancel(ctx), r.options.Program, options); err != nil {
+	if n.process, err = gatewayprocess.Start(context.WithoutCancel(ctx), r.options.Program, options); err != nil {
 		return err
 	}
 	if _, err := n.process.WaitReady(ctx, startTimeout); err != nil {
@@ -238,11 +238,11 @@
 		if s.Gateway != n.number {
 			continue
 		}
-		if !pause.Sleep(ctx, time.Until(r.clock.At(s.At-time.Second))) {
+		if !ctxtime.Sleep(ctx, time.Until(r.clock.At(s.At-time.Second))) {
 			return
 		}
 		r.stopProcess(n, s)
-		if !pause.Sleep(ctx, s.RestartDelay) {
+		if !ctxtime.Sleep(ctx, s.RestartDelay) {
 			return
 		}
 		if err := r.startProcess(ctx, n); err != nil && ctx.Err() == nil {
@@ -314,7 +314,7 @@
 			at        time.Duration
 			lifecycle string
 		}{{d.DrainAt, "Terminating"}, {d.GoneAt, "Gone"}, {d.ReadyAt, "Ready"}} {
-			if !pause.Sleep(ctx, time.Until(r.clock.At(step.at))) {
+			if !ctxtime.Sleep(ctx, time.Until(r.clock.At(step.at))) {
 				return
 			}
 			entry := r.backendList[d.Backend]
@@ -330,11 +330,11 @@
 // playOutages plays the silences of discovery.
 func (r *runner) playOutages(ctx context.Context) {
 	for _, o := range r.plan.Outages {
-		if !pause.Sleep(ctx, time.Until(r.clock.At(o.From))) {
+		if !ctxtime.Sleep(ctx, time.Until(r.clock.At(o.From))) {
 			return
 		}
 		r.discoveryProxy.SetBlackhole(true)
-		pause.Sleep(ctx, time.Until(r.clock.At(o.To)))
+		ctxtime.Sleep(ctx, time.Until(r.clock.At(o.To)))
 		r.discoveryProxy.SetBlackhole(false)
 	}
 }
--- a/internal/lab/soak/work.go
+++ b/internal/lab/soak/workload.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"amberlb/internal/lab/pause"
+	"amberlb/internal/lab/ctxtime"
 )
 
 const (
@@ -24,15 +24,15 @@
 	for ctx.Err() == nil {
 		conn := r.dialGateway(rng, -1)
 		if conn == nil {
-			pause.Sleep(ctx, redialInterval)
+			ctxtime.Sleep(ctx, redialInterval)
 			continue
 		}
 		if rng.IntN(3) == 0 {
-			pause.Sleep(ctx, randomDuration(rng, 0, maxFirstRequestDelay))
+			ctxtime.Sleep(ctx, randomDuration(rng, 0, maxFirstRequestDelay))
 		}
 		for reusable := true; reusable && ctx.Err() == nil && !conn.PeerClosed(); {
 			reusable = r.sendWithResend(rng, conn)
-			pause.Sleep(ctx, randomDuration(rng, 0, maxThinkTime))
+			ctxtime.Sleep(ctx, randomDuration(rng, 0, maxThinkTime))
 		}
 		conn.Close()
 	}
@@ -131,7 +131,7 @@
 			}
 		}
 	}()
-	for next := 0; pause.Sleep(ctx, idleConnInterval); next = (next + 1) % len(conns) {
+	for next := 0; ctxtime.Sleep(ctx, idleConnInterval); next = (next + 1) % len(conns) {
 		if conns[next] != nil {
 			conns[next].Close() // the gateway has most likely ended it
 		}
