--- a/internal/gateway/queued_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -20,7 +20,9 @@
 	}
 	return nil, net.ErrClosed
 }
-func (q queue) Close() error   { return nil }
+
+func (q queue) Close() error { return nil }
+
 func (q queue) Addr() net.Addr { return &net.TCPAddr{} }
 
 // A request that waited in the listener's queue, since there was no room for those before it, has spent that time of its
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clientconnections.go
@@ -2,11 +2,9 @@
 
 import (
 	"container/list"
-	"errors"
 	"log/slog"
 	"net"
 	"net/http"
-	"os"
 	"sync"
 	"time"
 )
@@ -45,97 +43,18 @@
 	return &clientConnections{Listener: l, maxConns: maxConns, metrics: &metrics{}, log: slog.Default(), slotFreed: make(chan struct{}, 1), conns: map[*clientConn]struct{}{}}
 }
 
-// Accept returns the next connection that there is room for. One for which none
-// could be made soon is closed. Its only error is net.ErrClosed.
-func (c *clientConnections) Accept() (net.Conn, error) {
-	for {
-		conn, err := c.acceptWithRetry()
-		if err != nil {
-			return nil, err
-		}
-		earliestArrival := c.acceptDelay.acceptReturned(time.Now())
-		for remaining := minEvictionGrace; ; remaining -= capacityPollInterval {
-			if added := c.tryAdd(conn); added != nil {
-				c.metrics.add(connectionsAccepted)
-				added.firstRequestDelay = unreadDelay(conn, earliestArrival)
-				return added, nil
-			}
-			if remaining <= 0 {
-				break
-			}
-			select {
-			case <-c.slotFreed:
-			case <-time.After(capacityPollInterval):
-			}
-		}
-		c.metrics.add(connectionsOverLimit)
-		conn.Close()
-	}
-}
-
 // The pauses between accepts that fail.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 )
 
-// acceptWithRetry returns the next connection of the kernel's queue. An accept fails for a while where the machine or the
-// process lacks something, and for one connection where that has ended in the queue; neither is an end of the
-// listener, and a gateway that took it for one would end under its open requests. So it goes on until the listener
-// is closed, with short pauses.
-func (c *clientConnections) acceptWithRetry() (net.Conn, error) {
-	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
-		c.acceptDelay.acceptCalled(time.Now())
-		conn, err := c.Listener.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			conn, err = c.acceptQueued()
-		}
-		if err == nil || errors.Is(err, net.ErrClosed) {
-			return conn, err
-		}
-		c.acceptDelay.acceptFailed(time.Now())
-		if c.metrics.add(acceptsFailed); backoff == minAcceptBackoff {
-			c.log.Warn("a connection can't be accepted", "error", err)
-		}
-		time.Sleep(backoff)
-	}
-}
-
-// stopAccepting ends Accept, once the connections that wait in the kernel's queue have been accepted, and closes the
-// listener. To close it at once would reset them.
-func (c *clientConnections) stopAccepting() {
-	if l, ok := c.Listener.(deadlineListener); ok {
-		l.SetDeadline(aLongTimeAgo) // wakes Accept
-		return
-	}
-	c.Close()
-}
-
-// deadlineListener is a listener whose wait can be bounded, such as TCP's.
-type deadlineListener interface{ SetDeadline(time.Time) error }
-
 const (
 	drainAcceptAttempts = 3                      // looks for connections in the queue, in a row, that find none
 	drainAcceptTimeout  = 5 * time.Millisecond   // each
 	maxDrainAcceptTime  = 100 * time.Millisecond // for the queue, where new ones keep coming
 )
 
-// acceptQueued returns a connection that waits in the queue, or closes the listener if there is none. Accept alone calls it.
-func (c *clientConnections) acceptQueued() (net.Conn, error) {
-	if c.drainStarted.IsZero() {
-		c.drainStarted = time.Now()
-	}
-	for n := 0; n < drainAcceptAttempts && time.Since(c.drainStarted) < maxDrainAcceptTime; n++ {
-		c.Listener.(deadlineListener).SetDeadline(time.Now().Add(drainAcceptTimeout))
-		conn, err := c.Listener.Accept()
-		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			return conn, err
-		}
-	}
-	c.Close()
-	return nil, net.ErrClosed
-}
-
 // tryAdd enters a new connection, if there is room for it. Once the soft bound is passed, it ends those that have been
 // idle for long enough, two for each newcomer; their room is there when their servers have closed them.
 func (c *clientConnections) tryAdd(netConn net.Conn) *clientConn {
@@ -259,84 +178,3 @@
 	default:
 	}
 }
-
-// drain ends the connections that are idle, now and as they become so. New ones
-// are left, since a request is about to come on them. Requests that are not whole
-// by cutoff are refused.
-func (c *clientConnections) drain(readCutoff time.Time) {
-	c.mu.Lock()
-	c.readCutoff = readCutoff
-	for conn := range c.conns {
-		conn.applyReadDeadline()
-	}
-	c.mu.Unlock()
-	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
-}
-
-// incompleteStatus is the status for a request of which the rest is not waited for.
-func (c *clientConnections) incompleteStatus(conn *clientConn) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if conn.closing || !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff) {
-		return http.StatusServiceUnavailable // the gateway has no place or no time for it: trying again is harmless
-	}
-	return http.StatusRequestTimeout
-}
-
-// closeNew ends the connections on which no request has begun.
-func (c *clientConnections) closeNew() { c.closeIdle(func(*clientConn) bool { return true }) }
-
-func (c *clientConnections) closeIdle(matches func(*clientConn) bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.draining = true
-	for e := c.idle.Front(); e != nil; e = e.Next() {
-		if conn := e.Value.(*clientConn); conn.phase.Load() == phaseIdle && matches(conn) {
-			c.closeWhenIdle(conn)
-		}
-	}
-}
-
-// LogValue tells how many connections there are, by phase.
-func (c *clientConnections) LogValue() slog.Value {
-	var phases [phaseOpen + 1]int
-	c.mu.Lock()
-	for conn := range c.conns {
-		phases[conn.phase.Load()]++
-	}
-	c.mu.Unlock()
-	return slog.GroupValue(slog.Int("idle", phases[phaseIdle]), slog.Int("reading", phases[phaseReading]), slog.Int("open", phases[phaseOpen]))
-}
-
-// unanswered lists requests that have been taken and not answered, so many at most.
-func (c *clientConnections) unanswered(limit int) []unansweredRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var requests []unansweredRequest
-	for conn := range c.conns {
-		if req := conn.request.Load(); req != nil && len(requests) < limit {
-			requests = append(requests, unansweredRequest{clientRequest: req, client: conn.RemoteAddr().String()})
-		}
-	}
-	return requests
-}
-
-// awaitClosed waits until no connection is left, for so long at most, and ends those
-// that are still new.
-func (c *clientConnections) awaitClosed(timeout time.Duration) bool {
-	for expired := time.After(timeout); ; {
-		c.closeNew()
-		c.mu.Lock()
-		remaining := len(c.conns)
-		c.mu.Unlock()
-		if remaining == 0 {
-			return true
-		}
-		select {
-		case <-c.slotFreed:
-		case <-time.After(drainPollInterval):
-		case <-expired:
-			return false
-		}
-	}
-}
