--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,87 @@
+package policy
+
+import (
+	"math"
+	"testing"
+)
+
+func TestHeldRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
+	d := start(t, testSettings()) // no backend at all
+	id := d.ask(0, 1, 1)
+	if n := len(find[SendAttempt](d.last)); n != 0 {
+		t.Fatalf("sent %d with no backend", n)
+	}
+	d.now += 0.8
+	out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+	if r := one[Reject](t, out); r.Request != id {
+		t.Errorf("refused %d, want %d", r.Request, id)
+	}
+	d.now += 1
+	if out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)}); len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
+		t.Error("answered twice")
+	}
+}
+
+func TestRepeatWhoseAimHasPassedIsRefused(t *testing.T) {
+	set := testSettings()
+	d := start(t, set, some(4)...)
+	send := func(id RequestID, left float64) int {
+		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + left})
+		out = append(out, d.grantAll(out)...)
+		for _, s := range find[SendAttempt](out) {
+			d.now += 0.1
+			d.handle(AttemptEnded{Request: id, Backend: s.Backend, Latency: 0.1, RequestOver: true})
+		}
+		return len(find[SendAttempt](out))
+	}
+	if send(1, 0.9) != 1 {
+		t.Error("refused with nothing known of how long clients wait")
+	}
+	for id := range RequestID(4) {
+		if send(10+id, 1.4) != 1 {
+			t.Error("a first try was refused")
+		}
+	}
+	// Of its two seconds the client has spent 1.1, and the aim is 0.8.
+	if send(20, 0.9) != 0 {
+		t.Error("sent a repeat that can earn nothing")
+	}
+	if send(21, 1.8) != 1 {
+		t.Error("refused a repeat that has most of its aim left")
+	}
+}
+
+// Refusals at once are most answers under a burst; a timer for each would wake a gateway twice a request.
+func TestRefusalAtOnceSetsNoTimers(t *testing.T) {
+	d := start(t, testSettings(), some(4)...)
+	id := d.ask(0, 0, 1)
+	if timers := find[SetTimer](d.last); len(timers) == 0 || timers[0].Request != id {
+		t.Fatalf("timers of a request that was let in: %v", timers)
+	}
+	d.nextID++
+	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
+	one[Reject](t, out)
+	if timers := find[SetTimer](out); len(timers) > 0 {
+		t.Errorf("timers of a refused request: %v", timers)
+	}
+}
+
+// A real gateway comes to a request some time after it was sent: what it waited by then is gone from its aim,
+// and must not be taken for another patience of its client.
+func TestAimCountsFromSending(t *testing.T) {
+	set := testSettings()
+	set.Plans[0].Rate = 0
+	d := start(t, set, some(4)...)
+	for i, lag := range []float64{0, 0.007, 0.1, 0.02} {
+		d.now += 1
+		d.nextID++
+		sent := d.now - lag
+		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, SentAt: sent, Deadline: sent + 1.5})
+		if s := one[SendAttempt](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
+			t.Errorf("request %d: time-out %g, want %g", i, s.Timeout, 0.8-lag)
+		}
+		for _, s := range find[SendAttempt](out) {
+			d.handle(AttemptEnded{Request: d.nextID, Backend: s.Backend, Outcome: Served, RequestOver: true})
+		}
+	}
+}
--- /dev/null
+++ b/policy/harness_test.go
@@ -0,0 +1,96 @@
+package policy
+
+import "testing"
+
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{{LatencyObjective: 0.8, Deadline: 2, PriorityWeight: 1},
+			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3, Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2}},
+		Plans:     []Plan{{WeightFactor: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1}, {WeightFactor: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1}},
+		FleetSize: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
+		CanCancel: true, CanHedge: true, CanSendRetryAfter: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
+		DrainGrace: 1, SlowStartMinShare: 0.2, SlowStartWindow: 10, OverloadFactor: 2, OverloadDuration: 2,
+	}
+}
+
+// seldomSettings have a plan 1 whose burst, shared by two gateways, doesn't pay for a request of two units: it needs
+// a call.
+func seldomSettings() Settings {
+	set := testSettings()
+	set.Plans[1].Rate, set.Plans[1].Burst = 0.1, 3
+	return set
+}
+
+// exactSettings have a plan 1 that two gateways keep exactly, by calls alone: one with a ceiling.
+func exactSettings() Settings {
+	set := testSettings()
+	set.Plans[1].Rate, set.Plans[1].CeilingRate, set.Plans[1].CeilingBurst = 0.1, 1, 140
+	return set
+}
+
+// drive drives one gateway by hand and keeps the actions of the last event.
+type drive struct {
+	t      *testing.T
+	g      *Engine
+	now    float64
+	last   []Action
+	nextID RequestID
+}
+
+func start(t *testing.T, set Settings, backends ...Backend) *drive {
+	t.Helper()
+	d := &drive{t: t, now: 100}
+	d.g, d.last = New(set, 7, d.now, nil)
+	d.handle(EndpointsUpdated{Kind: CachedList, Entries: backends})
+	return d
+}
+
+func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
+
+func some(n int) (out []Backend) {
+	for i := range n {
+		out = append(out, ready(BackendID(i+1)))
+	}
+	return out
+}
+
+func (d *drive) handle(ev Event) []Action {
+	d.last = d.g.Handle(d.now, ev, nil)
+	return d.last
+}
+
+// ask sends a request of the class and plan and answers its counter calls in full.
+func (d *drive) ask(class, plan int, who CustomerID) RequestID {
+	d.nextID++
+	set := d.g.settings
+	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
+		Deadline: d.now + set.Classes[class].Deadline})
+	d.last = append(out, d.grantAll(out)...)
+	return d.nextID
+}
+
+func (d *drive) grantAll(actions []Action) (all []Action) {
+	for _, c := range find[CounterAdd](actions) {
+		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+	}
+	return all
+}
+
+func find[A Action](actions []Action) (out []A) {
+	for _, a := range actions {
+		if x, ok := a.(A); ok {
+			out = append(out, x)
+		}
+	}
+	return out
+}
+
+func one[A Action](t *testing.T, actions []Action) A {
+	t.Helper()
+	all := find[A](actions)
+	if len(all) != 1 {
+		var none A
+		t.Fatalf("want one %T, got %v", none, actions)
+	}
+	return all[0]
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -195,3 +195,103 @@
 	f.run(f.now+4, rate)
 	return f
 }
+
+func TestColdBackendGetsNoBurst(t *testing.T) {
+	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
+	d := start(t, testSettings(), append(some(1), cold)...)
+	toCold := 0
+	var out []SendAttempt
+	for i := range 200 {
+		d.now = 100 + float64(i)*0.01
+		d.ask(0, 1, CustomerID(i))
+		for _, s := range find[SendAttempt](d.last) {
+			if s.Backend == 9 {
+				toCold++
+			}
+			out = append(out, s)
+		}
+		if len(out) > 3 { // each takes four steps
+			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.04, RequestOver: true})
+			out = out[1:]
+		}
+		d.handle(TimerFired{Token: timerMaintenance << 56})
+	}
+	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
+	if toCold > 2*2*36 {
+		t.Errorf("%d sends to a cold backend in 2 s", toCold)
+	}
+	if toCold == 0 {
+		t.Error("a cold backend never gets anything and cannot take over")
+	}
+}
+
+// A single gateway of 80 may send a cold backend one request in many seconds. All together keep to its share
+// of what a warm one gets, and reach that share from the first second on, with no burst once all have saved up.
+func TestManyGatewaysUseColdBackendsAtOnceAndEvenly(t *testing.T) {
+	const gateways, warm, cold, rate, work = 80, 24, 36, 4.0, 0.2 // rate: requests a second at each gateway
+	set := testSettings()
+	set.FleetSize = gateways
+	set.Plans = []Plan{{WeightFactor: 1}} // no quota
+	now := 100.0
+	var gs []*Engine
+	for i := range gateways {
+		g, _ := New(set, uint64(i+1), now, nil)
+		g.Handle(now, EndpointsUpdated{Kind: CachedList, Entries: some(warm)}, nil)
+		gs = append(gs, g)
+	}
+	type end struct {
+		at float64
+		e  AttemptEnded
+	}
+	out := make([][]end, gateways)
+	rng := rand.New(rand.NewPCG(1, 1))
+	id, born := RequestID(0), 0.0
+	var toCold, toWarm [20]int // by second since the start of the cold ones
+	step := func(i int, ev Event) {
+		for _, s := range find[SendAttempt](gs[i].Handle(now, ev, nil)) {
+			out[i] = append(out[i], end{now + work, AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: work}})
+			if at := int(now - born); born > 0 && at < len(toCold) {
+				if s.Backend > warm {
+					toCold[at]++
+				} else {
+					toWarm[at]++
+				}
+			}
+		}
+	}
+	for now < 116 {
+		now += maintenanceInterval
+		if born == 0 && now >= 106 {
+			born = now
+			var fresh []Backend
+			for i := range cold {
+				b := ready(BackendID(warm + 1 + i))
+				b.StartedAt = born
+				fresh = append(fresh, b)
+			}
+			for i := range gs {
+				step(i, EndpointsUpdated{Kind: Delta, Entries: fresh})
+			}
+		}
+		for i := range gs {
+			for len(out[i]) > 0 && out[i][0].at <= now {
+				e := out[i][0].e
+				out[i] = out[i][1:]
+				step(i, e)
+			}
+			step(i, TimerFired{Token: timerMaintenance << 56})
+			if rng.Float64() < rate*maintenanceInterval {
+				id++
+				step(i, Request{ID: id, Units: 1, Gateways: 1, Customer: CustomerID(id), Deadline: now + 2})
+			}
+		}
+	}
+	for s := range 8 {
+		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*(float64(s)+0.5)/set.SlowStartWindow // of a warm one's, which it can bear
+		each, usual := float64(toCold[s])/cold, float64(toWarm[s])/warm
+		if each < 0.4*share*usual || each > 1.6*share*usual {
+			t.Errorf("in second %d a cold backend got %.2f sends and a warm one %.2f, want a share of about %.2f",
+				s, each, usual, share)
+		}
+	}
+}
