--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -100,8 +100,8 @@
 }
 
 // The loop's own names tell which backends may be reached.
-func (b *hollowTransport) updateEndpoint(policy.BackendID, string, float64) {}
-func (b *hollowTransport) removeEndpoint(policy.BackendID)                  {}
+func (t *hollowTransport) updateEndpoint(policy.BackendID, string, float64) {}
+func (t *hollowTransport) removeEndpoint(policy.BackendID)                  {}
 
 // startAttempt runs an attempt on a timer. Either the timer or the end of the attempt's context reports its end: whoever
 // takes the other off first.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -50,45 +50,45 @@
 func (e *Engine) slowAfter() float64 { return e.latency.mean + slowDeviations*e.latency.deviation }
 
 // attemptEnded records the end of an attempt and decides what becomes of the request.
-func (g *Engine) attemptEnded(event AttemptEnded) {
-	j := g.requests[event.Request]
-	if j == nil || event.Attempt >= len(j.attempts) || j.attempts[event.Attempt].ended {
+func (e *Engine) attemptEnded(event AttemptEnded) {
+	req := e.requests[event.Request]
+	if req == nil || event.Attempt >= len(req.attempts) || req.attempts[event.Attempt].ended {
 		return
 	}
-	a, c := &j.attempts[event.Attempt], j.customer
+	a, c := &req.attempts[event.Attempt], req.customer
 	a.ended = true
-	j.attemptsInFlight--
+	req.attemptsInFlight--
 	c.openAttempts--
 	if event.Outcome == TimedOut || event.Outcome == Cancelled {
 		// A time-out or a cancel may stop no work. If given-up attempts left the count, each would
 		// make room for one more at a full backend. It stays the longer the more in a row the backend has
 		// let pass.
 		a.backend.consecutiveTimeouts++
-		stay := min(g.latency.mean*float64(a.backend.consecutiveTimeouts), j.class.Deadline)
-		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, g.now + stay, j.level})
+		stay := min(e.latency.mean*float64(a.backend.consecutiveTimeouts), req.class.Deadline)
+		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, e.now + stay, req.level})
 	} else {
-		g.attemptFinished(a.backend, j.level)
+		e.attemptFinished(a.backend, req.level)
 	}
-	g.recordOutcome(j, a, event)
-	if j.attemptsInFlight == 0 && event.Attempt == len(j.attempts)-1 &&
-		a.sentAt == j.firstExecutableAt && provesNoExecution(event.Outcome) {
-		j.mayHaveExecuted = false // proved: no attempt has run
+	e.recordOutcome(req, a, event)
+	if req.attemptsInFlight == 0 && event.Attempt == len(req.attempts)-1 &&
+		a.sentAt == req.firstExecutableAt && provesNoExecution(event.Outcome) {
+		req.mayHaveExecuted = false // proved: no attempt has run
 	}
-	if event.Outcome == Served && g.settings.UnitsEstimated && event.ActualUnits > 0 {
-		c.leasedUnits -= event.ActualUnits - j.Units // the guess is put right
+	if event.Outcome == Served && e.settings.UnitsEstimated && event.ActualUnits > 0 {
+		c.leasedUnits -= event.ActualUnits - req.Units // the guess is put right
 	}
 	switch {
-	case j.finished:
+	case req.finished:
 	case event.RequestOver || event.Outcome == Served:
-		g.finish(j)
-	case j.attemptsInFlight > 0: // another attempt may still answer
-	case !g.retry(j):
-		g.answerWithout(j, ReasonNoAttempts)
+		e.finish(req)
+	case req.attemptsInFlight > 0: // another attempt may still answer
+	case !e.retry(req):
+		e.answerWithout(req, ReasonNoAttempts)
 	}
-	if j.finished && j.attemptsInFlight == 0 {
-		delete(g.requests, j.ID)
+	if req.finished && req.attemptsInFlight == 0 {
+		delete(e.requests, req.ID)
 	}
-	g.admit(j.customer)
+	e.admit(req.customer)
 }
 
 // retry starts a further attempt if the budget has room and time remains.
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -69,6 +69,6 @@
 func (e *Engine) minLimit() float64 { return limitFloor * e.backendsPerGateway() }
 
 // backendsPerGateway is how many backends there are for each gateway.
-func (g *Engine) backendsPerGateway() float64 {
-	return float64(len(g.backends.ordered)) / float64(max(g.settings.FleetSize, 1))
+func (e *Engine) backendsPerGateway() float64 {
+	return float64(len(e.backends.ordered)) / float64(max(e.settings.FleetSize, 1))
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -75,12 +75,12 @@
 func (b *backend) ejected() bool { return b.failureRate >= ejectionFailureRate }
 
 // recordFailure counts a failure or a silence, whatever its cause.
-func (g *Engine) recordFailure(s *backend) {
-	was := s.ejected()
-	s.failureRate += failureGain * (1 - s.failureRate)
-	if s.ejected() && !was {
-		s.trialInterval = minTrialInterval
-		s.nextTrialAt = g.now + s.trialInterval
+func (e *Engine) recordFailure(b *backend) {
+	was := b.ejected()
+	b.failureRate += failureGain * (1 - b.failureRate)
+	if b.ejected() && !was {
+		b.trialInterval = minTrialInterval
+		b.nextTrialAt = e.now + b.trialInterval
 	}
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -241,22 +241,22 @@
 // that stays: the first call of a window must not find less there than it told. A short window has no
 // refill to write off.
 func (e *Engine) handleCounterReply(event CounterReply) {
-	k, ok := e.takePendingCall(event.Name)
+	call, ok := e.takePendingCall(event.Name)
 	if !ok {
 		return
 	}
-	c := k.customer
+	c := call.customer
 	e.counter.failureRate -= counterFailureGain * e.counter.failureRate
-	if event.Outcome == TimedOut && k.window == c.window {
+	if event.Outcome == TimedOut && call.window == c.window {
 		kept := max(len(e.counter.unanswered)+1-maxUnansweredCalls, 0)
-		e.counter.unanswered = append(e.counter.unanswered[kept:], k)
+		e.counter.unanswered = append(e.counter.unanswered[kept:], call)
 	}
 	switch {
 	case event.Outcome == Failed || event.Outcome == ConnectionReset:
 		// A spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
 		// left out that the counter bears, and customers refused inside their quotas.
 		if event.Outcome == Failed {
-			c.reclaimLease(k)
+			c.reclaimLease(call)
 		}
 		c.backoffUntil = e.now + c.backoff // the first time none at all
 		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
@@ -264,7 +264,7 @@
 		// A unit that was not given back is missing to all gateways. A call turned away has
 		// changed nothing and is made again; one unanswered may have counted and is let be.
 		if event.Outcome != TimedOut {
-			c.requeueReport(k)
+			c.requeueReport(call)
 		}
 		if event.Outcome != Rejected {
 			c.localTokens, c.fallbackTokens = c.localTokens+c.fallbackTokens, 0
@@ -272,9 +272,9 @@
 		e.counter.failureRate += counterFailureGain
 		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
 		c.backoffUntil = e.now + c.backoff
-	case k.leaseUnits > 0 || c.quota.reportedStore:
+	case call.leaseUnits > 0 || c.quota.reportedStore:
 		c.backoff = 0
-		e.applyGrant(c, k, event.Total)
+		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
 }
