--- /dev/null
+++ b/tools/knownred/list.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"regexp"
+	"strconv"
+	"strings"
+)
+
+// maxEntries is how many known failures a landing may carry.
+const maxEntries = 3
+
+// entry is one test that fails for a fault which is not mended yet.
+type entry struct {
+	test    string // name of the top-level test
+	command string // shell command that runs the test, with its seed, and shows the failure
+	seen    string // what was seen
+	issue   int    // number of the open issue about the fault
+}
+
+var testName = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
+
+// readList reads the entries of a list. Entries are paragraphs of "key: value" lines with the keys test, command, seen and
+// issue, each exactly once; lines that begin with # are comments.
+func readList(r io.Reader) ([]entry, error) {
+	var entries []entry
+	fields := map[string]string{}
+	finish := func() error {
+		if len(fields) == 0 {
+			return nil
+		}
+		e, err := newEntry(fields)
+		if err != nil {
+			return fmt.Errorf("entry %d: %w", len(entries)+1, err)
+		}
+		entries = append(entries, e)
+		fields = map[string]string{}
+		return nil
+	}
+	lines := bufio.NewScanner(r)
+	for number := 1; lines.Scan(); number++ {
+		line := strings.TrimSpace(lines.Text())
+		switch {
+		case strings.HasPrefix(line, "#"):
+		case line == "":
+			if err := finish(); err != nil {
+				return nil, err
+			}
+		default:
+			if err := addField(fields, line); err != nil {
+				return nil, fmt.Errorf("line %d: %w", number, err)
+			}
+		}
+	}
+	if err := lines.Err(); err != nil {
+		return nil, err
+	}
+	if err := finish(); err != nil {
+		return nil, err
+	}
+	if len(entries) > maxEntries {
+		return nil, fmt.Errorf("%d entries, at most %d are allowed", len(entries), maxEntries)
+	}
+	return entries, nil
+}
+
+// addField adds the field that a line holds.
+func addField(fields map[string]string, line string) error {
+	key, value, found := strings.Cut(line, ":")
+	value = strings.TrimSpace(value)
+	switch key {
+	case "test", "command", "seen", "issue":
+	default:
+		return fmt.Errorf("no such key: %q", key)
+	}
+	if !found || value == "" {
+		return fmt.Errorf("%s has no value", key)
+	}
+	if fields[key] != "" {
+		return fmt.Errorf("%s stands twice in an entry", key)
+	}
+	fields[key] = value
+	return nil
+}
+
+// newEntry makes an entry of its fields.
+func newEntry(fields map[string]string) (entry, error) {
+	e := entry{test: fields["test"], command: fields["command"], seen: fields["seen"]}
+	if !testName.MatchString(e.test) {
+		return entry{}, fmt.Errorf("test: %q is no name of a top-level test", e.test)
+	}
+	if !strings.Contains(e.command, e.test) {
+		return entry{}, fmt.Errorf("%s: its command doesn't name it", e.test)
+	}
+	if e.seen == "" {
+		return entry{}, fmt.Errorf("%s: what was seen is missing", e.test)
+	}
+	issue, err := strconv.Atoi(fields["issue"])
+	if err != nil || issue < 1 {
+		return entry{}, fmt.Errorf("%s: issue: %w", e.test, errors.Join(errNoIssue, err))
+	}
+	e.issue = issue
+	return e, nil
+}
+
+var errNoIssue = errors.New("the number of an open issue is wanted")
