--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -75,7 +75,7 @@
 		req.mayHaveExecuted = false // proved: no attempt has run
 	}
 	if event.Outcome == Served && e.settings.UnitsEstimated && event.ActualUnits > 0 {
-		c.leasedUnits -= event.ActualUnits - req.Units // the guess is put right
+		c.lease.units -= event.ActualUnits - req.Units // the guess is put right
 	}
 	switch {
 	case req.finished:
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -24,9 +24,9 @@
 
 // countCall keeps count of the calls that are out.
 func (c *customer) countCall(call counterCall, n int) {
-	c.pendingCalls += n
+	c.calls.pending += n
 	if call.isLease {
-		c.pendingLeases += n
+		c.calls.pendingLeases += n
 	}
 }
 
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -64,7 +64,7 @@
 		total += back.Amount
 	}
 	window := d.g.enterWindow(d.g.customers.byID[1])
-	if lent := d.g.customers.byID[1].leasedUnits + 1; math.Abs(total-window-lent) > 1 {
+	if lent := d.g.customers.byID[1].lease.units + 1; math.Abs(total-window-lent) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
 	}
 	if d.g.counter.failureRate > 0 {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,29 +2,75 @@
 
 import "math"
 
-// customer is the quota of one customer as this gateway sees it.
+// customer is what this gateway knows of one customer: its quota, the counter's answers for it and the
+// requests that wait for units.
 type customer struct {
-	id                          CustomerID
-	quota                       quotaAttributes
-	lastSeen, demandRate        float64    // units a second, here
-	openAttempts                int        // requests let in and not over, and further attempts
-	waiting                     []*request // highest level first
-	leasedUnits, leaseExpiresAt float64    // leased and not spent
-	window                      float64    // number of the counter's window
-	windowName                  uint64
-	lastTotal                   float64 // the window's total as last seen
-	unusedRefill, meanReport    float64 // of a reported store: refill unused at the last call; a report
-	remaining, remainingAt      float64 // what the store had then, and when that was
-	sustainedRate, newestUnits  float64 // mean over leaseTargetDuration; the newest request's
-	exhausted                   bool    // the last call found too little
-	counterSeen                 bool    // the counter has told of it
-	exhaustedUntil              float64
-	unreportedUnits             float64 // spent in this window and not told
-	pendingCalls                int     // calls out
-	pendingLeases               int     // of these for units
-	backoff, backoffUntil       float64 // pause after a failed call
-	localTokens, localTokensAt  float64 // own share, for when the counter grants nothing
-	fallbackTokens              float64 // what is added to it once a call has had no answer
+	id       CustomerID
+	quota    quotaAttributes // as of the newest request
+	lastSeen float64         // when the newest request came
+
+	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
+	openAttempts int        // admitted requests that are not over, and retries in flight
+
+	demand demand
+	lease  lease
+	local  tokenBucket // this gateway's own share of the quota, for when the counter grants nothing
+
+	counterSeen     bool    // a reply of the counter has been applied
+	exhaustedUntil  float64 // the store has too few units until then, as far as is known here
+	unreportedUnits float64 // units spent that the counter hasn't been told of; below 0: to be returned
+	window          counterWindow
+	store           reportedStore
+	calls           pendingCalls
+	backoff         backoff
+}
+
+// demand is what a customer asks for at this gateway.
+type demand struct {
+	rate          float64 // units a second, mean over demandAveragingTime
+	sustainedRate float64 // units a second, mean over leaseTargetDuration, without the newest request
+	newestUnits   float64 // units of the newest request
+}
+
+// lease is what the counter has granted and the customer has not spent. The zero value is an empty lease.
+type lease struct {
+	units     float64 // below 0: more was spent than granted
+	expiresAt float64
+}
+
+// counterWindow is the window of the counter that this gateway saw last.
+type counterWindow struct {
+	number    float64 // a whole number that grows with time; -1: none was entered yet
+	name      uint64  // name of the window's total at the counter
+	lastTotal float64 // units; the total as last seen, 0: not seen yet
+}
+
+// reportedStore is what this gateway knows of a store that is kept by reports. Other stores don't use it.
+type reportedStore struct {
+	unusedRefill float64 // units of refill that nobody had used at the last call
+	meanReport   float64 // units that a call reports as spent, exponential mean
+	remaining    float64 // units that the last call left in the store
+	remainingAt  float64 // when remaining was seen
+	exhausted    bool    // the last call found too few units
+}
+
+// pendingCalls counts the calls to the counter whose replies are due.
+type pendingCalls struct {
+	pending       int // of any kind
+	pendingLeases int // of these, calls that ask for a lease
+}
+
+// backoff is the pause after failed calls to the counter. The zero value is no pause.
+type backoff struct {
+	pause float64 // seconds; grows with each failure in a row
+	until float64 // no call before then
+}
+
+// tokenBucket holds the units that a gateway may let a customer spend without the counter.
+type tokenBucket struct {
+	tokens    float64 // units, as of updatedAt
+	updatedAt float64
+	fallback  float64 // units that are added once a call to the counter has had no answer
 }
 
 // customerSet is every customer that was seen lately.
@@ -36,7 +82,9 @@
 func (e *Engine) customerFor(r Request) *customer {
 	c := e.customers.byID[r.Customer]
 	if c == nil {
-		c = &customer{id: r.Customer, localTokensAt: e.startedAt, window: -1, lastSeen: e.now}
+		c = &customer{id: r.Customer, lastSeen: e.now}
+		c.local.updatedAt = e.startedAt
+		c.window.number = -1
 		e.customers.byID[r.Customer] = c
 		e.customers.ordered = append(e.customers.ordered, c)
 		// A gateway that starts again may have spent its share in its last life. Under a ceiling
@@ -47,13 +95,13 @@
 			// together have the burst; the rest of the unit is for a counter that says nothing. Where there is no
 			// counter, nothing else lets a customer in.
 			t := e.quotaFor(&p, r.Gateways, 0)
-			c.localTokens = t.localBurst
-			if share := p.Burst / float64(max(r.Gateways, 1)); e.settings.Counter && share < c.localTokens {
-				c.fallbackTokens = max(c.localTokens-share-e.rng.Float64(), 0)
-				c.localTokens -= c.fallbackTokens
+			c.local.tokens = t.localBurst
+			if share := p.Burst / float64(max(r.Gateways, 1)); e.settings.Counter && share < c.local.tokens {
+				c.local.fallback = max(c.local.tokens-share-e.rng.Float64(), 0)
+				c.local.tokens -= c.local.fallback
 			}
 			if t.reportedStore && !t.smallGatewaySet {
-				c.localTokens = 0 // the counter's store is full when they first ask: this would be a burst more
+				c.local.tokens = 0 // the counter's store is full when they first ask: this would be a burst more
 			}
 		}
 	}
@@ -61,11 +109,11 @@
 	// index is this gateway's place in the customer's set.
 	index := (e.settings.GatewayIndex - r.FirstGateway + fleet) % fleet
 	c.quota = e.quotaFor(&e.settings.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
-	c.demandRate = c.demandRate*math.Exp(-(e.now-c.lastSeen)/demandAveragingTime) + r.Units/demandAveragingTime
+	c.demand.rate = c.demand.rate*math.Exp(-(e.now-c.lastSeen)/demandAveragingTime) + r.Units/demandAveragingTime
 	// What comes just now says nothing of what is to come after it.
-	c.sustainedRate = (c.sustainedRate + c.newestUnits/leaseTargetDuration) *
+	c.demand.sustainedRate = (c.demand.sustainedRate + c.demand.newestUnits/leaseTargetDuration) *
 		math.Exp(-(e.now-c.lastSeen)/leaseTargetDuration)
-	c.newestUnits = r.Units
+	c.demand.newestUnits = r.Units
 	c.lastSeen = e.now
 	return c
 }
@@ -78,7 +126,7 @@
 func (e *Engine) maintainCustomers() {
 	kept := e.customers.ordered[:0]
 	for _, c := range e.customers.ordered {
-		if e.now >= c.leaseExpiresAt {
+		if e.now >= c.lease.expiresAt {
 			c.expireLease()
 		}
 		if e.isIdle(c) {
@@ -97,28 +145,28 @@
 // expireLease drops the units of a lease that nobody came for.
 func (c *customer) expireLease() {
 	if c.quota.reportedStore {
-		c.unreportedUnits -= max(c.leasedUnits, 0) // the next call gives them back
+		c.unreportedUnits -= max(c.lease.units, 0) // the next call gives them back
 	}
-	c.leasedUnits = min(c.leasedUnits, 0) // the next window makes up for the rest
+	c.lease.units = min(c.lease.units, 0) // the next window makes up for the rest
 }
 
 // isIdle tells whether a customer can be forgotten.
 func (e *Engine) isIdle(c *customer) bool {
 	return e.now-c.lastSeen > customerIdleTimeout &&
-		c.openAttempts == 0 && c.pendingCalls == 0 && len(c.waiting) == 0
+		c.openAttempts == 0 && c.calls.pending == 0 && len(c.waiting) == 0
 }
 
 // returnUnusedUnits gives units back to an exact store, where they are enough to be worth a call.
 func (e *Engine) returnUnusedUnits(c *customer) {
 	if c.unreportedUnits >= -minCorrection || c.quota.reportedStore ||
-		c.pendingCalls > 0 || e.now < c.backoffUntil {
+		c.calls.pending > 0 || e.now < c.backoff.until {
 		return
 	}
 	e.enterWindow(c)
 	if c.unreportedUnits >= 0 {
 		return
 	}
-	call := counterCall{customer: c, name: c.windowName, window: c.window, spent: c.unreportedUnits}
+	call := counterCall{customer: c, name: c.window.name, window: c.window.number, spent: c.unreportedUnits}
 	e.callCounter(call, counterNameTTL)
 	c.unreportedUnits = 0
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -67,18 +67,18 @@
 		if limited {
 			e.enterWindow(c)
 			switch {
-			case c.leasedUnits >= req.Units:
-				c.leasedUnits -= req.Units
+			case c.lease.units >= req.Units:
+				c.lease.units -= req.Units
 				// With a counter that answers now and then, leases and the local share would
 				// add up to more than the quota. So leases count against the share too.
 				if !c.quota.reportedStore {
 					c.takeLocalTokens(e.now, 0)
-					c.localTokens = max(c.localTokens-req.Units, -c.quota.localBurst)
+					c.local.tokens = max(c.local.tokens-req.Units, -c.quota.localBurst)
 				}
 			case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
 				c.unreportedUnits += req.Units
 				e.reportSpent(c)
-			case c.pendingLeases > 0:
+			case c.calls.pendingLeases > 0:
 				return
 			case e.now < c.exhaustedUntil:
 				if c.refillsSoon(req, e.settings.MaxRetryAfter) {
@@ -89,9 +89,10 @@
 					continue
 				}
 				req.level = 0 // beyond the quota, as far as is known here
-			case !e.settings.Counter || e.now < c.backoffUntil:
+			case !e.settings.Counter || e.now < c.backoff.until:
 				if !c.takeLocalTokens(e.now, req.Units) {
-					if e.settings.Counter && c.quota.smallGatewaySet && c.backoffUntil+e.latency.mean < req.answerBy {
+					if e.settings.Counter && c.quota.smallGatewaySet &&
+						c.backoff.until+e.latency.mean < req.answerBy {
 						return // held: a crowded counter may have room in a moment
 					}
 					e.answerWithout(req, ReasonQuota)
@@ -117,17 +118,17 @@
 // quota; not so where all of the rate wouldn't do for what comes here, or in a short window that is used
 // up.
 func (c *customer) refillsSoon(req *request, away float64) bool {
-	return c.quota.reportedStore && c.sustainedRate < c.quota.rate &&
+	return c.quota.reportedStore && c.demand.sustainedRate < c.quota.rate &&
 		c.exhaustedUntil < req.SentAt+min(away, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
 // takeLocalTokens spends from the customer's share at this gateway.
 func (c *customer) takeLocalTokens(now, units float64) bool {
-	c.localTokens = min(c.localTokens+c.quota.localRate*(now-c.localTokensAt), c.quota.localBurst)
-	if c.localTokensAt = now; c.localTokens < units {
+	c.local.tokens = min(c.local.tokens+c.quota.localRate*(now-c.local.updatedAt), c.quota.localBurst)
+	if c.local.updatedAt = now; c.local.tokens < units {
 		return false
 	}
-	c.localTokens -= units
+	c.local.tokens -= units
 	return true
 }
 
@@ -135,22 +136,24 @@
 // these, and the next call takes it out of the total: a lease lasts long, and all would miss it meanwhile.
 func (c *customer) refund(units float64) {
 	if !c.quota.reportedStore {
-		c.leasedUnits += units
+		c.lease.units += units
 		return
 	}
 	c.unreportedUnits -= units
-	c.localTokens = min(c.localTokens+units, c.quota.localBurst)
+	c.local.tokens = min(c.local.tokens+units, c.quota.localBurst)
 }
 
 // withinFairRate tells whether no more comes to this gateway than its part of the customer's rate.
-func (c *customer) withinFairRate() bool { return c.sustainedRate*c.quota.gatewayCount < c.quota.rate }
+func (c *customer) withinFairRate() bool {
+	return c.demand.sustainedRate*c.quota.gatewayCount < c.quota.rate
+}
 
 // leaseSize is the size of the next lease: what the demand of a second needs, at first all of the share.
 func (c *customer) leaseSize() float64 {
 	if !c.counterSeen {
 		return c.quota.initialLease
 	}
-	return min(c.demandRate, c.quota.initialLease)
+	return min(c.demand.rate, c.quota.initialLease)
 }
 
 // enterWindow moves to the counter's present window of this customer, and tells the total at which its
@@ -158,11 +161,11 @@
 // once.
 func (e *Engine) enterWindow(c *customer) (floor float64) {
 	n := math.Floor(e.now/c.quota.window + c.phase())
-	if n != c.window {
-		if c.window, c.lastTotal = n, 0; !c.quota.reportedStore {
+	if n != c.window.number {
+		if c.window.number, c.window.lastTotal = n, 0; !c.quota.reportedStore {
 			c.unreportedUnits, c.exhaustedUntil = 0, 0
 		}
-		c.windowName = hash(hash(uint64(c.id)) + uint64(int64(n)))
+		c.window.name = hash(hash(uint64(c.id)) + uint64(int64(n)))
 	}
 	if c.quota.refillsWithinWindow {
 		floor = c.quota.rate * (e.now - (n-c.phase())*c.quota.window)
@@ -194,7 +197,7 @@
 	if e.rng.Float64() >= out {
 		return false
 	}
-	c.backoffUntil = e.now + minCounterBackoff
+	c.backoff.until = e.now + minCounterBackoff
 	return true
 }
 
@@ -208,7 +211,7 @@
 		need += req.Units
 	}
 	floor := e.enterWindow(c)
-	call := counterCall{customer: c, name: c.windowName, window: c.window, refill: floor,
+	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
 		spent: c.unreportedUnits, isLease: true}
 	if c.quota.reportedStore {
 		call.writeOff = c.refillToWriteOff(floor)
@@ -216,8 +219,8 @@
 		// others until it is back. So the next one after that looks first, and a further one takes. Of many
 		// gateways one that gets no more than its part of the rate was dry by others' leases: it needs no look.
 		switch {
-		case !c.exhausted || e.now > c.exhaustedUntil+exhaustedCheckTime:
-			ahead := min(c.sustainedRate*leaseTargetDuration, c.remaining*maxLeaseShare)
+		case !c.store.exhausted || e.now > c.exhaustedUntil+exhaustedCheckTime:
+			ahead := min(c.demand.sustainedRate*leaseTargetDuration, c.store.remaining*maxLeaseShare)
 			call.leaseUnits = need + math.Floor(max(ahead, 0))
 		case !c.quota.smallGatewaySet && c.withinFairRate():
 			call.leaseUnits = need
@@ -225,7 +228,7 @@
 	} else {
 		need = math.Ceil(need) + math.Floor(c.leaseSize()) // a unit that nobody comes for is missing to the others
 		call.leaseUnits = max(min(need, c.quota.allowance), 1)
-		if call.writeOff = max(floor-c.lastTotal, 0); c.lastTotal == 0 {
+		if call.writeOff = max(floor-c.window.lastTotal, 0); c.window.lastTotal == 0 {
 			// A window that is new to this gateway may be new to all. The call that starts it must
 			// tell, in one step, that not all of the store is there; who was not the first takes it back.
 			call.writeOff = floor + c.quota.allowance - c.quota.initialAllowance
@@ -247,7 +250,7 @@
 	}
 	c := call.customer
 	e.counter.failureRate -= counterFailureGain * e.counter.failureRate
-	if event.Outcome == TimedOut && call.window == c.window {
+	if event.Outcome == TimedOut && call.window == c.window.number {
 		kept := max(len(e.counter.unanswered)+1-maxUnansweredCalls, 0)
 		e.counter.unanswered = append(e.counter.unanswered[kept:], call)
 	}
@@ -258,8 +261,8 @@
 		if event.Outcome == Failed {
 			c.reclaimLease(call)
 		}
-		c.backoffUntil = e.now + c.backoff // the first time none at all
-		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
+		c.backoff.until = e.now + c.backoff.pause // the first time none at all
+		c.backoff.pause = min(max(2*c.backoff.pause, minCounterBackoff), maxCounterBackoff)
 	case event.Outcome != Served:
 		// A unit that was not given back is missing to all gateways. A call turned away has
 		// changed nothing and is made again; one unanswered may have counted and is let be.
@@ -267,13 +270,13 @@
 			c.requeueReport(call)
 		}
 		if event.Outcome != Rejected {
-			c.localTokens, c.fallbackTokens = c.localTokens+c.fallbackTokens, 0
+			c.local.tokens, c.local.fallback = c.local.tokens+c.local.fallback, 0
 		}
 		e.counter.failureRate += counterFailureGain
-		c.backoff = min(max(2*c.backoff, minCounterBackoff), maxCounterBackoff)
-		c.backoffUntil = e.now + c.backoff
+		c.backoff.pause = min(max(2*c.backoff.pause, minCounterBackoff), maxCounterBackoff)
+		c.backoff.until = e.now + c.backoff.pause
 	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff = 0
+		c.backoff.pause = 0
 		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
@@ -281,7 +284,7 @@
 
 // reclaimLease has the next call take back what a call added for nothing.
 func (c *customer) reclaimLease(call counterCall) {
-	if call.leaseUnits > 0 && call.window == c.window {
+	if call.leaseUnits > 0 && call.window == c.window.number {
 		if c.unreportedUnits -= call.leaseUnits; c.quota.reportedStore {
 			c.unreportedUnits -= call.writeOff
 		}
@@ -293,10 +296,10 @@
 	if c.quota.reportedStore {
 		// Spending counts from an earlier window too; what was written off there says nothing of this one.
 		c.unreportedUnits += call.spent
-		if call.window == c.window {
+		if call.window == c.window.number {
 			c.unreportedUnits += min(call.writeOff, 0)
 		}
-	} else if call.window == c.window && call.name == c.windowName {
+	} else if call.window == c.window.number && call.name == c.window.name {
 		if c.unreportedUnits += call.spent; call.leaseUnits == 0 {
 			c.unreportedUnits += call.writeOff
 		}
@@ -315,7 +318,7 @@
 	call := e.counter.unanswered[at]
 	c := call.customer
 	e.counter.unanswered = slices.Delete(e.counter.unanswered, at, at+1)
-	if call.window != c.window || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
+	if call.window != c.window.number || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
 		return
 	}
 	switch {
@@ -324,7 +327,7 @@
 	case event.Outcome != Served:
 		c.requeueReport(call)
 	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff, c.backoffUntil = 0, e.now
+		c.backoff.pause, c.backoff.until = 0, e.now
 		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
@@ -353,7 +356,7 @@
 	before := total - call.writeOff - call.leaseUnits
 	target := max(before, call.refill)
 	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
-		target = max(target, c.lastTotal, call.refill+c.quota.allowance-c.quota.initialAllowance)
+		target = max(target, c.window.lastTotal, call.refill+c.quota.allowance-c.quota.initialAllowance)
 	}
 	unit, avail := c.nextRequestUnits(), c.quota.allowance-(target-call.refill)
 	grant := affordableUnits(call.leaseUnits, avail, unit)
@@ -366,12 +369,12 @@
 			c.exhaustedUntil = (call.window + 1 - c.phase()) * c.quota.window
 		}
 	}
-	c.leasedUnits += grant
+	c.lease.units += grant
 	if grant > 0 {
-		c.leaseExpiresAt = e.now + leaseLifeShare*c.quota.allowance/max(c.quota.rate, 1e-3)
+		c.lease.expiresAt = e.now + leaseLifeShare*c.quota.allowance/max(c.quota.rate, 1e-3)
 	}
-	if c.window == call.window {
-		c.lastTotal = target + grant
+	if c.window.number == call.window {
+		c.window.lastTotal = target + grant
 	}
 	c.counterSeen = true
 	if more := target + grant - total; c.quota.smallGatewaySet && math.Abs(more) > minCorrection*unit {
@@ -384,11 +387,11 @@
 // reportSpent tells the counter what own shares have spent, once it is much; less goes with the next lease.
 func (e *Engine) reportSpent(c *customer) {
 	most := max(c.quota.localBurst, reportShare*c.quota.allowance, minReport)
-	if c.unreportedUnits < most || c.pendingCalls > 0 || e.now < c.backoffUntil {
+	if c.unreportedUnits < most || c.calls.pending > 0 || e.now < c.backoff.until {
 		return
 	}
 	floor := e.enterWindow(c)
-	call := counterCall{customer: c, name: c.windowName, window: c.window, refill: floor,
+	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
 		spent: c.unreportedUnits, writeOff: c.refillToWriteOff(floor)}
 	c.unreportedUnits = 0
 	e.callCounter(call, counterNameTTL)
@@ -397,7 +400,7 @@
 // refillToWriteOff is the refill that a call writes off since nobody has used it: as much as this gateway
 // found at its last look, for all gateways together call about as often as before.
 func (c *customer) refillToWriteOff(floor float64) float64 {
-	return min(c.unusedRefill, max(floor-c.lastTotal, 0))
+	return min(c.store.unusedRefill, max(floor-c.window.lastTotal, 0))
 }
 
 // reconcileStore takes the answer for a store that is kept by reports. Each gateway spends its own share
@@ -418,44 +421,45 @@
 		taken -= max(call.writeOff, 0)
 	}
 	if call.spent > 0 {
-		c.meanReport += reportGain * (call.spent - c.meanReport)
+		c.store.meanReport += reportGain * (call.spent - c.store.meanReport)
 	}
 	burst, unit := c.quota.allowance, c.nextRequestUnits()
 	lent := max(c.quota.overdraft, min(unit, burst)) // what a full store can pay for is let in
-	slack := min(c.meanReport/2*c.quota.gatewayCount, maxReportSlack*burst)
+	slack := min(c.store.meanReport/2*c.quota.gatewayCount, maxReportSlack*burst)
 	level := max(taken, call.refill-slack)
-	c.unusedRefill = level - taken
-	fresh := taken-call.spent < minCorrection && e.now-c.remainingAt < carryOverTime
+	c.store.unusedRefill = level - taken
+	fresh := taken-call.spent < minCorrection && e.now-c.store.remainingAt < carryOverTime
 	if fresh {
 		// A window begins with a full store. One that was empty a moment ago goes on from there, or
 		// each window would let in a burst more.
-		level = max(level, call.refill+lent-c.remaining)
+		level = max(level, call.refill+lent-c.store.remaining)
 	}
-	c.remaining = min(lent-(level-call.refill), burst)
-	grant := affordableUnits(call.leaseUnits, c.remaining, unit)
-	if c.exhausted = grant < call.leaseUnits || call.leaseUnits == 0 && c.remaining < unit; c.exhausted {
+	c.store.remaining = min(lent-(level-call.refill), burst)
+	grant := affordableUnits(call.leaseUnits, c.store.remaining, unit)
+	c.store.exhausted = grant < call.leaseUnits || call.leaseUnits == 0 && c.store.remaining < unit
+	if c.store.exhausted {
 		most := maxExhaustedUnits
 		if !c.withinFairRate() { // the more gateways ask for what comes free, the later there is some for this one
 			most = max(most, c.quota.gatewayCount/2)
 		}
-		short := min(2*unit-c.remaining+grant, most*unit)
+		short := min(2*unit-c.store.remaining+grant, most*unit)
 		c.exhaustedUntil = e.now + max(short/max(c.quota.rate, 1e-3), e.settings.Tick)
 	}
-	c.remaining, c.remainingAt = c.remaining-grant, e.now
-	c.leasedUnits += grant
+	c.store.remaining, c.store.remainingAt = c.store.remaining-grant, e.now
+	c.lease.units += grant
 	if grant > 0 {
-		c.leaseExpiresAt = e.now + 2*leaseTargetDuration
+		c.lease.expiresAt = e.now + 2*leaseTargetDuration
 	}
-	if call.window != c.window {
+	if call.window != c.window.number {
 		return
 	}
-	c.lastTotal = total
+	c.window.lastTotal = total
 	wrong := level + grant - total // refill that nobody used, or what the call asked for and did not get
 	if wrong <= maxUnusedRefill*burst && wrong >= -minCorrection*unit && !(fresh && wrong > unit) {
 		return
 	}
-	c.unusedRefill = 0
-	c.lastTotal += wrong
+	c.store.unusedRefill = 0
+	c.window.lastTotal += wrong
 	correction := counterCall{customer: c, name: call.name, window: call.window, refill: call.refill,
 		writeOff: wrong, carriedOver: fresh}
 	e.callCounter(correction, counterNameTTL)
