--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -1,5 +1,11 @@
 package policy
 
+// Calls to the counter.
+const (
+	counterNameTTL     = 60.0 // seconds a name lives: longer than its window
+	maxUnansweredCalls = 64   // calls with no answer that are remembered, should one come late
+)
+
 // counterCall is one Count whose reply is due.
 type counterCall struct {
 	id          uint64
@@ -30,14 +36,6 @@
 	}
 }
 
-// hash mixes a number; names of the counter must not collide.
-func hash(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // callCounter makes a call. Replies for one name come in the order of the calls.
 func (e *Engine) callCounter(call counterCall, keep float64) {
 	e.counter.lastCallID++
@@ -60,3 +58,9 @@
 	call.customer.countCall(call, -1)
 	return call, true
 }
+
+// pendingCalls counts the calls to the counter whose replies are due.
+type pendingCalls struct {
+	pending       int // of any kind
+	pendingLeases int // of these, calls that ask for a lease
+}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,6 +2,11 @@
 
 import "math"
 
+// What is remembered of a customer.
+const (
+	customerIdleTimeout = 60.0 // seconds after which a customer is forgotten
+)
+
 // customer is what this gateway knows of one customer: its quota, the counter's answers for it and the
 // requests that wait for units.
 type customer struct {
@@ -25,54 +30,6 @@
 	backoff         backoff
 }
 
-// demand is what a customer asks for at this gateway.
-type demand struct {
-	rate          float64 // units a second, mean over demandAveragingTime
-	sustainedRate float64 // units a second, mean over leaseTargetDuration, without the newest request
-	newestUnits   float64 // units of the newest request
-}
-
-// lease is what the counter has granted and the customer has not spent. The zero value is an empty lease.
-type lease struct {
-	units     float64 // below 0: more was spent than granted
-	expiresAt float64
-}
-
-// counterWindow is the window of the counter that this gateway saw last.
-type counterWindow struct {
-	number    float64 // a whole number that grows with time; -1: none was entered yet
-	name      uint64  // name of the window's total at the counter
-	lastTotal float64 // units; the total as last seen, 0: not seen yet
-}
-
-// reportedStore is what this gateway knows of a store that is kept by reports. Other stores don't use it.
-type reportedStore struct {
-	unusedRefill float64 // units of refill that nobody had used at the last call
-	meanReport   float64 // units that a call reports as spent, exponential mean
-	remaining    float64 // units that the last call left in the store
-	remainingAt  float64 // when remaining was seen
-	exhausted    bool    // the last call found too few units
-}
-
-// pendingCalls counts the calls to the counter whose replies are due.
-type pendingCalls struct {
-	pending       int // of any kind
-	pendingLeases int // of these, calls that ask for a lease
-}
-
-// backoff is the pause after failed calls to the counter. The zero value is no pause.
-type backoff struct {
-	pause float64 // seconds; grows with each failure in a row
-	until float64 // no call before then
-}
-
-// tokenBucket holds the units that a gateway may let a customer spend without the counter.
-type tokenBucket struct {
-	tokens    float64 // units, as of updatedAt
-	updatedAt float64
-	fallback  float64 // units that are added once a call to the counter has had no answer
-}
-
 // customerSet is every customer that was seen lately.
 type customerSet struct {
 	byID    map[CustomerID]*customer
@@ -118,9 +75,6 @@
 	return c
 }
 
-// phase spreads the ends of windows over customers.
-func (c *customer) phase() float64 { return float64(hash(uint64(c.id))%1024) / 1024 }
-
 // maintainCustomers ends leases that have expired, gives back what is too much, drops idle customers and
 // admits the waiting requests of the others where that is possible now.
 func (e *Engine) maintainCustomers() {
@@ -142,31 +96,8 @@
 	e.customers.ordered = kept
 }
 
-// expireLease drops the units of a lease that nobody came for.
-func (c *customer) expireLease() {
-	if c.quota.reportedStore {
-		c.unreportedUnits -= max(c.lease.units, 0) // the next call gives them back
-	}
-	c.lease.units = min(c.lease.units, 0) // the next window makes up for the rest
-}
-
 // isIdle tells whether a customer can be forgotten.
 func (e *Engine) isIdle(c *customer) bool {
 	return e.now-c.lastSeen > customerIdleTimeout &&
 		c.openAttempts == 0 && c.calls.pending == 0 && len(c.waiting) == 0
 }
-
-// returnUnusedUnits gives units back to an exact store, where they are enough to be worth a call.
-func (e *Engine) returnUnusedUnits(c *customer) {
-	if c.unreportedUnits >= -minCorrection || c.quota.reportedStore ||
-		c.calls.pending > 0 || e.now < c.backoff.until {
-		return
-	}
-	e.enterWindow(c)
-	if c.unreportedUnits >= 0 {
-		return
-	}
-	call := counterCall{customer: c, name: c.window.name, window: c.window.number, spent: c.unreportedUnits}
-	e.callCounter(call, counterNameTTL)
-	c.unreportedUnits = 0
-}
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -1,5 +1,18 @@
 package policy
 
+// What a plan comes to. Each is a share or a count that holds for any deployment.
+const (
+	maxSmallGatewaySet     = 5.0  // gateways of a customer that are few
+	longWindow             = 50.0 // seconds of a long window; names live 60 s at most
+	ceilingLeaseShare      = 0.22 // of a ceiling's burst: what a window may lease; local shares have the rest
+	concurrencyUtilization = 0.65 // mean use of the places, where they are kept as a rate
+	concurrencyRateWindow  = 1.0  // seconds of the window for that
+	minUnitsPerGateway     = 4.0  // units of refill a window and gateway, lest reports come too late
+	localUnits             = 5.0  // units that one of many holds, as far as that is so many bursts for all
+	smallSetOverdraft      = 0.8  // part of the burst that the counter lends where gateways are few
+	largeSetOverdraft      = 2.0  // and where they are many: what these hold ahead would pass for a dry spell
+)
+
 // quotaAttributes are what a plan comes to for one customer at one gateway.
 type quotaAttributes struct {
 	smallGatewaySet         bool // its gateways are
