--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -34,7 +34,7 @@
 			c.requeueReport(call)
 		}
 		if event.Outcome != Rejected {
-			c.local.tokens, c.local.fallback = c.local.tokens+c.local.fallback, 0
+			c.local.releaseFallback()
 		}
 		e.counter.failureRate += counterFailureGain
 		c.backoff.pause = min(max(2*c.backoff.pause, minCounterBackoff), maxCounterBackoff)
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -28,11 +28,8 @@
 			switch {
 			case c.lease.units >= req.Units:
 				c.lease.units -= req.Units
-				// With a counter that answers now and then, leases and the local share would
-				// add up to more than the quota. So leases count against the share too.
 				if !c.quota.reportedStore {
-					c.takeLocalTokens(e.now, 0)
-					c.local.tokens = max(c.local.tokens-req.Units, -c.quota.localBurst)
+					c.chargeLocalTokens(e.now, req.Units)
 				}
 			case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
 				c.unreportedUnits += req.Units
