--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -63,7 +63,7 @@
 	for _, back := range find[CounterAdd](out) {
 		total += back.Amount
 	}
-	window := d.g.enterWindow(d.g.customers.byID[1])
+	window := d.windowRefill(1)
 	if lent := d.g.customers.byID[1].lease.units + 1; math.Abs(total-window-lent) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
 	}
@@ -196,7 +196,7 @@
 		let := 0
 		for i := range gateways {
 			set.GatewayIndex = i
-			g, _ := New(set, hash(uint64(i)), 100, nil)
+			g, _ := New(set, splitMix64(uint64(i)), 100, nil)
 			g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
 			out := g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil)
 			let += len(find[SendAttempt](g.Handle(100, CounterReply{Name: one[CounterAdd](t, out).Name, Outcome: outcome}, nil)))
@@ -207,7 +207,7 @@
 	}
 	set.Counter = false // then a gateway's own share is all there is
 	for i := range gateways {
-		g, _ := New(set, hash(uint64(i)), 100, nil)
+		g, _ := New(set, splitMix64(uint64(i)), 100, nil)
 		g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
 		one[SendAttempt](t, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil))
 	}
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -2,37 +2,53 @@
 
 import "math"
 
-// phase spreads the ends of windows over customers.
-func (c *customer) phase() float64 { return float64(hash(uint64(c.id))%1024) / 1024 }
-
-// counterWindow is the window of the counter that this gateway saw last.
+// counterWindow is the window of a customer's quota that this gateway entered last. Each window has a total
+// of its own at the counter, under a name of its own.
 type counterWindow struct {
 	number    float64 // a whole number that grows with time; -1: none was entered yet
-	name      uint64  // name of the window's total at the counter
-	lastTotal float64 // units; the total as last seen, 0: not seen yet
+	name      uint64  // of the window's total at the counter
+	lastTotal float64 // units: the total as last seen; 0: not seen yet
+}
+
+// enterWindow moves to the window that contains now. What an exact store has not reported, and that it is
+// exhausted, ends with its window.
+func (c *customer) enterWindow(now float64) {
+	number := math.Floor(now/c.quota.window + c.windowPhase())
+	if number == c.window.number {
+		return
+	}
+	c.window.number = number
+	c.window.name = splitMix64(splitMix64(uint64(c.id)) + uint64(int64(number)))
+	c.window.lastTotal = 0
+	if !c.quota.reportedStore {
+		c.unreportedUnits = 0
+		c.exhaustedUntil = 0
+	}
+}
+
+// windowRefill returns the units that the store has earned since the window that was entered last began:
+// the total at which the store is full. It is 0 where the quota of a window is granted at its start.
+func (c *customer) windowRefill(now float64) float64 {
+	if !c.quota.refillsWithinWindow {
+		return 0
+	}
+	return c.quota.rate * (now - (c.window.number-c.windowPhase())*c.quota.window)
 }
 
-// hash mixes a number; names of the counter must not collide.
-func hash(x uint64) uint64 {
+// windowEnd returns the time at which the window of a number ends.
+func (c *customer) windowEnd(number float64) float64 {
+	return (number + 1 - c.windowPhase()) * c.quota.window
+}
+
+// windowPhase returns the part of a window, from 0 to 1, by which the customer's windows begin early.
+// Windows of different customers end at different times, so that not all are called for at once.
+func (c *customer) windowPhase() float64 { return float64(splitMix64(uint64(c.id))%1024) / 1024 }
+
+// splitMix64 mixes the bits of a number, since names at the counter must not collide. It is one step of the
+// generator SplitMix64 by Sebastiano Vigna (https://prng.di.unimi.it/splitmix64.c).
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
-
-// enterWindow moves to the counter's present window of this customer, and tells the total at which its
-// store is full. Windows of different customers end at different times, so that not all are asked for at
-// once.
-func (e *Engine) enterWindow(c *customer) (floor float64) {
-	n := math.Floor(e.now/c.quota.window + c.phase())
-	if n != c.window.number {
-		if c.window.number, c.window.lastTotal = n, 0; !c.quota.reportedStore {
-			c.unreportedUnits, c.exhaustedUntil = 0, 0
-		}
-		c.window.name = hash(hash(uint64(c.id)) + uint64(int64(n)))
-	}
-	if c.quota.refillsWithinWindow {
-		floor = c.quota.rate * (e.now - (n-c.phase())*c.quota.window)
-	}
-	return floor
-}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -30,7 +30,7 @@
 		c.calls.pending > 0 || e.now < c.backoff.until {
 		return
 	}
-	e.enterWindow(c)
+	c.enterWindow(e.now)
 	if c.unreportedUnits >= 0 {
 		return
 	}
@@ -56,7 +56,8 @@
 	for _, req := range c.waiting {
 		need += req.Units
 	}
-	floor := e.enterWindow(c)
+	c.enterWindow(e.now)
+	floor := c.windowRefill(e.now)
 	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
 		spent: c.unreportedUnits, isLease: true}
 	if c.quota.reportedStore {
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -41,7 +41,7 @@
 	d.handle(CounterReply{Name: one[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
 	d.now += (maxExhaustedUnits + 0.1) / d.g.settings.Plans[1].Rate
 	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.g.enterWindow(d.g.customers.byID[1]) // it has been taken back, and the store is full
+	full := d.windowRefill(1) // it has been taken back, and the store is full
 	one[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		if limited {
-			e.enterWindow(c)
+			c.enterWindow(e.now)
 			switch {
 			case c.lease.units >= req.Units:
 				c.lease.units -= req.Units
--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -26,7 +26,8 @@
 	if c.unreportedUnits < most || c.calls.pending > 0 || e.now < c.backoff.until {
 		return
 	}
-	floor := e.enterWindow(c)
+	c.enterWindow(e.now)
+	floor := c.windowRefill(e.now)
 	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
 		spent: c.unreportedUnits, writeOff: c.refillToWriteOff(floor)}
 	c.unreportedUnits = 0
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -71,7 +71,7 @@
 	if calls > 4 {
 		t.Errorf("%d calls for it", calls)
 	}
-	floor := ds[0].g.enterWindow(ds[0].g.customers.byID[1])
+	floor := ds[0].windowRefill(1)
 	if full := totals[name]; math.Abs(full-floor) > 40*(maxReportSlack+0.01) {
 		t.Errorf("the counter stands at %.1f, a full store at %.1f", full, floor)
 	}
@@ -120,7 +120,7 @@
 		d := start(t, set, some(4)...)
 		d.g.limiter.limit = 1000
 		used := func(part float64) float64 { // the total at which so much of the burst is used
-			return d.g.enterWindow(d.g.customers.byID[1]) + part*set.Plans[plan].Burst
+			return d.windowRefill(1) + part*set.Plans[plan].Burst
 		}
 		ask := func() []Action {
 			d.nextID++
@@ -157,6 +157,13 @@
 	}
 }
 
+// windowRefill returns the refill of a customer's present window, as of the last event.
+func (d *drive) windowRefill(id CustomerID) float64 {
+	c := d.g.customers.byID[id]
+	c.enterWindow(d.g.now)
+	return c.windowRefill(d.g.now)
+}
+
 func actions(calls []CounterAdd) (out []Action) {
 	for _, c := range calls {
 		out = append(out, c)
--- a/policy/windowedstore.go
+++ b/policy/windowedstore.go
@@ -27,7 +27,7 @@
 		short := min(2*unit-avail+grant, maxExhaustedUnits*unit)
 		c.exhaustedUntil = e.now + max(short/max(c.quota.rate, 1e-3), e.settings.Tick)
 		if !c.quota.smallGatewaySet {
-			c.exhaustedUntil = (call.window + 1 - c.phase()) * c.quota.window
+			c.exhaustedUntil = c.windowEnd(call.window)
 		}
 	}
 	c.lease.units += grant
