--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -31,6 +31,6 @@
 	if e.rng.Float64() >= out {
 		return false
 	}
-	c.backoff.until = e.now + minCounterBackoff
+	c.backoff.delayOnce(e.now)
 	return true
 }
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -25,8 +25,7 @@
 		if event.Outcome == Failed {
 			c.reclaimLease(call)
 		}
-		c.backoff.until = e.now + c.backoff.pause // the first time none at all
-		c.backoff.pause = min(max(2*c.backoff.pause, minCounterBackoff), maxCounterBackoff)
+		c.backoff.delayRepeated(e.now)
 	case event.Outcome != Served:
 		// A unit that was not given back is missing to all gateways. A call turned away has
 		// changed nothing and is made again; one unanswered may have counted and is let be.
@@ -37,10 +36,9 @@
 			c.local.releaseFallback()
 		}
 		e.counter.failureRate += counterFailureGain
-		c.backoff.pause = min(max(2*c.backoff.pause, minCounterBackoff), maxCounterBackoff)
-		c.backoff.until = e.now + c.backoff.pause
+		c.backoff.delayNext(e.now)
 	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff.pause = 0
+		c.backoff.reset()
 		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
@@ -91,7 +89,7 @@
 	case event.Outcome != Served:
 		c.requeueReport(call)
 	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff.pause, c.backoff.until = 0, e.now
+		c.backoff.end(e.now)
 		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -27,7 +27,7 @@
 // returnUnusedUnits gives units back to an exact store, where they are enough to be worth a call.
 func (e *Engine) returnUnusedUnits(c *customer) {
 	if c.unreportedUnits >= -minCorrection || c.quota.reportedStore ||
-		c.calls.pending > 0 || e.now < c.backoff.until {
+		c.calls.pending > 0 || c.backoff.active(e.now) {
 		return
 	}
 	c.enterWindow(e.now)
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -45,7 +45,7 @@
 					continue
 				}
 				req.level = 0 // beyond the quota, as far as is known here
-			case !e.settings.Counter || e.now < c.backoff.until:
+			case !e.settings.Counter || c.backoff.active(e.now):
 				if !c.takeLocalTokens(e.now, req.Units) {
 					if e.settings.Counter && c.quota.smallGatewaySet &&
 						c.backoff.until+e.latency.mean < req.answerBy {
--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -23,7 +23,7 @@
 // reportSpent tells the counter what own shares have spent, once it is much; less goes with the next lease.
 func (e *Engine) reportSpent(c *customer) {
 	most := max(c.quota.localBurst, reportShare*c.quota.allowance, minReport)
-	if c.unreportedUnits < most || c.calls.pending > 0 || e.now < c.backoff.until {
+	if c.unreportedUnits < most || c.calls.pending > 0 || c.backoff.active(e.now) {
 		return
 	}
 	c.enterWindow(e.now)
