--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -1,7 +1,5 @@
 package policy
 
-import "slices"
-
 // handleCounterReply takes the answer to a call. An unanswered call grants nothing: it may have been added,
 // and the next totals will tell. Neither does one whose answer can't be read, but that was added, so the
 // next call takes it back, and what it wrote off, which the next call writes off again. Under a ceiling
@@ -15,8 +13,7 @@
 	c := call.customer
 	e.counter.failureRate -= counterFailureGain * e.counter.failureRate
 	if event.Outcome == TimedOut && call.window == c.window.number {
-		kept := max(len(e.counter.unanswered)+1-maxUnansweredCalls, 0)
-		e.counter.unanswered = append(e.counter.unanswered[kept:], call)
+		e.counter.rememberUnanswered(call)
 	}
 	switch {
 	case event.Outcome == Failed || event.Outcome == ConnectionReset:
@@ -73,13 +70,11 @@
 // as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
 // network's; a total too old for its window is of no use.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
-	at := slices.IndexFunc(e.counter.unanswered, func(call counterCall) bool { return call.id == event.Call })
-	if at < 0 {
+	call, ok := e.counter.takeUnanswered(event.Call)
+	if !ok {
 		return
 	}
-	call := e.counter.unanswered[at]
 	c := call.customer
-	e.counter.unanswered = slices.Delete(e.counter.unanswered, at, at+1)
 	if call.window != c.window.number || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
 		return
 	}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -34,9 +34,7 @@
 	if c.unreportedUnits >= 0 {
 		return
 	}
-	call := counterCall{customer: c, name: c.window.name, window: c.window.number, spent: c.unreportedUnits}
-	e.callCounter(call, counterNameTTL)
-	c.unreportedUnits = 0
+	e.callCounter(c.newReport(0))
 }
 
 // leaseSize is the size of the next lease: what the demand of a second needs, at first all of the share.
@@ -58,8 +56,8 @@
 	}
 	c.enterWindow(e.now)
 	floor := c.windowRefill(e.now)
-	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
-		spent: c.unreportedUnits, isLease: true}
+	call := c.newReport(floor)
+	call.isLease = true
 	if c.quota.reportedStore {
 		call.writeOff = c.refillToWriteOff(floor)
 		// Of a customer beyond its quota most calls get nothing, and what they added is missing to the
@@ -81,8 +79,7 @@
 			call.writeOff = floor + c.quota.allowance - c.quota.initialAllowance
 		}
 	}
-	c.unreportedUnits = 0
-	e.callCounter(call, counterNameTTL)
+	e.callCounter(call)
 }
 
 // nextRequestUnits is what the first request that waits needs, or one.
--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -28,10 +28,9 @@
 	}
 	c.enterWindow(e.now)
 	floor := c.windowRefill(e.now)
-	call := counterCall{customer: c, name: c.window.name, window: c.window.number, refill: floor,
-		spent: c.unreportedUnits, writeOff: c.refillToWriteOff(floor)}
-	c.unreportedUnits = 0
-	e.callCounter(call, counterNameTTL)
+	call := c.newReport(floor)
+	call.writeOff = c.refillToWriteOff(floor)
+	e.callCounter(call)
 }
 
 // refillToWriteOff is the refill that a call writes off since nobody has used it: as much as this gateway
@@ -97,7 +96,8 @@
 	}
 	c.store.unusedRefill = 0
 	c.window.lastTotal += wrong
-	correction := counterCall{customer: c, name: call.name, window: call.window, refill: call.refill,
-		writeOff: wrong, carriedOver: fresh}
-	e.callCounter(correction, counterNameTTL)
+	correction := call.newCorrection(wrong)
+	correction.refill = call.refill
+	correction.carriedOver = fresh
+	e.callCounter(correction)
 }
--- a/policy/windowedstore.go
+++ b/policy/windowedstore.go
@@ -40,7 +40,6 @@
 	c.counterSeen = true
 	if more := target + grant - total; c.quota.smallGatewaySet && math.Abs(more) > minCorrection*unit {
 		// Less, or what an emptied counter lost.
-		correction := counterCall{customer: c, name: call.name, window: call.window, writeOff: more}
-		e.callCounter(correction, counterNameTTL)
+		e.callCounter(call.newCorrection(more))
 	}
 }
