--- a/policy/backend.go
+++ b/policy/backend.go
@@ -5,12 +5,6 @@
 	"slices"
 )
 
-// abandonedAttempt is an attempt that was given up and may still take up its backend.
-type abandonedAttempt struct {
-	sentAt, expiresAt float64
-	level             int
-}
-
 // backendSet is every backend of the endpoint list, and those removed from it that still have attempts in
 // flight.
 type backendSet struct {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -8,5 +8,5 @@
 // A request passes these steps: its customer's quota pays for it (admit), it waits in the queue of its
 // level (enqueue) until the concurrency limit lets it go (dispatch), a backend is picked (pick), and one
 // function sends each attempt (send). A request that no backend answers is answered by one function as well
-// (answerWithout).
+// (answerWithout). These two hold the rules that no other step may bypass.
 package policy
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -24,20 +24,6 @@
 	latencyRatioAt float64 // when latencyRatio was last updated
 }
 
-// attemptStarted counts an attempt as work in flight.
-func (e *Engine) attemptStarted(b *backend, level int) {
-	b.inFlight++
-	b.inFlightByLevel[level]++
-	e.limiter.inFlight++
-}
-
-// attemptFinished takes an attempt out of the counts of work in flight.
-func (e *Engine) attemptFinished(b *backend, level int) {
-	b.inFlight--
-	b.inFlightByLevel[level]--
-	e.limiter.inFlight--
-}
-
 // atLimit tells whether a level has to wait: it may fill its part of the bound. Of many gateways, the bound
 // of one is less than an attempt; then it is kept in the mean.
 func (e *Engine) atLimit(level int) bool {
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -2,6 +2,9 @@
 
 import "slices"
 
+// maxLatencyFactor is how many times slower than the mean a backend counts at most.
+const maxLatencyFactor = 8.0
+
 // Placement: which backend an attempt goes to.
 
 // pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
@@ -69,14 +72,3 @@
 	}
 	return cost * (1 + 0.05*e.rng.Float64())
 }
-
-// sharesDedupeScope tells whether s would drop a repeat of j, if j may have run.
-func (req *request) sharesDedupeScope(b *backend) bool {
-	if !req.mayHaveExecuted || req.class.Idempotency == Idempotent {
-		return true
-	}
-	scope := req.class.DedupeScope
-	return req.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
-		scope == ScopeZone && b.Zone == req.firstExecutableBackend.Zone ||
-		scope == ScopeCell && b.Cell == req.firstExecutableBackend.Cell)
-}
--- a/policy/request.go
+++ b/policy/request.go
@@ -28,3 +28,14 @@
 	}
 	return nil
 }
+
+// sharesDedupeScope tells whether s would drop a repeat of j, if j may have run.
+func (req *request) sharesDedupeScope(b *backend) bool {
+	if !req.mayHaveExecuted || req.class.Idempotency == Idempotent {
+		return true
+	}
+	scope := req.class.DedupeScope
+	return req.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
+		scope == ScopeZone && b.Zone == req.firstExecutableBackend.Zone ||
+		scope == ScopeCell && b.Cell == req.firstExecutableBackend.Cell)
+}
