--- a/policy/admission.go
+++ b/policy/admission.go
@@ -40,8 +40,8 @@
 	if req.finished {
 		return // most refusals come at once, and timers for them would be as many as requests
 	}
-	e.setTimer(req.answerBy-e.now, timerAnswerDeadline, 0, r.ID)
+	e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: r.ID})
 	if len(req.attempts) == 0 {
-		e.setTimer(req.answerBy-e.now-e.latency.mean, timerSendDeadline, 0, r.ID)
+		e.setTimer(req.answerBy-e.now-e.latency.mean, timerToken{kind: sendDeadlineTimer, request: r.ID})
 	}
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,12 +12,12 @@
 		t.Fatalf("sent %d with no backend", n)
 	}
 	d.now += 0.8
-	out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+	out := d.handle(timerFired(answerDeadlineTimer, id))
 	if r := one[Reject](t, out); r.Request != id {
 		t.Errorf("refused %d, want %d", r.Request, id)
 	}
 	d.now += 1
-	if out := d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)}); len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
+	if out := d.handle(timerFired(answerDeadlineTimer, id)); len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -13,7 +13,7 @@
 		t.Errorf("repeat went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
-	out = d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+	out = d.handle(timerFired(answerDeadlineTimer, id))
 	if len(find[Reject](out)) > 0 {
 		t.Error("refused a keyed request that may have run")
 	}
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -6,7 +6,7 @@
 // attempt begins for it, neither a first nor a further one nor a second copy.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	late := func(n int, id RequestID) Event {
-		return TimerFired{Token: timerSlowAttempt<<56 | uint64(n)<<32 | uint64(id)}
+		return TimerFired{Token: timerToken{kind: slowAttemptTimer, attempt: n, request: id}.pack()}
 	}
 	ends := func(outcome Outcome) func(*drive, RequestID, SendAttempt) []Event {
 		return func(d *drive, id RequestID, first SendAttempt) []Event {
@@ -21,10 +21,10 @@
 			return []Event{late(0, id), AttemptEnded{Request: id, Backend: s.Backend, Outcome: Rejected}}
 		},
 		"its time to start is over": func(_ *drive, id RequestID, _ SendAttempt) []Event {
-			return []Event{TimerFired{Token: timerSendDeadline<<56 | uint64(id)}, TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)}}
+			return []Event{timerFired(sendDeadlineTimer, id), timerFired(answerDeadlineTimer, id)}
 		},
 		"its backend is gone": func(*drive, RequestID, SendAttempt) []Event {
-			return []Event{EndpointsUpdated{Kind: FullList, Entries: some(3)}, TimerFired{Token: timerMaintenance << 56}}
+			return []Event{EndpointsUpdated{Kind: FullList, Entries: some(3)}, timerFired(maintenanceTimer, 0)}
 		},
 	} {
 		for _, mayCancel := range []bool{true, false} {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -46,7 +46,7 @@
 	if set.PollDiscovery {
 		e.emit(PollEndpoints{})
 	}
-	e.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
+	e.setTimer(maintenanceInterval, timerToken{kind: maintenanceTimer})
 	return e, e.actions
 }
 
@@ -69,7 +69,7 @@
 			e.finish(req)
 		}
 	case TimerFired:
-		e.fireTimer(event.Token)
+		e.fireTimer(unpackTimerToken(event.Token))
 	case CounterReply:
 		e.handleCounterReply(event)
 	case LateCounterReply:
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -76,6 +76,17 @@
 	return all
 }
 
+// timerFired is the event of a timer about a request, or of one about none where id is 0.
+func timerFired(kind timerKind, id RequestID) TimerFired {
+	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
+}
+
+// Kinds of timer as numbers, for tests that pack a token by hand.
+const (
+	timerMaintenance    = uint64(maintenanceTimer)
+	timerAnswerDeadline = uint64(answerDeadlineTimer)
+)
+
 func find[A Action](actions []Action) (out []A) {
 	for _, a := range actions {
 		if x, ok := a.(A); ok {
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -21,7 +21,7 @@
 		sends := find[SendAttempt](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
 		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
-			d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})
+			d.handle(timerFired(answerDeadlineTimer, id))
 		}
 		sent += len(sends)
 		out = append(out, sends...)
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -7,7 +7,7 @@
 
 // runMaintenance lets averages decay and keeps the state of backends and customers in order.
 func (e *Engine) runMaintenance() {
-	e.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
+	e.setTimer(maintenanceInterval, timerToken{kind: maintenanceTimer})
 	elapsed := max(e.now-e.lastMaintenance, e.settings.Tick, 1e-3)
 	e.lastMaintenance = e.now
 	e.dropRemovedBackends()
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -8,7 +8,8 @@
 // endpointsUpdated takes in changes of the list. What is not ready gets nothing from now on.
 func (e *Engine) endpointsUpdated(event EndpointsUpdated) {
 	if event.Kind == ListFailed {
-		e.setTimer(pollRetryInterval, timerPollEndpoints, 0, 0) // at once, all gateways would keep discovery down
+		// Polled again at once by all gateways, discovery would stay down.
+		e.setTimer(pollRetryInterval, timerToken{kind: pollEndpointsTimer})
 		return
 	}
 	if event.Kind != Delta {
--- a/policy/membership_test.go
+++ b/policy/membership_test.go
@@ -42,7 +42,7 @@
 		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{ready(id)}})
 		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: id, State: Removed}}})
 		d.now += 0.05
-		d.handle(TimerFired{Token: timerMaintenance << 56})
+		d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if len(d.g.backends.ordered) != 3 || len(d.g.backends.byID) != 3 {
 		t.Errorf("%d listed and %d known, want 3", len(d.g.backends.ordered), len(d.g.backends.byID))
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -37,7 +37,7 @@
 	once.failureRate, slow.latency, out.failureRate = failureGain, 0.4, 0.9
 	for range int(2 * healthDecayTime / maintenanceInterval) {
 		d.now += maintenanceInterval
-		d.handle(TimerFired{Token: timerMaintenance << 56})
+		d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if once.failureRate > 0.05 || slow.latency > 0.15 || out.failureRate != 0.9 {
 		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.failureRate, slow.latency, out.failureRate)
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -32,7 +32,7 @@
 			d.handle(AttemptEnded{Request: 12345, Backend: 1, Outcome: NotSent})
 			d.handle(EndpointsUpdated{Kind: FullList})
 			d.handle(EndpointsUpdated{Kind: Delta, Entries: some(1)})
-			out = append(out, d.handle(TimerFired{Token: timerMaintenance << 56})...)
+			out = append(out, d.handle(timerFired(maintenanceTimer, 0))...)
 			for _, s := range find[SendAttempt](out) {
 				end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true}
 				d.handle(end)
@@ -41,7 +41,7 @@
 			}
 			answered += len(find[Reject](out)) + len(find[FailRequest](out))
 			d.now += 2
-			answered += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(id)})))
+			answered += len(find[Reject](d.handle(timerFired(answerDeadlineTimer, id))))
 		}
 		if answered != 4 {
 			t.Errorf("%s: %d of 4 requests answered", name, answered)
@@ -72,7 +72,7 @@
 		at    float64
 		token uint64
 	}
-	timers := []timer{{100.05, timerMaintenance << 56}}
+	timers := []timer{{100.05, timerToken{kind: maintenanceTimer}.pack()}}
 	var calls []CounterAdd
 	notReady := map[BackendID]bool{}
 	take := func(actions []Action) {
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -11,7 +11,7 @@
 	e.shutdownAnswerBy = by
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		if req := e.requests[id]; !req.finished && e.limitToShutdown(req) {
-			e.setTimer(req.answerBy-e.now, timerAnswerDeadline, 0, id)
+			e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: id})
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -172,7 +172,7 @@
 		f.gateways = append(f.gateways, g)
 		f.weights = append(f.weights, math.Pow(float64(i+1), -zipf))
 		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: some(all)})
-		f.handle(i, TimerFired{Token: timerMaintenance << 56})
+		f.handle(i, timerFired(maintenanceTimer, 0))
 	}
 	f.run(106, use*float64(all)*cores/coldWork)
 	list := some(warm)
@@ -214,7 +214,7 @@
 			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.04, RequestOver: true})
 			out = out[1:]
 		}
-		d.handle(TimerFired{Token: timerMaintenance << 56})
+		d.handle(timerFired(maintenanceTimer, 0))
 	}
 	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
 	if toCold > 2*2*36 {
@@ -279,7 +279,7 @@
 				out[i] = out[i][1:]
 				step(i, e)
 			}
-			step(i, TimerFired{Token: timerMaintenance << 56})
+			step(i, timerFired(maintenanceTimer, 0))
 			if rng.Float64() < rate*maintenanceInterval {
 				id++
 				step(i, Request{ID: id, Units: 1, Gateways: 1, Customer: CustomerID(id), Deadline: now + 2})
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,34 +1,94 @@
 package policy
 
-// Kinds of timer, in the top byte of a token.
+// timerKind says what a timer is for.
+type timerKind uint8
+
+// The kinds of timer.
+const (
+	maintenanceTimer    timerKind = iota // the next round of maintenance is due
+	sendDeadlineTimer                    // a request that has not been sent is too late now
+	answerDeadlineTimer                  // a request must be answered now
+	pollEndpointsTimer                   // discovery failed a while ago
+	slowAttemptTimer                     // an attempt takes longer than usual
+)
+
+// timerToken is what a timer carries from SetTimer to TimerFired. Attempt and request 0 stand for none.
+type timerToken struct {
+	kind    timerKind
+	attempt int // number of the attempt in its request, below 256
+	request RequestID
+}
+
+// Positions in a packed token: the kind in the top byte, the attempt in the low byte of the upper half, the
+// request in the lower half.
 const (
-	timerMaintenance    = iota
-	timerSendDeadline   // a request that has not been sent is too late now
-	timerAnswerDeadline // a request must be answered now
-	timerPollEndpoints  // discovery failed a while ago
-	timerSlowAttempt    // an attempt takes longer than usual
+	timerKindShift    = 56
+	timerAttemptShift = 32
 )
 
-// setTimer asks for a timer of a kind, about an attempt of a request where it concerns one.
-func (e *Engine) setTimer(delay float64, kind uint64, attempt int, id RequestID) {
-	e.emit(SetTimer{Delay: max(delay, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
+// pack returns the token as the number that SetTimer carries.
+func (t timerToken) pack() uint64 {
+	return uint64(t.kind)<<timerKindShift | uint64(t.attempt)<<timerAttemptShift | uint64(t.request)
+}
+
+// unpackTimerToken is the inverse of pack. Any number unpacks; an unknown kind has no handler.
+func unpackTimerToken(packed uint64) timerToken {
+	return timerToken{
+		kind:    timerKind(packed >> timerKindShift),
+		attempt: int(uint8(packed >> timerAttemptShift)),
+		request: RequestID(uint32(packed)),
+	}
+}
+
+// setTimer emits a timer that fires after delay seconds, at once where that is negative.
+func (e *Engine) setTimer(delay float64, token timerToken) {
+	e.emit(SetTimer{Delay: max(delay, 0), Token: token.pack(), Request: token.request})
 }
 
-// fireTimer handles a timer.
-func (e *Engine) fireTimer(token uint64) {
-	req, n := e.requests[RequestID(uint32(token))], int(uint8(token>>32))
-	switch kind := token >> 56; {
-	case kind == timerMaintenance:
+// fireTimer handles a timer that is due. One whose subject is over by now does nothing.
+func (e *Engine) fireTimer(token timerToken) {
+	switch token.kind {
+	case maintenanceTimer:
 		e.runMaintenance()
-	case kind == timerPollEndpoints:
+	case pollEndpointsTimer:
 		e.emit(PollEndpoints{})
-	case req == nil:
-	case kind == timerSlowAttempt && n < len(req.attempts) && !req.attempts[n].ended:
-		e.hedgeOrRecordSlow(req, n)
-	case req.finished || req.streaming:
-	case (kind == timerSendDeadline || kind == timerAnswerDeadline) && len(req.attempts) == 0:
-		e.answerWithout(req, ReasonNotSent)
-	case kind == timerAnswerDeadline:
-		e.answerWithout(req, ReasonNoAnswer)
+	case slowAttemptTimer:
+		e.slowAttemptTimerFired(token)
+	case sendDeadlineTimer:
+		e.sendDeadlineTimerFired(token)
+	case answerDeadlineTimer:
+		e.answerDeadlineTimerFired(token)
+	}
+}
+
+// slowAttemptTimerFired handles an attempt that takes longer than usual. Its request may be over: the
+// silence of its backend counts all the same.
+func (e *Engine) slowAttemptTimerFired(token timerToken) {
+	req := e.requests[token.request]
+	if req == nil || token.attempt >= len(req.attempts) || req.attempts[token.attempt].ended {
+		return
+	}
+	e.hedgeOrRecordSlow(req, token.attempt)
+}
+
+// sendDeadlineTimerFired gives up a request of which no attempt has begun.
+func (e *Engine) sendDeadlineTimerFired(token timerToken) {
+	req := e.openRequest(token.request)
+	if req == nil || req.streaming || len(req.attempts) > 0 {
+		return
+	}
+	e.answerWithout(req, ReasonNotSent)
+}
+
+// answerDeadlineTimerFired gives up a request that has no answer yet.
+func (e *Engine) answerDeadlineTimerFired(token timerToken) {
+	req := e.openRequest(token.request)
+	if req == nil || req.streaming {
+		return
+	}
+	reason := ReasonNoAnswer
+	if len(req.attempts) == 0 {
+		reason = ReasonNotSent
 	}
+	e.answerWithout(req, reason)
 }
