--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -11,16 +11,11 @@
 	req.attemptsInFlight--
 	c.openAttempts--
 	if event.Outcome == TimedOut || event.Outcome == Cancelled {
-		// A time-out or a cancel may stop no work. If given-up attempts left the count, each would
-		// make room for one more at a full backend. It stays the longer the more in a row the backend has
-		// let pass.
-		a.backend.consecutiveTimeouts++
-		stay := min(e.latency.mean*float64(a.backend.consecutiveTimeouts), req.class.Deadline)
-		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, e.now + stay, req.level})
+		e.attemptAbandoned(req, a)
 	} else {
 		e.attemptFinished(a.backend, req.level)
 	}
-	e.recordOutcome(req, a, event)
+	e.recordOutcome(req, a, event.Outcome)
 	if req.attemptsInFlight == 0 && event.Attempt == len(req.attempts)-1 &&
 		a.sentAt == req.firstExecutableAt && provesNoExecution(event.Outcome) {
 		req.mayHaveExecuted = false // proved: no attempt has run
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"math/rand/v2"
 	"slices"
 )
@@ -52,9 +51,9 @@
 
 // Handle takes one event and appends the actions that it calls for to out.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
-	gain := 1 - math.Exp((e.now-now)/limitAveragingWindow)
-	e.limiter.meanInFlight += gain * (float64(e.limiter.inFlight) - e.limiter.meanInFlight)
-	e.now, e.actions = now, out
+	e.limiter.averageInFlight(e.now, now)
+	e.now = now
+	e.actions = out
 	switch event := event.(type) {
 	case Request:
 		e.requestArrived(event)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -5,7 +5,7 @@
 func (e *Engine) hedgeOrRecordSlow(req *request, n int) {
 	a := &req.attempts[n]
 	if a.backend.lastSuccessAt < a.sentAt {
-		e.recordFailure(a.backend)
+		a.backend.recordFailure(e.now)
 	}
 	if req.finished || req.streaming || len(req.attempts) != n+1 || e.atLimit(0) {
 		return
--- a/policy/inflight.go
+++ b/policy/inflight.go
@@ -4,8 +4,9 @@
 
 // abandonedAttempt is an attempt that was given up and may still take up its backend.
 type abandonedAttempt struct {
-	sentAt, expiresAt float64
-	level             int
+	sentAt    float64
+	expiresAt float64 // when it is taken to have ended
+	level     int
 }
 
 // attemptStarted counts an attempt as work in flight.
@@ -22,14 +23,29 @@
 	e.limiter.inFlight--
 }
 
-// expireAbandoned ends the ghosts of s that were sent before a served attempt, since backends take work in
-// order, and those that have outlived all patience.
-func (e *Engine) expireAbandoned(b *backend, served float64) {
-	b.abandoned = slices.DeleteFunc(b.abandoned, func(h abandonedAttempt) bool {
-		over := h.sentAt < served || h.expiresAt < e.now
-		if over {
-			e.attemptFinished(b, h.level)
+// attemptAbandoned leaves an attempt that timed out or was cancelled in the counts of work in flight for a
+// while: neither may stop the work. If abandoned attempts left the counts, each would make room for one more
+// at a full backend. It stays the longer the more attempts in a row the backend has let pass.
+func (e *Engine) attemptAbandoned(req *request, a *attempt) {
+	b := a.backend
+	b.consecutiveTimeouts++
+	stay := min(e.latency.mean*float64(b.consecutiveTimeouts), req.class.Deadline)
+	b.abandoned = append(b.abandoned, abandonedAttempt{
+		sentAt:    a.sentAt,
+		expiresAt: e.now + stay,
+		level:     req.level,
+	})
+}
+
+// expireAbandoned ends the backend's abandoned attempts that were sent before a served attempt was, since
+// backends take work in order, and those that have stayed for their time. The argument is when the served
+// attempt was sent, 0 where none was.
+func (e *Engine) expireAbandoned(b *backend, servedSentAt float64) {
+	b.abandoned = slices.DeleteFunc(b.abandoned, func(a abandonedAttempt) bool {
+		expired := a.sentAt < servedSentAt || a.expiresAt < e.now
+		if expired {
+			e.attemptFinished(b, a.level)
 		}
-		return over
+		return expired
 	})
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,21 +1,38 @@
 package policy
 
+import "math"
+
+// Averages of latency.
 const (
-	latencyGain    = 0.15 // weight of the newest latency
-	slowDeviations = 4.0  // an attempt is late this many mean deviations past the mean
+	overallLatencyGain = 0.02 // weight of the newest attempt in the mean over all backends
+	backendLatencyGain = 0.15 // weight of the newest attempt in the mean of one backend
+	slowDeviations     = 4.0  // an attempt is slow this many mean deviations past the mean
 )
 
-// latencyStats is the mean latency of served attempts at all backends and its mean deviation, in seconds.
+// latencyStats is the mean latency of served attempts at all backends and its mean deviation. The zero value
+// is that of a gateway that has had no answer yet.
 type latencyStats struct {
-	mean      float64 // 0: no attempt has been served yet
-	deviation float64
+	mean      float64 // seconds; 0: no attempt has been served yet
+	deviation float64 // seconds
+}
+
+// record takes in a served attempt that took so many seconds.
+func (s *latencyStats) record(took float64) {
+	if s.mean == 0 {
+		s.mean = took
+		s.deviation = took / 2
+	}
+	s.deviation += overallLatencyGain * (math.Abs(took-s.mean) - s.deviation)
+	s.mean += overallLatencyGain * (took - s.mean)
 }
 
-func (e *Engine) slowAfter() float64 { return e.latency.mean + slowDeviations*e.latency.deviation }
+// slowAfter returns the seconds after which an attempt takes longer than nearly all do.
+func (s *latencyStats) slowAfter() float64 { return s.mean + slowDeviations*s.deviation }
 
+// recordLatency takes in an attempt at the backend that took so many seconds, or at least that long.
 func (b *backend) recordLatency(took float64) {
 	if b.latency == 0 {
 		b.latency = took
 	}
-	b.latency += latencyGain * (took - b.latency)
+	b.latency += backendLatencyGain * (took - b.latency)
 }
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -31,6 +31,6 @@
 		b.Backend = entry
 	}
 	if e.limiter.limit == 0 && len(e.backends.ordered) > 0 {
-		e.limiter.limit = limitStart * e.backendsPerGateway()
+		e.limiter.limit = initialLimitPerBackend * e.backendsPerGateway()
 	}
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,36 +1,28 @@
 package policy
 
-import "math"
-
-// recordOutcome learns from an outcome: the backend's health and pace, and the bound.
-func (e *Engine) recordOutcome(req *request, a *attempt, event AttemptEnded) {
-	b := a.backend
+// recordOutcome learns from the end of an attempt: the failure rate and latency of the backend, the latency
+// over all, and the limit on attempts in flight.
+func (e *Engine) recordOutcome(req *request, a *attempt, outcome Outcome) {
 	took := e.now - a.sentAt
-	switch event.Outcome {
+	switch outcome {
 	case Served:
-		b.lastSuccessAt, b.consecutiveTimeouts = e.now, 0
-		e.expireAbandoned(b, a.sentAt)
-		b.failureRate -= failureGain * b.failureRate
-		if !b.ejected() {
-			b.trialInterval = 0
-		}
-		b.recordLatency(took)
-		if e.latency.mean == 0 {
-			e.latency.mean, e.latency.deviation = took, took/2
-		}
-		e.latency.deviation += 0.02 * (math.Abs(took-e.latency.mean) - e.latency.deviation)
-		e.latency.mean += 0.02 * (took - e.latency.mean)
+		a.backend.recordSuccess(e.now)
+		e.expireAbandoned(a.backend, a.sentAt)
+		a.backend.recordLatency(took)
+		e.latency.record(took)
 		e.adjustLimit(took / req.class.LatencyObjective)
 	case Failed, ConnectionReset, ConnectFailed:
-		e.recordFailure(b)
+		a.backend.recordFailure(e.now)
 	case Rejected:
-		e.recordFailure(b)
+		a.backend.recordFailure(e.now)
 		e.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if took > e.slowAfter() {
-			if b.recordLatency(max(took, b.latency)); event.Outcome == TimedOut {
-				e.adjustLimit(1)
-			}
+		if took <= e.latency.slowAfter() {
+			return // it ended early; that says nothing of the backend
+		}
+		a.backend.recordLatency(max(took, a.backend.latency))
+		if outcome == TimedOut {
+			e.adjustLimit(1)
 		}
 	}
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -29,11 +29,7 @@
 			continue
 		}
 		sick++
-		rest := b.nextTrialAt
-		if req.class.Idempotency != Idempotent {
-			rest += maxTrialInterval
-		}
-		if trial == nil && e.now >= rest && len(req.attempts) == 0 {
+		if trial == nil && b.trialDue(e.now, req.class) && len(req.attempts) == 0 {
 			trial = b
 		}
 	}
@@ -41,8 +37,7 @@
 	case trial != nil:
 		// Trials are all that can put right what is left out, so they come first, shared trouble or
 		// not: else most stay left out for good once they are, and the few others bear all.
-		trial.trialInterval = min(2*trial.trialInterval, maxTrialInterval)
-		trial.nextTrialAt = e.now + trial.trialInterval
+		trial.startTrial(e.now)
 		return trial
 	case 2*sick > usable:
 		// When most look bad the trouble is shared: leaving them out would only heap the work on the rest.
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -44,3 +44,9 @@
 		}
 	}
 }
+
+// isTopLevel reports whether requests of a level may use the reserve of the concurrency limit.
+func (q *priorityQueue) isTopLevel(level int) bool {
+	highest := q.weights[len(q.weights)-1]
+	return q.weights[level] >= topLevelShare*highest
+}
--- a/policy/send.go
+++ b/policy/send.go
@@ -31,7 +31,7 @@
 	}
 	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
 	if e.latency.mean > 0 {
-		e.setTimer(e.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: tries, request: req.ID})
+		e.setTimer(e.latency.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: tries, request: req.ID})
 	}
 	return true
 }
