--- a/policy/answer.go
+++ b/policy/answer.go
@@ -5,8 +5,7 @@
 // answerWithout ends a request without an answer of a backend: refused where that is true to the rules, else
 // failed.
 func (e *Engine) answerWithout(req *request, reason Reason) {
-	if req.class.Idempotency == Idempotent || !req.mayHaveExecuted ||
-		req.class.Idempotency == IdempotentByKey && req.class.DedupeScope == ScopeAll {
+	if req.mayBeRepeatedAnywhere() {
 		advice := 0.0
 		if e.settings.CanSendRetryAfter && req.admitted {
 			advice = e.settings.MaxRetryAfter
@@ -36,7 +35,5 @@
 			e.emit(CancelAttempt{Request: req.ID, Attempt: n})
 		}
 	}
-	if req.attemptsInFlight == 0 {
-		delete(e.requests, req.ID)
-	}
+	e.forgetIfOver(req)
 }
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -3,7 +3,7 @@
 // attemptEnded records the end of an attempt and decides what becomes of the request.
 func (e *Engine) attemptEnded(event AttemptEnded) {
 	req := e.requests[event.Request]
-	if req == nil || event.Attempt >= len(req.attempts) || req.attempts[event.Attempt].ended {
+	if req == nil || !req.attemptInFlight(event.Attempt) {
 		return
 	}
 	a, c := &req.attempts[event.Attempt], req.customer
@@ -31,9 +31,7 @@
 	case !e.retry(req):
 		e.answerWithout(req, ReasonNoAttempts)
 	}
-	if req.finished && req.attemptsInFlight == 0 {
-		delete(e.requests, req.ID)
-	}
+	e.forgetIfOver(req)
 	e.admit(req.customer)
 }
 
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -22,7 +22,6 @@
 	failureRate                        float64 // share of recent failures
 	latency                            float64 // 0: no answer yet
 	lastSuccessAt                      float64
-	cost                               float64 // as of the last pick
 	nextTrialAt, trialInterval         float64
 	slowStartTokens, slowStartTokensAt float64 // sends it may get while cold
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -1,69 +1,114 @@
 package policy
 
-import "slices"
+// The cost of a backend, by which one is chosen. Each value is a share or a factor that holds for any
+// deployment.
+const (
+	lowerLevelLoad    = 0.1  // what an attempt of any level counts beside those of equal or higher level
+	maxLatencyFactor  = 8.0  // a backend counts as this many times slower or faster than the mean at most
+	maxCostlyFailures = 0.9  // failure rate above which the cost grows no further
+	sameBackendCost   = 1e3  // added for the backend of the last attempt: above any other cost
+	costJitter        = 0.05 // random part of a cost, lest gateways choose alike
+)
 
-// maxLatencyFactor is how many times slower than the mean a backend counts at most.
-const maxLatencyFactor = 8.0
-
-// Placement: which backend an attempt goes to.
+// candidates is the result of a look at all backends that may get the next attempt of a request.
+type candidates struct {
+	count         int
+	ejected       int
+	cheapest      *backend // of all; nil: there is none
+	cheapestCost  float64
+	cheapestFit   *backend // of those that aren't ejected; nil: there is none
+	fitCost       float64
+	dueForTrial   *backend // the first ejected one that may get the request as a trial; nil: none
+	trialsAllowed bool
+}
 
-// pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
-// work it is believed to bear. It returns nil if none may be used now.
+// pick chooses the backend of an attempt: the one with the fewest own attempts of equal or higher level,
+// measured against the work it is believed to bear. It returns nil if none may be used now.
 func (e *Engine) pick(req *request) *backend {
-	var best, well, trial *backend
-	usable, sick := 0, 0
+	found := e.findCandidates(req)
+	if found.dueForTrial != nil {
+		// Trials are all that can bring an ejected backend back, so they come first, shared fault or not:
+		// else most stay ejected for good once they are, and the few others bear all.
+		found.dueForTrial.startTrial(e.now)
+		return found.dueForTrial
+	}
+	if 2*found.ejected > found.count {
+		// When most look faulty the fault is shared: leaving them out would only heap the work on the rest.
+		return found.cheapest
+	}
+	return found.cheapestFit
+}
+
+// findCandidates looks at all backends in the order of their ids. A first attempt may be a trial.
+func (e *Engine) findCandidates(req *request) candidates {
+	found := candidates{trialsAllowed: len(req.attempts) == 0}
 	for _, b := range e.backends.ordered {
-		busy := func(a attempt) bool { return a.backend == b && !a.ended }
-		if b.State != Ready || !req.sharesDedupeScope(b) || !e.slowStartAllows(b) ||
-			slices.ContainsFunc(req.attempts, busy) {
-			continue
-		}
-		b.cost = e.cost(b, req)
-		if usable++; best == nil || b.cost < best.cost {
-			best = b
-		}
-		if !b.ejected() {
-			if well == nil || b.cost < well.cost {
-				well = b
-			}
-			continue
-		}
-		sick++
-		if trial == nil && b.trialDue(e.now, req.class) && len(req.attempts) == 0 {
-			trial = b
+		if e.isCandidate(req, b) {
+			found.add(b, e.cost(req, b), b.trialDue(e.now, req.class))
 		}
 	}
-	switch {
-	case trial != nil:
-		// Trials are all that can put right what is left out, so they come first, shared trouble or
-		// not: else most stay left out for good once they are, and the few others bear all.
-		trial.startTrial(e.now)
-		return trial
-	case 2*sick > usable:
-		// When most look bad the trouble is shared: leaving them out would only heap the work on the rest.
-		return best
-	}
-	return well
+	return found
 }
 
-func (e *Engine) cost(b *backend, req *request) float64 {
-	higher := 0
-	for _, n := range b.inFlightByLevel[req.level:] {
-		higher += n
+// add takes in a backend that may get the attempt.
+func (c *candidates) add(b *backend, cost float64, trialDue bool) {
+	c.count++
+	if c.cheapest == nil || cost < c.cheapestCost {
+		c.cheapest = b
+		c.cheapestCost = cost
+	}
+	if b.ejected() {
+		c.ejected++
+		if c.dueForTrial == nil && trialDue && c.trialsAllowed {
+			c.dueForTrial = b
+		}
+		return
 	}
-	slow := 1.0
-	if b.latency > 0 && e.latency.mean > 0 {
-		slow = min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
+	if c.cheapestFit == nil || cost < c.fitCost {
+		c.cheapestFit = b
+		c.fitCost = cost
 	}
-	well := 1 - min(b.failureRate, 0.9)
-	// A gateway among many has nothing in flight at most backends, so one that is cold would look
-	// worst for as long as it is. Its budget keeps its share small; what it may get, it gets at once.
-	cost := (1 + float64(higher) + 0.1*float64(b.inFlight)) * slow * e.slowStartShare(b) / (well * well)
+}
+
+// isCandidate reports whether the backend may get an attempt of the request now. It brings the backend's slow
+// start up to date.
+func (e *Engine) isCandidate(req *request, b *backend) bool {
+	return b.State == Ready &&
+		req.sharesDedupeScope(b) &&
+		e.slowStartAllows(b) &&
+		!req.inFlightAt(b)
+}
+
+// cost returns what an attempt of the request at the backend costs, which is meaningful beside the costs of
+// other backends alone.
+func (e *Engine) cost(req *request, b *backend) float64 {
+	healthy := 1 - min(b.failureRate, maxCostlyFailures)
+	// A gateway among many has nothing in flight at most backends, so one in slow start would look worst
+	// for as long as it is. Its tokens keep its share small; what it may get, it gets at once.
+	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (healthy * healthy)
 	if b.Zone != e.settings.Zone {
 		cost *= 1 + e.settings.CrossZonePrice
 	}
-	if n := len(req.attempts); n > 0 && req.attempts[n-1].backend == b {
-		cost += 1e3 // not where it just failed, if there is another
+	if req.lastAttemptedAt(b) {
+		cost += sameBackendCost // not where it just failed, if there is another
+	}
+	return cost * (1 + costJitter*e.rng.Float64())
+}
+
+// load returns the own attempts in flight at the backend, one more for what it would get, as an attempt of a
+// level sees them: those of lower levels count little.
+func (b *backend) load(level int) float64 {
+	equalOrHigher := 0
+	for _, n := range b.inFlightByLevel[level:] {
+		equalOrHigher += n
+	}
+	return 1 + float64(equalOrHigher) + lowerLevelLoad*float64(b.inFlight)
+}
+
+// relativeLatency returns how many times slower than the mean the backend answers, 1 where that is unknown.
+func (e *Engine) relativeLatency(b *backend) float64 {
+	if b.latency <= 0 || e.latency.mean <= 0 {
+		return 1
 	}
-	return cost * (1 + 0.05*e.rng.Float64())
+	return min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -65,7 +65,7 @@
 // silence of its backend counts all the same.
 func (e *Engine) slowAttemptTimerFired(token timerToken) {
 	req := e.requests[token.request]
-	if req == nil || token.attempt >= len(req.attempts) || req.attempts[token.attempt].ended {
+	if req == nil || !req.attemptInFlight(token.attempt) {
 		return
 	}
 	e.hedgeOrRecordSlow(req, token.attempt)
