--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -2,22 +2,38 @@
 
 import "math"
 
-// clientTimeouts is how long the clients of a class and plan wait for one try.
-type clientTimeout struct{ latest, usual float64 }
+// clientTimeout is how long the clients of a class and plan wait for an attempt of theirs at the gateway. The
+// zero value is that of a class and plan of which nothing has arrived.
+type clientTimeout struct {
+	latest float64 // seconds; that of the newest request
+	usual  float64 // seconds; the newest that came twice in a row; 0: none has
+}
 
-// elapsedBefore is the time that the client has surely spent on earlier tries. Most tries of a class and
-// plan are given the same patience; one that has another is cut to what is left of the client's whole
-// patience. A repeat whose aim has passed earns nothing, yet takes units, a call and a backend's time from
-// requests that may still earn; a fresh try must not be taken for one, so an unknown patience says nothing.
-func (e *Engine) elapsedBefore(r Request, c *Class) float64 {
-	left, usual := r.Deadline-r.SentAt, &e.clientTimeouts[r.Class*len(e.settings.Plans)+r.Plan]
-	same := func(x float64) bool { return math.Abs(left-x) < 2*e.settings.Tick }
-	if same(usual.latest) {
-		usual.usual = left
+// observe takes in the timeout of a request. Timeouts that differ by less than tolerance are the same.
+func (c *clientTimeout) observe(timeout, tolerance float64) {
+	if math.Abs(timeout-c.latest) < tolerance {
+		c.usual = timeout
 	}
-	usual.latest = left
-	if usual.usual == 0 || same(usual.usual) {
+	c.latest = timeout
+}
+
+// isUsual reports whether a timeout is the usual one, or that is unknown.
+func (c *clientTimeout) isUsual(timeout, tolerance float64) bool {
+	return c.usual == 0 || math.Abs(timeout-c.usual) < tolerance
+}
+
+// elapsedBefore returns the seconds that the client has surely spent on earlier attempts. Most requests of a
+// class and plan come with the same timeout; one that has another is cut to what is left of the client's
+// whole time. A retry whose latency objective has passed earns nothing, yet takes units, a counter call and
+// a backend's time from requests that may still earn; a first request must not be taken for one, so an
+// unknown usual timeout says nothing.
+func (e *Engine) elapsedBefore(r Request, class *Class) float64 {
+	timeout := r.Deadline - r.SentAt
+	tolerance := e.timingMargin()
+	known := &e.clientTimeouts[r.Class*len(e.settings.Plans)+r.Plan]
+	known.observe(timeout, tolerance)
+	if known.isUsual(timeout, tolerance) {
 		return 0
 	}
-	return max(c.Deadline-left, 0)
+	return max(class.Deadline-timeout, 0)
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"math/rand/v2"
-	"slices"
-)
+import "math/rand/v2"
 
 // Engine holds all that one gateway knows.
 type Engine struct {
@@ -33,14 +30,7 @@
 	e := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now}
 	e.limiter.lastCut = now
 	e.retries.tokens = maxRetryTokens
-	for _, c := range set.Classes {
-		for _, p := range set.Plans {
-			e.queue.weights = append(e.queue.weights, c.PriorityWeight*p.WeightFactor)
-		}
-	}
-	e.queue.weights = append(e.queue.weights, 0) // level 0: beyond the quota
-	slices.Sort(e.queue.weights)
-	e.queue.weights = slices.Compact(e.queue.weights)
+	e.queue = newPriorityQueue(&set)
 	e.allocateState(seed)
 	if set.PollDiscovery {
 		e.emit(PollEndpoints{})
@@ -89,9 +79,6 @@
 	e.backends.byID = map[BackendID]*backend{}
 	e.customers.byID = map[CustomerID]*customer{}
 	e.counter.pending = map[uint64][]counterCall{}
-	e.queue.requests = make([][]*request, len(e.queue.weights))
-	e.queue.arrivalRates = make([]float64, len(e.queue.weights))
-	e.queue.arrivalCounts = make([]float64, len(e.queue.weights))
 	e.clientTimeouts = make([]clientTimeout, len(e.settings.Classes)*len(e.settings.Plans))
 }
 
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -33,9 +33,5 @@
 		e.warmTraffic.sendRate += gain * (sendRate - e.warmTraffic.sendRate)
 	}
 	e.warmTraffic.sendCount = 0
-	for level := range e.queue.arrivalRates {
-		rate := e.queue.arrivalCounts[level] / elapsed
-		e.queue.arrivalRates[level] += gain * (rate - e.queue.arrivalRates[level])
-		e.queue.arrivalCounts[level] = 0
-	}
+	e.queue.updateArrivalRates(elapsed, gain)
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -17,12 +17,11 @@
 		a.backend.recordFailure(e.now)
 		e.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if took <= e.latency.slowAfter() {
-			return // it ended early; that says nothing of the backend
-		}
-		a.backend.recordLatency(max(took, a.backend.latency))
-		if outcome == TimedOut {
-			e.adjustLimit(1)
+		if took > e.latency.slowAfter() { // one that ended earlier says nothing of the backend
+			a.backend.recordLatency(max(took, a.backend.latency))
+			if outcome == TimedOut {
+				e.adjustLimit(1)
+			}
 		}
 	}
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -12,14 +12,14 @@
 
 // candidates is the result of a look at all backends that may get the next attempt of a request.
 type candidates struct {
-	count         int
-	ejected       int
-	cheapest      *backend // of all; nil: there is none
-	cheapestCost  float64
-	cheapestFit   *backend // of those that aren't ejected; nil: there is none
-	fitCost       float64
-	dueForTrial   *backend // the first ejected one that may get the request as a trial; nil: none
-	trialsAllowed bool
+	count           int
+	ejected         int
+	cheapest        *backend // of all; nil: there is none
+	cheapestCost    float64
+	cheapestHealthy *backend // of those that are not ejected; nil: there is none
+	healthyCost     float64
+	dueForTrial     *backend // the first ejected one that may get the request as a trial; nil: none
+	trialsAllowed   bool
 }
 
 // pick chooses the backend of an attempt: the one with the fewest own attempts of equal or higher level,
@@ -36,7 +36,7 @@
 		// When most look faulty the fault is shared: leaving them out would only heap the work on the rest.
 		return found.cheapest
 	}
-	return found.cheapestFit
+	return found.cheapestHealthy
 }
 
 // findCandidates looks at all backends in the order of their ids. A first attempt may be a trial.
@@ -64,9 +64,9 @@
 		}
 		return
 	}
-	if c.cheapestFit == nil || cost < c.fitCost {
-		c.cheapestFit = b
-		c.fitCost = cost
+	if c.cheapestHealthy == nil || cost < c.healthyCost {
+		c.cheapestHealthy = b
+		c.healthyCost = cost
 	}
 }
 
@@ -82,10 +82,10 @@
 // cost returns what an attempt of the request at the backend costs, which is meaningful beside the costs of
 // other backends alone.
 func (e *Engine) cost(req *request, b *backend) float64 {
-	healthy := 1 - min(b.failureRate, maxCostlyFailures)
+	successRate := 1 - min(b.failureRate, maxCostlyFailures)
 	// A gateway among many has nothing in flight at most backends, so one in slow start would look worst
 	// for as long as it is. Its tokens keep its share small; what it may get, it gets at once.
-	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (healthy * healthy)
+	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (successRate * successRate)
 	if b.Zone != e.settings.Zone {
 		cost *= 1 + e.settings.CrossZonePrice
 	}
@@ -107,8 +107,8 @@
 
 // relativeLatency returns how many times slower than the mean the backend answers, 1 where that is unknown.
 func (e *Engine) relativeLatency(b *backend) float64 {
-	if b.latency <= 0 || e.latency.mean <= 0 {
-		return 1
+	if b.latency > 0 && e.latency.mean > 0 {
+		return min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
 	}
-	return min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
+	return 1
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,20 +1,35 @@
 package policy
 
-// Further attempts.
+// Retries.
 const (
-	retryShare     = 0.15 // of first sends, so that retries cannot amplify an overload
-	maxRetryTokens = 10.0 // retries saved up at most
+	retryShare      = 0.15 // of first attempts, so that retries cannot amplify an overload
+	maxRetryTokens  = 10.0 // retries saved up at most
+	clientRetryGain = 0.05 // weight of the newest request in the share of client retries
 )
 
 // retryBudget bounds the gateway's own retries and observes those of clients.
 type retryBudget struct {
-	tokens      float64
+	tokens      float64 // retries that may begin
 	clientShare float64 // share of arriving requests that are a client's retries
 }
 
-// retry starts a further attempt if the budget has room and time remains.
+// recordArrival takes in whether an arriving request is a client's retry.
+func (r *retryBudget) recordArrival(isRetry bool) {
+	retries := 0.0
+	if isRetry {
+		retries = 1
+	}
+	r.clientShare += clientRetryGain * (retries - r.clientShare)
+}
+
+// recordFirstAttempt adds what a first attempt allows in retries.
+func (r *retryBudget) recordFirstAttempt() {
+	r.tokens = min(r.tokens+retryShare, maxRetryTokens)
+}
+
+// retry starts one more attempt if the retry budget has a token and time remains. It reports whether it did.
 func (e *Engine) retry(req *request) bool {
-	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(len(e.queue.weights)-1) {
+	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(e.queue.topLevel()) {
 		return false
 	}
 	b := e.pick(req)
--- a/policy/send.go
+++ b/policy/send.go
@@ -5,7 +5,7 @@
 func (e *Engine) send(req *request, b *backend) bool {
 	tries := len(req.attempts)
 	// What is sent within the window may wait for a connection and arrive after it.
-	window := req.class.DedupeWindow - e.settings.ConnectTimeout - 2*e.settings.Tick
+	window := req.class.DedupeWindow - e.settings.ConnectTimeout - e.timingMargin()
 	stale := req.mayHaveExecuted && req.class.Idempotency == IdempotentByKey &&
 		e.now > req.firstExecutableAt+window
 	if req.finished || req.streaming || !req.admitted || b.State != Ready ||
@@ -14,7 +14,7 @@
 		return false
 	}
 	if tries == 0 {
-		e.retries.tokens = min(e.retries.tokens+retryShare, maxRetryTokens)
+		e.retries.recordFirstAttempt()
 	} else {
 		req.customer.openAttempts++
 	}
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -19,7 +19,7 @@
 // limitToShutdown cuts the time of a request to what a stop leaves, and tells whether that is less than it
 // had.
 func (e *Engine) limitToShutdown(req *request) bool {
-	last := e.shutdownAnswerBy - 2*e.settings.Tick
+	last := e.shutdownAnswerBy - e.timingMargin()
 	if e.shutdownAnswerBy == 0 || req.answerBy <= last {
 		return false
 	}
