--- a/policy/backend.go
+++ b/policy/backend.go
@@ -15,37 +15,58 @@
 // backend is what this gateway knows of one backend.
 type backend struct {
 	Backend
-	inFlightByLevel                    []int // own attempts in flight by level
-	inFlight                           int
-	abandoned                          []abandonedAttempt
-	consecutiveTimeouts                int     // attempts given up since the last answer
-	failureRate                        float64 // share of recent failures
-	latency                            float64 // 0: no answer yet
-	lastSuccessAt                      float64
-	nextTrialAt, trialInterval         float64
-	slowStartTokens, slowStartTokensAt float64 // sends it may get while cold
+
+	inFlight            int                // own attempts, also abandoned ones
+	inFlightByLevel     []int              // the same by level
+	abandoned           []abandonedAttempt // those that were given up and may still run
+	consecutiveTimeouts int                // attempts given up since the last answer
+
+	failureRate   float64 // share of recent attempts that failed
+	latency       float64 // mean of recent attempts in seconds; 0: no answer yet
+	lastSuccessAt float64 // clock time; 0: never
+	nextTrialAt   float64 // clock time; where it is ejected
+	trialInterval float64 // seconds
+
+	slowStartTokens   float64 // sends that it may get in slow start
+	slowStartTokensAt float64 // clock time of the last refill
 }
 
-// findOrAddBackend finds a listed backend, or adds it to the list, which is kept by id.
+// markAllRemoved takes all backends for removed, until a list names them.
+func (s *backendSet) markAllRemoved() {
+	for _, b := range s.ordered {
+		b.State = Removed
+	}
+}
+
+// insert adds a backend that is not in the set.
+func (s *backendSet) insert(b *backend) {
+	s.byID[b.ID] = b
+	compareID := func(b *backend, id BackendID) int { return cmp.Compare(b.ID, id) }
+	at, _ := slices.BinarySearchFunc(s.ordered, b.ID, compareID)
+	s.ordered = slices.Insert(s.ordered, at, b)
+}
+
+// findOrAddBackend returns the backend of an entry of the endpoint list, which it adds if it is new.
 func (e *Engine) findOrAddBackend(entry Backend) *backend {
-	b := e.backends.byID[entry.ID]
-	if b == nil {
-		b = &backend{Backend: entry, inFlightByLevel: make([]int, len(e.queue.weights)), slowStartTokensAt: e.now}
-		e.backends.byID[entry.ID] = b
-		byID := func(b *backend, id BackendID) int { return cmp.Compare(b.ID, id) }
-		at, _ := slices.BinarySearchFunc(e.backends.ordered, entry.ID, byID)
-		e.backends.ordered = slices.Insert(e.backends.ordered, at, b)
+	if b := e.backends.byID[entry.ID]; b != nil {
+		return b
+	}
+	b := &backend{
+		Backend:           entry,
+		inFlightByLevel:   make([]int, len(e.queue.weights)),
+		slowStartTokensAt: e.now,
 	}
+	e.backends.insert(b)
 	return b
 }
 
-// dropRemovedBackends drops backends that are gone and have nothing in flight.
+// dropRemovedBackends drops backends that are removed and have nothing in flight.
 func (e *Engine) dropRemovedBackends() {
 	e.backends.ordered = slices.DeleteFunc(e.backends.ordered, func(b *backend) bool {
-		gone := b.State == Removed && b.inFlight == 0
-		if gone {
+		unused := b.State == Removed && b.inFlight == 0
+		if unused {
 			delete(e.backends.byID, b.ID)
 		}
-		return gone
+		return unused
 	})
 }
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -2,13 +2,15 @@
 
 import "math"
 
-// maintenanceInterval is how many seconds pass between rounds of maintenance.
-const maintenanceInterval = 0.05
+const (
+	maintenanceInterval    = 0.05 // seconds between rounds of maintenance
+	minMaintenanceInterval = 1e-3 // seconds that a round covers at least, lest rates be divided by 0
+)
 
 // runMaintenance lets averages decay and keeps the state of backends and customers in order.
 func (e *Engine) runMaintenance() {
 	e.setTimer(maintenanceInterval, timerToken{kind: maintenanceTimer})
-	elapsed := max(e.now-e.lastMaintenance, e.settings.Tick, 1e-3)
+	elapsed := max(e.now-e.lastMaintenance, e.settings.Tick, minMaintenanceInterval)
 	e.lastMaintenance = e.now
 	e.dropRemovedBackends()
 	e.maintainBackends(elapsed)
@@ -16,7 +18,7 @@
 	e.maintainCustomers()
 }
 
-// maintainBackends lets what was learnt of each backend decay.
+// maintainBackends lets what was learnt of each backend decay, and expires its abandoned attempts.
 func (e *Engine) maintainBackends(elapsed float64) {
 	share := 1 - math.Exp(-elapsed/healthDecayTime)
 	for _, b := range e.backends.ordered {
@@ -28,10 +30,6 @@
 // maintainRates updates the rate of sends to warm backends and of arrivals at each level.
 func (e *Engine) maintainRates(elapsed float64) {
 	gain := min(elapsed/warmRateAveragingTime, 1)
-	if warm := e.warmBackends(); warm > 0 {
-		sendRate := float64(e.warmTraffic.sendCount) / elapsed / float64(warm)
-		e.warmTraffic.sendRate += gain * (sendRate - e.warmTraffic.sendRate)
-	}
-	e.warmTraffic.sendCount = 0
+	e.warmTraffic.update(e.warmBackends(), elapsed, gain)
 	e.queue.updateArrivalRates(elapsed, gain)
 }
