--- a/policy/answer.go
+++ b/policy/answer.go
@@ -2,27 +2,36 @@
 
 import "slices"
 
-// answerWithout ends a request without an answer of a backend: refused where that is true to the rules, else
-// failed.
+// answerWithout gives a request its final answer without one of a backend: it is rejected where the client
+// may send it again with no second effect, else failed.
 func (e *Engine) answerWithout(req *request, reason Reason) {
 	if req.mayBeRepeatedAnywhere() {
-		advice := 0.0
-		if e.settings.CanSendRetryAfter && req.admitted {
-			advice = e.settings.MaxRetryAfter
-		} else if e.settings.CanSendRetryAfter {
-			advice = min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
-			if t := req.customer.quota; t.concurrencyLimit > 0 && t.localConcurrency == 0 {
-				advice = min(e.settings.MaxRetryAfter, e.latency.mean) // another gateway may have a place by then
-			}
-		}
-		e.emit(Reject{Request: req.ID, RetryAfter: advice, Reason: reason})
+		e.emit(Reject{Request: req.ID, RetryAfter: e.retryAfter(req), Reason: reason})
 	} else {
 		e.emit(FailRequest{Request: req.ID, Reason: reason})
 	}
 	e.finish(req)
 }
 
-// finish ends a request for good and calls off what is still out.
+// retryAfter returns the seconds after which the client of a rejected request should send it again, 0 where
+// that is not known or the settings allow no such advice. An admitted request was rejected for want of
+// capacity, any other for its customer's quota.
+func (e *Engine) retryAfter(req *request) float64 {
+	if !e.settings.CanSendRetryAfter {
+		return 0
+	}
+	if req.admitted {
+		return e.settings.MaxRetryAfter
+	}
+	if quota := req.customer.quota; quota.concurrencyLimit > 0 && quota.localConcurrency == 0 {
+		// Another gateway may have capacity for the customer by then.
+		return min(e.settings.MaxRetryAfter, e.latency.mean)
+	}
+	return min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
+}
+
+// finish closes a request for good: what waits for it no longer does, and what it took and did not use goes
+// back to its customer.
 func (e *Engine) finish(req *request) {
 	req.finished = true
 	req.customer.waiting = slices.DeleteFunc(req.customer.waiting, func(w *request) bool { return w == req })
@@ -30,10 +39,19 @@
 		req.customer.refund(req.Units)
 		req.customer.openAttempts--
 	}
-	for n := range req.attempts {
-		if !req.attempts[n].ended && e.settings.CanCancel && !req.streaming {
-			e.emit(CancelAttempt{Request: req.ID, Attempt: n})
+	e.cancelAttempts(req)
+	e.forgetIfOver(req)
+}
+
+// cancelAttempts cancels the attempts of a request that are in flight, unless its answer is being streamed
+// from one.
+func (e *Engine) cancelAttempts(req *request) {
+	if !e.settings.CanCancel || req.streaming {
+		return
+	}
+	for number := range req.attempts {
+		if req.attemptInFlight(number) {
+			e.emit(CancelAttempt{Request: req.ID, Attempt: number})
 		}
 	}
-	e.forgetIfOver(req)
 }
--- a/policy/send.go
+++ b/policy/send.go
@@ -1,37 +1,77 @@
 package policy
 
-// send starts an attempt; nothing else does. It holds the rules on effects, on attempts out at once and on
-// drains, whoever asks.
+// send starts an attempt of the request at the backend; nothing else does. It holds the rules on effects, on
+// attempts in flight and on draining backends, whoever calls it, and reports whether they let the attempt
+// begin.
 func (e *Engine) send(req *request, b *backend) bool {
-	tries := len(req.attempts)
-	// What is sent within the window may wait for a connection and arrive after it.
-	window := req.class.DedupeWindow - e.settings.ConnectTimeout - e.timingMargin()
-	stale := req.mayHaveExecuted && req.class.Idempotency == IdempotentByKey &&
-		e.now > req.firstExecutableAt+window
-	if req.finished || req.streaming || !req.admitted || b.State != Ready ||
-		!req.sharesDedupeScope(b) || stale ||
-		tries >= max(e.settings.MaxAttempts, 1) || req.attemptsInFlight > 0 && !e.settings.CanHedge {
+	if !e.maySend(req, b) {
 		return false
 	}
-	if tries == 0 {
-		e.retries.recordFirstAttempt()
-	} else {
-		req.customer.openAttempts++
-	}
-	if !req.mayHaveExecuted {
-		req.mayHaveExecuted, req.firstExecutableAt, req.firstExecutableBackend = true, e.now, b
-	}
+	number := len(req.attempts)
+	e.chargeAttempt(req, number)
+	req.markExecutable(b, e.now)
 	req.attempts = append(req.attempts, attempt{backend: b, sentAt: e.now})
 	req.attemptsInFlight++
 	e.attemptStarted(b, req.level)
-	if e.slowStartShare(b) < 1 {
-		b.slowStartTokens--
-	} else {
-		e.warmTraffic.sendCount++
-	}
+	e.chargeSlowStart(b)
 	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
 	if e.latency.mean > 0 {
-		e.setTimer(e.latency.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: tries, request: req.ID})
+		e.setTimer(e.latency.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: number, request: req.ID})
 	}
 	return true
 }
+
+// maySend reports whether an attempt of the request may begin at the backend now.
+func (e *Engine) maySend(req *request, b *backend) bool {
+	return req.awaitsAnswer() &&
+		b.State == Ready &&
+		req.sharesDedupeScope(b) &&
+		!e.dedupeWindowOver(req) &&
+		e.attemptsRemain(req) &&
+		e.mayRunBeside(req)
+}
+
+// awaitsAnswer reports whether the request is admitted, has no final answer, and none has begun.
+func (req *request) awaitsAnswer() bool {
+	return req.admitted && !req.finished && !req.streaming
+}
+
+// dedupeWindowOver reports whether backends may no longer drop a duplicate of a keyed request. What is sent
+// within the window may wait for a connection and arrive after it.
+func (e *Engine) dedupeWindowOver(req *request) bool {
+	if !req.mayHaveExecuted || req.class.Idempotency != IdempotentByKey {
+		return false
+	}
+	window := req.class.DedupeWindow - e.settings.ConnectTimeout - e.timingMargin()
+	return e.now > req.firstExecutableAt+window
+}
+
+// attemptsRemain reports whether the settings allow the request one more attempt.
+func (e *Engine) attemptsRemain(req *request) bool {
+	return len(req.attempts) < max(e.settings.MaxAttempts, 1)
+}
+
+// mayRunBeside reports whether one more attempt may run beside those of the request that are in flight.
+func (e *Engine) mayRunBeside(req *request) bool {
+	return req.attemptsInFlight == 0 || e.settings.CanHedge
+}
+
+// chargeAttempt counts an attempt of that number. A first one adds to the retry budget; its place under the
+// customer's concurrency limit was taken at admission, while each further attempt takes one more.
+func (e *Engine) chargeAttempt(req *request, number int) {
+	if number == 0 {
+		e.retries.recordFirstAttempt()
+		return
+	}
+	req.customer.openAttempts++
+}
+
+// markExecutable notes that the request may execute at the backend from now on, unless it may have before.
+func (req *request) markExecutable(b *backend, now float64) {
+	if req.mayHaveExecuted {
+		return
+	}
+	req.mayHaveExecuted = true
+	req.firstExecutableAt = now
+	req.firstExecutableBackend = b
+}
