--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,19 +1,6 @@
 package policy
 
-import (
-	"math"
-	"math/rand/v2"
-	"slices"
-)
-
-// Kinds of timer, in the top byte of a token.
-const (
-	timerMaintenance    = iota
-	timerSendDeadline   // a request that has not been sent is too late now
-	timerAnswerDeadline // a request must be answered now
-	timerPollEndpoints  // discovery failed a while ago
-	timerSlowAttempt    // an attempt takes longer than usual
-)
+import "math/rand/v2"
 
 // Engine holds all that one gateway knows.
 type Engine struct {
@@ -43,27 +30,20 @@
 	e := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now}
 	e.limiter.lastCut = now
 	e.retries.tokens = maxRetryTokens
-	for _, c := range set.Classes {
-		for _, p := range set.Plans {
-			e.queue.weights = append(e.queue.weights, c.PriorityWeight*p.WeightFactor)
-		}
-	}
-	e.queue.weights = append(e.queue.weights, 0) // level 0: beyond the quota
-	slices.Sort(e.queue.weights)
-	e.queue.weights = slices.Compact(e.queue.weights)
+	e.queue = newPriorityQueue(&set)
 	e.allocateState(seed)
 	if set.PollDiscovery {
 		e.emit(PollEndpoints{})
 	}
-	e.setTimer(maintenanceInterval, timerMaintenance, 0, 0)
+	e.setTimer(maintenanceInterval, timerToken{kind: maintenanceTimer})
 	return e, e.actions
 }
 
 // Handle takes one event and appends the actions that it calls for to out.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
-	gain := 1 - math.Exp((e.now-now)/limitAveragingWindow)
-	e.limiter.meanInFlight += gain * (float64(e.limiter.inFlight) - e.limiter.meanInFlight)
-	e.now, e.actions = now, out
+	e.limiter.averageInFlight(e.now, now)
+	e.now = now
+	e.actions = out
 	switch event := event.(type) {
 	case Request:
 		e.requestArrived(event)
@@ -78,7 +58,7 @@
 			e.finish(req)
 		}
 	case TimerFired:
-		e.fireTimer(event.Token)
+		e.fireTimer(unpackTimerToken(event.Token))
 	case CounterReply:
 		e.handleCounterReply(event)
 	case LateCounterReply:
@@ -92,25 +72,6 @@
 	return e.actions
 }
 
-// fireTimer handles a timer.
-func (e *Engine) fireTimer(token uint64) {
-	req, n := e.requests[RequestID(uint32(token))], int(uint8(token>>32))
-	switch kind := token >> 56; {
-	case kind == timerMaintenance:
-		e.runMaintenance()
-	case kind == timerPollEndpoints:
-		e.emit(PollEndpoints{})
-	case req == nil:
-	case kind == timerSlowAttempt && n < len(req.attempts) && !req.attempts[n].ended:
-		e.hedgeOrRecordSlow(req, n)
-	case req.finished || req.streaming:
-	case (kind == timerSendDeadline || kind == timerAnswerDeadline) && len(req.attempts) == 0:
-		e.answerWithout(req, ReasonNotSent)
-	case kind == timerAnswerDeadline:
-		e.answerWithout(req, ReasonNoAnswer)
-	}
-}
-
 // allocateState allocates what the levels and the settings call for.
 func (e *Engine) allocateState(seed uint64) {
 	e.rng = rand.New(rand.NewPCG(seed, seed>>1))
@@ -118,16 +79,8 @@
 	e.backends.byID = map[BackendID]*backend{}
 	e.customers.byID = map[CustomerID]*customer{}
 	e.counter.pending = map[uint64][]counterCall{}
-	e.queue.requests = make([][]*request, len(e.queue.weights))
-	e.queue.arrivalRates = make([]float64, len(e.queue.weights))
-	e.queue.arrivalCounts = make([]float64, len(e.queue.weights))
 	e.clientTimeouts = make([]clientTimeout, len(e.settings.Classes)*len(e.settings.Plans))
 }
 
 // emit adds an action to the answer to the event that is being handled.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
-
-// setTimer asks for a timer of a kind, about an attempt of a request where it concerns one.
-func (e *Engine) setTimer(delay float64, kind uint64, attempt int, id RequestID) {
-	e.emit(SetTimer{Delay: max(delay, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
-}
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -11,7 +11,7 @@
 	e.shutdownAnswerBy = by
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		if req := e.requests[id]; !req.finished && e.limitToShutdown(req) {
-			e.setTimer(req.answerBy-e.now, timerAnswerDeadline, 0, id)
+			e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: id})
 		}
 	}
 }
@@ -19,7 +19,7 @@
 // limitToShutdown cuts the time of a request to what a stop leaves, and tells whether that is less than it
 // had.
 func (e *Engine) limitToShutdown(req *request) bool {
-	last := e.shutdownAnswerBy - 2*e.settings.Tick
+	last := e.shutdownAnswerBy - e.timingMargin()
 	if e.shutdownAnswerBy == 0 || req.answerBy <= last {
 		return false
 	}
