--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -78,16 +78,16 @@
 // A backend in use of which something can't be read gets nothing more.
 func TestUnreadableInstanceIsLeftAlone(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
-	r := newRig(t, backend, other)
-	wait(t, r.registry.calls, "first list")
-	wait(t, r.registry.calls, "watch")
+	r := startTestGateway(t, backend, other)
+	await(t, r.discovery.calls, "first list")
+	await(t, r.discovery.calls, "watch")
 	spoilt := listingOf(false, "Terminating", backend)
 	spoilt.Instances[0].Zone = "nowhere"
 	odd := listingOf(false, "Leaving", other)
-	r.registry.answers <- Listing{Generation: 2, Instances: append(spoilt.Instances, odd.Instances...)}
-	wait(t, r.registry.calls, "next watch")
-	_, answers := r.client(t, ask("GET", "glance", ""))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
+	r.discovery.answers <- Listing{Generation: 2, Instances: append(spoilt.Instances, odd.Instances...)}
+	await(t, r.discovery.calls, "next watch")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, connections %d and %d", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
@@ -117,14 +117,14 @@
 		{"", "[]", false, true},
 		{"", Listing{Generation: 51, Reset: true, Instances: none}, true, false},
 	} {
-		if got := wait(t, r.calls, "call"); got != step.query {
+		if got := await(t, r.calls, "call"); got != step.query {
 			t.Fatalf("step %d: call %q, want %q", i, got, step.query)
 		}
 		r.answers <- step.answer
 		if step.none {
 			continue
 		}
-		if got := wait(t, heard, "list"); got.Generation != step.answer.(Listing).Generation || got.Reset != step.reset {
+		if got := await(t, heard, "list"); got.Generation != step.answer.(Listing).Generation || got.Reset != step.reset {
 			t.Fatalf("step %d: heard %+v", i, got)
 		}
 	}
