--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -26,6 +26,10 @@
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", policy.Served, "ok", true},
 		{"served, then closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", policy.Served, "ok", false},
 		{"an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok", true},
+		{"as many interim answers as are read", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInterimResponses-1) +
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok", true},
+		{"too many interim answers", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInterimResponses) +
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.Failed, "", false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Failed, "", true},
 		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, "", true},
 		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, "", true},
