--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -6,6 +6,11 @@
 	"net/http"
 )
 
+const (
+	maxBodyBytes        = 64 << 10 // bytes of a body, of a request or of a response
+	maxPreallocatedBody = 4 << 10  // bytes of a stated length for which memory is taken at once
+)
+
 var errBodyTooLong = errors.New("the body is too long")
 
 // readBody reads a whole body, of known length or not. A length is a
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -12,16 +12,9 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10               // bytes of a body, either way
-	maxPreallocatedBody = 4 << 10                // bytes that a body may claim and get memory for at once
-	maxResponseBytes    = 128 << 10              // bytes of an answer with its headers and framing
-	maxInterimResponses = 8                      // 1xx answers before the real one
-	idleTimeoutMargin   = time.Second            // a connection is not used again so close to the backend's limit
-	reuseDelay          = 10 * time.Millisecond  // after an answer, before the connection is used again
-	sweepInterval       = 500 * time.Millisecond // between searches for connections idle too long
-	unprocessedHeader   = "X-Unprocessed"
-	timeLeftHeader      = "X-Time-Left-Ms"
-	loadHeader          = "X-Backend-Load"
+	idleTimeoutMargin = time.Second            // a connection is not reused so close to the backend's own idle limit
+	reuseDelay        = 10 * time.Millisecond  // after a response, before its connection is reused
+	sweepInterval     = 500 * time.Millisecond // between searches for connections that have been idle too long
 )
 
 // connectionPools holds the connections to all backends.
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -13,11 +13,8 @@
 	"amberlb/policy"
 )
 
-const (
-	inboxSize        = 1024
-	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
-)
+// inboxSize is the number of messages that may wait for the loop before post has to wait.
+const inboxSize = 1024
 
 // What sockets tell the loop.
 type (
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -7,6 +7,11 @@
 	"amberlb/policy"
 )
 
+const (
+	responseMargin   = 0.005 // seconds of a request's deadline kept for the loop, the write and the way to the client
+	timeoutTolerance = 0.001 // seconds: an attempt cancelled so close to its deadline has timed out
+)
+
 // startRequest gives a request an id of its own and hands it to the module.
 func (l *eventLoop) startRequest(req *clientRequest) {
 	if l.deployment.MaxOpenRequests > 0 && len(l.requests) >= l.deployment.MaxOpenRequests {
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -15,6 +15,18 @@
 	"amberlb/policy"
 )
 
+// Headers between a gateway and a backend.
+const (
+	timeLeftHeader    = "X-Time-Left-Ms" // of a request, also of a client's: milliseconds left for it
+	loadHeader        = "X-Backend-Load" // of a response: the backend's own account of its load
+	unprocessedHeader = "X-Unprocessed"  // of a response: "1" states that nothing of the request was executed
+)
+
+const (
+	maxResponseBytes    = 128 << 10 // bytes of a response with its headers and framing
+	maxInterimResponses = 8         // responses read for a request, until the first that is not of 1xx
+)
+
 // backendConn is one connection to a backend, for one request at a time.
 type backendConn struct {
 	net.Conn
