--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -16,26 +16,6 @@
 // inboxSize is the number of messages that may wait for the loop before post has to wait.
 const inboxSize = 1024
 
-// What sockets tell the loop.
-type (
-	requestArrived     struct{ request *clientRequest }
-	clientDisconnected struct{ request *clientRequest }
-	attemptDone        struct {
-		attempt *attempt
-		result  attemptResult
-	}
-	counterCallDone struct {
-		call    *counterCall
-		outcome policy.Outcome
-		total   float64
-	}
-	shutdownStarted struct{ answerBy float64 } // the clock's time by which all is to be answered
-	listingReceived struct {
-		listing Listing
-		kind    policy.ListKind
-	}
-)
-
 // transport carries out attempts. The loop calls it and waits for nothing.
 type transport interface {
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
@@ -56,7 +36,7 @@
 	counter    *counterClient
 	onListing  func()
 
-	inbox    chan any
+	inbox    chan message
 	stopped  chan struct{}  // closed when run ends
 	attempts sync.WaitGroup // those that use sockets
 
@@ -75,7 +55,7 @@
 
 func newEventLoop(config *Config, transport transport, counter *counterClient, onListing func()) *eventLoop {
 	l := &eventLoop{clock: newClock(), log: config.logger(), deployment: &config.Deployment, transport: transport, counter: counter, onListing: onListing,
-		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
+		inbox: make(chan message, inboxSize), stopped: make(chan struct{}),
 		requests: map[policy.RequestID]*clientRequest{}, openIDs: map[string]struct{}{}, instanceNames: map[policy.BackendID]string{},
 		pendingCalls: map[uint64][]*counterCall{}}
 	l.engine, l.actions = policy.New(config.Settings, config.Seed, l.clock.now(), nil)
@@ -83,10 +63,10 @@
 	return l
 }
 
-// post tells the loop something. It returns false once the loop has ended.
-func (l *eventLoop) post(message any) bool {
+// post hands the loop a message. It waits while the inbox is full, and returns false once the loop has ended.
+func (l *eventLoop) post(m message) bool {
 	select {
-	case l.inbox <- message:
+	case l.inbox <- m:
 		return true
 	case <-l.stopped:
 		return false
@@ -127,8 +107,9 @@
 	}
 }
 
-func (l *eventLoop) handleMessage(message any) {
-	switch m := message.(type) {
+// handleMessage leads each message to what it is about.
+func (l *eventLoop) handleMessage(m message) {
+	switch m := m.(type) {
 	case requestArrived:
 		l.startRequest(m.request)
 	case clientDisconnected:
