--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -19,7 +19,7 @@
 		l.finishCall(call, policy.Rejected, 0)
 		return
 	}
-	l.timers.add(timerEntry{at: call.sentAt + l.deployment.CounterTimeout, call: call})
+	l.timers.schedule(call.sentAt+l.deployment.CounterTimeout, counterCallDeadline{call})
 }
 
 // finishCall takes a call's one end. The module takes the replies for one
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"container/heap"
 	"context"
 	"log/slog"
 	"net/http"
@@ -48,7 +47,7 @@
 	nextID        policy.RequestID
 	instanceNames map[policy.BackendID]string // whose id it is
 	pendingCalls  map[uint64][]*counterCall   // by name, in order, until their replies are handed on
-	timers        timerHeap
+	timers        timerQueue
 	actions       []policy.Action
 	pendingEvents []policy.Event // events that actions brought about
 }
@@ -85,28 +84,32 @@
 // run works until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.stopped)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	wakeUp := time.NewTimer(0)
+	defer wakeUp.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-l.inbox:
 			l.handleMessage(m)
-		case <-timer.C:
+		case <-wakeUp.C:
 		}
-		now := l.clock.now()
-		for len(l.timers) > 0 && (l.timers[0].at <= now || l.isStale(l.timers[0])) {
-			if t := heap.Pop(&l.timers).(timerEntry); !l.isStale(t) {
-				l.fireTimer(t)
-			}
-		}
-		if len(l.timers) > 0 {
-			timer.Reset(time.Until(l.clock.toTime(l.timers[0].at)))
+		l.fireDueTimers()
+		if at, scheduled := l.timers.next(); scheduled {
+			wakeUp.Reset(time.Until(l.clock.toTime(at)))
 		}
 	}
 }
 
+// fireDueTimers fires the timers whose time has come. The clock is read once, so that timers which set others can't
+// keep the loop from its inbox.
+func (l *eventLoop) fireDueTimers() {
+	now := l.clock.now()
+	for t := l.timers.popDue(l, now); t != nil; t = l.timers.popDue(l, now) {
+		t.fire(l)
+	}
+}
+
 // handleMessage leads each message to what it is about.
 func (l *eventLoop) handleMessage(m message) {
 	switch m := m.(type) {
@@ -160,7 +163,7 @@
 			l.metrics.failed[a.Reason].Add(1)
 			l.respond(a.Request, clientResponse{status: http.StatusBadGateway})
 		case policy.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(a.Delay, 0), token: a.Token, request: a.Request})
+			l.timers.schedule(l.clock.now()+max(a.Delay, 0), engineTimer{token: a.Token, request: a.Request})
 		case policy.CounterAdd:
 			l.callCounter(a)
 		case policy.Log:
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -82,18 +82,18 @@
 	l := &eventLoop{requests: map[policy.RequestID]*clientRequest{7: {}}}
 	for _, c := range []struct {
 		name string
-		t    timerEntry
+		t    timer
 		want bool
 	}{
-		{"the module's own", timerEntry{}, false},
-		{"of a live request", timerEntry{request: 7}, false},
-		{"of a request that is over", timerEntry{request: 8}, true},
-		{"of an attempt that is out", timerEntry{attempt: &attempt{}}, false},
-		{"of an attempt that has ended", timerEntry{attempt: &attempt{ended: true}}, true},
-		{"of a call that is out", timerEntry{call: &counterCall{}}, false},
-		{"of an answered call", timerEntry{call: &counterCall{ended: true}}, true},
+		{"the module's own", engineTimer{}, false},
+		{"of a live request", engineTimer{request: 7}, false},
+		{"of a request that is over", engineTimer{request: 8}, true},
+		{"of an attempt that is out", attemptDeadline{&attempt{}}, false},
+		{"of an attempt that has ended", attemptDeadline{&attempt{ended: true}}, true},
+		{"of a call that is out", counterCallDeadline{&counterCall{}}, false},
+		{"of an answered call", counterCallDeadline{&counterCall{ended: true}}, true},
 	} {
-		if got := l.isStale(c.t); got != c.want {
+		if got := c.t.isStale(l); got != c.want {
 			t.Errorf("%s: void %t", c.name, got)
 		}
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -61,7 +61,7 @@
 		return
 	}
 	a.ctx, a.cancelContext = context.WithCancel(context.Background())
-	l.timers.add(timerEntry{at: a.deadline, attempt: a})
+	l.timers.schedule(a.deadline, attemptDeadline{a})
 	l.attempts.Add(1)
 	l.transport.startAttempt(a, func(result attemptResult) {
 		defer l.attempts.Done()
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	for name, ends := range map[string]func(*eventLoop, *clientRequest){
-		"the time-out of the attempt": func(l *eventLoop, x *clientRequest) { l.fireTimer(timerEntry{attempt: x.attempts[0]}) },
+		"the time-out of the attempt": func(l *eventLoop, x *clientRequest) { attemptDeadline{x.attempts[0]}.fire(l) },
 		"a client that leaves":        func(l *eventLoop, x *clientRequest) { l.handleMessage(clientDisconnected{x}) },
 	} {
 		backend := newPeer(t)
