--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -15,16 +15,12 @@
 // inboxSize is the number of messages that may wait for the loop before post has to wait.
 const inboxSize = 1024
 
-// transport carries out attempts. The loop calls it and waits for nothing.
-type transport interface {
-	updateEndpoint(id policy.BackendID, address string, startedAt float64)
-	removeEndpoint(id policy.BackendID)
-	// begin starts an attempt, which ends by a.until or when it is called off; done is then called once.
-	startAttempt(a *attempt, done func(attemptResult))
-}
-
-// eventLoop is the one owner of the decision module. All that happens comes to it
-// in order; it runs the module's actions and waits for no socket.
+// eventLoop is the one owner of the decision module. All that happens comes to it as messages and timers, one at a
+// time and in order. It runs the module's actions and waits for no socket.
+//
+// Its methods and fields belong to the goroutine of run. Before run has begun and after it has ended, they belong to
+// whoever starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use metrics,
+// attempts and the two counts of counter calls.
 type eventLoop struct {
 	clock      clock
 	log        *slog.Logger
@@ -32,31 +28,45 @@
 	deployment *wire.Deployment
 	engine     *policy.Engine
 	transport  transport
-	counter    *counterClient
-	onListing  func()
+	counter    *counterClient // nil where the deployment has none
+	onListing  func()         // called after each listing that has come from discovery
 
 	inbox    chan message
 	stopped  chan struct{}  // closed when run ends
-	attempts sync.WaitGroup // those that use sockets
-
-	counterCalls, counterCallsUnanswered atomic.Uint64 // calls to the counter, and those that ended without its answer
-
-	requests      map[policy.RequestID]*clientRequest // until the last attempt has ended
-	recentIDs     recentIDs                           // the clients' own, of requests taken lately
-	openIDs       map[string]struct{}                 // those of live
-	nextID        policy.RequestID
-	instanceNames map[policy.BackendID]string // whose id it is
-	pendingCalls  map[uint64][]*counterCall   // by name, in order, until their replies are handed on
-	timers        timerQueue
-	actions       []policy.Action
-	pendingEvents []policy.Event // events that actions brought about
+	attempts sync.WaitGroup // those that the transport has not reported done
+
+	counterCalls           atomic.Uint64 // made to the counter
+	counterCallsUnanswered atomic.Uint64 // of them, those that ended without its answer
+
+	requests           map[policy.RequestID]*clientRequest // until they are answered and their last attempt has ended
+	openCorrelationIDs map[string]struct{}                 // the clients' ids of requests
+	recentIDs          recentIDs                           // the clients' ids of requests that came lately
+	lastRequestID      policy.RequestID                    // the one given last
+	instanceNames      map[policy.BackendID]string         // discovery's name of each ready backend
+	pendingCalls       map[uint64][]*counterCall           // by key, in order, until their replies are handed on
+	timers             timerQueue
+
+	actions       []policy.Action // memory for the actions of one event
+	pendingEvents []policy.Event  // the event being handled, and those that its actions brought about
 }
 
+// newEventLoop returns a loop that has handed the module its settings and carried out its first actions. counter is
+// nil where the deployment has none.
 func newEventLoop(config *Config, transport transport, counter *counterClient, onListing func()) *eventLoop {
-	l := &eventLoop{clock: newClock(), log: config.logger(), deployment: &config.Deployment, transport: transport, counter: counter, onListing: onListing,
-		inbox: make(chan message, inboxSize), stopped: make(chan struct{}),
-		requests: map[policy.RequestID]*clientRequest{}, openIDs: map[string]struct{}{}, instanceNames: map[policy.BackendID]string{},
-		pendingCalls: map[uint64][]*counterCall{}}
+	l := &eventLoop{
+		clock:              newClock(),
+		log:                config.logger(),
+		deployment:         &config.Deployment,
+		transport:          transport,
+		counter:            counter,
+		onListing:          onListing,
+		inbox:              make(chan message, inboxSize),
+		stopped:            make(chan struct{}),
+		requests:           map[policy.RequestID]*clientRequest{},
+		openCorrelationIDs: map[string]struct{}{},
+		instanceNames:      map[policy.BackendID]string{},
+		pendingCalls:       map[uint64][]*counterCall{},
+	}
 	l.engine, l.actions = policy.New(config.Settings, config.Seed, l.clock.now(), nil)
 	l.runActions(l.actions)
 	return l
@@ -72,7 +82,7 @@
 	}
 }
 
-// endpointsUpdated passes on what discovery told.
+// endpointsUpdated posts a response of discovery.
 func (l *eventLoop) endpointsUpdated(listing Listing) {
 	kind := policy.Delta
 	if listing.Reset {
@@ -81,7 +91,7 @@
 	l.post(listingReceived{listing, kind})
 }
 
-// run works until ctx ends.
+// run handles messages and timers until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.stopped)
 	wakeUp := time.NewTimer(0)
@@ -116,13 +126,7 @@
 	case requestArrived:
 		l.startRequest(m.request)
 	case clientDisconnected:
-		if m.request.unanswered {
-			l.metrics.add(clientsDisconnected)
-			m.request.unanswered = false
-			l.handleEvent(policy.ClientDisconnected{Request: m.request.decoded.ID})
-			l.cancelUnsent(m.request)
-			l.forget(m.request)
-		}
+		l.dropDisconnected(m.request)
 	case attemptDone:
 		l.finishAttempt(m.attempt, m.result)
 	case counterCallDone:
@@ -135,11 +139,12 @@
 	}
 }
 
-// handleEvent gives the module an event, and then what its actions brought about.
+// handleEvent gives the module an event and runs its actions. What these bring about follows as further events, in
+// order; a call from within an action only queues its event, since the module takes one at a time.
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
-		return // an outer call is at it
+		return // the outer call handles it
 	}
 	for n := 0; n < len(l.pendingEvents); n++ {
 		l.actions = l.engine.Handle(l.clock.now(), l.pendingEvents[n], l.actions[:0])
@@ -149,6 +154,7 @@
 	l.pendingEvents = l.pendingEvents[:0]
 }
 
+// runActions carries out what the module has decided.
 func (l *eventLoop) runActions(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -70,8 +70,8 @@
 		t.Error("a second request was taken under the id of an open one")
 	}
 	l.handleMessage(clientDisconnected{first})
-	if third := request(); len(l.openIDs) != 0 {
-		t.Errorf("%d ids are held for nothing", len(l.openIDs))
+	if third := request(); len(l.openCorrelationIDs) != 0 {
+		t.Errorf("%d ids are held for nothing", len(l.openCorrelationIDs))
 	} else if l.startRequest(third); len(third.response) != 0 {
 		t.Error("the id is not free again")
 	}
