--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -6,11 +6,18 @@
 	"amberlb/policy"
 )
 
+// callCounter makes a call to the counter. A call that can't be queued, or that the deployment has no counter for, is
+// rejected at once.
 func (l *eventLoop) callCounter(action policy.CounterAdd) {
-	call := &counterCall{id: action.Call, key: action.Name, amount: action.Amount, sentAt: l.clock.now(),
-		ttl: min(max(time.Duration(action.TTL*float64(time.Second)), minCounterTTL), maxCounterTTL)}
-	call.report = func(call *counterCall, outcome policy.Outcome, total float64) {
-		l.post(counterCallDone{call, outcome, total})
+	call := &counterCall{
+		id:     action.Call,
+		key:    action.Name,
+		amount: action.Amount,
+		sentAt: l.clock.now(),
+		ttl:    min(max(time.Duration(action.TTL*float64(time.Second)), minCounterTTL), maxCounterTTL),
+		report: func(call *counterCall, outcome policy.Outcome, total float64) {
+			l.post(counterCallDone{call, outcome, total})
+		},
 	}
 	l.pendingCalls[call.key] = append(l.pendingCalls[call.key], call)
 	l.counterCalls.Add(1)
@@ -22,10 +29,8 @@
 	l.timers.schedule(call.sentAt+l.deployment.CounterTimeout, counterCallDeadline{call})
 }
 
-// finishCall takes a call's one end. The module takes the replies for one
-// name in the order of the calls, but a call that is turned away here, or goes
-// out on a new connection, may end before an earlier one; it waits for that. What
-// becomes of a call that was given up is told all the same.
+// finishCall handles the one end of a call. What becomes of a call that had timed out before is handed to the module
+// all the same, since its amount may have been added.
 func (l *eventLoop) finishCall(call *counterCall, outcome policy.Outcome, total float64) {
 	if call.ended {
 		if call.outcome == policy.TimedOut {
@@ -33,24 +38,44 @@
 		}
 		return
 	}
-	call.ended, call.outcome, call.total = true, outcome, total
+	call.ended = true
+	call.outcome = outcome
+	call.total = total
 	l.metrics.calls[outcome].Add(1)
 	if outcome == policy.TimedOut || outcome == policy.ConnectFailed || outcome == policy.ConnectionReset {
 		l.counterCallsUnanswered.Add(1)
 	}
-	for ordered := l.pendingCalls[call.key]; len(ordered) > 0 && ordered[0].ended; ordered = l.pendingCalls[call.key] {
-		call := ordered[0]
-		if l.pendingCalls[call.key] = ordered[1:]; len(ordered) == 1 {
-			delete(l.pendingCalls, call.key)
+	l.deliverReplies(call.key)
+}
+
+// deliverReplies hands the module the replies for a key, up to the first call that has not ended. The module takes
+// them in the order of the calls, but a call that is rejected here, or goes out on a new connection, may end before
+// an earlier one.
+func (l *eventLoop) deliverReplies(key uint64) {
+	for {
+		pending := l.pendingCalls[key] // read each time: the module may call the counter for the key meanwhile
+		if len(pending) == 0 || !pending[0].ended {
+			return
+		}
+		call := pending[0]
+		if len(pending) == 1 {
+			delete(l.pendingCalls, key)
+		} else {
+			l.pendingCalls[key] = pending[1:]
 		}
-		l.handleEvent(policy.CounterReply{Name: call.key, Outcome: call.outcome, Total: call.total, Latency: l.clock.now() - call.sentAt})
+		l.handleEvent(policy.CounterReply{
+			Name:    key,
+			Outcome: call.outcome,
+			Total:   call.total,
+			Latency: l.clock.now() - call.sentAt,
+		})
 	}
 }
 
-// timeOutCall ends a call whose time is over. An answer that has begun, and may never
-// end, says as much as one that can't be read: the amount was added. Told
-// as silence, it would pass for a crowd, and what it added would be lost. A refusal
-// cut to pieces on its way passes for added too; what is taken back then is one call's.
+// timeOutCall ends a call whose time is over. A response that has begun, and may never end, says as much as one that
+// can't be read: the amount was added. Handed to the module as silence, it would count as an overloaded counter, and
+// what it added would be lost. A rejection that is cut to pieces on its way counts as added too; the amount that is
+// then taken back in error is that of one call.
 func (l *eventLoop) timeOutCall(call *counterCall) {
 	call.abandoned.Store(true)
 	outcome := policy.TimedOut
