--- a/internal/gateway/recentids.go
+++ b/internal/gateway/recentids.go
@@ -1,27 +1,36 @@
 package gateway
 
-// recentIDs remembers ids for a while: those of the present span and of the last.
-type recentIDs struct {
-	current, previous map[string]struct{}
-	currentSince      float64
-}
-
 const (
-	recentIDWindow = 4.0     // seconds
-	maxRecentIDs   = 1 << 13 // ids of a span; then the next begins
+	recentIDWindow = 4.0     // seconds for which an id is remembered at least, unless many come
+	maxRecentIDs   = 1 << 13 // ids of a window; with more, the next window begins early
 )
 
-// add tells whether an id is new, and remembers it.
+// recentIDs remembers ids for a while: those of the current window and of the one before. The zero value is empty.
+type recentIDs struct {
+	current      map[string]struct{}
+	previous     map[string]struct{}
+	currentSince float64 // in seconds
+}
+
+// add remembers an id, and reports whether it is new. now is in seconds of the caller's clock.
 func (r *recentIDs) add(id string, now float64) bool {
 	if r.current == nil || now-r.currentSince > recentIDWindow || len(r.current) >= maxRecentIDs {
-		r.current, r.previous, r.currentSince = map[string]struct{}{}, r.current, now
+		r.previous = r.current
+		r.current = map[string]struct{}{}
+		r.currentSince = now
 	}
-	if _, seen := r.current[id]; seen {
-		return false
-	}
-	if _, seen := r.previous[id]; seen {
+	if r.has(id) {
 		return false
 	}
 	r.current[id] = struct{}{}
 	return true
 }
+
+// has reports whether an id is remembered.
+func (r *recentIDs) has(id string) bool {
+	if _, seen := r.current[id]; seen {
+		return true
+	}
+	_, seen := r.previous[id]
+	return seen
+}
