--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -9,42 +9,50 @@
 	"amberlb/policy"
 )
 
-// attemptResult is what became of an attempt.
+// attemptResult is what became of an attempt. Its header and body are set for policy.Served alone.
 type attemptResult struct {
 	outcome policy.Outcome
-	header  http.Header // of a served answer
+	header  http.Header
 	body    []byte
 }
 
-// attempt is one sending of a request to a backend. The loop owns all but what
-// mu guards.
+// attempt is one sending of a request to a backend.
+//
+// On the loop it is in flight until ended is set, by whichever comes first: the transport's result, its deadline, a
+// cancel by the module or its client's leaving.
+//
+// On the transport's goroutine it waits for a connection, is attached to one, has been fully written, and is detached
+// again. The loop may cancel it in each of these states. mu makes that exact: a cancel comes before attach, which
+// then fails, or after it, and then closes the connection.
 type attempt struct {
+	// Set before the transport has the attempt, and constant from then on. The context and its cancel are nil for
+	// an attempt that ended without having begun.
 	request        *clientRequest
-	number         int
+	number         int // among the request's attempts, from 0
 	backend        policy.BackendID
-	sentAt         float64
-	deadline       float64
-	socketDeadline time.Time // the deadline for sockets
-	ended          bool
+	sentAt         float64            // seconds of the loop's clock
+	deadline       float64            // seconds of the loop's clock
+	socketDeadline time.Time          // the deadline for sockets
+	ctx            context.Context    // of the wait for a connection
+	cancelContext  context.CancelFunc // may be called by any goroutine
 
-	ctx           context.Context // of the dial
-	cancelContext context.CancelFunc
+	ended bool // the loop's own
 
-	mu           sync.Mutex
-	conn         *backendConn
-	cancelled    bool // off
-	fullyWritten bool // the request has been written
+	mu           sync.Mutex   // guards what follows
+	conn         *backendConn // while attached
+	cancelled    bool         // nothing may be sent any more
+	fullyWritten bool         // the request has been written to its last byte, and may be executed
 }
 
-// cancel ends the attempt's sending and waiting. Once it has returned, no byte
-// of the request leaves any more: a dial that is up later finds it called off,
-// and a connection in use is closed.
+// cancel ends the attempt's sending and waiting. Once it has returned, no byte of the request leaves any more: a
+// connection that is dialled later finds the attempt cancelled, and one in use is closed.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelLocked()
 }
 
+// cancelLocked is cancel for a caller that holds mu.
 func (a *attempt) cancelLocked() {
 	a.cancelContext()
 	a.cancelled = true
@@ -53,8 +61,7 @@
 	}
 }
 
-// cancelUnsent does so if the request has not been written whole, and tells
-// whether it was called off.
+// cancelUnsent cancels the attempt unless its request has been fully written, and reports whether it did.
 func (a *attempt) cancelUnsent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,26 +72,26 @@
 	return true
 }
 
-// attach takes a connection for the attempt, unless it was called off or its client
-// has left.
-func (a *attempt) attach(c *backendConn) bool {
+// attach ties a connection to the attempt, and reports whether the request may be written to it. It may not once the
+// attempt is cancelled or the client has left.
+func (a *attempt) attach(conn *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancelled || a.request.disconnected.Load() {
 		return false
 	}
-	a.conn = c
+	a.conn = conn
 	return true
 }
 
-// markWritten notes that nothing of the request is left to be written.
+// markWritten records that nothing of the request is left to be written.
 func (a *attempt) markWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fullyWritten = true
 }
 
-// detach gives the connection up. It tells whether it may be used again.
+// detach gives the connection up, and reports whether it may be reused: a cancel would have closed it.
 func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
