--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"container/heap"
 	"context"
 	"log/slog"
 	"net/http"
@@ -13,42 +12,15 @@
 	"amberlb/policy"
 )
 
-const (
-	inboxSize        = 1024
-	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
-)
+// inboxSize is the number of messages that may wait for the loop before post has to wait.
+const inboxSize = 1024
 
-// What sockets tell the loop.
-type (
-	requestArrived     struct{ request *clientRequest }
-	clientDisconnected struct{ request *clientRequest }
-	attemptDone        struct {
-		attempt *attempt
-		result  attemptResult
-	}
-	counterCallDone struct {
-		call    *counterCall
-		outcome policy.Outcome
-		total   float64
-	}
-	shutdownStarted struct{ answerBy float64 } // the clock's time by which all is to be answered
-	listingReceived struct {
-		listing Listing
-		kind    policy.ListKind
-	}
-)
-
-// transport carries out attempts. The loop calls it and waits for nothing.
-type transport interface {
-	updateEndpoint(id policy.BackendID, address string, startedAt float64)
-	removeEndpoint(id policy.BackendID)
-	// begin starts an attempt, which ends by a.until or when it is called off; done is then called once.
-	startAttempt(a *attempt, done func(attemptResult))
-}
-
-// eventLoop is the one owner of the decision module. All that happens comes to it
-// in order; it runs the module's actions and waits for no socket.
+// eventLoop is the one owner of the decision module. All that happens comes to it as messages and timers, one at a
+// time and in order. It runs the module's actions and waits for no socket.
+//
+// Its methods and fields belong to the goroutine of run. Before run has begun and after it has ended, they belong to
+// whoever starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use metrics,
+// attempts and the two counts of counter calls.
 type eventLoop struct {
 	clock      clock
 	log        *slog.Logger
@@ -56,47 +28,61 @@
 	deployment *wire.Deployment
 	engine     *policy.Engine
 	transport  transport
-	counter    *counterClient
-	onListing  func()
+	counter    *counterClient // nil where the deployment has none
+	onListing  func()         // called after each listing that has come from discovery
 
-	inbox    chan any
+	inbox    chan message
 	stopped  chan struct{}  // closed when run ends
-	attempts sync.WaitGroup // those that use sockets
-
-	counterCalls, counterCallsUnanswered atomic.Uint64 // calls to the counter, and those that ended without its answer
-
-	requests      map[policy.RequestID]*clientRequest // until the last attempt has ended
-	recentIDs     recentIDs                           // the clients' own, of requests taken lately
-	openIDs       map[string]struct{}                 // those of live
-	nextID        policy.RequestID
-	instanceNames map[policy.BackendID]string // whose id it is
-	pendingCalls  map[uint64][]*counterCall   // by name, in order, until their replies are handed on
-	timers        timerHeap
-	actions       []policy.Action
-	pendingEvents []policy.Event // events that actions brought about
+	attempts sync.WaitGroup // those that the transport has not reported done
+
+	counterCalls           atomic.Uint64 // made to the counter
+	counterCallsUnanswered atomic.Uint64 // of them, those that ended without its answer
+
+	requests           map[policy.RequestID]*clientRequest // until they are answered and their last attempt has ended
+	openCorrelationIDs map[string]struct{}                 // the clients' ids of requests
+	recentIDs          recentIDs                           // the clients' ids of requests that came lately
+	lastRequestID      policy.RequestID                    // the one given last
+	instanceNames      map[policy.BackendID]string         // discovery's name of each ready backend
+	pendingCalls       map[uint64][]*counterCall           // by key, in order, until their replies are handed on
+	timers             timerQueue
+
+	actions       []policy.Action // memory for the actions of one event
+	pendingEvents []policy.Event  // the event being handled, and those that its actions brought about
 }
 
+// newEventLoop returns a loop that has handed the module its settings and carried out its first actions. counter is
+// nil where the deployment has none.
 func newEventLoop(config *Config, transport transport, counter *counterClient, onListing func()) *eventLoop {
-	l := &eventLoop{clock: newClock(), log: config.logger(), deployment: &config.Deployment, transport: transport, counter: counter, onListing: onListing,
-		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
-		requests: map[policy.RequestID]*clientRequest{}, openIDs: map[string]struct{}{}, instanceNames: map[policy.BackendID]string{},
-		pendingCalls: map[uint64][]*counterCall{}}
+	l := &eventLoop{
+		clock:              newClock(),
+		log:                config.logger(),
+		deployment:         &config.Deployment,
+		transport:          transport,
+		counter:            counter,
+		onListing:          onListing,
+		inbox:              make(chan message, inboxSize),
+		stopped:            make(chan struct{}),
+		requests:           map[policy.RequestID]*clientRequest{},
+		openCorrelationIDs: map[string]struct{}{},
+		instanceNames:      map[policy.BackendID]string{},
+		pendingCalls:       map[uint64][]*counterCall{},
+	}
 	l.engine, l.actions = policy.New(config.Settings, config.Seed, l.clock.now(), nil)
 	l.runActions(l.actions)
 	return l
 }
 
-// post tells the loop something. It returns false once the loop has ended.
-func (l *eventLoop) post(message any) bool {
+// post hands the loop a message. It waits while the inbox is full, and returns false once the loop has ended.
+func (l *eventLoop) post(m message) bool {
 	select {
-	case l.inbox <- message:
+	case l.inbox <- m:
 		return true
 	case <-l.stopped:
 		return false
 	}
 }
 
-// endpointsUpdated passes on what discovery told.
+// endpointsUpdated posts a response of discovery.
 func (l *eventLoop) endpointsUpdated(listing Listing) {
 	kind := policy.Delta
 	if listing.Reset {
@@ -105,43 +91,42 @@
 	l.post(listingReceived{listing, kind})
 }
 
-// run works until ctx ends.
+// run handles messages and timers until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.stopped)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	wakeUp := time.NewTimer(0)
+	defer wakeUp.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-l.inbox:
 			l.handleMessage(m)
-		case <-timer.C:
-		}
-		now := l.clock.now()
-		for len(l.timers) > 0 && (l.timers[0].at <= now || l.isStale(l.timers[0])) {
-			if t := heap.Pop(&l.timers).(timerEntry); !l.isStale(t) {
-				l.fireTimer(t)
-			}
+		case <-wakeUp.C:
 		}
-		if len(l.timers) > 0 {
-			timer.Reset(time.Until(l.clock.toTime(l.timers[0].at)))
+		l.fireDueTimers()
+		if at, scheduled := l.timers.next(); scheduled {
+			wakeUp.Reset(time.Until(l.clock.toTime(at)))
 		}
 	}
 }
 
-func (l *eventLoop) handleMessage(message any) {
-	switch m := message.(type) {
+// fireDueTimers fires the timers whose time has come. The clock is read once, so that timers which set others can't
+// keep the loop from its inbox.
+func (l *eventLoop) fireDueTimers() {
+	now := l.clock.now()
+	for t := l.timers.popDue(l, now); t != nil; t = l.timers.popDue(l, now) {
+		t.fire(l)
+	}
+}
+
+// handleMessage leads each message to what it is about.
+func (l *eventLoop) handleMessage(m message) {
+	switch m := m.(type) {
 	case requestArrived:
 		l.startRequest(m.request)
 	case clientDisconnected:
-		if m.request.unanswered {
-			l.metrics.add(clientsDisconnected)
-			m.request.unanswered = false
-			l.handleEvent(policy.ClientDisconnected{Request: m.request.decoded.ID})
-			l.cancelUnsent(m.request)
-			l.forget(m.request)
-		}
+		l.dropDisconnected(m.request)
 	case attemptDone:
 		l.finishAttempt(m.attempt, m.result)
 	case counterCallDone:
@@ -154,11 +139,12 @@
 	}
 }
 
-// handleEvent gives the module an event, and then what its actions brought about.
+// handleEvent gives the module an event and runs its actions. What these bring about follows as further events, in
+// order; a call from within an action only queues its event, since the module takes one at a time.
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
-		return // an outer call is at it
+		return // the outer call handles it
 	}
 	for n := 0; n < len(l.pendingEvents); n++ {
 		l.actions = l.engine.Handle(l.clock.now(), l.pendingEvents[n], l.actions[:0])
@@ -168,6 +154,7 @@
 	l.pendingEvents = l.pendingEvents[:0]
 }
 
+// runActions carries out what the module has decided.
 func (l *eventLoop) runActions(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -182,7 +169,7 @@
 			l.metrics.failed[a.Reason].Add(1)
 			l.respond(a.Request, clientResponse{status: http.StatusBadGateway})
 		case policy.SetTimer:
-			l.timers.add(timerEntry{at: l.clock.now() + max(a.Delay, 0), token: a.Token, request: a.Request})
+			l.timers.schedule(l.clock.now()+max(a.Delay, 0), engineTimer{token: a.Token, request: a.Request})
 		case policy.CounterAdd:
 			l.callCounter(a)
 		case policy.Log:
