--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -61,7 +61,7 @@
 	b.address = l.Addr().String()
 	front := &frontend{loop: b.loop, deployment: &c.Deployment}
 	callers := newClientConnections(way(l), 2*leavers)
-	server := front.newServer(callers, patience)
+	server := front.newHTTPServer(callers, patience)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { b.loop.run(ctx) })
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -15,6 +15,13 @@
 	"amberlb/policy"
 )
 
+// The bounds of what a client may state in its headers.
+const (
+	maxIDBytes       = 256 // bytes of a correlation id or an idempotency key
+	maxClientTimeout = time.Hour
+	customerIDLimit  = 1 << 33 // customer ids are below it
+)
+
 // decode takes a request in, whole, or says with which status it is turned down.
 func (f *frontend) decode(w http.ResponseWriter, r *http.Request) (*clientRequest, int, error) {
 	now := f.loop.clock.now()
@@ -123,11 +130,11 @@
 		seen += key + "="
 		var err error
 		switch key {
-		case "units":
+		case unitsKey:
 			decoded.Units, err = strconv.ParseFloat(value, 64)
-		case "spread":
+		case gatewaysKey:
 			decoded.Gateways, err = strconv.Atoi(value)
-		case "first":
+		case firstGatewayKey:
 			decoded.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -1,35 +1,15 @@
 package gateway
 
 import (
-	"context"
 	"io"
-	"net"
 	"net/http"
 	"sync/atomic"
-	"time"
 
 	"amberlb/internal/wire"
 )
 
-const (
-	maxHeaderBytes   = 16 << 10 // bytes
-	maxIDBytes       = 256      // bytes of an id or a key
-	maxClientTimeout = time.Hour
-	readTimeout      = 2500 * time.Millisecond // for a whole request; 3 s after connecting a client is owed an error or a close
-	writeTimeout     = 10 * time.Second
-	idleTimeout      = 2 * time.Minute
-	readyPath        = "/health/ready"
-
-	correlationIDHeader  = "X-Correlation-Id"
-	classHeader          = "X-Service-Class"
-	planHeader           = "X-Tier"
-	apiKeyHeader         = "X-Api-Key"
-	idempotencyKeyHeader = "Idempotency-Key"
-	quotaHeader          = "X-Call-Terms"
-	retryHeader          = "X-Repeat"
-
-	customerIDLimit = 1 << 33 // ids are below it
-)
+// readyPath answers 200 while the gateway takes clients.
+const readyPath = "/health/ready"
 
 // frontend serves clients.
 type frontend struct {
@@ -40,25 +20,6 @@
 	rejecting  atomic.Bool // nothing new is taken
 }
 
-// newServer serves the clients of c, whose requests are held for the given time at
-// most.
-func (f *frontend) newServer(clients *clientConnections, maxRequestTime time.Duration) *http.Server {
-	return &http.Server{Handler: f, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout,
-		IdleTimeout: idleTimeout, WriteTimeout: readTimeout + maxRequestTime + writeTimeout, ConnState: clients.onConnState,
-		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, connContextKey{}, conn)
-		}}
-}
-
-// connContextKey is the key of a request's connection in its context.
-type connContextKey struct{}
-
-// clientConnOf returns the connection that a request came on; nil outside of a server.
-func clientConnOf(r *http.Request) *clientConn {
-	conn, _ := r.Context().Value(connContextKey{}).(*clientConn)
-	return conn
-}
-
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath {
 		if f.draining.Load() {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -93,7 +93,7 @@
 
 	s.clientConnections = newClientConnections(listener, maxClients)
 	s.clientConnections.metrics, s.clientConnections.log = &loop.metrics, s.log
-	s.httpServer = s.frontend.newServer(s.clientConnections, config.longestDeadline()+seconds(config.AnswerSlack))
+	s.httpServer = s.frontend.newHTTPServer(s.clientConnections, config.longestDeadline()+seconds(config.AnswerSlack))
 	s.httpServer.ErrorLog = slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)
 	s.serveErr = make(chan error, 1)
 	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
