--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	r = r.WithContext(context.WithValue(r.Context(), connContextKey{}, conn))
-	x, _, err := f.decode(httptest.NewRecorder(), r)
+	x, err := f.decode(httptest.NewRecorder(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -19,115 +19,208 @@
 const (
 	maxIDBytes       = 256 // bytes of a correlation id or an idempotency key
 	maxClientTimeout = time.Hour
+	customerIDDigits = 16      // hex digits of a customer id
 	customerIDLimit  = 1 << 33 // customer ids are below it
 )
 
-// decode takes a request in, whole, or says with which status it is turned down.
-func (f *frontend) decode(w http.ResponseWriter, r *http.Request) (*clientRequest, int, error) {
-	now := f.loop.clock.now()
-	switch {
-	case !r.ProtoAtLeast(1, 1):
-		// Its framing is that of another time; net/http drops a Transfer-Encoding there unseen.
-		return nil, http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")
-	case len(r.TransferEncoding) > 0:
-		// Beside it may have stood a Content-Length, which net/http drops unseen, and another
-		// request in the body as counted by that. A length is asked for, as RFC 9110, 15.5.12 allows.
-		return nil, http.StatusLengthRequired, errors.New("a body needs a Content-Length")
-	}
-	req := &clientRequest{method: r.Method, uri: r.RequestURI, host: r.Host, response: make(chan clientResponse, 1)}
+// requestError is the reason why a client's request is invalid. It never reaches the decisions or a backend.
+type requestError struct {
+	status int   // the HTTP status of the answer, 4xx or 5xx
+	err    error // what is wrong; its text is the body of the answer
+}
+
+// Error returns what is wrong with the request, without the status.
+func (e *requestError) Error() string { return e.err.Error() }
+
+// Unwrap returns what is wrong with the request.
+func (e *requestError) Unwrap() error { return e.err }
+
+// badRequest returns a requestError with status 400 and a formatted text.
+func badRequest(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
+}
+
+// decode validates a client's request and reads it whole, body included. Its error is a *requestError. The server's
+// watch for a client that disconnects, which a read deadline would end, runs when it has returned without an error.
+func (f *frontend) decode(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
+	receivedAt := f.loop.clock.now()
+	if err := checkFraming(r); err != nil {
+		return nil, err
+	}
 	decoded, err := f.decodeHeaders(r)
 	if err != nil {
-		return nil, http.StatusBadRequest, err
+		return nil, err
 	}
-	req.decoded = decoded
-	req.correlationID = r.Header.Get(correlationIDHeader)
 	class := &f.deployment.Classes[decoded.Class]
-	switch idempotencyKey := r.Header.Get(idempotencyKeyHeader); {
-	case class.Idempotency == policy.Idempotent && r.Method != http.MethodGet,
-		class.Idempotency != policy.Idempotent && r.Method != http.MethodPost:
-		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)
-	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return nil, http.StatusBadRequest, errors.New("a GET has no body")
-	case class.Idempotency == policy.IdempotentByKey && idempotencyKey == "":
-		return nil, http.StatusBadRequest, errors.New(idempotencyKeyHeader + " is missing")
-	case len(idempotencyKey) > maxIDBytes:
-		return nil, http.StatusBadRequest, errors.New(idempotencyKeyHeader + " is too long")
-	case r.ContentLength > maxBodyBytes:
-		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
+	if err := checkAgainstClass(r, class.Idempotency); err != nil {
+		return nil, err
 	}
+	var body []byte
 	if r.ContentLength != 0 {
-		req.body, err = readBody(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
-		if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
-			return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
-		} else if errors.Is(err, os.ErrDeadlineExceeded) {
-			conn := clientConnOf(r)
-			return nil, conn.table.incompleteStatus(conn), fmt.Errorf("body: %w", err)
-		} else if err != nil {
-			return nil, http.StatusBadRequest, fmt.Errorf("body: %w", err)
+		body, err = readRequestBody(w, r)
+		if err != nil {
+			return nil, err
 		}
-		io.Copy(io.Discard, r.Body) // to its end: only then does the server watch for a client that leaves
-		now = f.loop.clock.now()    // a request's time counts from its last byte
+		receivedAt = f.loop.clock.now() // a request's time counts from its last byte
 	}
 	if conn := clientConnOf(r); conn != nil {
-		now -= conn.takeFirstRequestDelay().Seconds()
+		receivedAt -= conn.takeFirstRequestDelay().Seconds()
 	}
-	// The time-out for reading the request would end the watch.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	req.decoded.SentAt = now
-	// A client that claims hours would hold its request, and a stop, for as long as a backend hangs.
-	req.decoded.Deadline = min(req.decoded.Deadline, class.Deadline) + now - responseMargin
-	req.header = forwardedHeaders(r.Header)
-	return req, 0, nil
+	decoded.SentAt = receivedAt
+	// A client that claims hours would hold its request, and a graceful shutdown, for as long as a backend hangs.
+	decoded.Deadline = min(decoded.Deadline, class.Deadline) + receivedAt - responseMargin
+	return &clientRequest{
+		correlationID: r.Header.Get(correlationIDHeader),
+		decoded:       decoded,
+		method:        r.Method,
+		uri:           r.RequestURI,
+		host:          r.Host,
+		header:        forwardedHeaders(r.Header),
+		body:          body,
+		response:      make(chan clientResponse, 1),
+	}, nil
 }
 
-// decodeHeaders reads the headers that the decisions need. Nothing has a default: a
-// request that is not understood might be charged to the wrong customer or
-// repeated against its class.
+// checkFraming rejects requests whose end net/http and a backend might see at different bytes.
+func checkFraming(r *http.Request) error {
+	if !r.ProtoAtLeast(1, 1) {
+		// HTTP/1.0 frames requests by other rules; net/http drops a Transfer-Encoding there without notice.
+		return &requestError{http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")}
+	}
+	if len(r.TransferEncoding) > 0 {
+		// There may have been a Content-Length too, which net/http drops without notice, and another request in the
+		// body as counted by that. A length is required, as RFC 9110, 15.5.12 allows.
+		return &requestError{http.StatusLengthRequired, errors.New("a body needs a Content-Length")}
+	}
+	return nil
+}
+
+// checkAgainstClass rejects requests whose method, idempotency key or claimed length does not suit their class.
+func checkAgainstClass(r *http.Request, idempotency policy.Idempotency) error {
+	wantMethod := http.MethodPost
+	if idempotency == policy.Idempotent {
+		wantMethod = http.MethodGet
+	}
+	idempotencyKey := r.Header.Get(idempotencyKeyHeader)
+	switch {
+	case r.Method != wantMethod:
+		return &requestError{http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)}
+	case r.Method == http.MethodGet && r.ContentLength != 0:
+		return badRequest("a GET has no body")
+	case idempotency == policy.IdempotentByKey && idempotencyKey == "":
+		return badRequest("%s is missing", idempotencyKeyHeader)
+	case len(idempotencyKey) > maxIDBytes:
+		return badRequest("%s is too long", idempotencyKeyHeader)
+	case r.ContentLength > maxBodyBytes:
+		return &requestError{http.StatusRequestEntityTooLarge, errBodyTooLong}
+	}
+	return nil
+}
+
+// readRequestBody reads a body of known length whole.
+func readRequestBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := readBody(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
+	if err != nil {
+		return nil, requestBodyError(err, clientConnOf(r))
+	}
+	io.Copy(io.Discard, r.Body) // to its end: only then does the server watch for a client that disconnects
+	return body, nil
+}
+
+// requestBodyError finds the status for a body that could not be read from conn.
+func requestBodyError(err error, conn *clientConn) error {
+	var tooLong *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLong):
+		return &requestError{http.StatusRequestEntityTooLarge, errBodyTooLong}
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return &requestError{conn.table.incompleteStatus(conn), fmt.Errorf("body: %w", err)}
+	}
+	return badRequest("body: %w", err)
+}
+
+// decodeHeaders reads the headers that the decisions need. Deadline is the client's timeout in seconds as yet, not a
+// moment. No header has a default: a request that is not understood might be charged to the wrong customer or retried
+// although its class forbids it.
 func (f *frontend) decodeHeaders(r *http.Request) (policy.Request, error) {
 	var decoded policy.Request
-	header := r.Header
+	if err := checkSingleHeaders(r.Header); err != nil {
+		return decoded, err
+	}
+	if id := r.Header.Get(correlationIDHeader); id == "" || len(id) > maxIDBytes {
+		return decoded, badRequest("%s is missing or too long", correlationIDHeader)
+	}
+	var err error
+	if decoded.Class, err = f.decodeClass(r); err != nil {
+		return decoded, err
+	}
+	decoded.Plan = slices.Index(f.deployment.PlanNames, r.Header.Get(planHeader))
+	if decoded.Plan < 0 {
+		return decoded, badRequest("%s names no plan", planHeader)
+	}
+	if decoded.Customer, err = decodeCustomer(r.Header.Get(apiKeyHeader)); err != nil {
+		return decoded, err
+	}
+	if decoded.Deadline, err = decodeTimeout(r.Header.Get(timeLeftHeader)); err != nil {
+		return decoded, err
+	}
+	decoded.IsRetry = r.Header.Get(retryHeader) == "1"
+	return decoded, f.decodeQuota(&decoded, r.Header.Get(quotaHeader))
+}
+
+// checkSingleHeaders rejects a request in which one of singleHeaders occurs twice.
+func checkSingleHeaders(header http.Header) error {
 	for _, name := range singleHeaders {
 		if len(header[name]) > 1 {
-			return decoded, errors.New(name + " stands more than once")
+			return badRequest("%s stands more than once", name)
 		}
 	}
-	if id := header.Get(correlationIDHeader); id == "" || len(id) > maxIDBytes {
-		return decoded, errors.New(correlationIDHeader + " is missing or too long")
-	}
-	class := header.Get(classHeader)
-	if decoded.Class = slices.Index(f.deployment.ClassNames, class); decoded.Class < 0 {
-		return decoded, errors.New(classHeader + " names no class")
-	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class || strings.HasPrefix(r.RequestURI, "//") {
-		return decoded, errors.New("the path is not one of the class")
+	return nil
+}
+
+// decodeClass returns the index of a request's class, which its path must begin with.
+func (f *frontend) decodeClass(r *http.Request) (int, error) {
+	name := r.Header.Get(classHeader)
+	class := slices.Index(f.deployment.ClassNames, name)
+	if class < 0 {
+		return 0, badRequest("%s names no class", classHeader)
 	}
-	if decoded.Plan = slices.Index(f.deployment.PlanNames, header.Get(planHeader)); decoded.Plan < 0 {
-		return decoded, errors.New(planHeader + " names no plan")
+	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	if firstSegment != name || strings.HasPrefix(r.RequestURI, "//") {
+		return 0, badRequest("the path is not one of the class")
 	}
-	customer := header.Get(apiKeyHeader)
-	n, err := strconv.ParseUint(customer, 16, 64)
-	if err != nil || len(customer) != 16 || n >= customerIDLimit {
-		return decoded, errors.New(apiKeyHeader + " is not the number of a customer")
+	return class, nil
+}
+
+// decodeCustomer parses an API key, which is the number of a customer.
+func decodeCustomer(key string) (policy.CustomerID, error) {
+	id, err := strconv.ParseUint(key, 16, 64)
+	if err != nil || len(key) != customerIDDigits || id >= customerIDLimit {
+		return 0, badRequest("%s is not the number of a customer", apiKeyHeader)
 	}
-	decoded.Customer = policy.CustomerID(n)
-	timeLeft, err := strconv.ParseInt(header.Get(timeLeftHeader), 10, 64)
-	if err != nil || timeLeft <= 0 || timeLeft > maxClientTimeout.Milliseconds() {
-		return decoded, errors.New(timeLeftHeader + " is not a time in milliseconds")
+	return policy.CustomerID(id), nil
+}
+
+// decodeTimeout parses the time that a client will wait, and returns it in seconds.
+func decodeTimeout(text string) (float64, error) {
+	millis, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || millis <= 0 || millis > maxClientTimeout.Milliseconds() {
+		return 0, badRequest("%s is not a time in milliseconds", timeLeftHeader)
 	}
-	decoded.Deadline = float64(timeLeft) / 1000 // from when it is whole
-	decoded.IsRetry = header.Get(retryHeader) == "1"
-	return decoded, f.decodeQuota(&decoded, header.Get(quotaHeader))
+	return float64(millis) / 1000, nil
 }
 
-// decodeQuota reads the units of a request and the gateways of its customer.
+// decodeQuota parses the units of a request and the gateways of its customer, and checks their ranges. Unknown keys
+// are ignored.
 func (f *frontend) decodeQuota(decoded *policy.Request, text string) error {
-	seen := ""
+	seenKeys := "" // each followed by "="; a key that ends another one counts as seen too
 	for pair := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		if strings.Contains(seen, key+"=") {
-			return fmt.Errorf("%s: %s stands more than once", quotaHeader, key)
+		if strings.Contains(seenKeys, key+"=") {
+			return badRequest("%s: %s stands more than once", quotaHeader, key)
 		}
-		seen += key + "="
+		seenKeys += key + "="
 		var err error
 		switch key {
 		case unitsKey:
@@ -138,16 +231,23 @@
 			decoded.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %s is not a number", quotaHeader, key)
+			return badRequest("%s: %s is not a number", quotaHeader, key)
 		}
 	}
+	if !f.quotaInRange(decoded) {
+		return badRequest("%s: units, spread or first is missing or out of range", quotaHeader)
+	}
+	return nil
+}
+
+// quotaInRange tells whether the units of a request and the gateways of its customer are possible in this deployment.
+func (f *frontend) quotaInRange(decoded *policy.Request) bool {
 	maxUnits := f.deployment.MaxUnits
 	if maxUnits <= 0 {
 		maxUnits = math.MaxInt32
 	}
-	if !(decoded.Units > 0 && decoded.Units <= maxUnits) || decoded.Gateways < 1 || decoded.Gateways > f.deployment.FleetSize ||
-		decoded.FirstGateway < 0 || decoded.FirstGateway >= f.deployment.FleetSize {
-		return errors.New(quotaHeader + ": units, spread or first is missing or out of range")
-	}
-	return nil
+	fleetSize := f.deployment.FleetSize
+	return decoded.Units > 0 && decoded.Units <= maxUnits && // false for NaN
+		decoded.Gateways >= 1 && decoded.Gateways <= fleetSize &&
+		decoded.FirstGateway >= 0 && decoded.FirstGateway < fleetSize
 }
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -225,7 +225,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, _, err := f.decode(httptest.NewRecorder(), r)
+		x, err := f.decode(httptest.NewRecorder(), r)
 		if err != nil {
 			t.Fatal(err)
 		}
