--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -97,16 +97,3 @@
 	}
 	return counts
 }
-
-// unanswered lists requests that have been taken and not answered, so many at most.
-func (c *clientConnections) unanswered(limit int) []unansweredRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var requests []unansweredRequest
-	for conn := range c.conns {
-		if req := conn.request.Load(); req != nil && len(requests) < limit {
-			requests = append(requests, unansweredRequest{clientRequest: req, client: conn.RemoteAddr().String()})
-		}
-	}
-	return requests
-}
