--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -2,12 +2,12 @@
 
 import "amberlb/policy"
 
-// applyListing takes in a list of backends, or changes to it. The transport follows it before the module hears of it,
+// applyEndpointList takes in a list of backends, or changes to it. The transport follows it before the module hears of it,
 // so that nothing is sent to a backend that drains.
-func (l *eventLoop) applyListing(listing Listing, kind policy.ListKind) {
+func (l *eventLoop) applyEndpointList(listing EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
-	for _, instance := range listing.Instances {
+	for _, instance := range listing.Entries {
 		backend, ok := l.readInstance(instance)
 		if !ok {
 			continue
@@ -27,7 +27,7 @@
 
 // readInstance returns the backend that an entry describes, and false where the entry is to be passed over. An entry
 // that can't be read, for a backend in use, may say that it drains, and is taken to.
-func (l *eventLoop) readInstance(instance Instance) (backend policy.Backend, ok bool) {
+func (l *eventLoop) readInstance(instance EndpointEntry) (backend policy.Backend, ok bool) {
 	backend, err := instance.toBackend(l.deployment)
 	if err != nil {
 		l.log.Warn("discovery: an entry can't be read", "error", err)
@@ -43,7 +43,7 @@
 }
 
 // updateTransport has the transport follow an entry of a listing: only ready backends get connections.
-func (l *eventLoop) updateTransport(instance Instance, backend policy.Backend) {
+func (l *eventLoop) updateTransport(instance EndpointEntry, backend policy.Backend) {
 	if backend.State != policy.Ready {
 		l.removeInstance(backend.ID)
 		return
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -83,7 +83,7 @@
 }
 
 // endpointsUpdated posts a response of discovery.
-func (l *eventLoop) endpointsUpdated(listing Listing) {
+func (l *eventLoop) endpointsUpdated(listing EndpointList) {
 	kind := policy.Delta
 	if listing.Reset {
 		kind = policy.FullList
@@ -135,7 +135,7 @@
 		l.handleEvent(policy.Shutdown{AnswerBy: m.answerBy})
 	case listingReceived:
 		l.metrics.add(listsReceived)
-		l.applyListing(m.listing, m.kind)
+		l.applyEndpointList(m.listing, m.kind)
 	}
 }
 
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -34,7 +34,7 @@
 
 // listingReceived carries a response of discovery.
 type listingReceived struct {
-	listing Listing
+	listing EndpointList
 	kind    policy.ListKind
 }
 
