--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -49,11 +49,11 @@
 			<-*gate
 		}
 	})
-	told := Listing{Reset: true}
+	told := EndpointList{Reset: true}
 	for i := range leavers {
-		told.Instances = append(told.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
+		told.Entries = append(told.Entries, EndpointEntry{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	b.loop.applyListing(told, policy.FullList)
+	b.loop.applyEndpointList(told, policy.FullList)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -392,7 +392,7 @@
 		t.Fatal(err)
 	}
 	l := newEventLoop(&c, newConnectionPools(patience, time.Minute, 8), newCounterClient(far.address(), patience), func() {})
-	l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
+	l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	x := &clientRequest{correlationID: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
 		decoded: policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15}}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,15 +19,15 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Name          string
-	Listen        string // where clients connect
-	Discovery     string
-	Counter       string // empty where the deployment has none
-	Seed          uint64
-	Cores         float64
-	MemoryMB      int
-	Sockets       int // file descriptors
-	CachedListing Listing
+	Name            string
+	Listen          string // where clients connect
+	Discovery       string
+	Counter         string // empty where the deployment has none
+	Seed            uint64
+	Cores           float64
+	MemoryMB        int
+	Sockets         int // file descriptors
+	CachedEndpoints EndpointList
 	wire.Deployment
 
 	// Log takes the gateway's lines; nil: slog.Default. It doesn't come from the file.
@@ -69,7 +69,7 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		}
-		Known    Listing
+		Known    EndpointList
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -79,7 +79,7 @@
 		return Config{}, errors.New("no settings")
 	}
 	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Counter: raw.Counter,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, CachedListing: raw.Known}
+		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, CachedEndpoints: raw.Known}
 	var err error
 	if c.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
 		return Config{}, err
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.GatewayIndex != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
-		c.IdleTimeout != 15 || c.Sockets != 1024 || c.CachedListing.Generation != 41 || c.Zones[1] != "b" {
+		c.IdleTimeout != 15 || c.Sockets != 1024 || c.CachedEndpoints.Generation != 41 || c.Zones[1] != "b" {
 		t.Errorf("read %+v", c)
 	}
 	for _, bad := range [][2]string{
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -67,8 +67,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			far := newPeer(t)
-			heard := make(chan Listing, 8)
-			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l Listing) { heard <- l }))
+			heard := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { heard <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -95,8 +95,8 @@
 // The same holds where a connection never came up, and where it was refused.
 func TestChangeAfterNoConnection(t *testing.T) {
 	t.Parallel()
-	heard := make(chan Listing, 8)
-	tell := func(l Listing) { heard <- l }
+	heard := make(chan EndpointList, 8)
+	tell := func(l EndpointList) { heard <- l }
 	far := newCrowded(t)
 	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, tell))
 	for end := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(end); {
@@ -171,8 +171,8 @@
 				}
 			}))
 			t.Cleanup(slow.Close)
-			heard := make(chan Listing, 8)
-			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l Listing) { heard <- l }))
+			heard := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l EndpointList) { heard <- l }))
 			wait(t, heard, "list")
 		})
 	}
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	told := listingOf(true, "Ready", other)
-	told.Instances = append(told.Instances, Instance{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
+	told.Entries = append(told.Entries, EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
 	r.registry.answers <- told
 	serveOne(t, other, "ok")
 	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -70,10 +70,10 @@
 	return r
 }
 
-func listingOf(reset bool, lifecycle string, backends ...*peer) Listing {
-	l := Listing{Generation: 1, Reset: reset, Instances: []Instance{}}
+func listingOf(reset bool, lifecycle string, backends ...*peer) EndpointList {
+	l := EndpointList{Generation: 1, Reset: reset, Entries: []EndpointEntry{}}
 	for _, b := range backends {
-		l.Instances = append(l.Instances, Instance{ID: b.address(), HostPort: b.address(), Zone: "a", MachineType: "m",
+		l.Entries = append(l.Entries, EndpointEntry{ID: b.address(), HostPort: b.address(), Zone: "a", MachineType: "m",
 			Lifecycle: lifecycle, Weight: 1})
 	}
 	return l
@@ -102,9 +102,9 @@
 // heard.
 func (r *rig) list(t *testing.T, addresses ...string) {
 	t.Helper()
-	told := Listing{Generation: 2, Reset: true}
+	told := EndpointList{Generation: 2, Reset: true}
 	for _, address := range addresses {
-		told.Instances = append(told.Instances, Instance{ID: address, HostPort: address, Zone: "a", Lifecycle: "Ready", Weight: 1})
+		told.Entries = append(told.Entries, EndpointEntry{ID: address, HostPort: address, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -24,7 +24,7 @@
 // runHollow runs a hollow gateway with one backend until the test, or what it returns, ends it.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
 	discovery := newRegistry(t)
-	discovery.answers <- Listing{Generation: 1, Reset: true, Instances: []Instance{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
+	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -140,7 +140,7 @@
 		backend := newPeer(t)
 		p := newConnectionPools(patience, time.Minute, 8)
 		l := newEventLoop(&c, p, nil, func() {})
-		l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
+		l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
 		now := l.clock.now()
 		x := &clientRequest{correlationID: "one", method: "POST", uri: "/payment", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
 			decoded: policy.Request{Class: 2, Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15}}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -76,16 +76,16 @@
 	defer loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
 	defer s.parts.Wait()
 	defer stopParts()
-	loop.applyListing(config.CachedListing, policy.CachedList)
+	loop.applyEndpointList(config.CachedEndpoints, policy.CachedList)
 	s.parts.Go(func() { loop.run(partsContext) })
 	s.parts.Go(func() { pools.sweepIdle(partsContext) })
 	s.parts.Go(func() { loop.metrics.logPeriodically(partsContext, s.log) })
 	if s.counter != nil {
 		s.parts.Go(func() { s.counter.run(partsContext) })
 	}
-	s.watchDiscovery(config.Discovery, len(config.CachedListing.Instances) > 0)
+	s.watchDiscovery(config.Discovery, len(config.CachedEndpoints.Entries) > 0)
 	cachedListTimer := time.AfterFunc(cachedListDelay, func() {
-		if len(config.CachedListing.Instances) > 0 {
+		if len(config.CachedEndpoints.Entries) > 0 {
 			s.markReady("the list known from before")
 		}
 	})
@@ -98,7 +98,7 @@
 	s.serveErr = make(chan error, 1)
 	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
 	s.log.Info("started", "listen", listener.Addr().String(), "discovery", config.Discovery, "counter", config.Counter,
-		"known_backends", len(config.CachedListing.Instances), "most_clients", maxClients)
+		"known_backends", len(config.CachedEndpoints.Entries), "most_clients", maxClients)
 	stopRequested := make(chan time.Time, 1)
 	defer context.AfterFunc(ctx, func() { stopRequested <- time.Now() })() // a reload may be under way
 	for {
