--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"amberlb/internal/asynclog"
+	"amberlb/internal/asyncwriter"
 	"amberlb/internal/gateway"
 )
 
@@ -30,7 +30,7 @@
 
 func main() {
 	signal.Ignore(syscall.SIGPIPE) // a log that is closed ends nothing
-	log := asynclog.New(os.Stderr)
+	log := asyncwriter.New(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read whole
--- a/internal/asynclog/asynclog.go
+++ b/internal/asyncwriter/writer.go
@@ -1,5 +1,5 @@
-// Package asynclog passes log lines on without ever making who writes them wait.
-package asynclog
+// Package asyncwriter passes log lines on without ever making who writes them wait.
+package asyncwriter
 
 import (
 	"bytes"
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -1,4 +1,4 @@
-package asynclog
+package asyncwriter
 
 import (
 	"bytes"
