--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -1,4 +1,5 @@
-// Package asyncwriter passes log lines on without ever making who writes them wait.
+// Package asyncwriter provides an io.Writer that never blocks its callers. It decouples a program from the reader of
+// its log, which may be slow, stuck or gone.
 package asyncwriter
 
 import (
@@ -9,47 +10,48 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines wait at most; further ones are dropped and counted.
+// maxQueuedLines is the length of the queue. Lines that don't fit are dropped and counted.
 const maxQueuedLines = 1024
 
-// Writer passes each Write on to another writer, in order, on a goroutine of its own. Errors of that writer are ignored:
-// a log that nobody takes must not keep a program from its work. Its methods may be called from many goroutines.
+// Writer forwards each Write to another writer, in order, on a goroutine of its own. Errors of that writer are ignored:
+// a log that nobody reads must not keep a program from its work. Its methods may be called from many goroutines.
+// A Writer is made by New, and its goroutine lasts as long as the process.
 type Writer struct {
 	dst     io.Writer
-	lines   chan line
-	dropped atomic.Uint64
+	queue   chan queueEntry
+	dropped atomic.Uint64 // lines dropped since the last line about them
 }
 
-// line is one line, or a mark that all before it have been passed on.
-type line struct {
-	text    []byte
-	flushed chan struct{}
+// queueEntry is a line, or a marker that all entries before it have been written.
+type queueEntry struct {
+	line    []byte
+	flushed chan struct{} // closed when the marker is reached; nil for a line
 }
 
-// New returns a Writer on to.
+// New returns a Writer that forwards to dst.
 func New(dst io.Writer) *Writer {
-	w := &Writer{dst: dst, lines: make(chan line, maxQueuedLines)}
+	w := &Writer{dst: dst, queue: make(chan queueEntry, maxQueuedLines)}
 	go w.forward()
 	return w
 }
 
-// Write takes a line, or drops it if too many wait. It returns len(p) and no error in either case.
+// Write queues a line, or drops it if the queue is full. It returns len(p) and no error in either case.
 func (w *Writer) Write(p []byte) (int, error) {
 	select {
-	case w.lines <- line{text: bytes.Clone(p)}:
+	case w.queue <- queueEntry{line: bytes.Clone(p)}:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// Flush waits until all that was written before it has been passed on, for so long at most.
+// Flush returns when all lines queued before it have been written, or after the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
 	flushed := make(chan struct{})
 	select {
-	case w.lines <- line{flushed: flushed}:
+	case w.queue <- queueEntry{flushed: flushed}:
 	case <-expired.C:
 		return
 	}
@@ -59,15 +61,21 @@
 	}
 }
 
+// forward writes the queue's entries to the destination.
 func (w *Writer) forward() {
-	for l := range w.lines {
-		if l.flushed != nil {
-			close(l.flushed)
+	for entry := range w.queue {
+		if entry.flushed != nil {
+			close(entry.flushed)
 			continue
 		}
-		w.dst.Write(l.text)
-		if n := w.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w.dst, "log: %d lines were dropped\n", n)
-		}
+		w.dst.Write(entry.line)
+		w.reportDropped()
+	}
+}
+
+// reportDropped writes how many lines have been dropped since it last did so, if any.
+func (w *Writer) reportDropped() {
+	if n := w.dropped.Swap(0); n > 0 {
+		fmt.Fprintf(w.dst, "log: %d lines were dropped\n", n)
 	}
 }
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -10,52 +10,54 @@
 	"time"
 )
 
-// slow is a writer that takes a line only when it is let.
-type slow struct {
-	let  chan struct{}
+// gatedWriter is a destination whose writes block until the gate is opened.
+type gatedWriter struct {
+	gate chan struct{} // closed to open it
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (s *slow) Write(p []byte) (int, error) {
-	<-s.let
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(p)
+func (g *gatedWriter) Write(p []byte) (int, error) {
+	<-g.gate
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.text.Write(p)
 }
 
-// Lines come in order; while nobody takes them no writer waits, and those that had no place are counted.
-func TestWriter(t *testing.T) {
-	to := &slow{let: make(chan struct{})}
-	w := New(to)
-	const written = maxQueuedLines + 100
-	for i := range written {
+// Lines are written in order. While the destination blocks, no caller does, and lines that don't fit the queue are
+// counted.
+func TestBlockedDestinationBlocksNoCaller(t *testing.T) {
+	dst := &gatedWriter{gate: make(chan struct{})}
+	w := New(dst)
+	const lines = maxQueuedLines + 100
+	for i := range lines {
 		if n, err := fmt.Fprintf(w, "line %d\n", i); n == 0 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	w.Flush(50 * time.Millisecond)
-	if took := time.Since(began); took < 50*time.Millisecond {
-		t.Errorf("flushed in %v though nothing was taken", took)
+	if elapsed := time.Since(startedAt); elapsed < 50*time.Millisecond {
+		t.Errorf("Flush returned after %v though nothing was written", elapsed)
 	}
-	close(to.let)
+	close(dst.gate)
 	w.Flush(10 * time.Second)
-	to.mu.Lock()
-	defer to.mu.Unlock()
-	text := to.text.String()
+	dst.mu.Lock()
+	defer dst.mu.Unlock()
+	text := dst.text.String()
 	if !strings.HasPrefix(text, "line 0\nlog: ") || !strings.Contains(text, "\nline 1\nline 2\n") {
 		t.Errorf("got %.200q", text)
 	}
-	passed := strings.Count(text, "line ")
+	forwarded := strings.Count(text, "line ")
 	var dropped int
-	if _, err := fmt.Sscanf(text[strings.Index(text, "log: "):], "log: %d lines were dropped", &dropped); err != nil || passed+dropped != written {
-		t.Errorf("%d lines and %d dropped of %d: %v", passed, dropped, written, err)
+	_, err := fmt.Sscanf(text[strings.Index(text, "log: "):], "log: %d lines were dropped", &dropped)
+	if err != nil || forwarded+dropped != lines {
+		t.Errorf("%d lines forwarded and %d dropped of %d: %v", forwarded, dropped, lines, err)
 	}
 }
 
-// A writer that fails ends nothing.
-func TestFailingWriter(t *testing.T) {
+// An error of the destination reaches no caller.
+func TestFailingDestinationFailsNoCaller(t *testing.T) {
 	reader, writer := io.Pipe()
 	reader.Close()
 	w := New(writer)
