--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -1,10 +1,10 @@
-// Amberlb is one gateway on real sockets. EDGE_CONFIG names its
-// configuration; SIGHUP makes it read that again, and SIGTERM answer what it
-// holds and end.
+// Amberlb is one gateway on real sockets. The environment variable EDGE_CONFIG names its configuration file. SIGHUP
+// reloads the file; SIGTERM and SIGINT start a graceful shutdown, which answers the requests that are open.
 package main
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -20,20 +20,26 @@
 	"amberlb/internal/gateway"
 )
 
+// configPathKey is the environment variable with the path of the configuration file.
+const configPathKey = "EDGE_CONFIG"
+
+// Settings of the Go runtime.
 const (
 	heapLimitShare = 0.7 // of the memory limit; stacks, sockets and the binary have the rest
-	gcPercent      = 400 // percent between collections: the heap is small beside the limit
+	gcPercent      = 400 // heap growth between collections; the heap is small beside the limit
 )
 
-// logFlushTimeout is how long the end waits for the log to be taken.
+// logFlushTimeout bounds the wait for the log's reader before the process exits.
 const logFlushTimeout = 100 * time.Millisecond
 
+var errNoConfigPath = errors.New(configPathKey + " is not set")
+
 func main() {
-	signal.Ignore(syscall.SIGPIPE) // a log that is closed ends nothing
+	signal.Ignore(syscall.SIGPIPE) // a closed log must not end the process
 	log := asyncwriter.New(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read whole
+	hup := make(chan os.Signal, 1) // one pending signal is enough: a reload reads the whole file
 	signal.Notify(hup, syscall.SIGHUP)
 	err := run(ctx, hup, log)
 	if err != nil {
@@ -45,19 +51,25 @@
 	}
 }
 
+// run reads the configuration and runs the gateway until ctx ends. Each signal on hup reloads the configuration.
 func run(ctx context.Context, hup <-chan os.Signal, log io.Writer) error {
-	path := os.Getenv("EDGE_CONFIG")
+	path := os.Getenv(configPathKey)
 	if path == "" {
-		return fmt.Errorf("EDGE_CONFIG is not set")
+		return errNoConfigPath
 	}
-	c, err := gateway.ReadConfig(path)
+	config, err := gateway.ReadConfig(path)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapLimitShare))
+	limitRuntime(&config)
+	config.Log = slog.New(slog.NewTextHandler(log, nil)).With("gateway", config.Name)
+	readConfig := func() (gateway.Config, error) { return gateway.ReadConfig(path) }
+	return gateway.Run(ctx, &config, gateway.Reload{Signal: hup, Read: readConfig})
+}
+
+// limitRuntime keeps the Go runtime within the configuration's limits.
+func limitRuntime(config *gateway.Config) {
+	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)))
+	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * heapLimitShare))
 	debug.SetGCPercent(gcPercent)
-	c.Log = slog.New(slog.NewTextHandler(log, nil)).With("gateway", c.Name)
-	return gateway.Run(ctx, &c, gateway.Reload{Signal: hup,
-		Read: func() (gateway.Config, error) { return gateway.ReadConfig(path) }})
 }
