--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -17,135 +17,171 @@
 )
 
 const (
-	leastFiles = 128 // the least that a gateway may be given
-	patience   = 20 * time.Second
+	minDescriptors = 128              // the lowest descriptor limit that a gateway accepts
+	testTimeout    = 20 * time.Second // bounds every wait of a test; none is expected to take so long
 )
 
-// Idle clients may take all the places that there are while discovery is down: what
-// needs a descriptor when it returns still gets one under the system's limit,
-// be it discovery, the counter with all its connections, backends or a probe.
+// descriptorLimitConfig is the configuration of a gateway whose customers always need the counter.
+// Its verbs are the addresses of clients, discovery, counter and backend, with the descriptor limit after the counter.
+const descriptorLimitConfig = `{"name": "n0", "listen": %q, "discovery": %q, "counter": %q, "seed": "1",
+	"limits": {"cores": 1, "memory_mb": 64, "sockets": %d},
+	"known": {"generation": 0, "reset": true, "instances": [{"instanceId": "s-1", "hostPort": %q, "zone": "a",
+		"lifecycle": "Ready", "weight": 1}]},
+	"settings": {"fleetSize": 1, "tickS": 0.002, "localities": ["a"],
+	"allowed": {"connectTimeoutS": 1, "keepaliveS": 15, "mostTries": 2, "cancel": true},
+	"obligations": {"drainGraceS": 1}, "familyInfo": {"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.3},
+	"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1}],
+	"packages": [{"name": "p", "pays": 1, "unitsPerS": 0.05, "depth": 100}]}}`
+
+// Idle clients may use all the descriptors that are theirs while discovery is down. What needs a descriptor when
+// discovery returns still gets one under the system's limit: discovery, the counter with all its connections, backends
+// and health checks.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	var back atomic.Bool
-	quick := make(chan struct{})
-	letGo := sync.OnceFunc(func() { close(quick) })
-	var address string
+	var discoveryUp atomic.Bool
+	counterUnblocked := make(chan struct{})
+	unblockCounter := sync.OnceFunc(func() { close(counterUnblocked) })
+	var backendAddress string
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !back.Load() || r.URL.RawQuery != "" {
+		if !discoveryUp.Load() || r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		fmt.Fprintf(w, `{"generation": 1, "reset": true, "instances": [{"instanceId": "s-1", "hostPort": %q, "zone": "a",
-			"lifecycle": "Ready", "weight": 1}]}`, address)
+			"lifecycle": "Ready", "weight": 1}]}`, backendAddress)
 	}))
 	defer discovery.Close()
 	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-quick // streams leave connections that stand still for new ones
+		<-counterUnblocked // streams replace connections whose answers don't come by new ones
 		io.WriteString(w, r.URL.Query().Get("add"))
 	}))
 	defer counter.Close()
-	defer letGo()
+	defer unblockCounter()
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 	defer backend.Close()
-	address = backend.Listener.Addr().String()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := l.Addr().String()
-	l.Close()
-	cmd, stderr := command(t, `{"name": "n0", "listen": "`+listen+`", "discovery": "`+discovery.Listener.Addr().String()+`",
-		"counter": "`+counter.Listener.Addr().String()+`", "seed": "1",
-		"limits": {"cores": 1, "memory_mb": 64, "sockets": `+fmt.Sprint(leastFiles)+`},
-		"known": {"generation": 0, "reset": true, "instances": [{"instanceId": "s-1", "hostPort": "`+address+`", "zone": "a",
-			"lifecycle": "Ready", "weight": 1}]},
-		"settings": {"fleetSize": 1, "tickS": 0.002, "localities": ["a"],
-		"allowed": {"connectTimeoutS": 1, "keepaliveS": 15, "mostTries": 2, "cancel": true},
-		"obligations": {"drainGraceS": 1}, "familyInfo": {"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.3},
-		"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1}],
-		"packages": [{"name": "p", "pays": 1, "unitsPerS": 0.05, "depth": 100}]}}`)
-	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", filesKey, leastFiles))
+	backendAddress = backend.Listener.Addr().String()
+	listen := freeAddress(t)
+	cmd, stderr := command(t, fmt.Sprintf(descriptorLimitConfig, listen, discovery.Listener.Addr(), counter.Listener.Addr(),
+		minDescriptors, backendAddress))
+	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", descriptorLimitKey, minDescriptors))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 
-	var idle []net.Conn
-	fill := func() { // more than there are places; the oldest give way
-		for range leastFiles {
-			if c, err := net.Dial("tcp", listen); err == nil {
-				idle = append(idle, c)
-			}
-		}
-	}
-	defer func() {
-		for _, c := range idle {
-			c.Close()
-		}
-	}()
-	var asked atomic.Int32
-	ask := func(text string) int { // on a new connection, which may be shut unread
-		c, err := net.Dial("tcp", listen)
-		if err != nil {
-			return 0
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience / 4))
-		io.WriteString(c, text)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil {
-			return 0
-		}
-		return resp.StatusCode
-	}
-	until := func(what string, text func() string) {
-		t.Helper()
-		for end := time.Now().Add(patience); ask(text()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: never answered", what)
-			}
-		}
-	}
-	probe := func() string { return "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n" }
-	request := func() string {
-		n := asked.Add(1)
-		return fmt.Sprintf("GET /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d\r\nX-Service-Class: c\r\nX-Tier: p\r\n"+
-			"X-Api-Key: %016x\r\nX-Time-Left-Ms: 2000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", n, n)
-	}
-	until("readiness by the list that is known", probe)
-	most := 0
+	client := &descriptorClient{listen: listen}
+	defer client.closeIdle()
+	client.awaitOK(t, "readiness by the cached list", client.healthCheck)
+	maxDescriptors := 0
 	for range 6 {
-		fill()
-		var wg sync.WaitGroup
-		for range 24 { // of as many customers, on all streams of the counter
-			wg.Go(func() { ask(request()) })
+		client.openIdle(minDescriptors) // more than the gateway has descriptors for; it evicts the oldest
+		var requests sync.WaitGroup
+		for range 24 { // each of another customer, on all streams of the counter
+			requests.Go(func() { client.do(client.request()) })
 		}
 		answered := make(chan struct{})
-		go func() { wg.Wait(); close(answered) }()
+		go func() { requests.Wait(); close(answered) }()
 		for open := true; open; {
 			select {
 			case <-answered:
 				open = false
 			case <-time.After(20 * time.Millisecond):
 			}
-			files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-			if err != nil {
-				t.Fatal(err)
-			}
-			most = max(most, len(files))
+			maxDescriptors = max(maxDescriptors, openDescriptors(t, cmd.Process.Pid))
 		}
 	}
-	letGo()
-	fill()
-	back.Store(true)
-	until("readiness", probe)
-	until("a request through counter and backend", request)
-	if most > leastFiles {
-		t.Errorf("%d descriptors", most)
+	unblockCounter()
+	client.openIdle(minDescriptors)
+	discoveryUp.Store(true)
+	client.awaitOK(t, "readiness", client.healthCheck)
+	client.awaitOK(t, "a request through counter and backend", client.request)
+	if maxDescriptors > minDescriptors {
+		t.Errorf("%d descriptors", maxDescriptors)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Wait()
 	if strings.Contains(stderr.String(), "too many open files") {
-		t.Errorf("the gateway said %q", stderr)
+		t.Errorf("the gateway logged %q", stderr)
 	}
-	t.Logf("%d descriptors at most", most)
+	t.Logf("%d descriptors at most", maxDescriptors)
+}
+
+// freeAddress returns a loopback address that nobody listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// openDescriptors counts the file descriptors of a process.
+func openDescriptors(t *testing.T, pid int) int {
+	t.Helper()
+	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(files)
+}
+
+// descriptorClient is a client of the gateway at one address, with idle connections beside its requests.
+type descriptorClient struct {
+	listen       string
+	idle         []net.Conn
+	requestCount atomic.Int32
+}
+
+// openIdle opens n connections and leaves them idle. Those that the gateway refuses are passed over.
+func (c *descriptorClient) openIdle(n int) {
+	for range n {
+		if conn, err := net.Dial("tcp", c.listen); err == nil {
+			c.idle = append(c.idle, conn)
+		}
+	}
+}
+
+func (c *descriptorClient) closeIdle() {
+	for _, conn := range c.idle {
+		conn.Close()
+	}
+}
+
+// do sends a request on a new connection and returns the status, or 0 if the gateway closes the connection unread.
+func (c *descriptorClient) do(text string) (status int) {
+	conn, err := net.Dial("tcp", c.listen)
+	if err != nil {
+		return 0
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout / 4))
+	io.WriteString(conn, text)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return 0
+	}
+	return resp.StatusCode
+}
+
+// awaitOK repeats a request until it is answered with 200.
+func (c *descriptorClient) awaitOK(t *testing.T, what string, request func() string) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); c.do(request()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: never answered", what)
+		}
+	}
+}
+
+// healthCheck returns the text of a health check.
+func (c *descriptorClient) healthCheck() string {
+	return "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
+}
+
+// request returns the text of a request with an id and a customer of its own.
+func (c *descriptorClient) request() string {
+	n := c.requestCount.Add(1)
+	return fmt.Sprintf("GET /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d\r\nX-Service-Class: c\r\nX-Tier: p\r\n"+
+		"X-Api-Key: %016x\r\nX-Time-Left-Ms: 2000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", n, n)
 }
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -10,8 +10,9 @@
 	"amberlb/internal/lab/soak"
 )
 
-// A log that nobody takes, be it closed or full, neither ends a gateway nor holds up its requests or its stop.
-func TestLogThatNobodyTakes(t *testing.T) {
+// A log that nobody reads, be its pipe closed or full, neither ends a gateway nor blocks its requests or its graceful
+// shutdown.
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	t.Parallel()
 	for name, closed := range map[string]bool{"closed": true, "full": false} {
 		t.Run(name, func(t *testing.T) {
@@ -35,36 +36,36 @@
 				t.Fatal(err)
 			}
 			writer.Close()
-			ended := make(chan error, 1)
-			go func() { ended <- cmd.Wait() }()
+			exited := make(chan error, 1)
+			go func() { exited <- cmd.Wait() }()
 			defer cmd.Process.Kill()
 			awaitReady(t, options.Listen)
 			if closed {
 				reader.Close()
 			}
-			for range 1000 { // each is read by itself and leaves a line, which fills a pipe of 64 KiB
+			for range 1000 { // each reload leaves a line; together they fill a pipe of 64 KiB
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(time.Millisecond)
 			}
 			awaitReady(t, options.Listen)
 			cmd.Process.Signal(syscall.SIGTERM)
 			select {
-			case err := <-ended:
+			case err := <-exited:
 				if err != nil {
 					t.Errorf("ended with %v", err)
 				}
 			case <-time.After(soak.KillAfter(classes)):
-				t.Error("the stop has not ended when SIGKILL may come")
+				t.Error("the shutdown has not ended when SIGKILL may come")
 			}
 		})
 	}
 }
 
-// awaitReady waits until a gateway says that it is ready.
+// awaitReady waits until a gateway's health check reports that it is ready.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(patience / 2); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout / 2); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if resp, err := client.Get("http://" + listen + "/health/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -72,5 +73,5 @@
 			}
 		}
 	}
-	t.Fatal("the gateway doesn't become ready, or has ended")
+	t.Fatal("the gateway doesn't become ready, or has exited")
 }
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -15,12 +15,16 @@
 	"time"
 )
 
-const filesKey = "ELDERYARD_FILES" // how many descriptors the stand-in may open
+// Environment variables that make the test binary run as the command.
+const (
+	asCommandKey       = "AMBERLB_TEST_AS_COMMAND"
+	descriptorLimitKey = "AMBERLB_TEST_DESCRIPTOR_LIMIT" // RLIMIT_NOFILE of the process; unset: as inherited
+)
 
-// TestMain lets the test binary stand in for the command.
+// TestMain lets the test binary run as the command.
 func TestMain(m *testing.M) {
-	if os.Getenv("ELDERYARD_AS_COMMAND") != "" {
-		if n, err := strconv.ParseUint(os.Getenv(filesKey), 10, 64); err == nil {
+	if os.Getenv(asCommandKey) != "" {
+		if n, err := strconv.ParseUint(os.Getenv(descriptorLimitKey), 10, 64); err == nil {
 			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
 				panic(err)
 			}
@@ -31,19 +35,22 @@
 	os.Exit(m.Run())
 }
 
-func command(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+// command returns the gateway's command with a configuration, not yet started, and its standard error.
+func command(t *testing.T, config string) (cmd *exec.Cmd, stderr *bytes.Buffer) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "ELDERYARD_AS_COMMAND=1", "EDGE_CONFIG="+path)
-	stderr := &bytes.Buffer{}
+	cmd = exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), asCommandKey+"=1", configPathKey+"="+path)
+	stderr = &bytes.Buffer{}
 	cmd.Stderr = stderr
 	return cmd, stderr
 }
 
-func TestBadConfiguration(t *testing.T) {
+// A configuration that can't be used ends the process with one line on standard error and exit status 1.
+func TestInvalidConfigurationEndsStart(t *testing.T) {
 	cmd, stderr := command(t, `{"settings": {}}`)
 	var exit *exec.ExitError
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
@@ -54,12 +61,11 @@
 	}
 }
 
-// SIGHUP before the gateway is ready, and beside SIGTERM, must not end it in
-// another way than SIGTERM does.
-func TestSignals(t *testing.T) {
-	asked := make(chan struct{}, 16)
+// SIGHUP before the gateway is ready, and together with SIGTERM, must not end it in another way than SIGTERM does.
+func TestReloadSignalsDuringStartAndShutdown(t *testing.T) {
+	polled := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		polled <- struct{}{}
 		<-r.Context().Done() // never answers
 	}))
 	defer discovery.Close()
@@ -72,9 +78,9 @@
 	}
 	defer cmd.Process.Kill()
 	select {
-	case <-asked: // it runs
+	case <-polled: // the gateway runs
 	case <-time.After(20 * time.Second):
-		t.Fatal("discovery was not asked")
+		t.Fatal("discovery was not polled")
 	}
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := cmd.Process.Signal(s); err != nil {
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -17,110 +17,126 @@
 
 const sweepStep = 20 * time.Millisecond // between the moments of a sweep
 
-// commandEnv lets the test binary stand in for the command. The race detector would sleep for a second before an exit.
-var commandEnv = []string{"ELDERYARD_AS_COMMAND=1", "GORACE=atexit_sleep_ms=0"}
+// commandEnv makes the test binary run as the command. The race detector would sleep for a second before an exit.
+var commandEnv = []string{asCommandKey + "=1", "GORACE=atexit_sleep_ms=0"}
 
-// sweep is one stop with a request on each of many connections that were opened before it.
-type sweep struct {
-	deadline time.Duration // of the one class, whose requests are unsafe to repeat
-	until    time.Duration // after SIGTERM: the last moment
-	half     bool          // the requests begin right after SIGTERM, and their last half comes at the moment
+// shutdownSweep is one graceful shutdown with a request on each of many connections that were opened before it. The
+// requests come at moments that are a step apart.
+type shutdownSweep struct {
+	deadline   time.Duration // of the one class, whose requests are not idempotent
+	lastMoment time.Duration // after SIGTERM
+	inHalves   bool          // the requests begin right after SIGTERM, and their second half comes at the moment
 }
 
-// A gateway that is told to stop answers every request that it takes, whatever moment of the stop the request comes at and
-// whatever the deadlines are, while all backends hang. The incident's own values are a deadline of 2.412 s and a request
-// 0.600 s after SIGTERM.
-func TestStopAnswersWhatItTook(t *testing.T) {
+// A gateway in graceful shutdown answers every request that it admits, whatever moment of the shutdown the request comes
+// at and whatever the deadlines are, while all backends hang. The incident's own values are a deadline of 2.412 s and a
+// request 0.600 s after SIGTERM.
+func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 2412 * time.Millisecond,
 		3 * time.Second, 4500 * time.Millisecond} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			sendings := sweep{deadline: deadline, until: 800 * time.Millisecond}.play(t)
+			attempts := shutdownSweep{deadline: deadline, lastMoment: 800 * time.Millisecond}.run(t)
 			answered := 0
-			for _, s := range sendings {
-				if s.Status != 0 {
+			for _, a := range attempts {
+				if a.Status != 0 {
 					answered++
 				}
 			}
-			if answered < len(sendings)/4 {
-				t.Errorf("%d of %d requests were answered: the sweep did not play", answered, len(sendings))
+			if answered < len(attempts)/4 {
+				t.Errorf("%d of %d requests were answered: the sweep did not run as meant", answered, len(attempts))
 			}
 		})
 	}
 }
 
-// A request that a stop finds half read, or that begins during it, is answered however late its last byte comes: the
+// A request that a shutdown finds half read, or that begins during it, is answered however late its last byte comes: the
 // gateway has read a part of it, so its client can't tell the close of its connection from that of an idle one.
-func TestStopAnswersHalfRequests(t *testing.T) {
+func TestShutdownAnswersPartlyReadRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			sendings := sweep{deadline: deadline, until: deadline + time.Second, half: true}.play(t)
-			for _, s := range sendings {
-				if s.Status == 0 {
-					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", s.ID, s.FirstByteAt.Seconds(), s.SentAt.Seconds(),
-						s.EndedAt.Seconds(), s.Err)
+			attempts := shutdownSweep{deadline: deadline, lastMoment: deadline + time.Second, inHalves: true}.run(t)
+			for _, a := range attempts {
+				if a.Status == 0 {
+					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", a.ID, a.FirstByteAt.Seconds(), a.SentAt.Seconds(),
+						a.EndedAt.Seconds(), a.Err)
 				}
 			}
 		})
 	}
 }
 
-// play starts a gateway, stops it, and reports each broken rule. The gateway gets SIGKILL at the earliest moment, and must
-// have ended before.
-func (s sweep) play(t *testing.T) []soak.ClientAttempt {
+// run starts a gateway, shuts it down, and reports each violation of the rules. The gateway gets SIGKILL at the earliest
+// moment that the rules allow, and must have exited before.
+func (s shutdownSweep) run(t *testing.T) []soak.ClientAttempt {
 	t.Helper()
 	clock := soak.NewClock()
 	classes := []soak.Class{{Name: string(soak.NonIdempotent), Idempotency: soak.NonIdempotent, Deadline: s.deadline}}
 	backends, discovery := hangingBackends(t, clock)
 	process, listen := startProcess(t, classes, discovery)
-	var conns []*soak.Conn
-	for range s.until / sweepStep {
-		conn, err := soak.Dial(clock, listen, 1, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conns = append(conns, conn)
-	}
-	life := soak.Process{Gateway: 1, Number: 1, SigtermAt: clock.Now()}
+	conns := s.dial(t, clock, listen)
+	incarnation := soak.Process{Gateway: 1, Number: 1, SigtermAt: clock.Now()}
 	process.Signal(syscall.SIGTERM)
-	sendings := make([]soak.ClientAttempt, len(conns))
+	attempts := make([]soak.ClientAttempt, len(conns))
 	var sending sync.WaitGroup
 	for i, conn := range conns {
-		sending.Go(func() {
-			moment := time.Duration(i) * sweepStep
-			request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST", BodyBytes: 12,
-				Timeout: s.deadline}
-			if s.half {
-				request.Pieces, request.PieceGap = 2, moment
-			} else {
-				time.Sleep(time.Until(clock.At(life.SigtermAt + moment)))
-			}
-			sendings[i], _ = conn.Do(request)
-		})
+		sending.Go(func() { attempts[i] = s.send(conn, clock, incarnation.SigtermAt, i) })
 	}
 	select {
 	case <-process.Done():
-	case <-time.After(time.Until(clock.At(life.SigtermAt + soak.KillAfter(classes)))):
-		life.SigkillAt = clock.Now()
-		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come", (life.SigkillAt - life.SigtermAt).Seconds())
+	case <-time.After(time.Until(clock.At(incarnation.SigtermAt + soak.KillAfter(classes)))):
+		incarnation.SigkillAt = clock.Now()
+		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come",
+			(incarnation.SigkillAt - incarnation.SigtermAt).Seconds())
 	}
-	life.Err, life.EndedAt, life.Log = process.Close(), clock.Now(), process.Log()
+	incarnation.Err = process.Close()
+	incarnation.EndedAt = clock.Now()
+	incarnation.Log = process.Log()
 	sending.Wait()
-	history := soak.History{ClientAttempts: sendings, Processes: []soak.Process{life}}
+	history := soak.History{ClientAttempts: attempts, Processes: []soak.Process{incarnation}}
 	for _, b := range backends {
 		history.BackendAttempts = append(history.BackendAttempts, b.Attempts()...)
 	}
 	if len(history.BackendAttempts) == 0 {
-		t.Error("no request reached a backend: the sweep did not play")
+		t.Error("no request reached a backend: the sweep did not run as meant")
+	}
+	for _, violation := range soak.Check(history).Violations {
+		t.Error(violation)
+	}
+	return attempts
+}
+
+// dial opens a connection for each moment of the sweep. They are closed at the end of the test.
+func (s shutdownSweep) dial(t *testing.T, clock soak.Clock, listen string) []*soak.Conn {
+	t.Helper()
+	var conns []*soak.Conn
+	for range s.lastMoment / sweepStep {
+		conn, err := soak.Dial(clock, listen, 1, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+		conns = append(conns, conn)
 	}
-	for _, fault := range soak.Check(history).Violations {
-		t.Error(fault)
+	return conns
+}
+
+// send sends the request of moment i and returns what became of it.
+func (s shutdownSweep) send(conn *soak.Conn, clock soak.Clock, sigtermAt time.Duration, i int) soak.ClientAttempt {
+	moment := time.Duration(i) * sweepStep
+	request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST", BodyBytes: 12,
+		Timeout: s.deadline}
+	if s.inHalves {
+		request.Pieces = 2
+		request.PieceGap = moment
+	} else {
+		time.Sleep(time.Until(clock.At(sigtermAt + moment)))
 	}
-	return sendings
+	attempt, _ := conn.Do(request)
+	return attempt
 }
 
 // startProcess starts a gateway as the command does and waits until it is ready.
@@ -132,7 +148,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { process.Close() })
-	if _, err := process.WaitReady(t.Context(), patience); err != nil {
+	if _, err := process.WaitReady(t.Context(), testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return process, options.Listen
@@ -175,8 +191,8 @@
 	return backends, address
 }
 
-// Restarts under trouble, short and seeded: signals in series, hanging backends, slow and leaving clients that use open
-// connections until the kill, a crowd of idle ones, proxies. fleetlab soak plays more seeds, and longer.
+// Restarts under fault injection, short and seeded: series of signals, hanging backends, slow and disconnecting clients
+// that use open connections until SIGKILL, many idle clients, proxies. fleetlab soak runs more seeds, and longer.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	const (
@@ -195,11 +211,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, fault := range result.Verdict.Violations {
-				t.Error(fault)
+			for _, violation := range result.Verdict.Violations {
+				t.Error(violation)
 			}
 			if v := result.Verdict; result.Partial || v.Served < 100 || v.Rejected+v.Failed == 0 {
-				t.Errorf("partial %t: %d served, %d refused, %d failed: it did not play", result.Partial, v.Served, v.Rejected, v.Failed)
+				t.Errorf("partial %t: %d served, %d rejected, %d failed: the run did not go as meant", result.Partial, v.Served, v.Rejected, v.Failed)
 			}
 		})
 	}
