--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -13,102 +13,101 @@
 	"time"
 )
 
-// toldWithin is the time after which a change counts as told to a gateway, from
-// when discovery had it and could be reached.
-const toldWithin = 6 * time.Second
+// knownWithin is the time after which a change counts as known to a gateway, from when discovery had it and could be
+// reached.
+const knownWithin = 6 * time.Second
 
-// Whatever the grace for drains is, a call that falls silent, the pause after it
-// and the answer to the next one fit in the time after which a change counts as told.
-func TestChangeIsHeardInTime(t *testing.T) {
+// Whatever the drain grace is, a poll that falls silent, the delay after it and the answer to the next one fit in the time
+// after which a change counts as known.
+func TestMissedChangeArrivesInTime(t *testing.T) {
 	for grace := time.Duration(0); grace <= time.Minute; grace += 100 * time.Millisecond {
-		w := newDiscoveryWatcher("", grace, false, nil)
-		if lasts := w.watchTimeout + w.responseTime + watchRetryDelay + w.responseTime; lasts > toldWithin {
-			t.Fatalf("with a grace of %v a change may be heard after %v", grace, lasts)
+		timeouts := newPollTimeouts(grace)
+		if total := timeouts.watchTotal() + watchRetryDelay + timeouts.response; total > knownWithin {
+			t.Fatalf("with a grace of %v a change may arrive after %v", grace, total)
 		}
-		for w.listTimeouts = range 10 {
-			if lasts := w.listTimeout() + watchRetryDelay + w.responseTime; lasts > toldWithin {
-				t.Fatalf("with a grace of %v and %d lists that came late, one may be heard after %v", grace, w.listTimeouts, lasts)
+		for timedOut := range 10 {
+			if total := timeouts.fullList(timedOut, false) + watchRetryDelay + timeouts.response; total > knownWithin {
+				t.Fatalf("with a grace of %v and %d lists that timed out, one may arrive after %v", grace, timedOut, total)
 			}
 		}
 	}
 }
 
-// After a call that failed, in whatever way, and failed again, the change comes
-// with the next: soon, and whole.
-func TestChangeAfterFailedCalls(t *testing.T) {
+// After polls that failed, in whatever way, the change comes with the next one: soon, and in full.
+func TestChangeAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	answer := func(status int, text string) func(net.Conn) {
 		return func(c net.Conn) { total(c, status, text) }
 	}
-	for name, fails := range map[string]func(net.Conn){
+	for name, failPoll := range map[string]func(net.Conn){
 		"silent":          func(net.Conn) {},
 		"closed":          func(c net.Conn) { c.Close() },
 		"reset":           func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"refused":         answer(http.StatusServiceUnavailable, "later"),
+		"rejected":        answer(http.StatusServiceUnavailable, "later"),
 		"an error":        answer(http.StatusInternalServerError, "{}"),
-		"not there":       answer(http.StatusNotFound, ""),
-		"spoilt":          answer(http.StatusOK, `{"generation": 44, "reset": true, "instances": [{]}`),
+		"not found":       answer(http.StatusNotFound, ""),
+		"malformed":       answer(http.StatusOK, `{"generation": 44, "reset": true, "instances": [{]}`),
 		"no list":         answer(http.StatusOK, `{"generation": 44, "reset": true}`),
-		"nothing":         answer(http.StatusOK, ""),
+		"empty body":      answer(http.StatusOK, ""),
 		"not HTTP":        func(c net.Conn) { io.WriteString(c, "what?\r\n\r\n") },
 		"interim only":    func(c net.Conn) { io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n") },
 		"half the header": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le") },
 		"half the body": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\": 44, ")
 		},
-		"a cut body": func(c net.Conn) {
+		"body cut off": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\": 44, ")
 			c.Close()
 		},
-		"a chunk too few": func(c net.Conn) {
+		"no last chunk": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			far := newPeer(t)
-			heard := make(chan EndpointList, 8)
-			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { heard <- l }))
+			received := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { received <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-			wait(t, heard, "list")
-			var reached time.Time
-			for range 4 { // the first is a watch; what is spoilt has the next ask for all there are
+			wait(t, received, "list")
+			var sentAt time.Time
+			for range 4 { // the first is a watch; after a malformed answer the next poll asks for the full list
 				readRequest(t, r)
-				reached = time.Now()
-				fails(conn)
+				sentAt = time.Now()
+				failPoll(conn)
 				conn, r = far.accept(t)
 			}
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
-			if l := wait(t, heard, "change"); l.Generation != 45 {
-				t.Errorf("heard of version %d", l.Generation)
+			if l := wait(t, received, "change"); l.Generation != 45 {
+				t.Errorf("received version %d", l.Generation)
 			}
-			if took := time.Since(reached); took > toldWithin {
-				t.Errorf("heard after %v", took)
+			if elapsed := time.Since(sentAt); elapsed > knownWithin {
+				t.Errorf("received after %v", elapsed)
 			}
 		})
 	}
 }
 
-// The same holds where a connection never came up, and where it was refused.
-func TestChangeAfterNoConnection(t *testing.T) {
+// The same holds after dials that hang and after refused ones.
+func TestChangeAfterFailedDials(t *testing.T) {
 	t.Parallel()
-	heard := make(chan EndpointList, 8)
-	tell := func(l EndpointList) { heard <- l }
+	received := make(chan EndpointList, 8)
+	onList := func(l EndpointList) { received <- l }
 	far := newCrowded(t)
-	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, tell))
-	for end := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(end); {
+	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, onList))
+	for deadline := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	reached := time.Now()
+	sentAt := time.Now()
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, heard, "list")
-	if took := time.Since(reached); took > toldWithin {
-		t.Errorf("after a dial that hung, heard after %v", took)
+	wait(t, received, "list")
+	if elapsed := time.Since(sentAt); elapsed > knownWithin {
+		t.Errorf("after a dial that hung, received after %v", elapsed)
 	}
 
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -125,8 +124,8 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port) // where nobody listens yet
-	watchFor(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, tell))
-	time.Sleep(2 * watchRetryDelay) // some calls are refused
+	watchFor(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, onList))
+	time.Sleep(2 * watchRetryDelay) // some dials are refused
 	if err := syscall.Listen(fd, 8); err != nil {
 		t.Fatal(err)
 	}
@@ -135,28 +134,28 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	reached = time.Now()
+	sentAt = time.Now()
 	if conn, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	readRequest(t, bufio.NewReader(conn))
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, heard, "list")
-	if took := time.Since(reached); took > toldWithin {
-		t.Errorf("after refused ones, heard after %v", took)
+	wait(t, received, "list")
+	if elapsed := time.Since(sentAt); elapsed > knownWithin {
+		t.Errorf("after refused dials, received after %v", elapsed)
 	}
 }
 
-// A whole list that takes long to be written is got all the same: also one slower
-// than a watch may be, where no other list is there to send by.
-func TestSlowList(t *testing.T) {
+// A full list that takes long to be written arrives all the same, also one slower than a watch may be where no other list
+// is in use.
+func TestSlowFullListArrives(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		inUse bool
-		takes time.Duration
+		listInUse bool
+		writeTime time.Duration
 	}{{true, time.Second}, {false, 2500 * time.Millisecond}} {
-		t.Run(fmt.Sprint(c.takes), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.writeTime), func(t *testing.T) {
 			t.Parallel()
 			slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 				const parts = 10
@@ -164,16 +163,16 @@
 					select {
 					case <-q.Context().Done():
 						return
-					case <-time.After(c.takes / parts):
+					case <-time.After(c.writeTime / parts):
 						io.WriteString(w, text[len(text)*i/parts:len(text)*(i+1)/parts])
 						w.(http.Flusher).Flush()
 					}
 				}
 			}))
 			t.Cleanup(slow.Close)
-			heard := make(chan EndpointList, 8)
-			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l EndpointList) { heard <- l }))
-			wait(t, heard, "list")
+			received := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.listInUse, func(l EndpointList) { received <- l }))
+			wait(t, received, "list")
 		})
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,8 +16,8 @@
 // registry is a discovery whose answers a test gives one by one.
 type registry struct {
 	*httptest.Server
-	calls   chan string // the query of each call
-	answers chan any    // an EndpointList, or a status
+	calls   chan string // the query of each poll
+	answers chan any    // an EndpointList, a body, a status, or nil to break the connection
 }
 
 func newRegistry(t *testing.T) *registry {
@@ -45,7 +45,7 @@
 
 func (r *registry) address() string { return r.Listener.Addr().String() }
 
-// watchFor runs a watch until the test ends.
+// watchFor runs a watcher until the test ends.
 func watchFor(t *testing.T, w *discoveryWatcher) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -53,13 +53,12 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// Whatever a watch misses, it is asked for anew, on a new connection, while sends
-// to a backend that drains may still go on; also when the next one is as silent.
-func TestSilentWatch(t *testing.T) {
+// What a silent watch misses is polled for again, on a new connection, within the drain grace, also when the next watch is
+// as silent.
+func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
-		w := newDiscoveryWatcher("", grace, true, nil)
-		if lasts := w.watchTimeout + w.responseTime + watchRetryDelay; lasts > grace*9/10 {
-			t.Errorf("a call lasts %v of a grace of %v", lasts, grace)
+		if total := newPollTimeouts(grace).watchTotal() + watchRetryDelay; total > grace*9/10 {
+			t.Errorf("a watch lasts %v of a grace of %v", total, grace)
 		}
 	}
 	far := newPeer(t)
@@ -75,16 +74,16 @@
 	}
 }
 
-// A backend in use of which something can't be read gets nothing more.
-func TestUnreadableInstanceIsLeftAlone(t *testing.T) {
+// A backend in use whose entry can't be decoded gets no further request: what can't be read may be that it drains.
+func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
 	r := newRig(t, backend, other)
 	wait(t, r.registry.calls, "first list")
 	wait(t, r.registry.calls, "watch")
-	spoilt := listingOf(false, "Terminating", backend)
-	spoilt.Entries[0].Zone = "nowhere"
-	odd := listingOf(false, "Leaving", other)
-	r.registry.answers <- EndpointList{Generation: 2, Entries: append(spoilt.Entries, odd.Entries...)}
+	unknownZone := listingOf(false, "Terminating", backend)
+	unknownZone.Entries[0].Zone = "nowhere"
+	unknownLifecycle := listingOf(false, "Leaving", other)
+	r.registry.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
 	wait(t, r.registry.calls, "next watch")
 	_, answers := r.client(t, ask("GET", "glance", ""))
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
@@ -92,45 +91,48 @@
 	}
 }
 
-func TestWatch(t *testing.T) {
+// A watch resumes from its last version. After an answer that is no usable list the watcher starts over from the full
+// list.
+func TestWatchResumesOrStartsOver(t *testing.T) {
 	r := newRegistry(t)
-	heard := make(chan EndpointList, 64)
-	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { heard <- l }))
-	none := []EndpointEntry{}
+	received := make(chan EndpointList, 64)
+	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
+	empty := []EndpointEntry{}
 
-	// Each step: the call that is expected, its answer, and what is handed on.
-	for i, step := range []struct {
+	// Each step: the poll that is expected, its answer, and whether a list is handed on, and as a full one.
+	for _, step := range []struct {
+		name   string
 		query  string
 		answer any
 		reset  bool
 		none   bool
 	}{
-		{"", nil, false, true}, // discovery is not there yet
-		{"", EndpointList{Generation: 41, Entries: none}, true, false},
-		{"since=41&timeout_ms=1000", nil, false, true}, // a broken watch goes on from the same version
-		{"since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
-		{"since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: none}, true, false},
-		{"since=2&timeout_ms=1000", 500, false, true}, // a version that is turned down is given up
-		{"", EndpointList{Generation: 50, Reset: true, Entries: none}, true, false},
-		{"since=50&timeout_ms=1000", "{", false, true},
-		{"", "{}", false, true}, // no list at all must not pass for an empty one
-		{"", "[]", false, true},
-		{"", EndpointList{Generation: 51, Reset: true, Entries: none}, true, false},
+		{"discovery is not there yet", "", nil, false, true},
+		{"the first list", "", EndpointList{Generation: 41, Entries: empty}, true, false},
+		{"a broken watch", "since=41&timeout_ms=1000", nil, false, true},
+		{"the same version again", "since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
+		{"a reset", "since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: empty}, true, false},
+		{"a rejected version", "since=2&timeout_ms=1000", 500, false, true},
+		{"the full list after it", "", EndpointList{Generation: 50, Reset: true, Entries: empty}, true, false},
+		{"malformed JSON", "since=50&timeout_ms=1000", "{", false, true},
+		{"no list at all must not pass for an empty one", "", "{}", false, true},
+		{"an array", "", "[]", false, true},
+		{"the full list after these", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
 	} {
-		if got := wait(t, r.calls, "call"); got != step.query {
-			t.Fatalf("step %d: call %q, want %q", i, got, step.query)
+		if got := wait(t, r.calls, "poll"); got != step.query {
+			t.Fatalf("%s: poll %q, want %q", step.name, got, step.query)
 		}
 		r.answers <- step.answer
 		if step.none {
 			continue
 		}
-		if got := wait(t, heard, "list"); got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
-			t.Fatalf("step %d: heard %+v", i, got)
+		if got := wait(t, received, "list"); got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
+			t.Fatalf("%s: received %+v", step.name, got)
 		}
 	}
 }
 
-func TestInstances(t *testing.T) {
+func TestEndpointEntryToBackend(t *testing.T) {
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.toBackend(d)
@@ -141,14 +143,16 @@
 	if backendID("s-5be2a07c") != 0x4caec46a {
 		t.Errorf("the id of a name has changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
 	}
-	for _, bad := range []EndpointEntry{
-		{ID: "", Zone: "a", Lifecycle: "Ready"},
-		{ID: "s-1", Zone: "a", Lifecycle: "ready"},
-		{ID: "s-1", Zone: "c", Lifecycle: "Ready"},
-		{ID: "s-1", Zone: "a", Lifecycle: "Ready", StartedAtMs: -1},
+	for name, entry := range map[string]EndpointEntry{
+		"no id":             {ID: "", Zone: "a", Lifecycle: "Ready"},
+		"unknown lifecycle": {ID: "s-1", Zone: "a", Lifecycle: "ready"},
+		"unknown zone":      {ID: "s-1", Zone: "c", Lifecycle: "Ready"},
+		"negative start":    {ID: "s-1", Zone: "a", Lifecycle: "Ready", StartedAtMs: -1},
 	} {
-		if _, err := bad.toBackend(d); err == nil {
-			t.Errorf("%+v was taken", bad)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := entry.toBackend(d); err == nil {
+				t.Errorf("%+v was accepted", entry)
+			}
+		})
 	}
 }
