--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -10,126 +10,96 @@
 )
 
 const (
-	counterStreams          = 8                // streams of calls to the counter, each on a connection of its own
-	maxConnsPerStream       = 4                // connections of a stream at most, those that stand still among them
-	maxQueuedCalls          = 512              // calls that wait on one stream
-	counterIdleTimeout      = 5 * time.Second  // well below the 10 s after which the counter closes
-	counterIOTimeout        = 1 * time.Second  // an answer so late is given up with its connection, unless calls have longer
-	counterIdlePollInterval = 1 * time.Second  // between looks for idle streams
-	maxTotalBytes           = 64               // bytes of a total
-	maxCounterTTL           = 60 * time.Second // the counter takes longer ones for this
-	minCounterTTL           = time.Millisecond
-	countPath               = "/v1/count/"
-	maxCounterResponseBytes = 16 << 10 // bytes of an answer with its headers
+	counterStreams = 8   // the counter allows 32 connections of a gateway: this many streams with maxConnsPerStream each
+	maxQueuedCalls = 512 // calls that wait for one stream, and calls in flight on one connection
 )
 
-// counterCall is one addition on the counter.
+// Bounds of a call's TTL on the counter, which is given in whole milliseconds.
+const (
+	minCounterTTL = time.Millisecond
+	maxCounterTTL = 60 * time.Second // the counter takes longer ones for this
+)
+
+// counterCall is one addition on the counter. The event loop makes it. Once queued, it is owned by the stream's goroutine
+// until it is written, and then by its connection's reader; the owner at its end calls report. Meanwhile the loop uses the
+// atomic fields, its own ones, and those that don't change.
 type counterCall struct {
 	id      uint64 // the module's
-	key     uint64
+	key     uint64 // the counter's name
 	amount  float64
-	ttl     time.Duration
-	sentAt  float64
-	idleFor time.Duration // of its connection before it; 0: none
+	ttl     time.Duration // how long the counter keeps the name
+	sentAt  float64       // clock time at which the loop made the call
+	idleFor time.Duration // how long its connection was idle before it; 0: it was not
+
+	// report tells what became of the call, once, from the goroutine that owns it.
+	report func(call *counterCall, outcome policy.Outcome, total float64)
+
+	abandoned       atomic.Bool // set by the loop: nobody waits for it, and it is not to be written any more
+	responseStarted atomic.Bool // set by the reader: its answer has begun to arrive
 
 	// The loop's own:
 	ended   bool
 	outcome policy.Outcome
 	total   float64
-
-	abandoned       atomic.Bool // by the loop: not to be written any more
-	responseStarted atomic.Bool // its answer has begun to come
-	report          func(*counterCall, policy.Outcome, float64)
 }
 
-// counterClient makes calls over a few pipelined connections. The calls for one name
-// keep to one stream, so they go out in order; a stream leaves a connection that
-// stands still for a new one. The counter holds 32 connections of a gateway.
+// counterClient makes calls over a few pipelined connections. The calls for one name keep to one stream, so they are sent
+// in order; a stream leaves a connection that is stuck for a new one.
 type counterClient struct {
 	address       atomic.Pointer[string]
-	timeout       time.Duration
+	timeout       time.Duration // of a call, and of a dial
 	idleEstimator idleLimitEstimator
-	streams       [counterStreams]chan *counterCall
-	readers       sync.WaitGroup // one for each connection
+	queues        [counterStreams]chan *counterCall // one for each stream
+	readers       sync.WaitGroup                    // one for each connection
 }
 
+// newCounterClient makes a client of the counter at an address. The timeout is that of a call.
 func newCounterClient(address string, timeout time.Duration) *counterClient {
 	c := &counterClient{timeout: timeout}
 	c.setAddress(address)
-	for i := range c.streams {
-		c.streams[i] = make(chan *counterCall, maxQueuedCalls)
+	for i := range c.queues {
+		c.queues[i] = make(chan *counterCall, maxQueuedCalls)
 	}
 	return c
 }
 
-// setAddress sends all further calls to another address. What is out on the old one
-// may still be answered there.
+// setAddress directs all further calls to another address. Calls in flight to the old one may still be answered there.
 func (c *counterClient) setAddress(address string) { c.address.Store(&address) }
 
-// enqueue hands a call over without waiting. It returns false where too many wait.
+// enqueue queues a call without waiting. It returns false if the queue is full; the call stays the caller's then.
 func (c *counterClient) enqueue(call *counterCall) bool {
 	select {
-	case c.streams[call.key%counterStreams] <- call:
+	case c.queues[call.key%counterStreams] <- call:
 		return true
 	default:
 		return false
 	}
 }
 
-// run keeps the streams until ctx ends.
+// run runs the streams until ctx ends, and returns when all their connections have ended.
 func (c *counterClient) run(ctx context.Context) {
-	var wg sync.WaitGroup
-	for _, calls := range c.streams {
-		wg.Go(func() { c.runStream(ctx, calls) })
+	var streams sync.WaitGroup
+	for _, queue := range c.queues {
+		streams.Go(func() { c.runStream(ctx, queue) })
 	}
-	wg.Wait()
+	streams.Wait()
 	c.readers.Wait()
 }
 
-// runStream writes the calls of one channel.
-func (c *counterClient) runStream(ctx context.Context, calls <-chan *counterCall) {
-	var conn *counterConn
-	var openConns atomic.Int64
-	defer func() {
-		if conn != nil {
-			conn.Close()
-		}
-	}()
+// runStream writes the calls of one queue until ctx ends.
+func (c *counterClient) runStream(ctx context.Context, queue <-chan *counterCall) {
+	stream := &counterStream{client: c, lastUsed: time.Now()}
+	defer stream.close()
 	idleTicker := time.NewTicker(counterIdlePollInterval)
 	defer idleTicker.Stop()
-	lastUsed := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-idleTicker.C:
-			if conn != nil && (time.Since(lastUsed) > counterIdleTimeout || conn.host != *c.address.Load()) {
-				conn.retire()
-				conn = nil
-			}
-		case call := <-calls:
-			if call.abandoned.Load() {
-				call.report(call, policy.TimedOut, 0) // nobody waits; never written, so never added
-				continue
-			}
-			idleFor := time.Since(lastUsed)
-			if conn != nil && (conn.host != *c.address.Load() || !conn.reusable(idleFor) || conn.headOfLineBlocked()) {
-				conn.retire()
-				conn = nil
-			}
-			if conn != nil && conn.inFlight.Load() == 0 {
-				call.idleFor = idleFor
-			}
-			if conn == nil {
-				var err error
-				if conn, err = c.dial(ctx, &openConns); err != nil {
-					conn = nil
-					call.report(call, policy.ConnectFailed, 0)
-					continue
-				}
-			}
-			lastUsed = time.Now()
-			conn.writeCall(call)
+			stream.retireIdle()
+		case call := <-queue:
+			stream.send(ctx, call)
 		}
 	}
 }
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -15,32 +15,47 @@
 	"amberlb/policy"
 )
 
-// counterConn is one connection: calls go out in order and so do the answers
-// come. A call that was given up keeps its place, so that its late answer is
-// not taken for the next call's.
+const (
+	countPath               = "/v1/count/"
+	counterIOTimeout        = 1 * time.Second // of a write, and of an answer unless calls have longer
+	maxCounterResponseBytes = 16 << 10        // bytes of an answer with its headers
+)
+
+// countRequest tells http.ReadResponse that an answer is to a POST, so that it has a body. It is never changed.
+var countRequest = &http.Request{Method: http.MethodPost}
+
+// counterConn is one pipelined connection: calls are written in order, and their answers arrive in the same order. An
+// abandoned call keeps its place in the pipeline, so that its late answer is not taken for the next call's. The stream's
+// goroutine writes; one reader goroutine, counted in counterClient.readers, reads and closes.
 type counterConn struct {
 	net.Conn
 	host            string
-	failed          atomic.Bool
+	responseTimeout time.Duration               // the connection is given up when an answer takes longer
+	idleEstimator   *idleLimitEstimator         // of the counter, shared by its connections
+	openConns       *atomic.Int64               // the stream's, this one among them until its reader ends
+	pipeline        chan *counterCall           // calls that have been written, in order
 	inFlight        atomic.Int64                // calls without an answer
-	headCall        atomic.Pointer[counterCall] // whose answer comes next
-	pipeline        chan *counterCall           // written, in order
-	openConns       *atomic.Int64               // connections of its stream
-	idleEstimator   *idleLimitEstimator         // the counter's
-	responseTimeout time.Duration               // an answer so late is given up
+	headCall        atomic.Pointer[counterCall] // the call whose answer is read next
+	failed          atomic.Bool                 // no further call may be written
 	retireOnce      sync.Once
 }
 
-// dial opens a connection and counts it in open until it has ended.
+// dial opens a connection and starts its reader. It counts the connection in openConns until the reader has ended.
 func (c *counterClient) dial(ctx context.Context, openConns *atomic.Int64) (*counterConn, error) {
-	d := net.Dialer{Timeout: c.timeout, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: c.timeout, KeepAlive: -1}
 	address := *c.address.Load()
-	netConn, err := d.DialContext(ctx, "tcp", address)
+	netConn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := &counterConn{Conn: netConn, host: address, pipeline: make(chan *counterCall, maxQueuedCalls), openConns: openConns,
-		idleEstimator: &c.idleEstimator, responseTimeout: max(counterIOTimeout, c.timeout)}
+	conn := &counterConn{
+		Conn:            netConn,
+		host:            address,
+		responseTimeout: max(counterIOTimeout, c.timeout),
+		idleEstimator:   &c.idleEstimator,
+		openConns:       openConns,
+		pipeline:        make(chan *counterCall, maxQueuedCalls),
+	}
 	openConns.Add(1)
 	c.readers.Go(func() {
 		defer openConns.Add(-1)
@@ -49,38 +64,40 @@
 	return conn, nil
 }
 
-// retire takes no more calls; the connection ends with its reader, once what is
-// out has been answered or given up. Only the stream's writer calls it, so nothing
-// joins waiting afterwards.
+// retire takes no more calls; the connection ends with its reader, once the calls in flight have been answered or given
+// up. Only the stream's goroutine calls it, so no call is added to the pipeline afterwards.
 func (c *counterConn) retire() { c.retireOnce.Do(func() { close(c.pipeline) }) }
 
-// Close ends the connection at once; its reader reports what is still out.
+// Close ends the connection at once; its reader reports the calls in flight.
 func (c *counterConn) Close() error {
 	c.retire()
 	return c.Conn.Close()
 }
 
-// reusable tells whether another call may be written after a rest. The counter may
-// close an idle connection sooner than agreed, and a call written then is in doubt.
+// reusable tells whether another call may be written after an idle time. The counter may close an idle connection sooner
+// than agreed, and it would be in doubt whether a call written then has been added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
-	return !c.failed.Load() && idleFor <= counterIdleTimeout &&
-		(c.inFlight.Load() > 0 || idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn))
+	if c.failed.Load() || idleFor > counterIdleTimeout {
+		return false
+	}
+	if c.inFlight.Load() > 0 {
+		return true
+	}
+	return idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn)
 }
 
-// headOfLineBlocked tells whether the stream should leave a connection, since the call whose
-// answer is due has been given up and another connection may be had. An
-// answer that never ends holds up all answers behind it, and so calls that the
-// counter has served would time out, for many customers, as if it were crowded.
-// This covers a lost or silent connection as well. It could hurt with a counter
-// that is slow for all, which gets more connections from it, so these are few;
-// an answer that comes late is still read where it comes.
+// headOfLineBlocked tells whether the stream should leave a connection, since the call whose answer is next has been
+// abandoned and another connection may be opened. An answer that never ends blocks all answers behind it, and so calls
+// that the counter has served would time out, for many customers, as if it were overloaded. This covers a lost or silent
+// connection as well. It could do harm with a counter that is slow for all, which gets more connections from it, so these
+// are few; an answer that arrives late is still read on its connection.
 func (c *counterConn) headOfLineBlocked() bool {
 	call := c.headCall.Load()
 	return call != nil && call.abandoned.Load() && c.openConns.Load() < maxConnsPerStream
 }
 
-// writeCall writes one call. Its answer is read only once it stands in the line;
-// where the line is full the connection is stuck.
+// writeCall writes one call and adds it to the pipeline, from which its answer is read. Where the pipeline is full the
+// connection is stuck, and the call fails.
 func (c *counterConn) writeCall(call *counterCall) {
 	if len(c.pipeline) == cap(c.pipeline) {
 		call.report(call, policy.ConnectFailed, 0)
@@ -99,33 +116,23 @@
 	c.pipeline <- call
 }
 
-// readReplies takes the answers in. What is out when the connection ends may have been
-// added.
+// readReplies reads the answers to the calls in the pipeline until it is closed. Calls behind a failed one end as
+// ConnectionReset: they may have been added.
 func (c *counterConn) readReplies() {
 	defer c.Conn.Close()
-	responseLimit := &io.LimitedReader{R: c.Conn}
-	reader := bufio.NewReader(responseLimit)
-	request := &http.Request{Method: http.MethodPost}
-	failed := false
+	limited := &io.LimitedReader{R: c.Conn}
+	reader := bufio.NewReader(limited)
+	readFailed := false
 	for call := range c.pipeline {
-		if failed {
+		if readFailed {
 			call.report(call, policy.ConnectionReset, 0)
 			continue
 		}
 		c.headCall.Store(call)
-		responseLimit.N = maxCounterResponseBytes
-		c.SetReadDeadline(time.Now().Add(c.responseTimeout))
-		outcome, total, err := policy.Failed, 0.0, error(nil)
-		if _, err = reader.Peek(1); err != nil {
-			outcome = readErrorOutcome(err)
-			c.idleEstimator.observe(time.Now(), call.idleFor, outcome == policy.ConnectionReset)
-		} else {
-			c.idleEstimator.observe(time.Now(), call.idleFor, false)
-			call.responseStarted.Store(true)
-			outcome, total, err = readTotal(reader, request)
-		}
+		limited.N = maxCounterResponseBytes
+		outcome, total, err := c.readReply(reader, call)
 		if err != nil {
-			failed = true
+			readFailed = true
 			c.failed.Store(true)
 			c.Conn.Close()
 		}
@@ -134,3 +141,17 @@
 		call.report(call, outcome, total)
 	}
 }
+
+// readReply reads the answer to the call at the head of the pipeline, and lets the idle estimator learn from it. After an
+// error no further answer may be read from the connection.
+func (c *counterConn) readReply(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
+	c.SetReadDeadline(time.Now().Add(c.responseTimeout))
+	if _, err := reader.Peek(1); err != nil {
+		outcome := readErrorOutcome(err)
+		c.idleEstimator.observe(time.Now(), call.idleFor, outcome == policy.ConnectionReset)
+		return outcome, 0, err
+	}
+	c.idleEstimator.observe(time.Now(), call.idleFor, false)
+	call.responseStarted.Store(true)
+	return readTotal(reader, countRequest)
+}
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -13,29 +13,39 @@
 	"amberlb/policy"
 )
 
-var errNoTotal = errors.New("no total")
+// maxTotalBytes bounds the body of an answer of the counter.
+const maxTotalBytes = 64
 
-// readTotal reads the answer to a call. An answer that can't be read
-// says that the amount was added and no more. After it, and where a body has no
-// end of its own, the connection can't be trusted with the next call's.
+// Errors of an answer after which its connection can't be used any more.
+var (
+	errTotalTooLong    = errors.New("counter: the body is too long for a total")
+	errUndelimitedBody = errors.New("counter: the body ends with its connection alone")
+	errMalformedTotal  = errors.New("counter: the body is no finite number")
+)
+
+// counterStatusError reports a status that proves nothing: the amount may have been added or not.
+type counterStatusError struct {
+	status string
+}
+
+func (e *counterStatusError) Error() string { return fmt.Sprintf("counter: status %s", e.status) }
+
+// readTotal reads the answer to a call, with the total where the outcome is Served. A malformed answer says that the
+// amount was added and no more. After an error, the connection can't be trusted with the next call's answer.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
 		return policy.Failed, 0, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBytes+1))
-	resp.Body.Close()
-	switch {
-	case err != nil:
+	body, err := readTotalBody(resp)
+	if err != nil {
 		return policy.Failed, 0, err
-	case len(body) > maxTotalBytes, !hasDelimitedBody(resp):
-		return policy.Failed, 0, errNoTotal
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
-		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-			return policy.Failed, 0, errNoTotal
+		total, err := parseTotal(body)
+		if err != nil {
+			return policy.Failed, 0, err
 		}
 		return policy.Served, total, nil
 	case http.StatusServiceUnavailable:
@@ -43,5 +53,29 @@
 	case http.StatusBadRequest, http.StatusNotFound:
 		return policy.ConnectFailed, 0, nil // nothing was added
 	}
-	return policy.ConnectionReset, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return policy.ConnectionReset, 0, &counterStatusError{resp.Status}
+}
+
+// readTotalBody reads and closes the body of an answer.
+func readTotalBody(resp *http.Response) ([]byte, error) {
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBytes+1))
+	switch {
+	case err != nil:
+		return nil, err
+	case len(body) > maxTotalBytes:
+		return nil, errTotalTooLong
+	case !hasDelimitedBody(resp):
+		return nil, errUndelimitedBody
+	}
+	return body, nil
+}
+
+// parseTotal parses the body of an answer.
+func parseTotal(body []byte) (float64, error) {
+	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
+	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
+		return 0, errMalformedTotal
+	}
+	return total, nil
 }
