--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -9,15 +9,19 @@
 	"amberlb/policy"
 )
 
-// The counts are told by name, by reason and by outcome, and zeros are left out.
-func TestMetricsLine(t *testing.T) {
+// The counts are logged by name, by reason and by outcome, and zeros are left out.
+func TestMetricsLogCountsAboveZero(t *testing.T) {
 	var m metrics
 	m.add(requestsAccepted)
 	m.rejected[policy.ReasonQuota].Add(2)
 	m.attempts[policy.TimedOut].Add(3)
 	var text bytes.Buffer
 	slog.New(slog.NewTextHandler(&text, nil)).Info("counts", "since_start", &m)
-	for _, want := range []string{" since_start.requests.taken=1", " since_start.refused.quota=2", " since_start.attempts.timed_out=3"} {
+	for _, want := range []string{
+		" since_start.requests.accepted=1",
+		" since_start.rejected.quota=2",
+		" since_start.attempts.timed_out=3",
+	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is not in %q", want, text.String())
 		}
@@ -28,26 +32,23 @@
 }
 
 // Every metric, reason and outcome has a name of its own.
-func TestMetricNames(t *testing.T) {
+func TestMetricNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for i, name := range metricNames {
-		if name == "" || seen[name] {
-			t.Errorf("metric %d: name %q is empty or stands twice", i, name)
+	check := func(kind string, index int, name string) {
+		t.Helper()
+		if key := kind + " " + name; name == "" || seen[key] {
+			t.Errorf("%s %d: name %q is empty or used twice", kind, index, name)
+		} else {
+			seen[key] = true
 		}
-		seen[name] = true
+	}
+	for i, name := range metricNames {
+		check("metric", i, name)
 	}
 	for reason := range policy.ReasonCount {
-		if name := "reason " + reason.String(); name == "reason " || seen[name] {
-			t.Errorf("reason %d: name %q", reason, name)
-		} else {
-			seen[name] = true
-		}
+		check("reason", int(reason), reason.String())
 	}
 	for outcome := range policy.OutcomeCount {
-		if name := "outcome " + outcome.String(); name == "outcome " || seen[name] {
-			t.Errorf("outcome %d: name %q", outcome, name)
-		} else {
-			seen[name] = true
-		}
+		check("outcome", int(outcome), outcome.String())
 	}
 }
