--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -14,37 +14,46 @@
 	"amberlb/policy"
 )
 
+// reply is what a call of the given amount was reported with.
 type reply struct {
 	amount  float64
 	outcome policy.Outcome
 	total   float64
 }
 
+// startCounter runs a client of the counter until the test ends. add queues a call whose reply is then in replies.
 func startCounter(t *testing.T, address string) (c *counterClient, add func(amount float64) *counterCall, replies chan reply) {
+	t.Helper()
 	c = newCounterClient(address, patience)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies = make(chan reply, 64)
-	return c, func(amount float64) *counterCall {
-		k := &counterCall{key: 7, amount: amount, ttl: time.Minute}
-		k.report = func(k *counterCall, o policy.Outcome, total float64) { replies <- reply{k.amount, o, total} }
-		if !c.enqueue(k) {
-			t.Fatal("the stream is full")
+	add = func(amount float64) *counterCall {
+		call := &counterCall{key: 7, amount: amount, ttl: time.Minute}
+		call.report = func(call *counterCall, outcome policy.Outcome, total float64) {
+			replies <- reply{call.amount, outcome, total}
 		}
-		return k
-	}, replies
+		if !c.enqueue(call) {
+			t.Fatal("the queue is full")
+		}
+		return call
+	}
+	return c, add, replies
 }
 
+// total writes an answer with a length.
 func total(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-func TestCounterPipeline(t *testing.T) {
+// Calls are pipelined in order. The answer to an abandoned one is not taken for the next call's, and a call whose answer is
+// cut off is in doubt.
+func TestCounterCallsArePipelined(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
-	late := add(1)
+	abandoned := add(1)
 	add(-2.5)
 	add(3)
 	add(4)
@@ -55,9 +64,9 @@
 			t.Errorf("call %d: %s, want %s", i, req.RequestURI, uri)
 		}
 	}
-	// The first is given up by the loop. Its late answer keeps its place, lest each
-	// later call be told the total of the one before.
-	late.abandoned.Store(true)
+	// The loop abandons the first call. Its late answer keeps its place, lest each later call get the total of the one
+	// before.
+	abandoned.abandoned.Store(true)
 	total(conn, 200, "1")
 	total(conn, 200, "-1.5\n")
 	total(conn, 503, "")
@@ -72,17 +81,17 @@
 	readRequest(t, r)
 	conn.Close()
 	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
-		t.Errorf("reply after a break: %v", got)
+		t.Errorf("reply after the connection was closed: %v", got)
 	}
-	// The next goes out on a new connection.
+	// The next is sent on a new connection.
 	add(6)
 	_, r = far.accept(t)
 	readRequest(t, r)
 }
 
-// A spoilt answer says that the amount was added, not more: what was called
-// behind it is in doubt, and the connection is used no more.
-func TestCounterSpoilt(t *testing.T) {
+// A malformed answer says that the amount was added and no more: a call behind it is in doubt, and the connection is not
+// used any more.
+func TestMalformedCounterAnswerEndsConnection(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
 	for _, c := range []struct {
@@ -123,8 +132,8 @@
 	}
 }
 
-// A counter that is given longer than a connection may stand still, by the settings, is given that long: its answer counts.
-func TestCounterHasItsWholeTime(t *testing.T) {
+// Where the settings give a call longer than the usual I/O time-out, its answer may take that long.
+func TestCounterAnswerMayTakeCallTimeout(t *testing.T) {
 	t.Parallel()
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
@@ -138,38 +147,37 @@
 	}
 }
 
-// An answer without an end holds up what was called behind it on its connection
-// and no more: the next call gets a connection of its own.
-func TestCounterStandsStill(t *testing.T) {
+// An answer that never ends blocks the calls behind it on its connection and no others: the next call gets a new
+// connection.
+func TestBlockedCounterConnectionIsReplaced(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
-	stuck := add(1)
+	blocked := add(1)
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
-	for until := time.Now().Add(patience); !stuck.responseStarted.Load() && time.Now().Before(until); {
+	for deadline := time.Now().Add(patience); !blocked.responseStarted.Load() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond) // the answer's beginning is on its way
 	}
-	stuck.abandoned.Store(true)
+	blocked.abandoned.Store(true)
 	add(2)
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	total(conn, 200, "3")
 	for got := wait(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = wait(t, replies, "reply") {
-		if got.amount != 1 { // the stuck connection ends some day, and its call with it
+		if got.amount != 1 { // the blocked connection ends at its time-out, and its call with it
 			t.Fatalf("reply on the new connection: %v", got)
 		}
 	}
 }
 
-// A counter that is slow for all must not be given connections without end: at
-// the bound, calls go out on the last one.
-func TestCounterConnectionsBounded(t *testing.T) {
+// A counter that is slow for all must not get connections without limit: at the limit, calls are sent on the last one.
+func TestCounterConnectionsAreLimited(t *testing.T) {
 	far := newPeer(t)
 	c := newCounterClient(far.address(), patience)
-	var open atomic.Int64
-	open.Store(maxConnsPerStream - 1) // stand still already
-	conn, err := c.dial(context.Background(), &open)
+	var openConns atomic.Int64
+	openConns.Store(maxConnsPerStream - 1) // blocked already
+	conn, err := c.dial(context.Background(), &openConns)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,22 +186,22 @@
 	overdue.abandoned.Store(true)
 	conn.headCall.Store(overdue)
 	if conn.headOfLineBlocked() {
-		t.Error("another connection would be opened past the bound")
+		t.Error("another connection would be opened past the limit")
 	}
-	open.Add(-1)
+	openConns.Add(-1)
 	if !conn.headOfLineBlocked() {
-		t.Error("a connection that stands still is kept below the bound")
+		t.Error("a blocked connection is kept below the limit")
 	}
-	open.Add(1)
+	openConns.Add(1)
 	conn.Close()
 	c.readers.Wait()
-	if n := open.Load(); n != maxConnsPerStream-1 {
+	if n := openConns.Load(); n != maxConnsPerStream-1 {
 		t.Errorf("%d connections count as open after one has ended", n)
 	}
 }
 
-// Nothing was written, so nothing was added: the module may count on it.
-func TestCounterAway(t *testing.T) {
+// A call on a counter that can't be reached is not written, so nothing was added, and the outcome says so.
+func TestUnreachableCounterAddsNothing(t *testing.T) {
 	far := newPeer(t)
 	far.listener.Close()
 	_, add, replies := startCounter(t, far.address())
@@ -203,16 +211,16 @@
 	}
 }
 
-// A call that was given up before it was written must not be added later.
-func TestCounterGivenUpUnwritten(t *testing.T) {
+// A call that was abandoned before it was written is never written.
+func TestAbandonedCallIsNotWritten(t *testing.T) {
 	far := newPeer(t)
 	c := newCounterClient(far.address(), patience)
 	reported := make(chan policy.Outcome, 2)
-	report := func(_ *counterCall, o policy.Outcome, _ float64) { reported <- o }
-	k := &counterCall{key: 1, amount: 1, ttl: time.Minute, report: report}
-	k.abandoned.Store(true)
+	report := func(_ *counterCall, outcome policy.Outcome, _ float64) { reported <- outcome }
+	abandoned := &counterCall{key: 1, amount: 1, ttl: time.Minute, report: report}
+	abandoned.abandoned.Store(true)
 	next := &counterCall{key: 1, amount: 2, ttl: time.Minute, report: report}
-	c.enqueue(k)
+	c.enqueue(abandoned)
 	c.enqueue(next)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -226,9 +234,9 @@
 	}
 }
 
-// Something on the way to the counter forgets connections that rest: once that
-// has shown, a call goes out on a new one and is not in doubt.
-func TestCounterForgotten(t *testing.T) {
+// Something on the way to the counter drops idle connections: once that is known, a call is sent on a new one and is not in
+// doubt.
+func TestIdleConnectionIsReplacedAboveEstimatedLimit(t *testing.T) {
 	far := newPeer(t)
 	c, add, replies := startCounter(t, far.address())
 	for range 2 * int(minBreaks) {
@@ -240,17 +248,17 @@
 		readRequest(t, r)
 		total(conn, 200, "1")
 		wait(t, replies, "reply")
-		time.Sleep(10 * minIdleBucket) // the rest itself is what is tested
+		time.Sleep(10 * minIdleBucket) // the idle time itself is what is tested
 	}
 }
 
-// A call that breaks on a connection that rested tells of it.
-func TestCounterLearnsOfForgotten(t *testing.T) {
+// Calls that fail on connections that were idle teach the estimator a limit.
+func TestIdleLimitIsLearnedFromResets(t *testing.T) {
 	far := newPeer(t)
 	c, add, replies := startCounter(t, far.address())
 	for round := 0; c.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
-			t.Fatal("nothing was learnt")
+			t.Fatal("no limit was learned")
 		}
 		add(1)
 		conn, r := far.accept(t)
@@ -267,31 +275,29 @@
 	}
 }
 
-// The counter may close an idle connection; a call written to it would be in
-// doubt.
-func TestCounterClosedIdle(t *testing.T) {
+// A connection that the counter closed while idle is not reused: a call written to it would be in doubt.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	far := newPeer(t)
 	c := newCounterClient(far.address(), patience)
-	var open atomic.Int64
-	conn, err := c.dial(context.Background(), &open)
+	var openConns atomic.Int64
+	conn, err := c.dial(context.Background(), &openConns)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	other, _ := far.accept(t)
+	counterSide, _ := far.accept(t)
 	conn.SetDeadline(time.Now().Add(-time.Second)) // of an earlier call
 	if !conn.reusable(0) {
-		t.Error("a connection in good health is not usable")
+		t.Error("a healthy connection is not reusable")
 	}
 	if conn.reusable(counterIdleTimeout + time.Second) {
-		t.Error("usable after the idle limit")
+		t.Error("reusable after the idle limit")
 	}
-	other.Close()
-	until := time.Now().Add(patience)
-	for isQuiet(conn.Conn) && time.Now().Before(until) {
+	counterSide.Close()
+	for deadline := time.Now().Add(patience); isQuiet(conn.Conn) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
 	if conn.reusable(0) {
-		t.Error("usable after the counter closed it")
+		t.Error("reusable after the counter closed it")
 	}
 }
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// A counter that says nothing must not stop customers inside their quotas: the
-// call is given up and the gateway's own share pays.
-func TestSilentCounter(t *testing.T) {
+// A silent counter must not block customers inside their quotas: the call times out and the gateway's local tokens pay.
+func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
-		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.1, "depth": 20}`,
-		`"fleetSize": 2`, `"fleetSize": 6`, // so many that own shares pay for nothing while the counter answers
-		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 1`).Replace, backend)
+	r := newRigWith(t, func(config string) string {
+		// So many gateways that local tokens pay for nothing while the counter answers.
+		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
+		return withCounter(counter, 0.1, 20, time.Second)(config)
+	}, backend)
 	_, answers := r.client(t, ask("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
@@ -29,14 +29,13 @@
 	}
 }
 
-// An answer of the counter that begins and never ends is no silence: the amount
-// was added, so the customer is asked for again at once and it is taken back.
-func TestCounterAnswerWithoutEnd(t *testing.T) {
+// An answer of the counter that begins and never ends is no time-out: the amount was added, so the customer's total is
+// requested again at once and the amount is written off.
+func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
-		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay again
-		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.5`).Replace, backend)
+	// The gateway's local tokens are too few to pay again.
+	r := newRigWith(t, withCounter(counter, 0.001, 2, 500*time.Millisecond), backend)
 	_, answers := r.client(t, ask("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
@@ -58,15 +57,13 @@
 	}
 }
 
-// An answer that comes after its call was given up says what was added: the
-// request that waits is let in by it.
-func TestLateTotal(t *testing.T) {
+// An answer that arrives after its call has timed out tells what was added: the queued request is admitted by it.
+func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
 	const timeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
-		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay
-		`"mostUnits": 4`, fmt.Sprintf(`"mostUnits": 4, "hasCounter": true, "counterTimeoutS": %g`, timeout.Seconds())).Replace, backend)
+	// The gateway's local tokens are too few to pay.
+	r := newRigWith(t, withCounter(counter, 0.001, 2, timeout), backend)
 	_, answers := r.client(t, ask("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
@@ -78,25 +75,25 @@
 	}
 }
 
-// What a call took, though its answer told no total, is put back where the answer shows that it was added. Where that
-// is in doubt the customer misses this once, and no more.
-func TestUnitsWithoutTotalAreTakenBack(t *testing.T) {
+// The units of a call whose answer holds no total are returned where the answer shows that they were added. Where that is
+// in doubt the customer loses them once, and no more.
+func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		spoil func(net.Conn)
-		lost  float64
+		failAnswer func(net.Conn)
+		lost       float64
 	}{
-		"spoilt": {func(c net.Conn) { total(c, http.StatusOK, "no number") }, 0},
-		"cut":    {func(c net.Conn) { c.Close() }, 2},
+		"malformed": {func(c net.Conn) { total(c, http.StatusOK, "no number") }, 0},
+		"cut off":   {func(c net.Conn) { c.Close() }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const others = 2.0 // another gateway's
+			const otherGateway = 2.0 // units that another gateway has added
 			counter := newPeer(t)
 			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
 			r.client(t, ask("GET", "lookup", ""))
 			conn, calls := counter.accept(t)
-			added := func() (string, float64) {
+			nextCall := func() (path string, added float64) {
 				req, _ := readRequest(t, calls)
 				n, err := strconv.ParseFloat(req.URL.Query().Get("add"), 64)
 				if err != nil {
@@ -104,17 +101,17 @@
 				}
 				return req.URL.Path, n
 			}
-			window, first := added()
-			c.spoil(conn)
+			window, first := nextCall()
+			c.failAnswer(conn)
 			conn, calls = counter.accept(t)
-			again, second := added()
-			if again != window {
+			sameWindow, second := nextCall()
+			if sameWindow != window {
 				t.Skip("the window has just ended")
 			}
-			total(conn, http.StatusOK, strconv.FormatFloat(first+others+second, 'f', -1, 64))
-			_, third := added() // what it asked for and didn't get
-			if left := first + second + third; first != 2 || math.Abs(left-c.lost) > 0.1 {
-				t.Errorf("%g + %g + %g: %g stay, want %g", first, second, third, left, c.lost)
+			total(conn, http.StatusOK, strconv.FormatFloat(first+otherGateway+second, 'f', -1, 64))
+			_, third := nextCall() // returns what was requested and not granted
+			if kept := first + second + third; first != 2 || math.Abs(kept-c.lost) > 0.1 {
+				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, kept, c.lost)
 			}
 		})
 	}
