--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// clock is the module's time: Unix time in seconds, read once at the start and
-// carried on by the monotonic clock, so that a step of the system's clock moves
-// no deadline. All gateways must share its origin: the windows of their leases
-// are cut from it.
+// clock is the module's time: Unix time in seconds, read once at the start and advanced by the monotonic clock, so that a
+// step of the system's clock moves no deadline. All gateways must share its origin, since their lease windows are cut
+// from it. The zero value is not usable; newClock makes a clock.
 type clock struct {
-	start     time.Time
-	startUnix float64
+	start     time.Time // with its monotonic reading
+	startUnix float64   // the same moment in Unix seconds
 }
 
+// newClock returns a clock that starts now.
 func newClock() clock {
-	base := time.Now()
-	return clock{start: base, startUnix: float64(base.UnixNano()) / 1e9}
+	start := time.Now()
+	return clock{start: start, startUnix: float64(start.UnixNano()) / 1e9}
 }
 
+// now returns the module's time in seconds.
 func (c clock) now() float64 { return c.startUnix + time.Since(c.start).Seconds() }
 
-// toTime is the moment t for deadlines of sockets.
+// toTime returns the moment t of the module's time, for deadlines of sockets.
 func (c clock) toTime(t float64) time.Time {
 	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -14,17 +14,19 @@
 	"amberlb/policy"
 )
 
-// steady serves every attempt after the same time.
-type steady time.Duration
+// constantLatency is a backend that serves every attempt after the same time.
+type constantLatency time.Duration
 
-func (s steady) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
-	return time.Duration(s), policy.Served
+func (l constantLatency) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
+	return time.Duration(l), policy.Served
 }
 
-// runHollow runs a hollow gateway with one backend until the test, or what it returns, ends it.
+// runHollow runs a hollow gateway with one backend until the end of the test or a call of end.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
+	t.Helper()
 	discovery := newRegistry(t)
-	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
+	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{
+		{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -33,75 +35,94 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
-	wg.Go(func() { h.Run(ctx) })
-	end = func() { cancel(); wg.Wait() }
+	var running sync.WaitGroup
+	running.Go(func() { h.Run(ctx) })
+	end = func() { cancel(); running.Wait() }
 	t.Cleanup(end)
 	wait(t, h.Ready(), "list")
 	return h, end
 }
 
-// A hollow gateway serves what its customer's quota pays for, after the time that the backend takes, and refuses
-// the rest; the quota is the counter's.
-func TestHollowQuota(t *testing.T) {
-	const burst, service = 5, 20 * time.Millisecond
-	var mu sync.Mutex
-	totals, calls := map[string]float64{}, uint64(0)
-	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var add float64
-		fmt.Sscan(r.URL.Query().Get("add"), &add)
-		mu.Lock()
-		defer mu.Unlock()
-		calls++
-		totals[r.URL.Path] += add
-		fmt.Fprint(w, totals[r.URL.Path])
-	}))
+// additionCounter is a counter that adds up the calls for each name.
+type additionCounter struct {
+	mu     sync.Mutex
+	totals map[string]float64
+	calls  uint64
+}
+
+func (c *additionCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var add float64
+	fmt.Sscan(r.URL.Query().Get("add"), &add)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls++
+	c.totals[r.URL.Path] += add
+	fmt.Fprint(w, c.totals[r.URL.Path])
+}
+
+// callCount returns how many calls have been served.
+func (c *additionCounter) callCount() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.calls
+}
+
+// A hollow gateway serves what its customer's quota pays for, after the time that the backend takes, and rejects
+// the rest; the quota is kept by the counter.
+func TestHollowServesWithinQuota(t *testing.T) {
+	const (
+		burst   = 5
+		latency = 20 * time.Millisecond
+	)
+	calls := &additionCounter{totals: map[string]float64{}}
+	counter := httptest.NewServer(calls)
 	t.Cleanup(counter.Close)
 	settings := strings.NewReplacer(`"pays": 1}`, fmt.Sprintf(`"pays": 1, "unitsPerS": 0.001, "depth": %d}`, burst),
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 5`).Replace(testSettings)
-	h, _ := runHollow(t, settings, counter.Listener.Addr().String(), steady(service))
-	got, sent := map[int]int{}, atomic.Int64{}
+	h, _ := runHollow(t, settings, counter.Listener.Addr().String(), constantLatency(latency))
+	statusCounts := map[int]int{}
+	var sent atomic.Int64
 	for n := range 3 * burst {
-		began, answered := time.Now(), make(chan int, 2)
+		submittedAt := time.Now()
+		answered := make(chan int, 2)
 		h.Submit(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
 		status := wait(t, answered, "answer")
-		got[status]++
-		if took := time.Since(began); status == http.StatusOK && took < service {
-			t.Errorf("served in %v", took)
+		statusCounts[status]++
+		if elapsed := time.Since(submittedAt); status == http.StatusOK && elapsed < latency {
+			t.Errorf("served in %v", elapsed)
 		}
 	}
-	if got[200] < 1 || got[200] > burst || got[200]+got[429] != 3*burst {
-		t.Errorf("answers by status: %v, with a burst of %d", got, burst)
+	if statusCounts[200] < 1 || statusCounts[200] > burst || statusCounts[200]+statusCounts[429] != 3*burst {
+		t.Errorf("answers by status: %v, with a burst of %d", statusCounts, burst)
 	}
-	if int(sent.Load()) != got[200] {
-		t.Errorf("%d told as sent, %d served", sent.Load(), got[200])
+	if int(sent.Load()) != statusCounts[200] {
+		t.Errorf("%d reported as sent, %d served", sent.Load(), statusCounts[200])
 	}
-	agree := func() bool {
-		mu.Lock()
-		defer mu.Unlock()
+	countsAgree := func() bool {
 		made, unanswered := h.CounterCalls()
-		return made > 0 && made == calls && unanswered == 0
+		return made > 0 && made == calls.callCount() && unanswered == 0
 	}
-	for until := time.Now().Add(patience); !agree(); time.Sleep(time.Millisecond) { // one may be on its way
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(patience); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
+		if time.Now().After(deadline) {
 			made, unanswered := h.CounterCalls()
-			t.Fatalf("%d calls told of, %d of them unanswered, and the counter had others", made, unanswered)
+			t.Fatalf("%d calls reported, %d of them unanswered, and the counter had others", made, unanswered)
 		}
 	}
 }
 
-// A gateway that ends answers what is open, and waits for no backend. One that has ended answers too.
-func TestHollowEnds(t *testing.T) {
-	h, end := runHollow(t, testSettings, "127.0.0.1:1", steady(time.Hour))
-	answered, sent := make(chan int, 2), make(chan struct{})
-	ask := func(id string, sent func()) {
-		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
+// A hollow gateway that ends answers the open requests and waits for no backend. One that has ended answers too.
+func TestHollowAnswersAtItsEnd(t *testing.T) {
+	h, end := runHollow(t, testSettings, "127.0.0.1:1", constantLatency(time.Hour))
+	answered := make(chan int, 2)
+	sent := make(chan struct{})
+	submit := func(id string, onSent func()) {
+		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, onSent, func(status int, _ float64) { answered <- status })
 	}
-	ask("one", func() { close(sent) })
+	submit("one", func() { close(sent) })
 	wait(t, sent, "send")
 	end()
-	ask("two", func() { t.Error("sent by a gateway that has ended") })
+	submit("two", func() { t.Error("sent by a gateway that has ended") })
 	for range 2 {
 		if status := wait(t, answered, "answer"); status != http.StatusInternalServerError {
 			t.Errorf("answered %d", status)
@@ -110,12 +131,13 @@
 }
 
 // Nothing is sent to a backend that discovery does not list.
-func TestHollowUnlisted(t *testing.T) {
-	b := &hollowTransport{loop: &eventLoop{}, backend: steady(0)}
-	a, ends := newAttempt(time.Hour), make(chan policy.Outcome, 1)
-	a.request.onSent = func() { t.Error("told as sent") }
-	b.startAttempt(a, func(r attemptResult) { ends <- r.outcome })
-	if got := wait(t, ends, "end"); got != policy.ConnectFailed {
+func TestHollowSendsNothingToUnlistedBackend(t *testing.T) {
+	transport := &hollowTransport{loop: &eventLoop{}, backend: constantLatency(0)}
+	a := newAttempt(time.Hour)
+	outcomes := make(chan policy.Outcome, 1)
+	a.request.onSent = func() { t.Error("reported as sent") }
+	transport.startAttempt(a, func(r attemptResult) { outcomes <- r.outcome })
+	if got := wait(t, outcomes, "outcome"); got != policy.ConnectFailed {
 		t.Errorf("ended as %v", got)
 	}
 }
