--- /dev/null
+++ b/internal/wire/cursor.go
@@ -0,0 +1,38 @@
+package wire
+
+import "math"
+
+// cursor reads the fields of a frame, which are big-endian and not padded. Past the end it reads zeros and sets truncated,
+// so that a record's decoder needs no check after each field.
+type cursor struct {
+	remaining []byte
+	truncated bool // a field extended past the end
+}
+
+// take returns the next n bytes, or nil past the end.
+func (c *cursor) take(n int) []byte {
+	if n < 0 || n > len(c.remaining) {
+		c.truncated = true
+		c.remaining = nil
+		return nil
+	}
+	field := c.remaining[:n]
+	c.remaining = c.remaining[n:]
+	return field
+}
+
+// bigEndian reads an unsigned number of n bytes.
+func (c *cursor) bigEndian(n int) uint64 {
+	var v uint64
+	for _, b := range c.take(n) {
+		v = v<<8 | uint64(b)
+	}
+	return v
+}
+
+func (c *cursor) u8() uint8    { return uint8(c.bigEndian(1)) }
+func (c *cursor) u16() uint16  { return uint16(c.bigEndian(2)) }
+func (c *cursor) u32() uint32  { return uint32(c.bigEndian(4)) }
+func (c *cursor) u64() uint64  { return c.bigEndian(8) }
+func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
+func (c *cursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
--- a/internal/wire/encode.go
+++ b/internal/wire/reply.go
@@ -8,23 +8,13 @@
 	"amberlb/policy"
 )
 
-// Codes of the records in a reply.
 const (
-	codeProbe           = 80
-	codeCancelAttempt   = 81
-	codeSetTimer        = 82
-	codeCounterAdd      = 85
-	codeRejectRequest   = 86
-	codeInstanceActions = 87
-	codePollEndpoints   = 88
-	codeFailRequest     = 89
-	codeSendAttempt     = 91
-	codeLog             = 92
+	replyHeaderSize  = 12 // bytes: length, number of records, sequence number
+	replyLengthSize  = 4  // bytes of the header that the length does not count
+	followingChanges = 1  // the field of codePollEndpoints: on
 )
 
-const replyHeaderSize = 12 // bytes: length, records, number
-
-// Reply collects the actions of all instances in answer to one batch.
+// Reply collects the actions of all instances in answer to one batch. The zero value needs a Reset before its use.
 type Reply struct {
 	buf         []byte
 	recordCount uint32
@@ -37,15 +27,15 @@
 	r.recordCount = 0
 }
 
-// Add appends the actions of one instance.
+// Add appends the actions of one instance. It returns an error for an action that the wire has no record for.
 func (r *Reply) Add(instance uint32, actions []policy.Action) error {
 	if len(actions) == 0 {
 		return nil
 	}
 	r.beginRecord(codeInstanceActions)
 	r.u32(instance)
-	for _, a := range actions {
-		if err := r.encodeAction(a); err != nil {
+	for _, action := range actions {
+		if err := r.encodeAction(action); err != nil {
 			return err
 		}
 	}
@@ -54,13 +44,14 @@
 
 // Bytes returns the finished frame; it is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-4))
+	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-replyLengthSize))
 	binary.BigEndian.PutUint32(r.buf[4:], r.recordCount)
 	return r.buf
 }
 
-func (r *Reply) encodeAction(a policy.Action) error {
-	switch a := a.(type) {
+// encodeAction appends the record of one action, its fields in the wire's order.
+func (r *Reply) encodeAction(action policy.Action) error {
+	switch a := action.(type) {
 	case policy.SendAttempt:
 		r.beginRecord(codeSendAttempt)
 		r.u32(uint32(a.Request))
@@ -69,7 +60,7 @@
 	case policy.CancelAttempt:
 		r.beginRecord(codeCancelAttempt)
 		r.u32(uint32(a.Request))
-		r.buf = append(r.buf, uint8(a.Attempt))
+		r.u8(uint8(a.Attempt))
 	case policy.Reject:
 		r.beginRecord(codeRejectRequest)
 		r.u32(uint32(a.Request))
@@ -84,30 +75,38 @@
 	case policy.CounterAdd:
 		r.beginRecord(codeCounterAdd)
 		r.u64(a.Name)
-		r.u32(math.Float32bits(float32(a.Amount)))
+		r.f32(a.Amount)
 		r.f64(a.TTL)
 	case policy.Probe:
 		r.beginRecord(codeProbe)
 		r.u32(uint32(a.Backend))
 	case policy.PollEndpoints:
 		r.beginRecord(codePollEndpoints)
-		r.buf = append(r.buf, 1)
+		r.u8(followingChanges)
 	case policy.Log:
 		r.beginRecord(codeLog)
-		text := a.Text[:min(len(a.Text), math.MaxUint16)]
-		r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(text)))
-		r.buf = append(r.buf, text...)
+		r.text(a.Text)
 	default:
 		return fmt.Errorf("no record for action %T", a)
 	}
 	return nil
 }
 
+// beginRecord starts a record; its fields follow.
 func (r *Reply) beginRecord(code uint8) {
-	r.buf = append(r.buf, code)
+	r.u8(code)
 	r.recordCount++
 }
 
+func (r *Reply) u8(v uint8)    { r.buf = append(r.buf, v) }
 func (r *Reply) u32(v uint32)  { r.buf = binary.BigEndian.AppendUint32(r.buf, v) }
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
+func (r *Reply) f32(v float64) { r.u32(math.Float32bits(float32(v))) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
+
+// text appends a text after its length, cut to the longest that the length can state.
+func (r *Reply) text(s string) {
+	s = s[:min(len(s), math.MaxUint16)]
+	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(s)))
+	r.buf = append(r.buf, s...)
+}
