--- a/policy/answer.go
+++ b/policy/answer.go
@@ -55,3 +55,18 @@
 		}
 	}
 }
+
+// responseStarted notes that a backend's answer is being streamed to the client: from now on there is no
+// other answer and no further attempt.
+func (e *Engine) responseStarted(id RequestID) {
+	if req := e.openRequest(id); req != nil {
+		req.streaming = true
+	}
+}
+
+// clientDisconnected closes a request whose client waits no longer.
+func (e *Engine) clientDisconnected(id RequestID) {
+	if req := e.openRequest(id); req != nil {
+		e.finish(req)
+	}
+}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// Engine holds all that one gateway knows.
+// Engine is the state machine of one gateway. It is not safe for concurrent use.
 type Engine struct {
 	settings         Settings
-	now              float64
-	rng              *rand.Rand
-	actions          []Action // the actions of the event that is being handled
-	startedAt        float64
-	shutdownAnswerBy float64 // every request has to be answered by then; 0: no shutdown has begun
-	lastMaintenance  float64
+	now              float64    // clock time of the event that is being handled
+	rng              *rand.Rand // the only source of randomness, so that events replay
+	actions          []Action   // the actions of the event that is being handled
+	startedAt        float64    // clock time of New
+	lastMaintenance  float64    // clock time of the last round of maintenance
+	shutdownAnswerBy float64    // clock time by which every request is answered; 0: no shutdown has begun
 
-	requests       map[RequestID]*request
+	requests       map[RequestID]*request // open ones, and finished ones with attempts in flight
 	queue          priorityQueue
 	limiter        concurrencyLimiter
 	latency        latencyStats
@@ -24,14 +24,25 @@
 	counter        counterState
 }
 
-// New starts the engine of one gateway, which knows nothing of an earlier incarnation, and appends its
-// first actions to out.
+// New starts the engine of one gateway at the clock time now, which knows nothing of an earlier incarnation,
+// and appends its first actions to out. Engines of the same settings, seed and events take the same actions.
 func New(set Settings, seed uint64, now float64, out []Action) (*Engine, []Action) {
-	e := &Engine{settings: set, now: now, actions: out, startedAt: now, lastMaintenance: now}
-	e.limiter.lastCut = now
-	e.retries.tokens = maxRetryTokens
-	e.queue = newPriorityQueue(&set)
-	e.allocateState(seed)
+	e := &Engine{
+		settings:        set,
+		now:             now,
+		rng:             rand.New(rand.NewPCG(seed, seed>>1)),
+		actions:         out,
+		startedAt:       now,
+		lastMaintenance: now,
+		requests:        map[RequestID]*request{},
+		queue:           newPriorityQueue(&set),
+		limiter:         concurrencyLimiter{lastCut: now},
+		retries:         retryBudget{tokens: maxRetryTokens},
+		clientTimeouts:  make([]clientTimeout, len(set.Classes)*len(set.Plans)),
+		backends:        backendSet{byID: map[BackendID]*backend{}},
+		customers:       customerSet{byID: map[CustomerID]*customer{}},
+		counter:         counterState{pending: map[uint64][]counterCall{}},
+	}
 	if set.PollDiscovery {
 		e.emit(PollEndpoints{})
 	}
@@ -39,24 +50,28 @@
 	return e, e.actions
 }
 
-// Handle takes one event and appends the actions that it calls for to out.
+// Handle takes one event that happened at the clock time now, which never goes back, and appends the actions
+// that it calls for to out. Events that nothing is decided by (Probed, PeerMessage) are passed over.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
 	e.limiter.averageInFlight(e.now, now)
 	e.now = now
 	e.actions = out
+	e.handleEvent(event)
+	e.dispatch()
+	return e.actions
+}
+
+// handleEvent calls the handler of an event.
+func (e *Engine) handleEvent(event Event) {
 	switch event := event.(type) {
 	case Request:
 		e.requestArrived(event)
 	case AttemptEnded:
 		e.attemptEnded(event)
 	case ResponseStarted:
-		if req := e.openRequest(event.Request); req != nil {
-			req.streaming = true
-		}
+		e.responseStarted(event.Request)
 	case ClientDisconnected:
-		if req := e.openRequest(event.Request); req != nil {
-			e.finish(req)
-		}
+		e.clientDisconnected(event.Request)
 	case TimerFired:
 		e.fireTimer(unpackTimerToken(event.Token))
 	case CounterReply:
@@ -68,18 +83,6 @@
 	case Shutdown:
 		e.beginShutdown(event.AnswerBy)
 	}
-	e.dispatch()
-	return e.actions
-}
-
-// allocateState allocates what the levels and the settings call for.
-func (e *Engine) allocateState(seed uint64) {
-	e.rng = rand.New(rand.NewPCG(seed, seed>>1))
-	e.requests = map[RequestID]*request{}
-	e.backends.byID = map[BackendID]*backend{}
-	e.customers.byID = map[CustomerID]*customer{}
-	e.counter.pending = map[uint64][]counterCall{}
-	e.clientTimeouts = make([]clientTimeout, len(e.settings.Classes)*len(e.settings.Plans))
 }
 
 // emit adds an action to the answer to the event that is being handled.
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -5,24 +5,26 @@
 	"slices"
 )
 
-// beginShutdown bounds the time of every request, now and later: a gateway that ends has to answer all that
-// it took before its process may be killed.
-func (e *Engine) beginShutdown(by float64) {
-	e.shutdownAnswerBy = by
+// beginShutdown limits the time of every request, open now or still to come, to the clock time answerBy: a
+// gateway that ends has to answer all that it took before its process may be killed.
+func (e *Engine) beginShutdown(answerBy float64) {
+	e.shutdownAnswerBy = answerBy
+	// By id, since the order of the actions must not depend on that of a map.
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
-		if req := e.requests[id]; !req.finished && e.limitToShutdown(req) {
+		req := e.openRequest(id)
+		if req != nil && e.limitToShutdown(req) {
 			e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: id})
 		}
 	}
 }
 
-// limitToShutdown cuts the time of a request to what a stop leaves, and tells whether that is less than it
-// had.
+// limitToShutdown cuts the time of a request to what a shutdown leaves, and reports whether that is less than
+// it had.
 func (e *Engine) limitToShutdown(req *request) bool {
-	last := e.shutdownAnswerBy - e.timingMargin()
-	if e.shutdownAnswerBy == 0 || req.answerBy <= last {
+	latest := e.shutdownAnswerBy - e.timingMargin()
+	if e.shutdownAnswerBy == 0 || req.answerBy <= latest {
 		return false
 	}
-	req.answerBy = last
+	req.answerBy = latest
 	return true
 }
