--- a/policy/answer.go
+++ b/policy/answer.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// responseStarted notes that a backend's answer is being streamed to the client: from now on there is no
-// other answer and no further attempt.
+// responseStarted notes that a backend's answer is being streamed to the client: from now on no deadline ends
+// the request, and no further attempt begins.
 func (e *Engine) responseStarted(id RequestID) {
 	if req := e.openRequest(id); req != nil {
 		req.streaming = true
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -9,4 +9,8 @@
 // level (enqueue) until the concurrency limit lets it go (dispatch), a backend is picked (pick), and one
 // function sends each attempt (send). A request that no backend answers is answered by one function as well
 // (answerWithout). These two hold the rules that no other step may bypass.
+//
+// An attempt that ends (attemptEnded) teaches the engine something of its backend and of the load
+// (recordOutcome), and may lead to a retry. Timers bound every wait (timers.go), and a round of maintenance
+// at short intervals lets averages decay (runMaintenance).
 package policy
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -50,8 +50,8 @@
 	return e, e.actions
 }
 
-// Handle takes one event that happened at the clock time now, which never goes back, and appends the actions
-// that it calls for to out. Events that nothing is decided by (Probed, PeerMessage) are passed over.
+// Handle takes one event that happened at the clock time now, and appends the actions that it calls
+// for to out. Events that nothing is decided by (Probed, PeerMessage) are passed over.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
 	e.limiter.averageInFlight(e.now, now)
 	e.now = now
