--- a/policy/actions.go
+++ b/policy/actions.go
@@ -17,7 +17,7 @@
 
 var reasonNames = [ReasonCount]string{
 	ReasonQuota:       "quota",
-	ReasonConcurrency: "cap",
+	ReasonConcurrency: "concurrency",
 	ReasonTooLate:     "too_late",
 	ReasonQueue:       "queue",
 	ReasonNotSent:     "not_sent",
--- a/policy/events.go
+++ b/policy/events.go
@@ -59,11 +59,11 @@
 
 var outcomeNames = [OutcomeCount]string{
 	Served:          "served",
-	Failed:          "error",
-	Rejected:        "turned_away",
+	Failed:          "failed",
+	Rejected:        "rejected",
 	TimedOut:        "timed_out",
 	ConnectFailed:   "connect_failed",
-	ConnectionReset: "broken",
+	ConnectionReset: "connection_reset",
 	Cancelled:       "cancelled",
 	NotSent:         "not_sent",
 }
@@ -129,8 +129,8 @@
 // TimerFired says that a timer is due.
 type TimerFired struct{ Token uint64 }
 
-// CounterReply answers one CounterAdd. Where the outcome is Failed, it was added, but the total can't be read;
-// where it is ConnectionReset, it may have been added.
+// CounterReply answers one CounterAdd. Where the outcome is Failed, it was added, but the total can't be
+// read; where it is ConnectionReset, it may have been added.
 type CounterReply struct {
 	Name    uint64
 	Outcome Outcome
