--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -1,80 +1,97 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// Once a client has left, whatever its request was waiting for may still come: no
-// attempt begins for it, neither a first nor a further one nor a second copy.
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
-	late := func(n int, id RequestID) Event {
-		return TimerFired{Token: timerToken{kind: slowAttemptTimer, attempt: n, request: id}.pack()}
+// Once a client has disconnected, whatever its request was waiting for may still come: no attempt begins for it,
+// neither a first one nor a retry nor a hedged request.
+func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
+	slow := func(id RequestID) Event {
+		return TimerFired{Token: timerToken{kind: slowAttemptTimer, request: id}.pack()}
 	}
-	ends := func(outcome Outcome) func(*drive, RequestID, SendAttempt) []Event {
-		return func(d *drive, id RequestID, first SendAttempt) []Event {
-			return []Event{AttemptEnded{Request: id, Backend: first.Backend, Outcome: outcome, Latency: 0.05}}
+	ends := func(outcome Outcome) func(RequestID, BackendID) []Event {
+		return func(id RequestID, backend BackendID) []Event {
+			return []Event{AttemptEnded{Request: id, Backend: backend, Outcome: outcome, Latency: 0.05}}
 		}
 	}
-	for name, comes := range map[string]func(d *drive, id RequestID, first SendAttempt) []Event{
-		"turned away": ends(Rejected), "no connection": ends(ConnectFailed), "never sent": ends(NotSent), "broken": ends(ConnectionReset),
-		"failed": ends(Failed), "timed out": ends(TimedOut), "cancelled": ends(Cancelled),
-		"late": func(_ *drive, id RequestID, _ SendAttempt) []Event { return []Event{late(0, id)} },
-		"late, then turned away": func(_ *drive, id RequestID, s SendAttempt) []Event {
-			return []Event{late(0, id), AttemptEnded{Request: id, Backend: s.Backend, Outcome: Rejected}}
+	for name, events := range map[string]func(id RequestID, backend BackendID) []Event{
+		"rejected":         ends(Rejected),
+		"connect failed":   ends(ConnectFailed),
+		"not sent":         ends(NotSent),
+		"connection reset": ends(ConnectionReset),
+		"failed":           ends(Failed),
+		"timed out":        ends(TimedOut),
+		"cancelled":        ends(Cancelled),
+		"slow":             func(id RequestID, _ BackendID) []Event { return []Event{slow(id)} },
+		"slow, then rejected": func(id RequestID, backend BackendID) []Event {
+			return []Event{slow(id), AttemptEnded{Request: id, Backend: backend, Outcome: Rejected}}
 		},
-		"its time to start is over": func(_ *drive, id RequestID, _ SendAttempt) []Event {
+		"deadlines": func(id RequestID, _ BackendID) []Event {
 			return []Event{timerFired(sendDeadlineTimer, id), timerFired(answerDeadlineTimer, id)}
 		},
-		"its backend is gone": func(*drive, RequestID, SendAttempt) []Event {
+		"backend removed": func(RequestID, BackendID) []Event {
 			return []Event{EndpointsUpdated{Kind: FullList, Entries: some(3)}, timerFired(maintenanceTimer, 0)}
 		},
 	} {
-		for _, mayCancel := range []bool{true, false} {
-			set := testSettings()
-			set.CanCancel = mayCancel
-			d := start(t, set, some(6)...)
-			seen := d.ask(0, 1, 1) // so that a usual latency is known
-			d.now += 0.02
-			d.handle(AttemptEnded{Request: seen, Backend: one[SendAttempt](t, d.last).Backend, Latency: 0.02, RequestOver: true})
-			id := d.ask(0, 1, 1)
-			first := one[SendAttempt](t, d.last)
-			d.now += 0.1
-			d.handle(ClientDisconnected{Request: id})
-			for _, ev := range comes(d, id, first) {
+		for _, canCancel := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cancel %t", name, canCancel), func(t *testing.T) {
+				set := testSettings()
+				set.CanCancel = canCancel
+				d := start(t, set, some(6)...)
+				served := d.ask(0, 1, 1) // so that a usual latency is known
+				d.now += 0.02
+				d.handle(AttemptEnded{Request: served, Backend: one[SendAttempt](t, d.last).Backend, Latency: 0.02, RequestOver: true})
+				id := d.ask(0, 1, 1)
+				first := one[SendAttempt](t, d.last)
 				d.now += 0.1
-				if sends := find[SendAttempt](d.handle(ev)); len(sends) > 0 {
-					t.Errorf("%s, cancel %t: %v after the client had left", name, mayCancel, sends)
+				d.handle(ClientDisconnected{Request: id})
+				for _, event := range events(id, first.Backend) {
+					d.now += 0.1
+					if sends := find[SendAttempt](d.handle(event)); len(sends) > 0 {
+						t.Errorf("%v after the client had disconnected", sends)
+					}
 				}
-			}
+			})
 		}
 	}
 }
 
-// The same holds for what waits for its units, and for a place under the bound.
-func TestNothingIsSentForAHeldClientThatHasLeft(t *testing.T) {
+// The same holds for a request that waits for its units.
+func TestNothingIsSentForWaitingRequestAfterClientDisconnects(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	d.nextID++
-	asks := one[CounterAdd](t, d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 30, Gateways: 2, Deadline: d.now + 2}))
+	lease := one[CounterAdd](t, d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 30, Gateways: 2, Deadline: d.now + 2}))
 	d.handle(ClientDisconnected{Request: d.nextID})
-	if sends := find[SendAttempt](d.handle(CounterReply{Name: asks.Name, Total: asks.Amount})); len(sends) > 0 {
-		t.Errorf("%v for a client that left before its units came", sends)
+	if sends := find[SendAttempt](d.handle(CounterReply{Name: lease.Name, Total: lease.Amount})); len(sends) > 0 {
+		t.Errorf("%v for a client that disconnected before its units came", sends)
 	}
+}
 
-	d = start(t, testSettings(), some(2)...)
+// The same holds for a request that is queued at the concurrency limit.
+func TestNothingIsSentForQueuedRequestAfterClientDisconnects(t *testing.T) {
+	d := start(t, testSettings(), some(2)...)
 	d.g.limiter.limit = 3
-	var out []SendAttempt
-	var held RequestID
-	for who := CustomerID(1); held == 0; who++ {
-		id := d.ask(0, 1, who)
+	var inFlight []SendAttempt
+	var queued RequestID
+	for customer := CustomerID(1); queued == 0; customer++ {
+		id := d.ask(0, 1, customer)
 		if sends := find[SendAttempt](d.last); len(sends) > 0 {
-			out = append(out, sends...)
-		} else if held = id; d.g.openRequest(id) == nil {
-			t.Fatal("refused, not held")
+			inFlight = append(inFlight, sends...)
+			continue
+		}
+		queued = id
+		if d.g.openRequest(id) == nil {
+			t.Fatal("rejected, not queued")
 		}
 	}
 	d.now += 0.05
-	d.handle(ClientDisconnected{Request: held})
-	for _, s := range out {
-		if sends := find[SendAttempt](d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.05, RequestOver: true})); len(sends) > 0 {
-			t.Errorf("%v for a client that left while it was held", sends)
+	d.handle(ClientDisconnected{Request: queued})
+	for _, s := range inFlight {
+		out := d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.05, RequestOver: true})
+		if sends := find[SendAttempt](out); len(sends) > 0 {
+			t.Errorf("%v for a client that disconnected while its request was queued", sends)
 		}
 	}
 }
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -6,64 +6,75 @@
 	"testing"
 )
 
-// A stop bounds the time of what is held and what is out, and of what still comes; what would end sooner is left
-// alone, and so is everything where no stop was asked for.
-func TestStopBoundsAllRequests(t *testing.T) {
-	const tick = 0.002
+// A shutdown limits the time of what is queued and what is in flight, and of what still arrives; what would end
+// sooner is left alone, and so is everything where no shutdown has begun.
+func TestShutdownLimitsTimeOfAllRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		stops    bool
+		shutdown bool
 		backends []Backend
-	}{"held": {true, nil}, "out": {true, some(6)}, "no stop": {false, nil}} {
-		set := testSettings()
-		set.Classes = []Class{{LatencyObjective: 60, Deadline: 60, PriorityWeight: 1, LateWeightShare: 0.5}}
-		set.Plans = []Plan{{WeightFactor: 1}}
-		set.CanHedge = false
-		d := start(t, set, test.backends...)
-		began, ends := d.now, map[RequestID]float64{} // in seconds after the stop
-		var timers []quotaEvent
-		take := func(actions []Action) {
-			for _, a := range actions {
-				switch a := a.(type) {
-				case SetTimer:
-					timers = append(timers, quotaEvent{d.now + a.Delay, 0, TimerFired{Token: a.Token}})
-				case Reject:
-					ends[a.Request] = d.now - began
-				case FailRequest:
-					ends[a.Request] = d.now - began
-				}
-			}
-		}
-		ask := func(deadline float64) RequestID {
-			d.nextID++
-			take(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
-			return d.nextID
-		}
-		brief, long := ask(0.5), ask(60)
-		if test.stops {
-			take(d.handle(Shutdown{AnswerBy: began + 2}))
-		}
-		late := ask(60)
-		for d.now < began+70 {
-			d.now += tick
-			due := slices.Clone(timers)
-			timers = slices.DeleteFunc(timers, func(e quotaEvent) bool { return e.at <= d.now })
-			for _, e := range due {
-				if e.at <= d.now {
-					take(d.handle(e.ev))
-				}
+	}{
+		"queued":      {true, nil},
+		"in flight":   {true, some(6)},
+		"no shutdown": {false, nil},
+	} {
+		t.Run(name, func(t *testing.T) { testShutdown(t, test.shutdown, test.backends) })
+	}
+}
+
+func testShutdown(t *testing.T, shutdown bool, backends []Backend) {
+	const tick = 0.002
+	set := testSettings()
+	set.Classes = []Class{{LatencyObjective: 60, Deadline: 60, PriorityWeight: 1, LateWeightShare: 0.5}}
+	set.Plans = []Plan{{WeightFactor: 1}}
+	set.CanHedge = false
+	d := start(t, set, backends...)
+	began := d.now
+	answeredAfter := map[RequestID]float64{} // seconds since the shutdown
+	var timers []pendingTimer
+	take := func(actions []Action) {
+		for _, a := range actions {
+			switch a := a.(type) {
+			case SetTimer:
+				timers = append(timers, pendingTimer{d.now + a.Delay, a.Token})
+			case Reject:
+				answeredAfter[a.Request] = d.now - began
+			case FailRequest:
+				answeredAfter[a.Request] = d.now - began
 			}
 		}
-		want := map[RequestID]float64{brief: 0.5, long: 60, late: 60}
-		if test.stops {
-			want[long], want[late] = 2, 2
-		}
-		for id, end := range want {
-			if got := ends[id]; got > end || got < end-5*tick {
-				t.Errorf("%s: request %d was answered after %.3f s, want %.3f", name, id, got, end)
+	}
+	send := func(deadline float64) RequestID {
+		d.nextID++
+		take(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
+		return d.nextID
+	}
+	brief := send(0.5)
+	long := send(60)
+	if shutdown {
+		take(d.handle(Shutdown{AnswerBy: began + 2}))
+	}
+	late := send(60)
+	for d.now < began+70 {
+		d.now += tick
+		due := slices.Clone(timers)
+		timers = slices.DeleteFunc(timers, func(timer pendingTimer) bool { return timer.at <= d.now })
+		for _, timer := range due {
+			if timer.at <= d.now {
+				take(d.handle(TimerFired{Token: timer.token}))
 			}
 		}
-		if len(ends) != len(want) {
-			t.Errorf("%s: answered %v", name, slices.Sorted(maps.Keys(ends)))
+	}
+	want := map[RequestID]float64{brief: 0.5, long: 60, late: 60}
+	if shutdown {
+		want[long] = 2
+		want[late] = 2
+	}
+	for id, end := range want {
+		if got := answeredAfter[id]; got > end || got < end-5*tick {
+			t.Errorf("request %d was answered after %.3f s, want %.3f", id, got, end)
 		}
 	}
+	if len(answeredAfter) != len(want) {
+		t.Errorf("answered %v", slices.Sorted(maps.Keys(answeredAfter)))
+	}
 }
