--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHeldRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
+func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	d := start(t, testSettings()) // no backend at all
 	id := d.ask(0, 1, 1)
 	if n := len(find[SendAttempt](d.last)); n != 0 {
@@ -14,19 +14,21 @@
 	d.now += 0.8
 	out := d.handle(timerFired(answerDeadlineTimer, id))
 	if r := one[Reject](t, out); r.Request != id {
-		t.Errorf("refused %d, want %d", r.Request, id)
+		t.Errorf("rejected %d, want %d", r.Request, id)
 	}
 	d.now += 1
-	if out := d.handle(timerFired(answerDeadlineTimer, id)); len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
+	out = d.handle(timerFired(answerDeadlineTimer, id))
+	if len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
 
-func TestRepeatWhoseAimHasPassedIsRefused(t *testing.T) {
+// A client that has spent its latency objective on earlier attempts can earn nothing with a retry.
+func TestRetryPastItsLatencyObjectiveIsRejected(t *testing.T) {
 	set := testSettings()
 	d := start(t, set, some(4)...)
-	send := func(id RequestID, left float64) int {
-		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + left})
+	sendWithTimeout := func(id RequestID, timeout float64) (attempts int) {
+		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + timeout})
 		out = append(out, d.grantAll(out)...)
 		for _, s := range find[SendAttempt](out) {
 			d.now += 0.1
@@ -34,41 +36,41 @@
 		}
 		return len(find[SendAttempt](out))
 	}
-	if send(1, 0.9) != 1 {
-		t.Error("refused with nothing known of how long clients wait")
+	if sendWithTimeout(1, 0.9) != 1 {
+		t.Error("rejected with nothing known of how long clients wait")
 	}
 	for id := range RequestID(4) {
-		if send(10+id, 1.4) != 1 {
-			t.Error("a first try was refused")
+		if sendWithTimeout(10+id, 1.4) != 1 {
+			t.Error("a first attempt of a client was rejected")
 		}
 	}
-	// Of its two seconds the client has spent 1.1, and the aim is 0.8.
-	if send(20, 0.9) != 0 {
-		t.Error("sent a repeat that can earn nothing")
+	// Of its two seconds the client has spent 1.1, and the objective is 0.8.
+	if sendWithTimeout(20, 0.9) != 0 {
+		t.Error("sent a retry that can earn nothing")
 	}
-	if send(21, 1.8) != 1 {
-		t.Error("refused a repeat that has most of its aim left")
+	if sendWithTimeout(21, 1.8) != 1 {
+		t.Error("rejected a retry that has most of its objective left")
 	}
 }
 
-// Refusals at once are most answers under a burst; a timer for each would wake a gateway twice a request.
-func TestRefusalAtOnceSetsNoTimers(t *testing.T) {
+// Immediate rejections are most answers under a burst; timers for each would wake a gateway twice a request.
+func TestImmediateRejectionSetsNoTimers(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
 	id := d.ask(0, 0, 1)
 	if timers := find[SetTimer](d.last); len(timers) == 0 || timers[0].Request != id {
-		t.Fatalf("timers of a request that was let in: %v", timers)
+		t.Fatalf("timers of a request that was admitted: %v", timers)
 	}
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
 	one[Reject](t, out)
 	if timers := find[SetTimer](out); len(timers) > 0 {
-		t.Errorf("timers of a refused request: %v", timers)
+		t.Errorf("timers of a rejected request: %v", timers)
 	}
 }
 
-// A real gateway comes to a request some time after it was sent: what it waited by then is gone from its aim,
-// and must not be taken for another patience of its client.
-func TestAimCountsFromSending(t *testing.T) {
+// A real gateway comes to a request some time after it was sent: what it waited by then is gone from its objective,
+// and must not be taken for another timeout of its client.
+func TestLatencyObjectiveCountsFromSending(t *testing.T) {
 	set := testSettings()
 	set.Plans[0].Rate = 0
 	d := start(t, set, some(4)...)
@@ -78,7 +80,7 @@
 		sent := d.now - lag
 		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, SentAt: sent, Deadline: sent + 1.5})
 		if s := one[SendAttempt](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
-			t.Errorf("request %d: time-out %g, want %g", i, s.Timeout, 0.8-lag)
+			t.Errorf("request %d: timeout %g, want %g", i, s.Timeout, 0.8-lag)
 		}
 		for _, s := range find[SendAttempt](out) {
 			d.handle(AttemptEnded{Request: d.nextID, Backend: s.Backend, Outcome: Served, RequestOver: true})
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -76,6 +76,21 @@
 	return all
 }
 
+// endAttempts ends each attempt that the actions send, and those that follow from that, as end says. Request, attempt
+// and backend are filled in.
+func (d *drive) endAttempts(actions []Action, end func(SendAttempt) AttemptEnded) {
+	for len(actions) > 0 {
+		for _, s := range find[SendAttempt](actions[:1]) {
+			event := end(s)
+			event.Request = s.Request
+			event.Attempt = len(d.g.requests[s.Request].attempts) - 1
+			event.Backend = s.Backend
+			actions = append(actions, d.handle(event)...)
+		}
+		actions = actions[1:]
+	}
+}
+
 // timerFired is the event of a timer about a request, or of one about none where id is 0.
 func timerFired(kind timerKind, id RequestID) TimerFired {
 	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -2,18 +2,22 @@
 
 import "testing"
 
-func TestBoundOfManyGatewaysIsKeptInTheMean(t *testing.T) {
+// The limit of one of many gateways is less than an attempt.
+func TestConcurrencyLimitOfManyGatewaysHoldsInTheMean(t *testing.T) {
 	set := testSettings()
-	set.FleetSize, set.Counter = 300, false
+	set.FleetSize = 300
+	set.Counter = false
 	d := start(t, set, some(60)...)
 	d.g.limiter.limit = 0.5 // half an attempt each
-	var out []SendAttempt
-	sent, together := 0, 0
+	var inFlight []SendAttempt
+	sent := 0
+	maxInFlight := 0
 	for i := range 4000 { // ten a second; each takes half a second
 		d.now += 0.1
-		for len(out) > 0 && d.now > d.g.requests[out[0].Request].attempts[0].sentAt+0.5 {
-			d.handle(AttemptEnded{Request: out[0].Request, Backend: out[0].Backend, Latency: 0.5, Outcome: Rejected})
-			out = out[1:]
+		for len(inFlight) > 0 && d.now > d.g.requests[inFlight[0].Request].attempts[0].sentAt+0.5 {
+			oldest := inFlight[0]
+			inFlight = inFlight[1:]
+			d.handle(AttemptEnded{Request: oldest.Request, Backend: oldest.Backend, Latency: 0.5, Outcome: Rejected})
 		}
 		d.g.limiter.limit = 0.5
 		d.g.retries.tokens = 0
@@ -24,14 +28,14 @@
 			d.handle(timerFired(answerDeadlineTimer, id))
 		}
 		sent += len(sends)
-		out = append(out, sends...)
-		together = max(together, d.g.limiter.inFlight)
+		inFlight = append(inFlight, sends...)
+		maxInFlight = max(maxInFlight, d.g.limiter.inFlight)
 	}
 	mean := float64(sent) * 0.5 / 400
 	if mean > 0.75 || mean < 0.2 {
-		t.Errorf("%.2f attempts in flight on average with a bound of a half", mean)
+		t.Errorf("%.2f attempts in flight on average with a limit of a half", mean)
 	}
-	if together < 1 || together > 3 {
-		t.Errorf("%d attempts at once", together)
+	if maxInFlight < 1 || maxInFlight > 3 {
+		t.Errorf("%d attempts in flight at once", maxInFlight)
 	}
 }
--- a/policy/membership_test.go
+++ b/policy/membership_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestNothingGoesToADrainingBackend(t *testing.T) {
+func TestNothingIsSentToDrainingBackend(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
 	for range 8 {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
+func TestFailedDiscoveryIsPolledAgainAfterInterval(t *testing.T) {
 	set := testSettings()
 	set.PollDiscovery = true
 	d := &drive{t: t, now: 100}
@@ -28,14 +28,14 @@
 	one[PollEndpoints](t, d.last)
 	out := d.handle(EndpointsUpdated{Kind: ListFailed})
 	if len(find[PollEndpoints](out)) > 0 {
-		t.Error("asked again at once")
+		t.Error("polled again at once")
 	}
-	pause := one[SetTimer](t, out)
-	d.now += pause.Delay
-	one[PollEndpoints](t, d.handle(TimerFired{Token: pause.Token}))
+	timer := one[SetTimer](t, out)
+	d.now += timer.Delay
+	one[PollEndpoints](t, d.handle(TimerFired{Token: timer.Token}))
 }
 
-func TestGoneBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	d := start(t, testSettings(), some(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-func TestHeldRequestsLeaveHighestLevelFirst(t *testing.T) {
+func TestQueuedRequestsAreSentHighestLevelFirst(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	d.g.limiter.limit = 4
-	var first RequestID
-	var busy SendAttempt
+	var last RequestID
+	var sent SendAttempt
 	for i := range 4 {
-		first = d.ask(0, 1, CustomerID(10+i))
-		busy = one[SendAttempt](t, d.last)
+		last = d.ask(0, 1, CustomerID(10+i))
+		sent = one[SendAttempt](t, d.last)
 	}
 	low := d.ask(0, 0, 2)
 	high := d.ask(1, 1, 3)
 	if n := len(find[SendAttempt](d.last)); n > 0 {
-		t.Fatal("the bound does not hold")
+		t.Fatal("the concurrency limit does not hold")
 	}
-	out := d.handle(AttemptEnded{Request: first, Backend: busy.Backend, Latency: 0.01, RequestOver: true})
+	out := d.handle(AttemptEnded{Request: last, Backend: sent.Backend, Latency: 0.01, RequestOver: true})
 	if s := one[SendAttempt](t, out); s.Request != high {
-		t.Errorf("released %d first, want the higher level %d before %d", s.Request, high, low)
+		t.Errorf("sent %d first, want the higher level %d before %d", s.Request, high, low)
 	}
 }
 
@@ -31,7 +31,7 @@
 		sent += len(find[SendAttempt](d.last))
 	}
 	if sent != 9 {
-		t.Errorf("%d of the lowest level in flight, want 9 of a bound of 10", sent)
+		t.Errorf("%d of the lowest level in flight, want 9 of a limit of 10", sent)
 	}
 	d.ask(1, 1, 99)
 	if n := len(find[SendAttempt](d.last)); n != 1 {
