--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The deciding code stands in files that the deploy file names, each of them, and in no other: what is left out holds
-// the interface. Their lines are short enough to be read side by side.
+// The deploy file names each file that holds deciding code, and no other: the rest holds the vocabulary. Their lines
+// are short enough to be read side by side.
 func TestPolicyNamesTheDecidingFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	vocabulary := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true}
-	decide := 0
+	deciding := 0
 	for _, f := range files {
 		name := f.Name()
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
@@ -36,7 +36,7 @@
 		if !named[name] {
 			continue
 		}
-		decide++
+		deciding++
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	if decide != len(named) {
-		t.Errorf("%d deciding files are there, %d are named", decide, len(named))
+	if deciding != len(named) {
+		t.Errorf("%d deciding files are there, %d are named", deciding, len(named))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -2,33 +2,58 @@
 
 import "testing"
 
+// testSettings have two classes, an idempotent one and a keyed one of higher weight, and two plans with quotas, for a
+// fleet of two gateways with a counter.
 func testSettings() Settings {
 	return Settings{
-		Classes: []Class{{LatencyObjective: 0.8, Deadline: 2, PriorityWeight: 1},
-			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3, Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2}},
-		Plans:     []Plan{{WeightFactor: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1}, {WeightFactor: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1}},
-		FleetSize: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
-		CanCancel: true, CanHedge: true, CanSendRetryAfter: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
-		DrainGrace: 1, SlowStartMinShare: 0.2, SlowStartWindow: 10, OverloadFactor: 2, OverloadDuration: 2,
+		Classes: []Class{
+			{LatencyObjective: 0.8, Deadline: 2, PriorityWeight: 1},
+			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3, Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2},
+		},
+		Plans: []Plan{
+			{WeightFactor: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1},
+			{WeightFactor: 1.5, Rate: 20, Burst: 40, OverQuotaCost: 1},
+		},
+		FleetSize: 2,
+		Tick:      0.002,
+
+		Counter:        true,
+		CounterTimeout: 0.05,
+
+		CanCancel:         true,
+		CanHedge:          true,
+		CanSendRetryAfter: true,
+		MaxRetryAfter:     0.5,
+		MaxAttempts:       4,
+
+		AnswerSlack:       0.008,
+		DrainGrace:        1,
+		SlowStartMinShare: 0.2,
+		SlowStartWindow:   10,
+		OverloadFactor:    2,
+		OverloadDuration:  2,
 	}
 }
 
-// seldomSettings have a plan 1 whose burst, shared by two gateways, doesn't pay for a request of two units: it needs
-// a call.
+// seldomSettings have a plan 1 whose burst, divided among two gateways, doesn't pay for a request of two units: that
+// needs a counter call.
 func seldomSettings() Settings {
 	set := testSettings()
-	set.Plans[1].Rate, set.Plans[1].Burst = 0.1, 3
+	set.Plans[1].Rate = 0.1
+	set.Plans[1].Burst = 3
 	return set
 }
 
-// exactSettings have a plan 1 that two gateways keep exactly, by calls alone: one with a ceiling.
+// exactSettings have a plan 1 whose store two gateways keep exactly, by counter calls alone: one with a ceiling.
 func exactSettings() Settings {
 	set := testSettings()
-	set.Plans[1].Rate, set.Plans[1].CeilingRate, set.Plans[1].CeilingBurst = 0.1, 1, 140
+	set.Plans[1].Rate = 0.1
+	set.Plans[1].CeilingRate = 1
+	set.Plans[1].CeilingBurst = 140
 	return set
 }
 
-// drive drives one gateway by hand and keeps the actions of the last event.
+// drive drives the engine of one gateway by hand and keeps the actions of the last event.
 type drive struct {
 	t      *testing.T
 	g      *Engine
@@ -37,6 +62,7 @@
 	nextID RequestID
 }
 
+// start returns the drive of a new engine at clock time 100 that knows the backends.
 func start(t *testing.T, set Settings, backends ...Backend) *drive {
 	t.Helper()
 	d := &drive{t: t, now: 100}
@@ -45,30 +71,33 @@
 	return d
 }
 
+// ready returns a ready backend, two to a cell.
 func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
 
-func some(n int) (out []Backend) {
+// some returns n ready backends with ids from 1.
+func some(n int) (backends []Backend) {
 	for i := range n {
-		out = append(out, ready(BackendID(i+1)))
+		backends = append(backends, ready(BackendID(i+1)))
 	}
-	return out
+	return backends
 }
 
-func (d *drive) handle(ev Event) []Action {
-	d.last = d.g.Handle(d.now, ev, nil)
+// handle has the engine handle an event now and returns its actions.
+func (d *drive) handle(event Event) []Action {
+	d.last = d.g.Handle(d.now, event, nil)
 	return d.last
 }
 
-// ask sends a request of the class and plan and answers its counter calls in full.
-func (d *drive) ask(class, plan int, who CustomerID) RequestID {
+// ask sends a request of the class and plan and answers its counter calls in full. The actions of both are the last.
+func (d *drive) ask(class, plan int, id CustomerID) RequestID {
 	d.nextID++
-	set := d.g.settings
-	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
-		Deadline: d.now + set.Classes[class].Deadline})
-	d.last = append(out, d.grantAll(out)...)
+	actions := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: id, Units: 1, Gateways: 2,
+		Deadline: d.now + d.g.settings.Classes[class].Deadline})
+	d.last = append(actions, d.grantAll(actions)...)
 	return d.nextID
 }
 
+// grantAll answers the counter calls among the actions as the first of their names, and returns what follows.
 func (d *drive) grantAll(actions []Action) (all []Action) {
 	for _, c := range find[CounterAdd](actions) {
 		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
@@ -102,21 +131,23 @@
 	timerAnswerDeadline = uint64(answerDeadlineTimer)
 )
 
-func find[A Action](actions []Action) (out []A) {
-	for _, a := range actions {
-		if x, ok := a.(A); ok {
-			out = append(out, x)
+// find returns the actions of one type.
+func find[A Action](actions []Action) (found []A) {
+	for _, action := range actions {
+		if a, ok := action.(A); ok {
+			found = append(found, a)
 		}
 	}
-	return out
+	return found
 }
 
+// one returns the only action of a type, and fails the test where there are none or more.
 func one[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
-	all := find[A](actions)
-	if len(all) != 1 {
+	found := find[A](actions)
+	if len(found) != 1 {
 		var none A
 		t.Fatalf("want one %T, got %v", none, actions)
 	}
-	return all[0]
+	return found[0]
 }
