--- a/policy/backend.go
+++ b/policy/backend.go
@@ -18,8 +18,8 @@
 
 	inFlight            int                // own attempts, also abandoned ones
 	inFlightByLevel     []int              // the same by level
-	abandoned           []abandonedAttempt // those that were given up and may still run
-	consecutiveTimeouts int                // attempts given up since the last answer
+	abandoned           []abandonedAttempt // those that may still run there
+	consecutiveTimeouts int                // attempts timed out or cancelled since the last served one
 
 	failureRate   float64 // share of recent attempts that failed
 	latency       float64 // mean of recent attempts in seconds; 0: no answer yet
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -41,8 +41,9 @@
 				set.CanCancel = canCancel
 				d := start(t, set, some(6)...)
 				served := d.ask(0, 1, 1) // so that a usual latency is known
+				backend := one[SendAttempt](t, d.last).Backend
 				d.now += 0.02
-				d.handle(AttemptEnded{Request: served, Backend: one[SendAttempt](t, d.last).Backend, Latency: 0.02, RequestOver: true})
+				d.handle(AttemptEnded{Request: served, Backend: backend, Latency: 0.02, RequestOver: true})
 				id := d.ask(0, 1, 1)
 				first := one[SendAttempt](t, d.last)
 				d.now += 0.1
@@ -62,7 +63,8 @@
 func TestNothingIsSentForWaitingRequestAfterClientDisconnects(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	d.nextID++
-	lease := one[CounterAdd](t, d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 30, Gateways: 2, Deadline: d.now + 2}))
+	out := d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 30, Gateways: 2, Deadline: d.now + 2})
+	lease := one[CounterAdd](t, out)
 	d.handle(ClientDisconnected{Request: d.nextID})
 	if sends := find[SendAttempt](d.handle(CounterReply{Name: lease.Name, Total: lease.Amount})); len(sends) > 0 {
 		t.Errorf("%v for a client that disconnected before its units came", sends)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,8 @@
 	return Settings{
 		Classes: []Class{
 			{LatencyObjective: 0.8, Deadline: 2, PriorityWeight: 1},
-			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3, Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2},
+			{LatencyObjective: 1, Deadline: 3, PriorityWeight: 3,
+				Idempotency: IdempotentByKey, DedupeScope: ScopeCell, DedupeWindow: 2},
 		},
 		Plans: []Plan{
 			{WeightFactor: 0.5, Rate: 2, Burst: 4, OverQuotaCost: 1},
--- a/policy/inflight.go
+++ b/policy/inflight.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// abandonedAttempt is an attempt that was given up and may still take up its backend.
+// abandonedAttempt is an attempt that ended without an answer and may still be running at its backend.
 type abandonedAttempt struct {
 	sentAt    float64
 	expiresAt float64 // when it is taken to have ended
-	level     int
+	level     int     // of its request
 }
 
 // attemptStarted counts an attempt as work in flight.
@@ -24,8 +24,8 @@
 }
 
 // attemptAbandoned leaves an attempt that timed out or was cancelled in the counts of work in flight for a
-// while: neither may stop the work. If abandoned attempts left the counts, each would make room for one more
-// at a full backend. It stays the longer the more attempts in a row the backend has let pass.
+// while: neither may have stopped the work. If abandoned attempts left the counts, each would allow one more
+// at a full backend. It stays the longer the more attempts in a row the backend has left unanswered.
 func (e *Engine) attemptAbandoned(req *request, a *attempt) {
 	b := a.backend
 	b.consecutiveTimeouts++
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -3,23 +3,23 @@
 // The cost of a backend, by which one is chosen. Each value is a share or a factor that holds for any
 // deployment.
 const (
-	lowerLevelLoad    = 0.1  // what an attempt of any level counts beside those of equal or higher level
-	maxLatencyFactor  = 8.0  // a backend counts as this many times slower or faster than the mean at most
-	maxCostlyFailures = 0.9  // failure rate above which the cost grows no further
-	sameBackendCost   = 1e3  // added for the backend of the last attempt: above any other cost
-	costJitter        = 0.05 // random part of a cost, lest gateways choose alike
+	lowerLevelLoad   = 0.1  // what an attempt of any level counts beside those of equal or higher level
+	maxLatencyFactor = 8.0  // a backend counts as this many times slower or faster than the mean at most
+	maxCostFailures  = 0.9  // failure rate above which the cost grows no further
+	sameBackendCost  = 1e3  // added for the backend of the last attempt: above any other cost
+	costJitter       = 0.05 // random part of a cost, lest gateways choose alike
 )
 
-// candidates is the result of a look at all backends that may get the next attempt of a request.
+// candidates sums up the backends that may get the next attempt of a request.
 type candidates struct {
-	count           int
-	ejected         int
+	count           int      // backends
+	ejected         int      // of these
 	cheapest        *backend // of all; nil: there is none
 	cheapestCost    float64
 	cheapestHealthy *backend // of those that are not ejected; nil: there is none
 	healthyCost     float64
 	dueForTrial     *backend // the first ejected one that may get the request as a trial; nil: none
-	trialsAllowed   bool
+	trialsAllowed   bool     // the request may serve as a trial
 }
 
 // pick chooses the backend of an attempt: the one with the fewest own attempts of equal or higher level,
@@ -82,7 +82,7 @@
 // cost returns what an attempt of the request at the backend costs, which is meaningful beside the costs of
 // other backends alone.
 func (e *Engine) cost(req *request, b *backend) float64 {
-	successRate := 1 - min(b.failureRate, maxCostlyFailures)
+	successRate := 1 - min(b.failureRate, maxCostFailures)
 	// A gateway among many has nothing in flight at most backends, so one in slow start would look worst
 	// for as long as it is. Its tokens keep its share small; what it may get, it gets at once.
 	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (successRate * successRate)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// minLimitForWait is the limit, in attempts, that an expected wait is worked out with at least: a limit of 0
-// divides nothing.
+// minLimitForWait is the least limit, in attempts, that an expected wait is worked out with: the wait is
+// divided by it, and before the first backend is known the limit is 0.
 const minLimitForWait = 1e-3
 
 // priorityQueue holds admitted requests until the concurrency limit lets them go. Its slices are indexed by
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -115,7 +115,8 @@
 	set := testSettings()
 	set.CanHedge = seed%2 == 0
 	set.Counter = seed%3 != 0
-	set.Classes = append(set.Classes, Class{LatencyObjective: 0.5, Deadline: 1, PriorityWeight: 2, Idempotency: NonIdempotent})
+	set.Classes = append(set.Classes,
+		Class{LatencyObjective: 0.5, Deadline: 1, PriorityWeight: 2, Idempotency: NonIdempotent})
 	return &randomWorld{
 		t:        t,
 		seed:     seed,
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -61,7 +61,7 @@
 // The values that a load report can hold.
 const (
 	LoadOther           LoadField = iota // none of those below
-	LoadInFlight                         // requests held
+	LoadInFlight                         // requests being handled
 	LoadQueued                           // requests that wait
 	LoadCPU                              // share of the processor in use
 	LoadServiceMillis                    // milliseconds that a request takes
@@ -94,8 +94,8 @@
 	CanCancel         bool    // attempts can be cancelled
 	CanProbe          bool    // backends can be probed
 	CanHedge          bool    // two attempts of a request may be in flight at once
-	CanSendRetryAfter bool    // clients are told after what time to retry
-	MaxRetryAfter     float64 // seconds that a client follows at most
+	CanSendRetryAfter bool    // clients can be sent a Retry-After
+	MaxRetryAfter     float64 // seconds; a client follows no longer one
 	MaxAttempts       int     // of a request; below 1 counts as 1
 	MaxOpenRequests   int     // of this gateway; 0: not limited
 	ConnectTimeout    float64 // seconds that an attempt may wait for a connection
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -71,7 +71,8 @@
 	e.hedgeOrRecordSlow(req, token.attempt)
 }
 
-// sendDeadlineTimerFired gives up a request of which no attempt has begun.
+// sendDeadlineTimerFired answers a request of which no attempt has begun: one that began now would end too
+// late.
 func (e *Engine) sendDeadlineTimerFired(token timerToken) {
 	req := e.openRequest(token.request)
 	if req == nil || req.streaming || len(req.attempts) > 0 {
@@ -80,7 +81,7 @@
 	e.answerWithout(req, ReasonNotSent)
 }
 
-// answerDeadlineTimerFired gives up a request that has no answer yet.
+// answerDeadlineTimerFired answers a request that no backend has answered yet.
 func (e *Engine) answerDeadlineTimerFired(token timerToken) {
 	req := e.openRequest(token.request)
 	if req == nil || req.streaming {
