--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,6 @@
-// Package gateway is the real gateway round the decision module: it turns what
-// happens on sockets into the module's events and carries out its actions.
-// Which request goes where, and when it is refused, is decided in package
-// rules alone.
+// Package gateway is the real gateway round the decision module: it turns what happens on sockets into the module's
+// events and carries out its actions. Which request goes where, and when it is rejected, is decided in package policy
+// alone.
 package gateway
 
 import (
@@ -13,21 +12,29 @@
 	"os"
 	"slices"
 	"strconv"
+	"time"
 
 	"amberlb/internal/wire"
+	"amberlb/policy"
+)
+
+// The limits below which a gateway can't do its work.
+const (
+	minMemoryMB = 16
+	minSockets  = 128
 )
 
 // Config is what a gateway is told at its start.
 type Config struct {
 	Name          string
-	Listen        string // where clients connect
-	Discovery     string
-	Counter       string // empty where the deployment has none
-	Seed          uint64
+	Listen        string // host:port for clients
+	Discovery     string // host:port of the discovery service
+	Counter       string // host:port of the counter service; empty where the deployment has none
+	Seed          uint64 // of random numbers
 	Cores         float64
 	MemoryMB      int
-	Sockets       int // file descriptors
-	CachedListing Listing
+	Sockets       int     // file descriptors
+	CachedListing Listing // the list of backends as last known
 	wire.Deployment
 
 	// Log takes the gateway's lines; nil: slog.Default. It doesn't come from the file.
@@ -42,13 +49,44 @@
 	return c.Log
 }
 
-// least are the limits below which a gateway can't do its work.
-const (
-	minMemoryMB = 16
-	minSockets  = 128
-)
+// configFile mirrors the JSON of a configuration file; unknown keys are ignored.
+type configFile struct {
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	Counter       string          `json:"counter"`
+	Seed          string          `json:"seed"` // hex digits
+	Limits        limitsSection   `json:"limits"`
+	CachedListing Listing         `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
+}
+
+// limitsSection is what the process may use.
+type limitsSection struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// configError is what is wrong with one key of a configuration file.
+type configError struct {
+	key string // with a dot before each inner key
+	err error
+}
+
+// Error returns the key and what is wrong with it, in one line.
+func (e *configError) Error() string { return e.key + ": " + e.err.Error() }
+
+// Unwrap returns what is wrong with the key.
+func (e *configError) Unwrap() error { return e.err }
 
-// ReadConfig reads the configuration file at path.
+// invalidKey returns a configError with a formatted text.
+func invalidKey(key, format string, args ...any) error {
+	return &configError{key, fmt.Errorf(format, args...)}
+}
+
+// ReadConfig reads and validates the configuration file at path. Its error is one line that names the file and, where
+// there is one, the key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,73 +99,180 @@
 	return c, nil
 }
 
+// parseConfig parses and validates the text of a configuration file.
 func parseConfig(text []byte) (Config, error) {
-	var raw struct {
-		Name, Listen, Discovery, Counter, Seed string
-		Limits                                 struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int     `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		}
-		Known    Listing
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, err
 	}
-	if raw.Settings == nil {
+	if file.Settings == nil {
 		return Config{}, errors.New("no settings")
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Counter: raw.Counter,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, CachedListing: raw.Known}
-	var err error
-	if c.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
+	deployment, err := wire.ParseDeployment(file.Settings)
+	if err != nil {
 		return Config{}, err
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return Config{}, fmt.Errorf("seed: %w", err)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return Config{}, invalidKey("seed", "%w", err)
+	}
+	c := Config{
+		Name:          file.Name,
+		Listen:        file.Listen,
+		Discovery:     file.Discovery,
+		Counter:       file.Counter,
+		Seed:          seed,
+		Cores:         file.Limits.Cores,
+		MemoryMB:      file.Limits.MemoryMB,
+		Sockets:       file.Limits.Sockets,
+		CachedListing: file.CachedListing,
+		Deployment:    deployment,
 	}
 	return c, c.validate()
 }
 
 // validate finds what a gateway could not run with, before any socket is opened.
 func (c *Config) validate() error {
-	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
-	if c.Settings.Counter {
-		addresses["counter"] = c.Counter
+	checks := []func() error{
+		c.validateAddresses,
+		c.validateNames,
+		c.validateClasses,
+		c.validatePlans,
+		c.validateLimits,
+		c.validateSettings,
 	}
-	for key, address := range addresses {
-		if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
-			return fmt.Errorf("%s: %q is not an address with a port", key, address)
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
 		}
 	}
-	for key, names := range map[string][]string{"class": c.ClassNames, "plan": c.PlanNames} {
-		for i, name := range names {
-			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("%s %q: the name is empty or stands twice", key, name)
-			}
+	return nil
+}
+
+// validateAddresses checks the addresses to listen on and to connect to.
+func (c *Config) validateAddresses() error {
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if !c.Settings.Counter {
+		return nil
+	}
+	return checkAddress("counter", c.Counter)
+}
+
+// checkAddress checks that the address under a key has the form host:port.
+func checkAddress(key, address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil || port == "" {
+		return invalidKey(key, "%q is not an address with a port", address)
+	}
+	return nil
+}
+
+// validateNames checks the names by which clients call classes and plans.
+func (c *Config) validateNames() error {
+	if err := checkNames("class", c.ClassNames); err != nil {
+		return err
+	}
+	return checkNames("plan", c.PlanNames)
+}
+
+// checkNames checks that each name can be told from the others. kind is what they name.
+func checkNames(kind string, names []string) error {
+	for i, name := range names {
+		if name == "" || slices.Contains(names[:i], name) {
+			return invalidKey("settings", "%s %q: the name is empty or stands twice", kind, name)
 		}
 	}
+	return nil
+}
+
+// validateClasses checks the ranges of what the settings state of each class.
+func (c *Config) validateClasses() error {
 	for i, class := range c.Classes {
-		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > maxClientTimeout.Seconds() || class.PriorityWeight < 0 || class.DedupeWindow < 0 {
-			return fmt.Errorf("class %q: aim, deadline, worth or window is out of range", c.ClassNames[i])
+		if problem := classProblem(class); problem != "" {
+			return invalidKey("settings", "class %q: %s", c.ClassNames[i], problem)
 		}
 	}
-	for i, p := range c.Plans {
-		if p.WeightFactor < 0 || p.Rate < 0 || p.MaxConcurrent < 0 || p.CeilingRate < 0 ||
-			p.Rate > 0 && p.Burst <= 0 || p.CeilingRate > 0 && p.CeilingBurst <= 0 {
-			return fmt.Errorf("plan %q: price, rate, burst, cap or ceiling is out of range", c.PlanNames[i])
+	return nil
+}
+
+// classProblem returns what is out of range in a class; "" if nothing is.
+func classProblem(class policy.Class) string {
+	switch {
+	case class.LatencyObjective <= 0:
+		return "the latency objective must be above 0"
+	case class.Deadline <= 0 || class.Deadline > maxClientTimeout.Seconds():
+		return fmt.Sprintf("the deadline must be above 0 and at most %v", maxClientTimeout)
+	case class.PriorityWeight < 0:
+		return "the priority weight must not be below 0"
+	case class.DedupeWindow < 0:
+		return "the window in which keys are recognised must not be below 0"
+	}
+	return ""
+}
+
+// validatePlans checks the ranges of what the settings state of each plan.
+func (c *Config) validatePlans() error {
+	for i, plan := range c.Plans {
+		if problem := planProblem(plan); problem != "" {
+			return invalidKey("settings", "plan %q: %s", c.PlanNames[i], problem)
 		}
 	}
+	return nil
+}
+
+// planProblem returns what is out of range in a plan; "" if nothing is.
+func planProblem(plan policy.Plan) string {
+	switch {
+	case plan.WeightFactor < 0:
+		return "the weight factor must not be below 0"
+	case plan.Rate < 0:
+		return "the rate must not be below 0"
+	case plan.MaxConcurrent < 0:
+		return "the concurrency limit must not be below 0"
+	case plan.CeilingRate < 0:
+		return "the ceiling's rate must not be below 0"
+	case plan.Rate > 0 && plan.Burst <= 0:
+		return "a rate needs a burst above 0"
+	case plan.CeilingRate > 0 && plan.CeilingBurst <= 0:
+		return "a ceiling needs a burst above 0"
+	}
+	return ""
+}
+
+// validateLimits checks that the gateway has the resources to work.
+func (c *Config) validateLimits() error {
+	switch {
+	case c.Cores <= 0:
+		return invalidKey("limits.cores", "%g is too little", c.Cores)
+	case c.MemoryMB < minMemoryMB:
+		return invalidKey("limits.memory_mb", "%d is too little; %d are needed", c.MemoryMB, minMemoryMB)
+	case c.Sockets < minSockets:
+		return invalidKey("limits.sockets", "%d is too little; %d are needed", c.Sockets, minSockets)
+	}
+	return nil
+}
+
+// validateSettings checks the gateway's place in its fleet and the spans of time.
+func (c *Config) validateSettings() error {
 	switch {
-	case c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets:
-		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
-		return fmt.Errorf("settings: rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
-	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.IdleTimeout <= 0:
-		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
+		return invalidKey("settings", "rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
+	case c.Tick <= 0:
+		return invalidKey("settings", "the tick must be above 0")
+	case c.ConnectTimeout <= 0:
+		return invalidKey("settings", "the connect timeout must be above 0")
+	case c.IdleTimeout <= 0:
+		return invalidKey("settings", "the idle timeout of connections must be above 0")
 	case c.Settings.Counter && c.CounterTimeout <= 0:
-		return errors.New("settings: the counter's time-out must be above 0")
+		return invalidKey("settings", "the counter's timeout must be above 0")
 	}
 	return nil
 }
+
+// seconds converts a span as the settings state it.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -6,29 +6,16 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"os"
-	"reflect"
 	"sync"
 	"time"
 
 	"amberlb/policy"
 )
 
-const (
-	reservedFDs       = 64              // descriptors for the counter, discovery and the runtime
-	clientFDShare     = 0.75            // of the other descriptors, for clients; backends get the rest
-	clientMemoryShare = 0.25            // of the memory, for what stands idle with clients
-	clientConnBytes   = 24 << 10        // bytes of an idle connection: two buffers, a stack and its entries in tables
-	cachedListDelay   = 3 * time.Second // without discovery, the list known from before has to do
-)
-
-// Reload tells a running gateway that its configuration has been replaced.
-type Reload struct {
-	Signal <-chan os.Signal
-	Read   func() (Config, error) // the new configuration
-}
+// cachedListDelay is how long a started gateway waits for discovery; then the cached list has to do.
+const cachedListDelay = 3 * time.Second
 
-// Run serves clients until ctx ends, then answers what it holds and returns.
+// Run serves clients until ctx ends, then shuts down gracefully. It returns nil if every client has had its answer.
 func Run(ctx context.Context, c *Config, reload Reload) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -37,75 +24,93 @@
 	return serve(ctx, c, listener, reload)
 }
 
-// maxClientConns is how many connections of clients the limits bear.
-func (c *Config) maxClientConns() int {
-	bySockets := clientFDShare * float64(c.Sockets-reservedFDs)
-	byMemory := clientMemoryShare * float64(c.MemoryMB<<20) / clientConnBytes
-	return int(min(bySockets, byMemory))
+// serve is Run on an open listener, which it closes.
+func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
+	s := newServer(config, listener)
+	s.start()
+	defer s.stop()
+	return s.run(ctx, reload)
 }
 
-// server is a running gateway: its parts, and what ends them.
+// server is a running gateway. It owns the goroutines of all parts, which stop awaits; the goroutines of client
+// connections belong to the HTTP server, and those of attempts to the event loop.
 type server struct {
 	config            *Config
 	log               *slog.Logger
 	frontend          *frontend
+	pools             *connectionPools
+	counter           *counterClient // nil where the deployment has none
 	clientConnections *clientConnections
 	httpServer        *http.Server
-	serveErr          chan error     // the end of the server's accepting
-	counter           *counterClient // nil where the deployment has none
+	serveErr          chan error // the end of the HTTP server's accepting
 
-	partsContext     context.Context // of all parts but those of the clients; it ends after them
-	parts            sync.WaitGroup
+	partsContext context.Context // of all parts but the HTTP server; it ends after the last client connection
+	stopParts    context.CancelFunc
+	parts        sync.WaitGroup
+
+	cachedListTimer  *time.Timer
 	discoveryAddress string // the address that is watched
 	stopWatch        func() // ends the watch and waits for its end
 }
 
-func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
-	maxClients := config.maxClientConns()
-	pools := newConnectionPools(seconds(config.ConnectTimeout), seconds(config.IdleTimeout), config.Sockets-reservedFDs-maxClients)
-	s := &server{config: config, log: config.logger()}
+// newServer makes the parts of a gateway and connects them. Nothing runs before start.
+func newServer(config *Config, listener net.Listener) *server {
+	s := &server{
+		config:   config,
+		log:      config.logger(),
+		frontend: &frontend{deployment: &config.Deployment},
+		pools:    newConnectionPools(seconds(config.ConnectTimeout), seconds(config.IdleTimeout), config.maxBackendConns()),
+		serveErr: make(chan error, 1),
+	}
 	if config.Settings.Counter {
 		s.counter = newCounterClient(config.Counter, seconds(config.CounterTimeout))
 	}
-	s.frontend = &frontend{deployment: &config.Deployment}
-	loop := newEventLoop(config, pools, s.counter, func() { s.markReady("discovery") })
+	loop := newEventLoop(config, s.pools, s.counter, func() { s.markReady("discovery") })
 	s.frontend.loop = loop
+	s.partsContext, s.stopParts = context.WithCancel(context.Background())
+
+	s.clientConnections = newClientConnections(listener, config.maxClientConns())
+	s.clientConnections.metrics = &loop.metrics
+	s.clientConnections.log = s.log
+	maxRequestTime := config.longestDeadline() + seconds(config.AnswerSlack)
+	s.httpServer = s.frontend.newHTTPServer(s.clientConnections, maxRequestTime)
+	s.httpServer.ErrorLog = slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)
+	return s
+}
 
-	partsContext, stopParts := context.WithCancel(context.Background())
-	s.partsContext = partsContext
-	defer loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
-	defer s.parts.Wait()
-	defer stopParts()
-	loop.applyListing(config.CachedListing, policy.CachedList)
-	s.parts.Go(func() { loop.run(partsContext) })
-	s.parts.Go(func() { pools.sweepIdle(partsContext) })
-	s.parts.Go(func() { loop.metrics.logPeriodically(partsContext, s.log) })
+// start runs the parts, the HTTP server last, on goroutines that stop awaits.
+func (s *server) start() {
+	loop := s.frontend.loop
+	loop.applyListing(s.config.CachedListing, policy.CachedList)
+	s.parts.Go(func() { loop.run(s.partsContext) })
+	s.parts.Go(func() { s.pools.sweepIdle(s.partsContext) })
+	s.parts.Go(func() { loop.metrics.logPeriodically(s.partsContext, s.log) })
 	if s.counter != nil {
-		s.parts.Go(func() { s.counter.run(partsContext) })
+		s.parts.Go(func() { s.counter.run(s.partsContext) })
 	}
-	s.watchDiscovery(config.Discovery, len(config.CachedListing.Instances) > 0)
-	cachedListTimer := time.AfterFunc(cachedListDelay, func() {
-		if len(config.CachedListing.Instances) > 0 {
-			s.markReady("the list known from before")
+	hasCachedList := len(s.config.CachedListing.Instances) > 0
+	s.watchDiscovery(s.config.Discovery, hasCachedList)
+	s.cachedListTimer = time.AfterFunc(cachedListDelay, func() {
+		if hasCachedList {
+			s.markReady("cached")
 		}
 	})
-	defer cachedListTimer.Stop()
-
-	s.clientConnections = newClientConnections(listener, maxClients)
-	s.clientConnections.metrics, s.clientConnections.log = &loop.metrics, s.log
-	s.httpServer = s.frontend.newHTTPServer(s.clientConnections, config.longestDeadline()+seconds(config.AnswerSlack))
-	s.httpServer.ErrorLog = slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)
-	s.serveErr = make(chan error, 1)
 	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
-	s.log.Info("started", "listen", listener.Addr().String(), "discovery", config.Discovery, "counter", config.Counter,
-		"known_backends", len(config.CachedListing.Instances), "most_clients", maxClients)
-	stopRequested := make(chan time.Time, 1)
-	defer context.AfterFunc(ctx, func() { stopRequested <- time.Now() })() // a reload may be under way
+	s.log.Info("started", "listen", s.clientConnections.Addr().String(), "discovery", s.config.Discovery,
+		"counter", s.config.Counter, "cached_backends", len(s.config.CachedListing.Instances),
+		"max_client_connections", s.clientConnections.maxConns)
+}
+
+// run serves until ctx ends, and then for the time of a graceful shutdown. It returns early if the HTTP server fails.
+func (s *server) run(ctx context.Context, reload Reload) error {
+	// The moment is taken at once: a reload may be under way.
+	shutdownRequested := make(chan time.Time, 1)
+	defer context.AfterFunc(ctx, func() { shutdownRequested <- time.Now() })()
 	for {
 		select {
 		case err := <-s.serveErr:
 			return fmt.Errorf("clients: %w", err)
-		case requestedAt := <-stopRequested:
+		case requestedAt := <-shutdownRequested:
 			return s.shutdown(requestedAt)
 		case <-reload.Signal:
 			s.reload(reload.Read)
@@ -113,15 +118,23 @@
 	}
 }
 
-// markReady lets the front send clients here, once.
-func (s *server) markReady(list string) {
+// stop ends the parts and waits for their goroutines. Attempts are awaited last: the loop starts them, and the sweep of
+// the pools ends them.
+func (s *server) stop() {
+	s.cachedListTimer.Stop()
+	s.stopParts()
+	s.parts.Wait()
+	s.frontend.loop.attempts.Wait()
+}
+
+// markReady has readiness checks answered with 200 from now on. source is where the first list of backends came from.
+func (s *server) markReady(source string) {
 	if s.frontend.ready.CompareAndSwap(false, true) {
-		s.log.Info("ready", "list", list)
+		s.log.Info("ready", "list", source)
 	}
 }
 
-// watchDiscovery follows discovery at an address. listInUse tells that requests are sent by an
-// older list meanwhile.
+// watchDiscovery follows discovery at an address. listInUse tells that requests are forwarded by an older list meanwhile.
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.partsContext)
 	ended := make(chan struct{})
@@ -132,31 +145,8 @@
 		watcher.run(ctx)
 	})
 	s.discoveryAddress = address
-	s.stopWatch = func() { cancel(); <-ended }
-}
-
-// reload takes up the addresses of a new configuration. One that can't be read or
-// run with changes nothing.
-func (s *server) reload(read func() (Config, error)) {
-	next, err := read()
-	if err != nil {
-		s.log.Warn("the old configuration stays", "error", err)
-		return
+	s.stopWatch = func() {
+		cancel()
+		<-ended
 	}
-	c := s.config
-	if s.counter != nil && next.Settings.Counter {
-		s.counter.setAddress(next.Counter)
-	}
-	if next.Discovery != s.discoveryAddress {
-		// A version of the old address may mean nothing to the new one. The new watch
-		// starts from the whole list; until that comes, the old list stands.
-		s.stopWatch()
-		s.watchDiscovery(next.Discovery, true)
-	}
-	restart := next.Listen != c.Listen || next.Sockets != c.Sockets || next.MemoryMB != c.MemoryMB ||
-		next.Cores != c.Cores || !reflect.DeepEqual(next.Deployment, c.Deployment)
-	s.log.Info("discovery and counter are as the new configuration says", "discovery", next.Discovery,
-		"counter", next.Counter, "rest_needs_restart", restart)
 }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
