--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -1,20 +1,13 @@
 package gateway
 
 import (
-	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"slices"
-	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -26,73 +19,6 @@
 	alone   = "units=1,spread=1,first=0"
 )
 
-// busy is a gateway whose loop a test can hold up.
-type busy struct {
-	loop    *eventLoop
-	address string
-	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it hears a list
-	held    chan struct{}
-}
-
-// newBusy starts one that stands before many backends at one address.
-func newBusy(t *testing.T, backend string, way func(net.Listener) net.Listener) *busy {
-	t.Helper()
-	c, err := parseConfig([]byte(strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &busy{held: make(chan struct{})}
-	pools := newConnectionPools(patience, time.Minute, 100)
-	b.loop = newEventLoop(&c, pools, nil, func() {
-		if gate := b.gate.Swap(nil); gate != nil {
-			b.held <- struct{}{}
-			<-*gate
-		}
-	})
-	told := Listing{Reset: true}
-	for i := range leavers {
-		told.Instances = append(told.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
-	}
-	b.loop.applyListing(told, policy.FullList)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	b.address = l.Addr().String()
-	front := &frontend{loop: b.loop, deployment: &c.Deployment}
-	callers := newClientConnections(way(l), 2*leavers)
-	server := front.newHTTPServer(callers, patience)
-	ctx, stop := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
-	wg.Go(func() { b.loop.run(ctx) })
-	wg.Go(func() { pools.sweepIdle(ctx) })
-	wg.Go(func() { server.Serve(callers) })
-	t.Cleanup(func() { server.Close(); stop(); wg.Wait(); b.loop.attempts.Wait() })
-	return b
-}
-
-// hold has the loop stand still until free is called.
-func (b *busy) hold(t *testing.T) (free func()) {
-	t.Helper()
-	gate := make(chan struct{})
-	b.gate.Store(&gate)
-	b.loop.post(listingReceived{kind: policy.Delta})
-	wait(t, b.held, "list")
-	free = sync.OnceFunc(func() { close(gate) })
-	t.Cleanup(free)
-	return free
-}
-
-// inboxHas waits until so much waits for the loop.
-func (b *busy) inboxHas(t *testing.T, n int) {
-	t.Helper()
-	for end := time.Now().Add(patience); len(b.loop.inbox) < n; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d messages for the loop, want %d", len(b.loop.inbox), n)
-		}
-	}
-}
-
 func dial(t *testing.T, address, text string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -105,15 +31,6 @@
 	return conn.(*net.TCPConn)
 }
 
-// served has a client that stays sent on and answered.
-func (b *busy) served(t *testing.T, id string) {
-	t.Helper()
-	resp, err := exchangeOn(t, dial(t, b.address, ""), ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, alone))
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatal(resp, err)
-	}
-}
-
 func unchangedWay(l net.Listener) net.Listener { return l }
 
 // A client that has left is known to have, however much waits for the loop: no
@@ -274,78 +191,6 @@
 	}
 }
 
-// crowded is a backend whose backlog is full, so that dials to it hang until it is
-// freed.
-type crowded struct {
-	fd      int
-	address string
-	fillers []net.Conn
-}
-
-func newCrowded(t *testing.T) *crowded {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	at, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &crowded{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
-	for {
-		conn, err := net.DialTimeout("tcp", c.address, 200*time.Millisecond)
-		if err != nil {
-			return c
-		}
-		t.Cleanup(func() { conn.Close() })
-		c.fillers = append(c.fillers, conn)
-	}
-}
-
-// accept returns the next connection but those that filled the backlog.
-func (c *crowded) accept(t *testing.T) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	for {
-		fd, _, err := syscall.Accept(c.fd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f := os.NewFile(uintptr(fd), "accepted")
-		conn, err := net.FileConn(f)
-		f.Close()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		if filler := slices.ContainsFunc(c.fillers, func(f net.Conn) bool {
-			return f.LocalAddr().String() == conn.RemoteAddr().String()
-		}); !filler {
-			conn.SetDeadline(time.Now().Add(patience))
-			return conn, bufio.NewReader(conn)
-		}
-	}
-}
-
-// dialling tells whether somebody waits for a connection to an address.
-func dialling(t *testing.T, address string) bool {
-	t.Helper()
-	_, port, _ := net.SplitHostPort(address)
-	n, _ := strconv.Atoi(port)
-	table, err := os.ReadFile("/proc/self/net/tcp")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
-}
-
 // A request whose client has left while its connection to a backend was being
 // made is not sent on when that comes up, also where nothing may be cancelled.
 func TestClientLeavesWhileDialling(t *testing.T) {
