--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -15,10 +15,12 @@
 )
 
 const (
-	leavers = 30 // a race that is lost once in many clients is seen
-	alone   = "units=1,spread=1,first=0"
+	disconnectingClients = 30                         // a race that is lost once in many clients is seen
+	singleGatewayQuota   = "units=1,spread=1,first=0" // of a customer of one gateway
+	stayingID            = "stays"                    // the correlation id of a client that does not disconnect
 )
 
+// dial connects to address and sends text.
 func dial(t *testing.T, address, text string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -31,159 +33,175 @@
 	return conn.(*net.TCPConn)
 }
 
-func unchangedWay(l net.Listener) net.Listener { return l }
+// sameListener leaves a listener as it is.
+func sameListener(listener net.Listener) net.Listener { return listener }
 
-// A client that has left is known to have, however much waits for the loop: no
-// attempt begins for it, be it the first one, or a further one after a backend has
-// turned the first away.
-func TestClientLeavesWhileTheLoopIsBusy(t *testing.T) {
+// rejectingBackend holds each attempt until release is closed, and then rejects it. Those that begin once disconnected is
+// set are counted and served, and so is, uncounted, the one of the client that stays.
+type rejectingBackend struct {
+	received     chan struct{} // has an element for each attempt that is held
+	release      chan struct{}
+	disconnected atomic.Bool  // all clients have disconnected
+	lateAttempts atomic.Int32 // attempts that began after that
+}
+
+func newRejectingBackend() *rejectingBackend {
+	return &rejectingBackend{received: make(chan struct{}, disconnectingClients), release: make(chan struct{})}
+}
+
+// ServeHTTP takes one attempt.
+func (b *rejectingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get(correlationIDHeader) == stayingID {
+		return
+	}
+	if b.disconnected.Load() {
+		b.lateAttempts.Add(1)
+		return
+	}
+	b.received <- struct{}{}
+	<-b.release
+	w.Header().Set(unprocessedHeader, "1")
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// However many messages wait for the loop, no attempt begins for a client that has disconnected, be it the first one or
+// a retry after a backend has rejected the first.
+func TestNoAttemptForDisconnectedClientWhileLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprintf("first attempt %t", first), func(t *testing.T) {
 			t.Parallel()
-			var after atomic.Bool // all have left
-			var begun atomic.Int32
-			came, answer := make(chan struct{}, leavers), make(chan struct{})
-			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				switch id := r.Header.Get(correlationIDHeader); {
-				case id == "stays":
-				case after.Load():
-					begun.Add(1)
-				default:
-					came <- struct{}{}
-					<-answer
-					w.Header().Set(unprocessedHeader, "1")
-					w.WriteHeader(http.StatusServiceUnavailable)
-				}
-			}))
-			t.Cleanup(backend.Close)
-			b := newBusy(t, backend.Listener.Addr().String(), unchangedWay)
-			var free func()
-			var conns []*net.TCPConn
+			backend := newRejectingBackend()
+			server := httptest.NewServer(backend)
+			t.Cleanup(server.Close)
+			g := newStallableGateway(t, server.Listener.Addr().String(), sameListener)
+			var resume func()
 			if first {
-				free = b.hold(t)
+				resume = g.stall(t)
 			}
-			for range leavers {
-				conns = append(conns, dial(t, b.address, ask("GET", "lookup", "", quotaHeader, alone)))
+			var conns []*net.TCPConn
+			for range disconnectingClients {
+				conns = append(conns, dial(t, g.address, ask("GET", "lookup", "", quotaHeader, singleGatewayQuota)))
 			}
 			if first {
-				b.inboxHas(t, leavers) // they have arrived
+				g.awaitInbox(t, disconnectingClients) // the requests
 			} else {
-				for range leavers {
-					wait(t, came, "first attempt")
+				for range disconnectingClients {
+					wait(t, backend.received, "first attempt")
 				}
-				free = b.hold(t)
-				close(answer)
-				b.inboxHas(t, leavers) // they have been turned away
+				resume = g.stall(t)
+				close(backend.release)
+				g.awaitInbox(t, disconnectingClients) // the ends of the first attempts
 			}
-			for _, c := range conns {
-				c.Close()
+			for _, conn := range conns {
+				conn.Close()
 			}
-			b.inboxHas(t, 2*leavers)
-			after.Store(true)
-			free()
-			b.served(t, "stays")
-			if n := begun.Load(); n > 0 {
-				t.Errorf("%d attempts began for clients that had left", n)
+			g.awaitInbox(t, 2*disconnectingClients)
+			backend.disconnected.Store(true)
+			resume()
+			g.expectServed(t, stayingID)
+			if n := backend.lateAttempts.Load(); n > 0 {
+				t.Errorf("%d attempts began for clients that had disconnected", n)
 			}
 		})
 	}
 }
 
-// Nor does one whose connection comes up meanwhile.
-func TestClientLeavesWhileDiallingAndTheLoopIsBusy(t *testing.T) {
+// Nor does an attempt begin on a connection that is established meanwhile.
+func TestNoAttemptForDisconnectedClientWhileDialingAndLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	backend := newCrowded(t)
-	b := newBusy(t, backend.address, unchangedWay)
-	conn := dial(t, b.address, ask("POST", "payment", "x", quotaHeader, alone))
-	for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
-	}
-	b.hold(t)
+	g := newStallableGateway(t, backend.address, sameListener)
+	conn := dial(t, g.address, ask("POST", "payment", "x", quotaHeader, singleGatewayQuota))
+	awaitDialling(t, backend.address)
+	g.stall(t)
 	conn.Close()
-	b.inboxHas(t, 1)
-	_, br := backend.accept(t)
-	if b, err := br.ReadByte(); err != io.EOF {
+	g.awaitInbox(t, 1)
+	_, reader := backend.accept(t)
+	if b, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("the attempt's connection: %q, %v", b, err)
 	}
 }
 
-// A client that had left before its request was read is not asked for either: its
-// connection may have waited long to be accepted.
-func TestClientLeftBeforeItsRequestIsRead(t *testing.T) {
+// No attempt begins for a client that had disconnected before its request was read: its connection may have waited long
+// to be accepted.
+func TestNoAttemptForClientDisconnectedBeforeRead(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(*net.TCPConn) error{
-		"closed": (*net.TCPConn).Close, "sending closed": (*net.TCPConn).CloseWrite,
-		"reset": func(c *net.TCPConn) error { c.SetLinger(0); return c.Close() },
+	for name, disconnect := range map[string]func(*net.TCPConn) error{
+		"closed":         (*net.TCPConn).Close,
+		"sending closed": (*net.TCPConn).CloseWrite,
+		"reset": func(conn *net.TCPConn) error {
+			conn.SetLinger(0)
+			return conn.Close()
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var begun atomic.Int32
-			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if r.Header.Get(correlationIDHeader) != "stays" {
-					begun.Add(1)
+			var attempts atomic.Int32
+			backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+				if r.Header.Get(correlationIDHeader) != stayingID {
+					attempts.Add(1)
 				}
 			}))
 			t.Cleanup(backend.Close)
 			gate := make(chan struct{})
-			b := newBusy(t, backend.Listener.Addr().String(), func(l net.Listener) net.Listener {
-				return &gated{Listener: l, accepted: func() { <-gate }}
+			g := newStallableGateway(t, backend.Listener.Addr().String(), func(listener net.Listener) net.Listener {
+				return &gated{Listener: listener, accepted: func() { <-gate }}
 			})
-			for range leavers {
-				leave(dial(t, b.address, ask("POST", "booking", "x", quotaHeader, alone)))
+			for range disconnectingClients {
+				disconnect(dial(t, g.address, ask("POST", "booking", "x", quotaHeader, singleGatewayQuota)))
 			}
 			close(gate)
-			b.served(t, "stays") // it was accepted after them
-			for end := time.Now().Add(patience); len(b.loop.inbox) > 0 && time.Now().Before(end); {
+			g.expectServed(t, stayingID) // it was accepted after them
+			for end := time.Now().Add(patience); len(g.loop.inbox) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			if n := begun.Load(); n > 0 {
-				t.Errorf("%d of %d requests were sent on for clients that had left", n, leavers)
+			if n := attempts.Load(); n > 0 {
+				t.Errorf("%d of %d requests were forwarded for clients that had disconnected", n, disconnectingClients)
 			}
 		})
 	}
 }
 
-// Work for a client that has left is wasted: its attempt is called off.
-func TestClientLeaves(t *testing.T) {
+// Work for a client that has disconnected is wasted: its attempt is cancelled.
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
 	conn, _ := r.client(t, ask("POST", "booking", "x"))
-	_, br := backend.accept(t)
-	readRequest(t, br)
+	_, reader := backend.accept(t)
+	readRequest(t, reader)
 	conn.Close()
-	if _, err := br.ReadByte(); err != io.EOF {
+	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("the attempt's connection: %v", err)
 	}
 }
 
-// A client that leaves while its request waits is noticed whatever it has sent
-// behind it, and the request is not sent on. One that has closed its sending alone
-// must not be told that it was served.
-func TestClientLeavesWhileQueued(t *testing.T) {
+// A client that disconnects while its request is queued is noticed whatever it has sent behind the request, and that is
+// not forwarded. One that has closed only its sending side must not get the answer of a served request.
+func TestQueuedRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]int{"nothing behind": 0, "one byte behind": 1, "a buffer behind": 5000} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
 			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
-			id := fmt.Sprintf("left-%d", extra)
+			id := fmt.Sprintf("disconnected-%d", extra)
 			conn, answers := r.client(t, ask("GET", "lookup", "", correlationIDHeader, id))
-			calls, cr := counter.accept(t)
-			call, _ := readRequest(t, cr) // the request waits for its units
+			counterConn, counterReader := counter.accept(t)
+			call, _ := readRequest(t, counterReader) // the request waits for its units
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
-				t.Errorf("the one that left: status %d, connection closed %t", resp.StatusCode, resp.Close)
+				t.Errorf("the disconnected one: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			total(calls, http.StatusOK, call.URL.Query().Get("add"))
+			total(counterConn, http.StatusOK, call.URL.Query().Get("add"))
 			_, answers = r.client(t, ask("GET", "lookup", ""))
-			bc, br := backend.accept(t)
-			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) == id {
-				t.Error("the request of the one that left was sent on")
+			backendConn, backendReader := backend.accept(t)
+			if req, _ := readRequest(t, backendReader); req.Header.Get(correlationIDHeader) == id {
+				t.Error("the request of the disconnected client was forwarded")
 			}
-			total(bc, http.StatusOK, "ok")
+			total(backendConn, http.StatusOK, "ok")
 			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
@@ -191,36 +209,34 @@
 	}
 }
 
-// A request whose client has left while its connection to a backend was being
-// made is not sent on when that comes up, also where nothing may be cancelled.
-func TestClientLeavesWhileDialling(t *testing.T) {
+// A request whose client has disconnected while a connection to a backend was being dialled is not forwarded when that
+// is established, also where no attempt may be cancelled.
+func TestDisconnectWhileDialingCancelsAttempt(t *testing.T) {
 	t.Parallel()
-	for _, cancel := range []bool{true, false} {
-		t.Run(fmt.Sprintf("cancel %t", cancel), func(t *testing.T) {
+	for _, canCancel := range []bool{true, false} {
+		t.Run(fmt.Sprintf("cancel %t", canCancel), func(t *testing.T) {
 			t.Parallel()
 			backend := newCrowded(t)
-			r := newRigWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel),
+			r := newRigWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 			r.list(t, backend.address)
-			conn, answers := r.client(t, ask("POST", "payment", "x", correlationIDHeader, "left"))
-			for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
-				time.Sleep(time.Millisecond)
-			}
+			conn, answers := r.client(t, ask("POST", "payment", "x", correlationIDHeader, "disconnected"))
+			awaitDialling(t, backend.address)
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
-				t.Errorf("the one that left: status %d", resp.StatusCode)
+				t.Errorf("the disconnected one: status %d", resp.StatusCode)
 			}
 			for end := time.Now().Add(5 * time.Second); dialling(t, backend.address); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("its dial goes on")
 				}
 			}
-			_, answers = r.client(t, ask("POST", "payment", "x", correlationIDHeader, "stays"))
-			bc, br := backend.accept(t)
-			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) != "stays" {
-				t.Errorf("request %q was sent on", req.Header.Get(correlationIDHeader))
+			_, answers = r.client(t, ask("POST", "payment", "x", correlationIDHeader, stayingID))
+			backendConn, reader := backend.accept(t)
+			if req, _ := readRequest(t, reader); req.Header.Get(correlationIDHeader) != stayingID {
+				t.Errorf("request %q was forwarded", req.Header.Get(correlationIDHeader))
 			}
-			total(bc, http.StatusOK, "ok")
+			total(backendConn, http.StatusOK, "ok")
 			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
@@ -228,30 +244,36 @@
 	}
 }
 
-// A client that leaves just behind the grant that lets its request go takes back
-// what has been sent for it.
-func TestClientLeavesBehindGrant(t *testing.T) {
-	backend, far := newPeer(t), newPeer(t)
-	c, err := parseConfig([]byte(withCounter(far, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))))
+// A client that disconnects just behind the lease that admits its request cancels the attempt that the lease began.
+func TestDisconnectBehindLeaseCancelsAttempt(t *testing.T) {
+	backend, counter := newPeer(t), newPeer(t)
+	config, err := parseConfig([]byte(withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newEventLoop(&c, newConnectionPools(patience, time.Minute, 8), newCounterClient(far.address(), patience), func() {})
+	l := newEventLoop(&config, newConnectionPools(patience, time.Minute, 8), newCounterClient(counter.address(), patience), func() {})
 	l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
-	x := &clientRequest{correlationID: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
-		decoded: policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15}}
-	l.startRequest(x)
+	req := &clientRequest{
+		correlationID: "one",
+		method:        "GET",
+		uri:           "/lookup",
+		host:          "h",
+		header:        http.Header{},
+		response:      make(chan clientResponse, 2),
+		decoded:       policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15},
+	}
+	l.startRequest(req)
 	for _, calls := range l.pendingCalls {
 		l.handleMessage(counterCallDone{calls[0], policy.Served, calls[0].amount})
 	}
-	if len(x.attempts) != 1 {
-		t.Fatalf("%d attempts by the grant", len(x.attempts))
+	if len(req.attempts) != 1 {
+		t.Fatalf("%d attempts by the lease", len(req.attempts))
 	}
-	l.handleMessage(clientDisconnected{x})
-	if !x.attempts[0].ended || len(x.response) != 0 || len(l.requests) != 0 {
-		t.Errorf("attempt ended %t, %d answers, %d live", x.attempts[0].ended, len(x.response), len(l.requests))
+	l.handleMessage(clientDisconnected{req})
+	if !req.attempts[0].ended || len(req.response) != 0 || len(l.requests) != 0 {
+		t.Errorf("attempt ended %t, %d answers, %d open", req.attempts[0].ended, len(req.response), len(l.requests))
 	}
 	close(l.stopped)
-	l.attempts.Wait() // it has been called off, whatever the backend does
+	l.attempts.Wait() // it has been cancelled, whatever the backend does
 }
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// crowded is a backend whose backlog is full, so that dials to it hang until it is
-// freed.
+// crowded is a backend whose accept backlog is full, so that dials to it hang until a connection is accepted.
 type crowded struct {
 	fd      int
 	address string
 	fillers []net.Conn
 }
 
+// newCrowded listens with the smallest backlog and fills it.
 func newCrowded(t *testing.T) *crowded {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -34,11 +34,11 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crowded{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
+	c := &crowded{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
 	for {
 		conn, err := net.DialTimeout("tcp", c.address, 200*time.Millisecond)
 		if err != nil {
@@ -49,31 +49,43 @@
 	}
 }
 
-// accept returns the next connection but those that filled the backlog.
+// accept returns the next connection that is none of those that filled the backlog.
 func (c *crowded) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
-		fd, _, err := syscall.Accept(c.fd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f := os.NewFile(uintptr(fd), "accepted")
-		conn, err := net.FileConn(f)
-		f.Close()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		if filler := slices.ContainsFunc(c.fillers, func(f net.Conn) bool {
-			return f.LocalAddr().String() == conn.RemoteAddr().String()
-		}); !filler {
+		conn := c.acceptAny(t)
+		if !c.isFiller(conn) {
 			conn.SetDeadline(time.Now().Add(patience))
 			return conn, bufio.NewReader(conn)
 		}
 	}
 }
 
-// dialling tells whether somebody waits for a connection to an address.
+// acceptAny returns the next connection of the backlog.
+func (c *crowded) acceptAny(t *testing.T) net.Conn {
+	t.Helper()
+	fd, _, err := syscall.Accept(c.fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := os.NewFile(uintptr(fd), "accepted")
+	conn, err := net.FileConn(file)
+	file.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// isFiller tells whether an accepted connection is one of those that filled the backlog.
+func (c *crowded) isFiller(conn net.Conn) bool {
+	return slices.ContainsFunc(c.fillers, func(filler net.Conn) bool {
+		return filler.LocalAddr().String() == conn.RemoteAddr().String()
+	})
+}
+
+// dialling tells whether this process waits for a connection to an address.
 func dialling(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
@@ -84,3 +96,11 @@
 	}
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
 }
+
+// awaitDialling waits until this process waits for a connection to an address, or for patience.
+func awaitDialling(t *testing.T, address string) {
+	t.Helper()
+	for end := time.Now().Add(patience); !dialling(t, address) && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -14,77 +14,90 @@
 	"amberlb/policy"
 )
 
-// busy is a gateway whose loop a test can hold up.
-type busy struct {
+// maxStallableClients is how many clients a stallableGateway has connections and backends for.
+const maxStallableClients = 2 * disconnectingClients
+
+// stallableGateway is a gateway whose event loop a test can stall.
+type stallableGateway struct {
 	loop    *eventLoop
 	address string
-	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it hears a list
-	held    chan struct{}
+	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it gets an endpoint list; nil: nothing
+	stalled chan struct{}                 // has an element when the loop waits
 }
 
-// newBusy starts one that stands before many backends at one address.
-func newBusy(t *testing.T, backend string, way func(net.Listener) net.Listener) *busy {
+// newStallableGateway starts a gateway before as many backends as there are disconnecting clients, all at one address.
+func newStallableGateway(t *testing.T, backend string, way func(net.Listener) net.Listener) *stallableGateway {
 	t.Helper()
-	c, err := parseConfig([]byte(strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)))
+	text := strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)
+	config, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &busy{held: make(chan struct{})}
+	g := &stallableGateway{stalled: make(chan struct{})}
 	pools := newConnectionPools(patience, time.Minute, 100)
-	b.loop = newEventLoop(&c, pools, nil, func() {
-		if gate := b.gate.Swap(nil); gate != nil {
-			b.held <- struct{}{}
-			<-*gate
-		}
-	})
-	told := Listing{Reset: true}
-	for i := range leavers {
-		told.Instances = append(told.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
+	g.loop = newEventLoop(&config, pools, nil, g.waitAtGate)
+	listing := Listing{Reset: true}
+	for i := range disconnectingClients {
+		listing.Instances = append(listing.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	b.loop.applyListing(told, policy.FullList)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	g.loop.applyListing(listing, policy.FullList)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.address = l.Addr().String()
-	front := &frontend{loop: b.loop, deployment: &c.Deployment}
-	callers := newClientConnections(way(l), 2*leavers)
-	server := front.newHTTPServer(callers, patience)
+	g.address = listener.Addr().String()
+	front := &frontend{loop: g.loop, deployment: &config.Deployment}
+	clients := newClientConnections(way(listener), maxStallableClients)
+	server := front.newHTTPServer(clients, patience)
 	ctx, stop := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
-	wg.Go(func() { b.loop.run(ctx) })
-	wg.Go(func() { pools.sweepIdle(ctx) })
-	wg.Go(func() { server.Serve(callers) })
-	t.Cleanup(func() { server.Close(); stop(); wg.Wait(); b.loop.attempts.Wait() })
-	return b
+	var parts sync.WaitGroup
+	parts.Go(func() { g.loop.run(ctx) })
+	parts.Go(func() { pools.sweepIdle(ctx) })
+	parts.Go(func() { server.Serve(clients) })
+	t.Cleanup(func() {
+		server.Close()
+		stop()
+		parts.Wait()
+		g.loop.attempts.Wait()
+	})
+	return g
+}
+
+// waitAtGate stalls the loop, once, if a test has closed the gate.
+func (g *stallableGateway) waitAtGate() {
+	if gate := g.gate.Swap(nil); gate != nil {
+		g.stalled <- struct{}{}
+		<-*gate
+	}
 }
 
-// hold has the loop stand still until free is called.
-func (b *busy) hold(t *testing.T) (free func()) {
+// stall stalls the loop until resume is called.
+func (g *stallableGateway) stall(t *testing.T) (resume func()) {
 	t.Helper()
 	gate := make(chan struct{})
-	b.gate.Store(&gate)
-	b.loop.post(listingReceived{kind: policy.Delta})
-	wait(t, b.held, "list")
-	free = sync.OnceFunc(func() { close(gate) })
-	t.Cleanup(free)
-	return free
+	g.gate.Store(&gate)
+	g.loop.post(listingReceived{kind: policy.Delta})
+	wait(t, g.stalled, "list")
+	resume = sync.OnceFunc(func() { close(gate) })
+	t.Cleanup(resume)
+	return resume
 }
 
-// inboxHas waits until so much waits for the loop.
-func (b *busy) inboxHas(t *testing.T, n int) {
+// awaitInbox waits until n messages wait for the loop.
+func (g *stallableGateway) awaitInbox(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); len(b.loop.inbox) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); len(g.loop.inbox) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d messages for the loop, want %d", len(b.loop.inbox), n)
+			t.Fatalf("%d messages for the loop, want %d", len(g.loop.inbox), n)
 		}
 	}
 }
 
-// served has a client that stays sent on and answered.
-func (b *busy) served(t *testing.T, id string) {
+// expectServed sends a request with a correlation id, and expects it to be served.
+func (g *stallableGateway) expectServed(t *testing.T, id string) {
 	t.Helper()
-	resp, err := exchangeOn(t, dial(t, b.address, ""), ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, alone))
+	request := ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, singleGatewayQuota)
+	resp, err := exchangeOn(t, dial(t, g.address, ""), request)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
