--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -12,15 +12,23 @@
 	"time"
 )
 
-// A request that the gateway has read, but not yet begun on, when its connection is
-// to end to make room is served there, once.
-func TestMakeRoomRacesRequestThatIsRead(t *testing.T) {
+// behind puts way between the gateway and its listener.
+func behind(way *gated) func(net.Listener) net.Listener {
+	return func(listener net.Listener) net.Listener {
+		way.Listener = listener
+		return way
+	}
+}
+
+// A request that the gateway has read, but not yet begun on, when its connection is evicted is served there, once.
+func TestEvictionRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	silent := make(chan net.Conn, 100)
-	_, conn := raced(t, false, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend, func(r *rig, c *gatedConn) {
+	silent := make(chan net.Conn, 100) // more than the limit, which is below 50
+	fewSockets := strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace
+	_, conn := raced(t, false, fewSockets, backend, func(r *rig, c *gatedConn) {
 		c.armed.Store(true)
-		for range cap(silent) { // the bound is below 50
+		for range cap(silent) {
 			if conn, err := net.Dial("tcp", r.address); err == nil {
 				silent <- conn
 			}
@@ -28,49 +36,53 @@
 		close(silent)
 		<-c.ended
 	})
-	answered := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(served)
 		serveOne(t, backend, "paid")
 	}()
 	if resp, err := exchangeOn(t, conn, ask("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("the request that had been read: %v, %v", resp, err)
 	}
-	wait(t, answered, "attempt")
+	wait(t, served, "attempt")
 	for c := range silent {
 		c.Close()
 	}
 	if n := len(backend.conns); n > 0 {
-		t.Errorf("%d more connections to the backend: it ran twice", n)
+		t.Errorf("%d more connections to the backend: it executed twice", n)
 	}
 }
 
-// An accept that fails, for a moment or for a while, ends nothing: what is open is answered, and new connections are
+// An accept that fails, for a moment or for a while, ends nothing: open requests are answered, and new connections are
 // accepted soon after.
-func TestFailingAcceptEndsNothing(t *testing.T) {
+func TestAcceptErrorsAreRetried(t *testing.T) {
 	t.Parallel()
-	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
-		syscall.EPROTO, syscall.EPERM, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.ETIMEDOUT} {
+	const failures = 12 // accepts in a row
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+		syscall.EPERM, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.ETIMEDOUT,
+	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			var failures atomic.Int64
+			var remaining atomic.Int64 // failures to come
 			way := &gated{refuses: func() error {
-				if failures.Add(-1) >= 0 {
+				if remaining.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 				}
 				return nil
 			}}
-			r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
-			_, held := r.client(t, ask("POST", "payment", "held"))
-			conn, br := backend.accept(t)
-			readRequest(t, br)
+			r := newRigBehind(t, behind(way), unchanged, backend)
+			_, openAnswers := r.client(t, ask("POST", "payment", "held"))
+			openConn, reader := backend.accept(t)
+			readRequest(t, reader)
 			serve := func() { // on a connection of its own
-				conn, br := backend.accept(t)
-				readRequest(t, br)
+				t.Helper()
+				conn, reader := backend.accept(t)
+				readRequest(t, reader)
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
-			failures.Store(12) // the accept that is under way comes first
+			remaining.Store(failures) // the accept that is under way comes first
 			_, first := r.client(t, ask("GET", "lookup", ""))
 			serve()
 			if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
@@ -83,11 +95,11 @@
 				t.Errorf("status %d after the failures", resp.StatusCode)
 			}
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("accepted %v after 12 failures", took)
+				t.Errorf("accepted %v after %d failures", took, failures)
 			}
-			total(conn, http.StatusOK, "paid")
-			if resp := wait(t, held, "answer"); resp.StatusCode != http.StatusOK {
-				t.Errorf("the held request: status %d", resp.StatusCode)
+			total(openConn, http.StatusOK, "paid")
+			if resp := wait(t, openAnswers, "answer"); resp.StatusCode != http.StatusOK {
+				t.Errorf("the open request: status %d", resp.StatusCode)
 			}
 		})
 	}
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-func TestServed(t *testing.T) {
+// What a backend serves reaches the client, without the headers that are for gateways.
+func TestServedResponseReachesClient(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
@@ -20,59 +21,72 @@
 	serveOne(t, backend, "booked\n")
 	resp := wait(t, answers, "answer")
 	body, err := io.ReadAll(resp.Body)
-	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil || resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
+	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil ||
+		resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
 		t.Errorf("%d %q %v %v", resp.StatusCode, body, resp.Header, err)
 	}
 }
 
-// What is not understood is turned down: a default could charge the wrong
-// customer, or repeat what must not run twice.
-func TestMalformed(t *testing.T) {
+// A request that is not understood is rejected and its connection closed: a default could charge the wrong customer, or
+// retry what must not execute twice. Statuses and bodies are what operators and clients know; body "" is one of net/http's.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newPeer(t))
+	const quotaOutOfRange = "X-Call-Terms: units, spread or first is missing or out of range"
 	for _, c := range []struct {
-		name, text string
-		status     int
+		name    string
+		request string
+		status  int
+		body    string
 	}{
-		{"no id", ask("GET", "lookup", "", correlationIDHeader, ""), 400},
-		{"unknown class", ask("GET", "lookups", ""), 400},
-		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400},
-		{"a path with no first part", ask("GET", "lookup", "", "path", "//lookup"), 400},
-		{"unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", ask("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400},
-		{"a customer too high", ask("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400},
-		{"no time", ask("GET", "lookup", "", timeLeftHeader, ""), 400},
-		{"no time left", ask("GET", "lookup", "", timeLeftHeader, "0"), 400},
-		{"time without end", ask("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
-		{"no terms", ask("GET", "lookup", "", quotaHeader, ""), 400},
-		{"no number", ask("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400},
-		{"too many units", ask("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400},
-		{"a set beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400},
-		{"a gateway beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400},
-		{"no key", ask("POST", "booking", "x", idempotencyKeyHeader, ""), 400},
-		{"the wrong method", ask("POST", "lookup", "x"), 405},
-		{"a keyed GET", ask("GET", "booking", ""), 405},
-		{"a large body", ask("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413},
-		{"a large body in chunks", ask("POST", "booking", "", "Transfer-Encoding", "chunked") +
-			"2\r\nok\r\n0\r\n\r\n", 411},
-		{"a set told twice", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400},
-		{"a header told twice", ask("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
-		{"a GET with a body", ask("GET", "lookup", "x"), 400},
-		{"two lengths", ask("POST", "booking", "ok", "content-length", "3"), 400},
-		{"a negative length", ask("POST", "booking", "", "Content-Length", "-2"), 400},
-		{"HTTP/1.0", strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
+		{"no id", ask("GET", "lookup", "", correlationIDHeader, ""), 400, "X-Correlation-Id is missing or too long"},
+		{"an unknown class", ask("GET", "lookups", ""), 400, "X-Service-Class names no class"},
+		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400, "the path is not one of the class"},
+		{"a path with no first segment", ask("GET", "lookup", "", "path", "//lookup"), 400, "the path is not one of the class"},
+		{"an unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400, "X-Tier names no plan"},
+		{"a short customer id", ask("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400, "X-Api-Key is not the number of a customer"},
+		{"a customer id too high", ask("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400,
+			"X-Api-Key is not the number of a customer"},
+		{"no timeout", ask("GET", "lookup", "", timeLeftHeader, ""), 400, "X-Time-Left-Ms is not a time in milliseconds"},
+		{"no time left", ask("GET", "lookup", "", timeLeftHeader, "0"), 400, "X-Time-Left-Ms is not a time in milliseconds"},
+		{"a timeout without end", ask("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400,
+			"X-Time-Left-Ms is not a time in milliseconds"},
+		{"no quota attributes", ask("GET", "lookup", "", quotaHeader, ""), 400, quotaOutOfRange},
+		{"units that are no number", ask("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400, quotaOutOfRange},
+		{"too many units", ask("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400, quotaOutOfRange},
+		{"more gateways than the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400, quotaOutOfRange},
+		{"a gateway beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400, quotaOutOfRange},
+		{"no idempotency key", ask("POST", "booking", "x", idempotencyKeyHeader, ""), 400, "Idempotency-Key is missing"},
+		{"the wrong method", ask("POST", "lookup", "x"), 405, "method POST does not fit the class"},
+		{"a GET with a key", ask("GET", "booking", ""), 405, "method GET does not fit the class"},
+		{"a large body", ask("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413, "the body is too long"},
+		{"a chunked body", ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\nok\r\n0\r\n\r\n", 411,
+			"a body needs a Content-Length"},
+		{"a quota key twice", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400,
+			"X-Call-Terms: spread stands more than once"},
+		{"a header twice", ask("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400,
+			"X-Tier stands more than once"},
+		{"a GET with a body", ask("GET", "lookup", "x"), 400, "a GET has no body"},
+		{"two lengths", ask("POST", "booking", "ok", "content-length", "3"), 400, ""},
+		{"a negative length", ask("POST", "booking", "", "Content-Length", "-2"), 400, ""},
+		{"HTTP/1.0", strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505, "HTTP/1.1 is wanted"},
+		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
 	} {
-		_, answers := r.client(t, c.text)
-		if resp := wait(t, answers, "answer to "+c.name); resp.StatusCode != c.status || !resp.Close {
-			t.Errorf("%s: status %d, want %d; closed %t", c.name, resp.StatusCode, c.status, resp.Close)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, answers := r.client(t, c.request)
+			resp := wait(t, answers, "answer")
+			if resp.StatusCode != c.status || !resp.Close {
+				t.Errorf("status %d, want %d; closed %t", resp.StatusCode, c.status, resp.Close)
+			}
+			if body, err := io.ReadAll(resp.Body); c.body != "" && (string(body) != c.body+"\n" || err != nil) {
+				t.Errorf("body %q, %v; want %q", body, err, c.body)
+			}
+		})
 	}
 }
 
-// A length beside chunks may hide a request in the body, or behind it: neither
-// may reach a backend.
-func TestHiddenRequest(t *testing.T) {
+// A length beside chunks may hide a request in the body or behind it: neither may reach a backend.
+func TestRequestHiddenByChunksIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
@@ -90,16 +104,17 @@
 	}
 }
 
-// One id is one request: another client's under the same is turned down, also
-// just after the first has been answered, and the first keeps its answer.
-func TestIdTwice(t *testing.T) {
+// A correlation id names one request: a second request with it is rejected while the first is open, and also just after
+// it has been answered, and the first keeps its answer.
+func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
 	_, first := r.client(t, ask("POST", "booking", "mine", correlationIDHeader, "one"))
-	conn, br := backend.accept(t)
-	readRequest(t, br)
-	for range 2 {
+	conn, reader := backend.accept(t)
+	readRequest(t, reader)
+	expectConflict := func() {
+		t.Helper()
 		_, second := r.client(t, ask("GET", "lookup", "", correlationIDHeader, "one"))
 		if resp := wait(t, second, "answer to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
@@ -107,31 +122,29 @@
 		if len(backend.conns) > 0 {
 			t.Error("the second went to the backend")
 		}
-		if conn != nil {
-			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine")
-			if resp := wait(t, first, "answer to the first"); resp.StatusCode != 200 {
-				t.Errorf("the first: status %d", resp.StatusCode)
-			}
-			conn = nil
-		}
 	}
+	expectConflict()
+	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine")
+	if resp := wait(t, first, "answer to the first"); resp.StatusCode != 200 {
+		t.Errorf("the first: status %d", resp.StatusCode)
+	}
+	expectConflict()
 }
 
-// A backend that says nothing must not hold a request beyond its aim, and its
-// late answer must reach nobody.
-func TestSilence(t *testing.T) {
+// A silent backend must not hold a request beyond its latency objective, and its late answer must reach nobody.
+func TestSilentBackendHoldsNoRequestBeyondItsObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
 	conn, answers := r.client(t, ask("GET", "glance", ""))
-	_, br := backend.accept(t)
-	readRequest(t, br)
+	_, reader := backend.accept(t)
+	readRequest(t, reader)
 	resp := wait(t, answers, "answer")
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("the given-up attempt's connection: %v", err)
+	if _, err := reader.ReadByte(); err != io.EOF {
+		t.Errorf("the abandoned attempt's connection: %v", err)
 	}
 	// The client's connection carries the next request, and that one's answer only.
 	io.WriteString(conn, ask("GET", "lookup", ""))
@@ -145,55 +158,53 @@
 	}
 }
 
-// A client that floods the gateway behind its open request ends its connection,
-// and its request with it.
-func TestFloodBehindRequest(t *testing.T) {
+// A client that floods the gateway behind its open request loses its connection, and its request is cancelled.
+func TestFloodBehindOpenRequestClosesConnection(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
 	conn, _ := r.client(t, ask("GET", "lookup", ""))
-	_, br := backend.accept(t)
-	readRequest(t, br)
+	_, reader := backend.accept(t)
+	readRequest(t, reader)
 	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
-	if _, err := br.ReadByte(); err != io.EOF {
+	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("the attempt's connection: %v", err)
 	}
 }
 
-// What came behind a request before its answer is the next request, no more and no
-// less.
-func TestPipelined(t *testing.T) {
+// The bytes that came behind a request before its answer are the next request, no more and no less.
+func TestPipelinedRequestIsServedNext(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
 	conn, first := r.client(t, ask("GET", "lookup", ""))
-	bc, br := backend.accept(t)
-	readRequest(t, br)
+	backendConn, reader := backend.accept(t)
+	readRequest(t, reader)
 	second := ask("POST", "booking", strings.Repeat("y", 6000))
 	io.WriteString(conn, second[:1])
 	io.WriteString(conn, second[1:])
-	io.WriteString(bc, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfirst")
+	io.WriteString(backendConn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfirst")
 	if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	_, br = backend.accept(t)
-	if _, body := readRequest(t, br); len(body) != 6000 {
-		t.Errorf("%d bytes came on", len(body))
+	_, reader = backend.accept(t)
+	if _, body := readRequest(t, reader); len(body) != 6000 {
+		t.Errorf("%d bytes were forwarded", len(body))
 	}
 }
 
-// A client that never reads its answer costs no other client one, and holds up a
-// stop no longer than the longest request could.
-func TestSlowReader(t *testing.T) {
+// A client that never reads its answer costs no other client one, and delays a shutdown no longer than the longest
+// request could.
+func TestSlowReaderDelaysNoOtherClient(t *testing.T) {
 	t.Parallel()
+	const bufferBytes = 4096 // of each socket, less than the answer
 	backend := newPeer(t)
-	way := &gated{before: func(c *gatedConn) { c.SetWriteBuffer(4096) }}
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way },
-		strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace, backend)
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+	way := &gated{before: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
+	r := newRigBehind(t, behind(way), strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace, backend)
+	dialer := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
+		return conn.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes) })
 	}}
-	slow, err := d.Dial("tcp", r.address)
+	slow, err := dialer.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,24 +224,25 @@
 	}
 }
 
-// No client holds a request, and so a stop, for longer than its class allows.
-func TestPatienceIsBounded(t *testing.T) {
-	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+// No client holds a request, and so a shutdown, for longer than its class allows.
+func TestClientTimeoutIsBoundedByClassDeadline(t *testing.T) {
+	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &c.Deployment}
-	for left, most := range map[string]float64{"3600000": 20, "7000": 7} {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", "", timeLeftHeader, left))))
+	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
+	for timeLeft, want := range map[string]float64{"3600000": 20, "7000": 7} {
+		text := ask("GET", "lookup", "", timeLeftHeader, timeLeft)
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := f.decode(httptest.NewRecorder(), r)
+		req, err := f.decode(httptest.NewRecorder(), r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.decoded.Deadline - x.decoded.SentAt + responseMargin; got < most-0.001 || got > most+0.001 {
-			t.Errorf("%s ms: held for up to %.3f s, want %.3f", left, got, most)
+		if got := req.decoded.Deadline - req.decoded.SentAt + responseMargin; got < want-0.001 || got > want+0.001 {
+			t.Errorf("%s ms: held for up to %.3f s, want %.3f", timeLeft, got, want)
 		}
 	}
 }
