--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -11,26 +11,50 @@
 	"time"
 )
 
-// newClientConn is a connection in a table, with its client's end.
-func newClientConn(t *testing.T) (near *clientConn, far net.Conn) {
+// newClientConn returns a connection in a table, and its client's end.
+func newClientConn(t *testing.T) (conn *clientConn, client net.Conn) {
+	t.Helper()
+	near, client := connPair(t, newPeer(t))
+	return newClientConnections(nil, 10).tryAdd(near), client
+}
+
+// connPair returns both ends of a connection to p.
+func connPair(t *testing.T, p *peer) (near, far net.Conn) {
 	t.Helper()
-	p := newPeer(t)
 	far, err := net.Dial("tcp", p.address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, _ := p.accept(t)
-	t.Cleanup(func() { far.Close(); conn.Close() })
-	return newClientConnections(nil, 10).tryAdd(conn), far
+	near, _ = p.accept(t)
+	t.Cleanup(func() {
+		far.Close()
+		near.Close()
+	})
+	return near, far
+}
+
+// newIdleClientConn returns a connection whose last request has been answered, and its client's end.
+func newIdleClientConn(t *testing.T) (conn *clientConn, client net.Conn) {
+	t.Helper()
+	conn, client = newClientConn(t)
+	conn.table.onConnState(conn, http.StateActive)
+	conn.table.onConnState(conn, http.StateIdle)
+	return conn, client
 }
 
-// send writes from the client's end, and waits until it has arrived.
-func send(t *testing.T, near *clientConn, far net.Conn, text string) {
+// send writes text from the far end of a connection, and waits until it has arrived at the near one.
+func send(t *testing.T, near, far net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(far, text); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); isQuiet(near.Conn); time.Sleep(time.Millisecond) {
+	awaitBytes(t, near)
+}
+
+// awaitBytes waits until bytes have come on a connection; they may be on their way through the kernel.
+func awaitBytes(t *testing.T, conn net.Conn) {
+	t.Helper()
+	for end := time.Now().Add(patience); isQuiet(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing arrives")
 		}
@@ -39,68 +63,66 @@
 
 // The end of the wait for a request leaves alone one that has arrived, or that has begun: the time of the wait is over,
 // not that of the request.
-func TestWaitEndsAsRequestComes(t *testing.T) {
-	for name, ends := range map[string]func(*clientConn){
-		"by the server's time-out": func(near *clientConn) { near.SetReadDeadline(time.Unix(1, 0)) },
-		"by a stop":                func(near *clientConn) { near.table.drain(time.Now().Add(patience)) },
-		"to make room": func(near *clientConn) {
-			near.table.mu.Lock()
-			defer near.table.mu.Unlock()
-			near.table.closeWhenIdle(near)
+func TestEndOfIdleWaitSparesArrivedRequest(t *testing.T) {
+	for name, endWait := range map[string]func(*clientConn){
+		"by the server's deadline": func(conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
+		"by a shutdown":            func(conn *clientConn) { conn.table.drain(time.Now().Add(patience)) },
+		"by an eviction": func(conn *clientConn) {
+			conn.table.mu.Lock()
+			defer conn.table.mu.Unlock()
+			conn.table.closeWhenIdle(conn)
 		},
 	} {
-		near, far := newClientConn(t)
-		near.table.onConnState(near, http.StateActive)
-		near.table.onConnState(near, http.StateIdle)
-		send(t, near, far, "G")
-		ends(near)
-		buffer := make([]byte, 16)
-		if n, err := near.Read(buffer); n != 1 || err != nil {
-			t.Errorf("%s: a request that has arrived: %d bytes, %v", name, n, err)
-		}
-		send(t, near, far, "ET")
-		if n, err := near.Read(buffer); n != 2 || err != nil {
-			t.Errorf("%s: the rest of it: %d bytes, %v", name, n, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			conn, client := newIdleClientConn(t)
+			send(t, conn.Conn, client, "G")
+			endWait(conn)
+			buffer := make([]byte, 16)
+			if n, err := conn.Read(buffer); n != 1 || err != nil {
+				t.Errorf("a request that has arrived: %d bytes, %v", n, err)
+			}
+			send(t, conn.Conn, client, "ET")
+			if n, err := conn.Read(buffer); n != 2 || err != nil {
+				t.Errorf("the rest of it: %d bytes, %v", n, err)
+			}
+		})
 	}
 }
 
-// A request of which a part has been read is refused, and not just closed, where there is no room for it.
-func TestHalfRequestMakesRoom(t *testing.T) {
-	near, far := newClientConn(t)
-	send(t, near, far, "GET /lookup")
+// A request of which a part has been read is rejected, and not just closed, if its connection is evicted.
+func TestEvictedIncompleteRequestIsRejected(t *testing.T) {
+	conn, client := newClientConn(t)
+	send(t, conn.Conn, client, "GET /lookup")
 	buffer := make([]byte, 64)
-	if n, err := near.Read(buffer); n == 0 || err != nil {
+	if n, err := conn.Read(buffer); n == 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	near.table.mu.Lock()
-	evicted := near.table.evict(near)
-	near.table.mu.Unlock()
-	ended := make(chan error, 1)
+	conn.table.mu.Lock()
+	evicted := conn.table.evict(conn)
+	conn.table.mu.Unlock()
+	readEnded := make(chan error, 1)
 	go func() {
-		_, err := near.Read(buffer)
-		near.Close()
-		ended <- err
+		_, err := conn.Read(buffer)
+		conn.Close()
+		readEnded <- err
 	}()
-	far.SetDeadline(time.Now().Add(patience))
-	answer, err := io.ReadAll(far)
+	client.SetDeadline(time.Now().Add(patience))
+	answer, err := io.ReadAll(client)
 	if !evicted || err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
 		t.Errorf("evicted %t; the client got %q, %v", evicted, answer, err)
 	}
-	if err := wait(t, ended, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := wait(t, readEnded, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the server got %v", err)
 	}
 }
 
-// A deadline that the server sets while a connection is to end doesn't undo the end, and the end is not taken for a
-// request.
-func TestEndOutlastsServersDeadline(t *testing.T) {
-	near, _ := newClientConn(t)
-	near.table.onConnState(near, http.StateActive)
-	near.table.onConnState(near, http.StateIdle)
-	near.table.drain(time.Now().Add(patience))
-	near.SetReadDeadline(time.Now().Add(patience))
-	if n, err := near.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+// A deadline that the server sets on a connection that is closing doesn't undo the close, and the end of the wait is not
+// taken for a request.
+func TestServersDeadlineDoesNotUndoClose(t *testing.T) {
+	conn, _ := newIdleClientConn(t)
+	conn.table.drain(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(patience))
+	if n, err := conn.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -9,163 +9,183 @@
 	"time"
 )
 
-// Connections that say nothing, however many, must not keep a usual client
-// from being served, and end by themselves.
-func TestSilentClients(t *testing.T) {
+// Connections that say nothing, however many, must not keep a usual client from being served, and are closed.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRigWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
-	for range 100 { // the bound is below 40
-		c, err := net.Dial("tcp", r.address)
+	for range 100 { // the limit is below 40
+		conn, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		silent = append(silent, c)
+		defer conn.Close()
+		silent = append(silent, conn)
 	}
 	_, answers := r.client(t, ask("POST", "booking", "x"))
 	serveOne(t, backend, "ok")
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	for i, c := range silent {
-		c.SetReadDeadline(time.Now().Add(patience))
-		if n, err := c.Read(make([]byte, 1)); err == nil || isTimeout(err) {
+	for i, conn := range silent {
+		conn.SetReadDeadline(time.Now().Add(patience))
+		if n, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 			t.Errorf("silent connection %d: %d bytes, %v", i, n, err)
 		}
 	}
 }
 
+// isTimeout tells whether err is that of a deadline.
 func isTimeout(err error) bool {
-	e, ok := err.(net.Error)
-	return ok && e.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// What never becomes a whole request gets an error in time, and a
-// request that waits for its answer is not cut off for it.
-func TestHalfRequests(t *testing.T) {
+// A request that never becomes complete gets an error in time, and a request that waits for its answer is not cut off
+// by the same time-out.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	_, held := r.client(t, ask("GET", "lookup", ""))
-	conn, br := backend.accept(t)
-	readRequest(t, br)
-	whole := ask("POST", "booking", "pickup")
-	for _, text := range []string{whole[:10], whole[:len(whole)-1]} {
-		c, _ := net.Dial("tcp", r.address)
-		defer c.Close()
-		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(patience))
-		answer, err := io.ReadAll(c)
+	_, openAnswers := r.client(t, ask("GET", "lookup", ""))
+	conn, reader := backend.accept(t)
+	readRequest(t, reader)
+	complete := ask("POST", "booking", "pickup")
+	for _, text := range []string{complete[:10], complete[:len(complete)-1]} {
+		client, _ := net.Dial("tcp", r.address)
+		defer client.Close()
+		io.WriteString(client, text)
+		client.SetReadDeadline(time.Now().Add(patience))
+		answer, err := io.ReadAll(client)
 		if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 408 ") {
 			t.Errorf("after %d bytes: %q, %v", len(text), answer, err)
 		}
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // later than the time-out for reading
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the request that was held: status %d", resp.StatusCode)
+	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 }
 
-// Room is made by ending what has been idle for the longest, but nothing that
-// an unread request has just arrived on, no open request and no new idle one.
-func TestMakeRoom(t *testing.T) {
-	p := newPeer(t)
-	c := newClientConnections(nil, 100)
-	dial := func() (near, far net.Conn) {
-		far, err := net.Dial("tcp", p.address())
-		if err != nil {
-			t.Fatal(err)
-		}
-		near, _ = p.accept(t)
-		t.Cleanup(func() { far.Close(); near.Close() })
-		return near, far
-	}
-	// A server waits on those that are to end.
-	served := func(s http.ConnState, age time.Duration, pair func(http.ConnState, time.Duration) (*clientConn, net.Conn)) *clientConn {
-		near, _ := pair(s, age)
-		go func() {
-			if _, err := near.Read(make([]byte, 16)); err != nil {
-				near.Close()
-				c.onConnState(near, http.StateClosed)
-			}
-		}()
-		return near
+// evictionTable is a table of connections between a test and a peer.
+type evictionTable struct {
+	*clientConnections
+	peer *peer
+}
+
+// newConn returns both ends of a connection that the table does not have yet.
+func (e *evictionTable) newConn(t *testing.T) (near, far net.Conn) {
+	t.Helper()
+	return connPair(t, e.peer)
+}
+
+// add returns a connection of the table in the given state, last active so long ago, and its client's end.
+func (e *evictionTable) add(t *testing.T, state http.ConnState, age time.Duration) (conn *clientConn, client net.Conn) {
+	t.Helper()
+	near, client := e.newConn(t)
+	conn = e.tryAdd(near)
+	if state == http.StateIdle {
+		e.onConnState(conn, http.StateActive)
 	}
-	pair := func(s http.ConnState, age time.Duration) (near *clientConn, far net.Conn) {
-		conn, far := dial()
-		near = c.tryAdd(conn)
-		if s == http.StateIdle {
-			c.onConnState(near, http.StateActive)
+	e.onConnState(conn, state)
+	conn.lastActive = conn.lastActive.Add(-age)
+	return conn, client
+}
+
+// addServed is add, with a server that waits on the connection and so can close it.
+func (e *evictionTable) addServed(t *testing.T, state http.ConnState, age time.Duration) *clientConn {
+	t.Helper()
+	conn, _ := e.add(t, state, age)
+	go func() {
+		if _, err := conn.Read(make([]byte, 16)); err != nil {
+			conn.Close()
+			e.onConnState(conn, http.StateClosed)
 		}
-		c.onConnState(near, s)
-		near.lastActive = near.lastActive.Add(-age)
-		return near, far
+	}()
+	return conn
+}
+
+// addNewcomer tries to enter one more connection, for long enough if it is expected to be. It tells whether it was
+// entered, and takes it out again.
+func (e *evictionTable) addNewcomer(t *testing.T, expected bool) bool {
+	t.Helper()
+	near, _ := e.newConn(t)
+	conn := e.tryAdd(near)
+	for end := time.Now().Add(minEvictionGrace / 2); expected && conn == nil && time.Now().Before(end); {
+		time.Sleep(time.Millisecond) // the closing ones end when their servers have seen it
+		conn = e.tryAdd(near)
 	}
-	arrived, far := pair(http.StateNew, time.Hour)
-	io.WriteString(far, "G")
-	for end := time.Now().Add(patience); isQuiet(arrived.Conn) && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // the byte is on its way through the kernel
+	if conn == nil {
+		return false
 	}
-	resting := served(http.StateIdle, time.Hour, pair)
-	half, far := pair(http.StateNew, time.Hour)
-	io.WriteString(far, "GE")
-	if n, err := half.Read(make([]byte, 16)); n == 0 || err != nil { // the server has the beginning
+	e.onConnState(conn, http.StateClosed)
+	return true
+}
+
+// Newcomers replace the connections that have been idle for the longest, but none on which an unread request has just
+// arrived, no open request and no new idle one.
+func TestEvictionOrder(t *testing.T) {
+	table := &evictionTable{newClientConnections(nil, 100), newPeer(t)}
+	arrived, client := table.add(t, http.StateNew, time.Hour)
+	send(t, arrived.Conn, client, "G")
+	longIdle := table.addServed(t, http.StateIdle, time.Hour)
+	incomplete, client := table.add(t, http.StateNew, time.Hour)
+	io.WriteString(client, "GE")
+	if n, err := incomplete.Read(make([]byte, 16)); n == 0 || err != nil { // the server has the beginning
 		t.Fatal(n, err)
 	}
-	silent := served(http.StateNew, time.Minute, pair)
-	working, _ := pair(http.StateActive, 0)
-	recent := served(http.StateIdle, evictionGrace/2, pair)
-	fresh, _ := pair(http.StateNew, 0)
-	// In the order of their last sign of life: the half request counts from its first byte.
-	c.mu.Lock()
-	c.idle.MoveAfter(half.idleElement, recent.idleElement)
-	c.mu.Unlock()
-	for i, step := range []struct {
-		most int
-		room bool
-		kept []*clientConn
+	silent := table.addServed(t, http.StateNew, time.Minute)
+	open, _ := table.add(t, http.StateActive, 0)
+	recent := table.addServed(t, http.StateIdle, evictionGrace/2)
+	fresh, _ := table.add(t, http.StateNew, 0)
+	// In the order of their last activity: the incomplete request counts from its first byte.
+	table.mu.Lock()
+	table.idle.MoveAfter(incomplete.idleElement, recent.idleElement)
+	table.mu.Unlock()
+	for _, step := range []struct {
+		name     string
+		maxConns int
+		added    bool // a newcomer is
+		kept     []*clientConn
 	}{
-		{10, true, []*clientConn{arrived, resting, silent, working, recent, half, fresh}}, // below the soft bound
-		{7, true, []*clientConn{arrived, working, recent, half, fresh}},
-		{6, true, []*clientConn{arrived, working, recent, half, fresh}}, // room enough for what was quiet for less than 2 s
-		{5, true, []*clientConn{arrived, working, half, fresh}},         // none at all
-		{4, false, []*clientConn{arrived, working, half, fresh}},
+		{"below the soft limit", 10, true, []*clientConn{arrived, longIdle, silent, open, recent, incomplete, fresh}},
+		{"above the soft limit", 7, true, []*clientConn{arrived, open, recent, incomplete, fresh}},
+		{"recent ones stay below the limit", 6, true, []*clientConn{arrived, open, recent, incomplete, fresh}},
+		{"at the limit", 5, true, []*clientConn{arrived, open, incomplete, fresh}},
+		{"nothing to evict", 4, false, []*clientConn{arrived, open, incomplete, fresh}},
 	} {
-		c.mu.Lock()
-		c.maxConns = step.most
-		half.lastActive, fresh.lastActive = time.Now(), time.Now() // however long the steps before have taken
-		c.mu.Unlock()
-		next, _ := dial()
-		got := c.tryAdd(next)
-		for end := time.Now().Add(minEvictionGrace / 2); step.room && got == nil && time.Now().Before(end); {
-			time.Sleep(time.Millisecond) // what is ending needs its server for it
-			got = c.tryAdd(next)
-		}
-		if (got != nil) != step.room {
-			t.Errorf("step %d: room %t", i, got != nil)
-		}
-		if got != nil {
-			c.onConnState(got, http.StateClosed)
-		}
-		c.mu.Lock()
-		if len(c.conns) != len(step.kept) || c.closing != 0 {
-			t.Errorf("step %d: %d connections kept, want %d; %d more are ending", i, len(c.conns), len(step.kept), c.closing)
-		}
-		for n, conn := range step.kept {
-			if _, kept := c.conns[conn]; !kept || conn.closing {
-				t.Errorf("step %d: connection %d was not kept", i, n)
-			}
+		table.mu.Lock()
+		table.maxConns = step.maxConns
+		incomplete.lastActive = time.Now() // however long the steps before have taken
+		fresh.lastActive = incomplete.lastActive
+		table.mu.Unlock()
+		if added := table.addNewcomer(t, step.added); added != step.added {
+			t.Errorf("%s: newcomer added %t", step.name, added)
 		}
-		c.mu.Unlock()
+		table.expectKept(t, step.name, step.kept)
 	}
-	for conn := range c.conns {
-		c.onConnState(conn, http.StateClosed)
+	for conn := range table.conns {
+		table.onConnState(conn, http.StateClosed)
 	}
-	c.maxConns = 1
-	next, _ := dial()
-	if c.tryAdd(next) == nil || c.idle.Len() != 1 {
-		t.Errorf("no room when all have gone; %d idle", c.idle.Len())
+	table.maxConns = 1
+	near, _ := table.newConn(t)
+	if table.tryAdd(near) == nil || table.idle.Len() != 1 {
+		t.Errorf("no place when all have gone; %d idle", table.idle.Len())
+	}
+}
+
+// expectKept checks that the table has these connections and no other, and that none of them is closing.
+func (e *evictionTable) expectKept(t *testing.T, step string, want []*clientConn) {
+	t.Helper()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.conns) != len(want) || e.closing != 0 {
+		t.Errorf("%s: %d connections kept, want %d; %d more are closing", step, len(e.conns), len(want), e.closing)
+	}
+	for i, conn := range want {
+		if _, kept := e.conns[conn]; !kept || conn.closing {
+			t.Errorf("%s: connection %d was not kept", step, i)
+		}
 	}
 }
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -11,10 +11,12 @@
 	"time"
 )
 
-// A request that the gateway has begun to read, but not yet begun on, when a stop
-// closes idle connections is answered: as ever on an idle one, and with a refusal on
-// a new one, which is closed later.
-func TestStopRacesRequestThatIsRead(t *testing.T) {
+// readinessRequest is a readiness check, as a client sends it.
+const readinessRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
+
+// A request that the gateway has begun to read, but not yet begun on, when a shutdown closes idle connections is
+// answered: served on a connection that was idle, and rejected on a new one, which is closed later.
+func TestShutdownRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	for name, fresh := range map[string]bool{"on an idle connection": false, "on a new one": true} {
 		t.Run(name, func(t *testing.T) {
@@ -47,27 +49,26 @@
 	}
 }
 
-// A request that has arrived when a stop comes, but that the gateway has not read
-// yet, is answered: on an idle connection as ever, on a new one at least with a
-// refusal, though the listener has gone.
-func TestStopRacesRequestThatIsUnread(t *testing.T) {
+// A request that has arrived when a shutdown begins, but that the gateway reads only after it has closed the listener, is
+// answered, if only by a rejection, on an idle connection and on a new one.
+func TestShutdownRacesUnreadRequest(t *testing.T) {
 	t.Parallel()
 	for name, idle := range map[string]bool{"on an idle connection": true, "on a new one": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			var shut atomic.Bool
+			var gateClosed atomic.Bool
 			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
-			// The connections that asked for readiness wait for requests as well, and must not take the gate.
+			// Connections of readiness checks wait for requests as well, and must not be held at the gate.
 			own := freeAddress(t)
 			way := &gated{before: func(c *gatedConn) {
-				if c.RemoteAddr().String() == own.String() && shut.CompareAndSwap(true, false) {
+				if c.RemoteAddr().String() == own.String() && gateClosed.CompareAndSwap(true, false) {
 					waiting <- c
 					<-gate
 				}
 			}}
-			r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
-			shut.Store(!idle)
+			r := newRigBehind(t, behind(way), unchanged, backend)
+			gateClosed.Store(!idle)
 			conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 			if err != nil {
 				t.Fatal(err)
@@ -75,21 +76,19 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(patience))
 			if idle {
-				// The watch for a client that leaves is one read, the wait for the next request the other.
+				// The watch for a client that disconnects is one read, the wait for the next request the other.
 				io.WriteString(conn, ask("GET", "lookup", ""))
-				bc, br := backend.accept(t)
-				readRequest(t, br)
-				shut.Store(true)
-				total(bc, http.StatusOK, "ok")
+				backendConn, reader := backend.accept(t)
+				readRequest(t, reader)
+				gateClosed.Store(true)
+				total(backendConn, http.StatusOK, "ok")
 				if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 					t.Fatal(resp, err)
 				}
 			}
-			at := wait(t, waiting, "read")
+			held := wait(t, waiting, "read")
 			io.WriteString(conn, ask("GET", "glance", ""))
-			for end := time.Now().Add(patience); isQuiet(at.TCPConn) && time.Now().Before(end); {
-				time.Sleep(time.Millisecond) // the request is on its way through the kernel
-			}
+			awaitBytes(t, held.TCPConn)
 			r.stop()
 			r.closedListener(t)
 			close(gate)
@@ -107,37 +106,38 @@
 	}
 }
 
-// An idle connection whose server is about to wait for the next request as a stop comes is closed with the other idle
-// ones: at once, and not when the listener goes. Its client would go on using it meanwhile.
-func TestStopRacesWaitForRequest(t *testing.T) {
+// An idle connection whose server is about to wait for the next request as a shutdown begins is closed with the other
+// idle ones: at once, and not when the listener is closed. Its client would go on using it meanwhile.
+func TestShutdownRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	var r *rig
-	var shut atomic.Bool
-	stopped := make(chan struct{})
+	var armed atomic.Bool // the next wait for a request begins the shutdown
+	shutdownBegun := make(chan struct{})
 	own := freeAddress(t)
 	way := &gated{deadline: func(c *gatedConn, at time.Time) {
 		// The server sets the longest deadline for the wait between two requests.
-		if c.RemoteAddr().String() == own.String() && time.Until(at) > idleTimeout/2 && shut.CompareAndSwap(true, false) {
+		isIdleWait := time.Until(at) > idleTimeout/2
+		if c.RemoteAddr().String() == own.String() && isIdleWait && armed.CompareAndSwap(true, false) {
 			c.armed.Store(true)
 			r.stop()
 			select {
-			case <-c.ended: // the stop has closed idle connections
+			case <-c.ended: // the shutdown has closed idle connections
 			case <-time.After(lateConnectionDelay / 4): // or waits for this one
 			}
-			close(stopped)
+			close(shutdownBegun)
 		}
 	}}
-	r = newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
-	shut.Store(true)
+	r = newRigBehind(t, behind(way), unchanged, backend)
+	armed.Store(true)
 	conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(patience))
-	io.WriteString(conn, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-	wait(t, stopped, "stop")
+	io.WriteString(conn, readinessRequest)
+	wait(t, shutdownBegun, "shutdown")
 	began := time.Now()
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatal(err)
@@ -148,22 +148,22 @@
 }
 
 // Connections that still wait in the kernel's queue when the listener is to close, since the gateway was held up, are
-// accepted, and their requests get a refusal. A close of the listener would reset them.
-func TestStopEmptiesTheAcceptQueue(t *testing.T) {
+// accepted, and their requests rejected. A close of the listener would reset them.
+func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
-	way, shut, waiting, gate := holdAccept()
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, newPeer(t))
-	shut.Store(true)
-	var all []<-chan *http.Response
+	way, gateClosed, waiting, gate := holdAccept()
+	r := newRigBehind(t, behind(way), unchanged, newPeer(t))
+	gateClosed.Store(true)
+	var allAnswers []<-chan *http.Response
 	for range 20 {
 		_, answers := r.client(t, ask("GET", "glance", ""))
-		all = append(all, answers)
+		allAnswers = append(allAnswers, answers)
 	}
 	wait(t, waiting, "connection")
 	r.stop()
 	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
 	close(gate)
-	for _, answers := range all {
+	for _, answers := range allAnswers {
 		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 		}
@@ -173,37 +173,39 @@
 	}
 }
 
-// A stop's times count from the signal, also where a reload is under way then.
-func TestStopDuringReload(t *testing.T) {
+// The times of a shutdown count from the signal, also where a reload is under way then.
+func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newPeer(t))
-	const reading = 500 * time.Millisecond
-	r.reading.Store(int64(reading))
+	const readTime = 500 * time.Millisecond // of the configuration
+	r.reading.Store(int64(readTime))
 	r.hup <- syscall.SIGHUP
 	began := time.Now()
 	r.stop()
 	if err := wait(t, r.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took, most := time.Since(began), newShutdownSchedule(time.Second).listenUntil+reading/2; took > most {
-		t.Errorf("ended %v after the stop, want %v at most", took, most)
+	maxTime := newShutdownSchedule(time.Second).listenUntil + readTime/2
+	if took := time.Since(began); took > maxTime {
+		t.Errorf("ended %v after the signal, want %v at most", took, maxTime)
 	}
 }
 
-// A connection that waits to be accepted when a stop comes is still taken, and its
-// request answered: served, or refused where it is too late for that.
-func TestStopRacesAccept(t *testing.T) {
+// A connection that waits to be accepted when a shutdown begins is still accepted, and its request answered: served, or
+// rejected where it is too late for that.
+func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	way, shut, waiting, gate := holdAccept()
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
-	shut.Store(true)
+	way, gateClosed, waiting, gate := holdAccept()
+	r := newRigBehind(t, behind(way), unchanged, backend)
+	gateClosed.Store(true)
 	_, answers := r.client(t, ask("GET", "glance", "")) // its backend says nothing
 	wait(t, waiting, "connection")
 	r.stop()
 	close(gate)
 	resp := wait(t, answers, "answer")
-	if late := resp.StatusCode == http.StatusServiceUnavailable; !late && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
+	rejectedLate := resp.StatusCode == http.StatusServiceUnavailable
+	if !rejectedLate && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
 		t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
 	if err := wait(t, r.ended, "end"); err != nil {
@@ -211,28 +213,26 @@
 	}
 }
 
-// A stop owes an answer to what it holds, also where a backend or the counter has
-// gone silent, and ends when it is given, with calls still out.
-func TestStopWithSilence(t *testing.T) {
+// A shutdown owes every open request an answer, also where a backend or the counter is silent, and ends when that is
+// given, with calls still in flight.
+func TestShutdownAnswersWhilePeerIsSilent(t *testing.T) {
 	t.Parallel()
-	for _, silent := range []string{"a backend", "the counter"} {
-		t.Run(silent, func(t *testing.T) {
+	for name, silentCounter := range map[string]bool{"a backend": false, "the counter": true} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
 			change := unchanged
-			if silent == "the counter" {
+			silent := backend
+			if silentCounter {
 				change = withCounter(counter, 0.1, 3, 30*time.Second)
+				silent = counter
 			}
 			r := newRigWith(t, change, backend)
-			_, held := r.client(t, ask("GET", "glance", ""))
-			at := backend
-			if silent == "the counter" {
-				at = counter
-			}
-			_, br := at.accept(t)
-			readRequest(t, br) // and no answer
+			_, answers := r.client(t, ask("GET", "glance", ""))
+			_, reader := silent.accept(t)
+			readRequest(t, reader) // and no answer
 			r.stop()
-			if resp := wait(t, held, "answer"); resp.StatusCode != http.StatusTooManyRequests {
+			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			if err := wait(t, r.ended, "end"); err != nil {
@@ -242,26 +242,25 @@
 	}
 }
 
-// After SIGTERM nothing that was taken may be lost: what is held is answered,
-// and what still comes is taken for a while.
-func TestStop(t *testing.T) {
+// After SIGTERM no accepted request may be lost: open ones are answered, and new ones are admitted for a while.
+func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	r := newRig(t, backend)
-	_, held := r.client(t, ask("POST", "booking", "held"))
-	conn, br := backend.accept(t)
-	readRequest(t, br)
-	unused, err := net.Dial("tcp", r.address) // must not hold up the end
+	_, openAnswers := r.client(t, ask("POST", "booking", "held"))
+	conn, reader := backend.accept(t)
+	readRequest(t, reader)
+	unused, err := net.Dial("tcp", r.address) // must not delay the end
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	idle, first := r.client(t, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
+	idle, first := r.client(t, readinessRequest)
 	wait(t, first, "answer") // leaves an idle connection behind
 	idle.SetReadDeadline(time.Now().Add(patience))
 	r.stop()
 	if _, err := io.ReadAll(idle); err != nil {
-		t.Errorf("the idle connection after the stop: %v", err)
+		t.Errorf("the idle connection after the signal: %v", err)
 	}
 	r.until(t, http.StatusServiceUnavailable)
 	_, late := r.client(t, ask("POST", "booking", "late"))
@@ -271,8 +270,8 @@
 	}
 	r.closedListener(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the held request: status %d", resp.StatusCode)
+	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 	if err := wait(t, r.ended, "end"); err != nil {
 		t.Errorf("ended with %v", err)
