--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -11,44 +10,40 @@
 	"time"
 )
 
-// queue is a listener whose connections have all come already.
-type queue struct{ conns chan net.Conn }
+// arrivedConns is a listener whose connections are those of a channel.
+type arrivedConns chan net.Conn
 
-func (q queue) Accept() (net.Conn, error) {
-	if conn, ok := <-q.conns; ok {
+// Accept returns the next connection, or net.ErrClosed once the channel is closed.
+func (c arrivedConns) Accept() (net.Conn, error) {
+	if conn, ok := <-c; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (q queue) Close() error { return nil }
+// Close does nothing.
+func (c arrivedConns) Close() error { return nil }
 
-func (q queue) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns no address in particular.
+func (c arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request that waited in the listener's queue, since there was no room for those before it, has spent that time of its
-// client's: its backend is told what is left. What came without a wait has lost none.
-func TestTimeInTheListenersQueueCounts(t *testing.T) {
-	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
+// A request that waited in the accept queue, since there was no place for those before it, has used that time of its
+// client's timeout: its backend gets what is left. One that came without a wait has lost none.
+func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
+	const clientTimeout = 5 * time.Second
+	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPeer(t)
-	dial := func() net.Conn {
-		far, err := net.Dial("tcp", p.address())
-		if err != nil {
-			t.Fatal(err)
-		}
-		near, _ := p.accept(t)
-		t.Cleanup(func() { far.Close(); near.Close() })
-		io.WriteString(far, ask("GET", "lookup", "", timeLeftHeader, "5000"))
-		for end := time.Now().Add(patience); isQuiet(near) && time.Now().Before(end); {
-			time.Sleep(time.Millisecond)
-		}
+	peer := newPeer(t)
+	arrive := func() net.Conn { // with a request
+		near, far := connPair(t, peer)
+		send(t, near, far, ask("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
 	}
-	q := queue{make(chan net.Conn, 10)}
-	table := newClientConnections(q, 1)
-	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &c.Deployment}
+	arrived := make(arrivedConns, 10)
+	table := newClientConnections(arrived, 1)
+	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
 	accept := func() *clientConn {
 		conn, err := table.Accept()
 		if err != nil {
@@ -56,17 +51,17 @@
 		}
 		return conn.(*clientConn)
 	}
-	told := func(conn *clientConn) time.Duration {
-		return time.Until(f.request(t, conn))
+	timeLeft := func(conn *clientConn) time.Duration {
+		return time.Until(f.requestDeadline(t, conn))
 	}
-	q.conns <- dial()
+	arrived <- arrive()
 	first := accept()
-	if left := told(first); left < 4900*time.Millisecond {
-		t.Errorf("no wait: %v of 5 s are left", left)
+	if left := timeLeft(first); left < 4900*time.Millisecond {
+		t.Errorf("no wait: %v of %v are left", left, clientTimeout)
 	}
-	// Two find no room, for minEvictionGrace each; the third does.
+	// Two find no place, for minEvictionGrace each; the third does.
 	for range 3 {
-		q.conns <- dial()
+		arrived <- arrive()
 	}
 	began := time.Now()
 	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
@@ -76,33 +71,33 @@
 	})
 	third := accept()
 	waited := time.Since(began)
-	if left := told(third); left > 5*time.Second-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
-		t.Errorf("after a wait of %v, %v of 5 s are left", waited, left)
+	if left := timeLeft(third); left > clientTimeout-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
+		t.Errorf("after a wait of %v, %v of %v are left", waited, left, clientTimeout)
 	}
-	// Room again, and nobody waits.
+	// There is a place again, and nobody waits.
 	table.mu.Lock()
 	table.forget(third)
 	table.mu.Unlock()
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		q.conns <- dial()
+		arrived <- arrive()
 	}()
-	if left := told(accept()); left < 4900*time.Millisecond {
-		t.Errorf("no wait any more: %v of 5 s are left", left)
+	if left := timeLeft(accept()); left < 4900*time.Millisecond {
+		t.Errorf("no wait any more: %v of %v are left", left, clientTimeout)
 	}
 }
 
-// request reads the request that waits on a connection, and returns when its time is over.
-func (f *frontend) request(t *testing.T, conn *clientConn) time.Time {
+// requestDeadline decodes the request that waits on a connection, and returns its deadline.
+func (f *frontend) requestDeadline(t *testing.T, conn *clientConn) time.Time {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r = r.WithContext(context.WithValue(r.Context(), connContextKey{}, conn))
-	x, err := f.decode(httptest.NewRecorder(), r)
+	req, err := f.decode(httptest.NewRecorder(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.loop.clock.toTime(x.decoded.Deadline)
+	return f.loop.clock.toTime(req.decoded.Deadline)
 }
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -247,11 +247,13 @@
 // A client that disconnects just behind the lease that admits its request cancels the attempt that the lease began.
 func TestDisconnectBehindLeaseCancelsAttempt(t *testing.T) {
 	backend, counter := newPeer(t), newPeer(t)
-	config, err := parseConfig([]byte(withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))))
+	text := withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))
+	config, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newEventLoop(&config, newConnectionPools(patience, time.Minute, 8), newCounterClient(counter.address(), patience), func() {})
+	pools := newConnectionPools(patience, time.Minute, 8)
+	l := newEventLoop(&config, pools, newCounterClient(counter.address(), patience), func() {})
 	l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	req := &clientRequest{
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -18,13 +18,14 @@
 	"packages": [{"name": "basic", "pays": 1}, {"name": "council", "pays": 2}],
 	"familyInfo": {"mostUnits": 4}}`
 
+// configText is a configuration file with the given address of discovery and settings.
 func configText(discovery, settings string) string {
 	return `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "` + discovery + `", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": "127.0.0.1:1",
 	"known": {"generation": 41, "reset": true, "instances": []}, "settings": ` + settings + `}`
 }
 
-func TestConfig(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	c, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
 		t.Fatal(err)
@@ -33,64 +34,83 @@
 		c.IdleTimeout != 15 || c.Sockets != 1024 || c.CachedListing.Generation != 41 || c.Zones[1] != "b" {
 		t.Errorf("read %+v", c)
 	}
-	for _, bad := range [][2]string{
-		{`{`, ``},
-		{`"seed": "8c1f30d27a5be964"`, `"seed": "x"`},
-		{`"listen": "127.0.0.1:0"`, `"listen": "127.0.0.1"`},
-		{`"discovery": "127.0.0.1:1"`, `"discovery": ""`},
-		{`"counter": "127.0.0.1:1"`, `"counter": ""`},
-		{`"sockets": 1024`, `"sockets": 10`},
-		{`"cores": 1.0`, `"cores": 0`},
-		{`"memory_mb": 192`, `"memory_mb": "much"`},
-		{`"rank": 1`, `"rank": 2`},
-		{`"tickS": 0.002`, `"tickS": 0`},
-		{`"keepaliveS": 15`, `"keepaliveS": 0`},
-		{`"name": "booking"`, `"name": "lookup"`},
-		{`"name": "council"`, `"name": ""`},
-		{`"effect": "once"`, `"effect": "twice"`},
-		{`"settings"`, `"other"`},
-		{`"objectiveS": 0.2`, `"objectiveS": 0`},
-		{`"deadlineS": 20, "points": 1, "effect": "repeatable"}]`, `"points": 1, "effect": "repeatable"}]`},
-		{`"deadlineS": 20`, `"deadlineS": 1e12`},
-		{`"points": 3`, `"points": -3`},
-		{`"pays": 2`, `"pays": -2`},
-		{`"pays": 2`, `"pays": 2, "unitsPerS": 3`},
-		{`"pays": 2`, `"pays": 2, "unitsPerS": -3`},
-		{`"pays": 2`, `"pays": 2, "neverOverRate": 9`},
-		{`"pays": 2`, `"pays": 2, "atOnce": -1`},
+}
+
+// An invalid configuration is rejected with an error of one line that names the key.
+func TestParseConfigRejectsInvalidKeys(t *testing.T) {
+	withCounter := strings.Replace(testSettings, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.05`, 1)
+	valid := configText("127.0.0.1:1", withCounter)
+	for _, c := range []struct {
+		name     string
+		old, new string // what is replaced in a valid configuration
+		key      string // that the error begins with; "": it has none
+	}{
+		{"no JSON", `{`, ``, ""},
+		{"a seed that is no number", `"seed": "8c1f30d27a5be964"`, `"seed": "x"`, "seed"},
+		{"no port to listen on", `"listen": "127.0.0.1:0"`, `"listen": "127.0.0.1"`, "listen"},
+		{"no discovery", `"discovery": "127.0.0.1:1"`, `"discovery": ""`, "discovery"},
+		{"no counter", `"counter": "127.0.0.1:1"`, `"counter": ""`, "counter"},
+		{"too few sockets", `"sockets": 1024`, `"sockets": 10`, "limits.sockets"},
+		{"no cores", `"cores": 1.0`, `"cores": 0`, "limits.cores"},
+		{"memory that is no number", `"memory_mb": 192`, `"memory_mb": "much"`, ""},
+		{"an index beyond the fleet", `"rank": 1`, `"rank": 2`, "settings"},
+		{"no tick", `"tickS": 0.002`, `"tickS": 0`, "settings"},
+		{"no idle timeout", `"keepaliveS": 15`, `"keepaliveS": 0`, "settings"},
+		{"a class twice", `"name": "booking"`, `"name": "lookup"`, "settings"},
+		{"a plan with no name", `"name": "council"`, `"name": ""`, "settings"},
+		{"an unknown idempotency", `"effect": "once"`, `"effect": "twice"`, "settings"},
+		{"no settings", `"settings"`, `"other"`, ""},
+		{"no latency objective", `"objectiveS": 0.2`, `"objectiveS": 0`, "settings"},
+		{"no deadline", `"deadlineS": 20, "points": 1, "effect": "repeatable"}]`, `"points": 1, "effect": "repeatable"}]`, "settings"},
+		{"a deadline without end", `"deadlineS": 20`, `"deadlineS": 1e12`, "settings"},
+		{"a priority weight below 0", `"points": 3`, `"points": -3`, "settings"},
+		{"a weight factor below 0", `"pays": 2`, `"pays": -2`, "settings"},
+		{"a rate without a burst", `"pays": 2`, `"pays": 2, "unitsPerS": 3`, "settings"},
+		{"a rate below 0", `"pays": 2`, `"pays": 2, "unitsPerS": -3`, "settings"},
+		{"a ceiling without a burst", `"pays": 2`, `"pays": 2, "neverOverRate": 9`, "settings"},
+		{"a concurrency limit below 0", `"pays": 2`, `"pays": 2, "atOnce": -1`, "settings"},
 	} {
-		withCounter := strings.Replace(testSettings, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.05`, 1)
-		text := configText("127.0.0.1:1", withCounter)
-		if !strings.Contains(text, bad[0]) {
-			t.Fatalf("%s is not in the configuration", bad[0])
-		}
-		_, err := parseConfig([]byte(strings.Replace(text, bad[0], bad[1], 1)))
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", bad[1], err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if !strings.Contains(valid, c.old) {
+				t.Fatalf("%s is not in the configuration", c.old)
+			}
+			_, err := parseConfig([]byte(strings.Replace(valid, c.old, c.new, 1)))
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Fatalf("%s: error %v", c.new, err)
+			}
+			if c.key != "" && !strings.HasPrefix(err.Error(), c.key+": ") {
+				t.Errorf("the error is %q, and does not name %s", err, c.key)
+			}
+		})
 	}
+}
+
+func TestReadConfigRejectsMissingFile(t *testing.T) {
 	if _, err := ReadConfig(t.TempDir() + "/none"); err == nil {
 		t.Error("a missing file was read")
 	}
 }
 
 // The windows of leases are cut from the clock, so gateways must agree on it.
-func TestClock(t *testing.T) {
+func TestClockIsUnixTime(t *testing.T) {
 	c := newClock()
-	at := c.now()
-	if d := time.Since(c.toTime(at)); d < 0 || d > patience || time.Since(time.Unix(int64(at), 0)) > patience {
-		t.Errorf("now is %f, %v ago", at, d)
+	now := c.now()
+	if d := time.Since(c.toTime(now)); d < 0 || d > patience || time.Since(time.Unix(int64(now), 0)) > patience {
+		t.Errorf("now is %f, %v ago", now, d)
 	}
 }
 
-// Where memory is short it bounds the clients' connections before descriptors
-// do, but leaves room for the third of these that requests may take.
-func TestMostClients(t *testing.T) {
-	for _, c := range []struct{ memory, sockets, want int }{
-		{192, 1024, 720}, {192, 256, 144}, {32, 256, 144}, {32, 1024, 341},
+// Where memory is short it bounds the clients' connections before descriptors do, but leaves capacity for the third of
+// these that requests may take.
+func TestMaxClientConns(t *testing.T) {
+	for _, c := range []struct{ memoryMB, sockets, want int }{
+		{192, 1024, 720},
+		{192, 256, 144},
+		{32, 256, 144},
+		{32, 1024, 341},
 	} {
-		if got := (&Config{MemoryMB: c.memory, Sockets: c.sockets}).maxClientConns(); got != c.want {
-			t.Errorf("%d MB, %d sockets: %d, want %d", c.memory, c.sockets, got, c.want)
+		if got := (&Config{MemoryMB: c.memoryMB, Sockets: c.sockets}).maxClientConns(); got != c.want {
+			t.Errorf("%d MB, %d sockets: %d, want %d", c.memoryMB, c.sockets, got, c.want)
 		}
 	}
 }
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -200,9 +200,12 @@
 	const bufferBytes = 4096 // of each socket, less than the answer
 	backend := newPeer(t)
 	way := &gated{before: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
-	r := newRigBehind(t, behind(way), strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace, backend)
+	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
+	r := newRigBehind(t, behind(way), shortDeadlines, backend)
 	dialer := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
-		return conn.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes) })
+		return conn.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes)
+		})
 	}}
 	slow, err := dialer.Dial("tcp", r.address)
 	if err != nil {
--- a/internal/gateway/httpserver.go
+++ b/internal/gateway/httpserver.go
@@ -9,10 +9,11 @@
 
 // The limits of the HTTP server for clients.
 const (
-	maxHeaderBytes = 16 << 10                // bytes of a request's head
-	readTimeout    = 2500 * time.Millisecond // for a whole request; 3 s after connecting a client is owed an error or a close
-	writeTimeout   = 10 * time.Second        // for the answer, from when the request must have one
-	idleTimeout    = 2 * time.Minute         // between two requests
+	maxHeaderBytes = 16 << 10 // bytes of a request's head
+	// readTimeout is for a whole request: 3 s after connecting a client is owed an error or a close.
+	readTimeout  = 2500 * time.Millisecond
+	writeTimeout = 10 * time.Second // for the answer, from when the request must have one
+	idleTimeout  = 2 * time.Minute  // between two requests
 )
 
 // newHTTPServer returns the server of the connections in clients. No request is open for longer than maxRequestTime.
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -10,91 +10,98 @@
 	"amberlb/policy"
 )
 
-func TestIdleTrust(t *testing.T) {
-	const forever = time.Duration(math.MaxInt64)
+// The limit follows the share of reuses that broke, not single ones, and forgets.
+func TestIdleLimit(t *testing.T) {
+	const noLimit = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
-		name         string
-		rest         time.Duration
-		held, broken int
-		later        time.Duration
-		want         time.Duration
+		name           string
+		idleFor        time.Duration
+		worked, broken int           // reuses
+		later          time.Duration // the limit is asked for so long after them
+		want           time.Duration
 	}{
-		{"nothing is known", time.Second, 0, 0, 0, forever},
-		{"all hold", time.Second, 9, 0, 0, forever},
+		{"nothing observed", time.Second, 0, 0, 0, noLimit},
+		{"all work", time.Second, 9, 0, 0, noLimit},
 		{"all break", 300 * time.Millisecond, 0, 9, 0, 200 * time.Millisecond},
-		{"two may be chance", 300 * time.Millisecond, 0, 2, 0, forever},
-		{"breaks at random", 300 * time.Millisecond, 80, 10, 0, forever},
-		{"a rest that is always trusted", time.Millisecond, 0, 9, 0, forever},
-		{"beyond the longest step", time.Hour, 0, 9, 0, minIdleBucket << (idleBuckets - 1)},
-		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, forever},
+		{"two may be chance", 300 * time.Millisecond, 0, 2, 0, noLimit},
+		{"breaks at random", 300 * time.Millisecond, 80, 10, 0, noLimit},
+		{"below the shortest range", time.Millisecond, 0, 9, 0, noLimit},
+		{"beyond the longest range", time.Hour, 0, 9, 0, minIdleBucket << (idleBuckets - 1)},
+		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, noLimit},
 	} {
-		var trust idleLimitEstimator
-		now := time.Now()
-		for range c.held {
-			trust.observe(now, c.rest, false)
-		}
-		for range c.broken {
-			trust.observe(now, c.rest, true)
-		}
-		if got := trust.limit(now.Add(c.later)); got != c.want {
-			t.Errorf("%s: limit %v, want %v", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var estimator idleLimitEstimator
+			now := time.Now()
+			for range c.worked {
+				estimator.observe(now, c.idleFor, false)
+			}
+			for range c.broken {
+				estimator.observe(now, c.idleFor, true)
+			}
+			if got := estimator.limit(now.Add(c.later)); got != c.want {
+				t.Errorf("limit %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// Something on the way to a backend forgets connections that rest. Once that has
-// shown, attempts go out on new ones instead of ending in doubt.
-func TestForgottenConnections(t *testing.T) {
+// Something on the way to a backend forgets idle connections. Once that has shown, attempts use new ones instead of
+// ending in doubt.
+func TestForgottenIdleConnectionsAreNotReused(t *testing.T) {
 	t.Parallel()
-	far := newPeer(t)
-	p := newConnectionPools(patience, patience, 8)
+	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	backend := newPeer(t)
+	pools := newConnectionPools(patience, patience, 8)
 	defer func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		p.sweepIdle(ctx)
+		pools.sweepIdle(ctx)
 	}()
-	p.updateEndpoint(1, far.address(), 0)
-	attemptOnce := func() chan policy.Outcome {
+	pools.updateEndpoint(1, backend.address(), 0)
+	startAttempt := func() <-chan policy.Outcome {
 		a := &attempt{request: &clientRequest{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
 			socketDeadline: time.Now().Add(patience)}
 		a.ctx, a.cancelContext = context.WithCancel(context.Background())
 		ended := make(chan policy.Outcome, 1)
-		go func() { defer a.cancelContext(); ended <- p.roundTrip(a).outcome }()
+		go func() {
+			defer a.cancelContext()
+			ended <- pools.roundTrip(a).outcome
+		}()
 		return ended
 	}
-	for round := 0; p.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
+	for round := 0; pools.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
 			t.Fatal("nothing was learnt")
 		}
-		ended := attemptOnce()
-		conn, r := far.accept(t)
-		readRequest(t, r)
-		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		ended := startAttempt()
+		conn, reader := backend.accept(t)
+		readRequest(t, reader)
+		io.WriteString(conn, okResponse)
 		if got := wait(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
-		time.Sleep(2 * minIdleBucket) // the rest itself is what is tested
-		ended = attemptOnce()
-		readRequest(t, r) // on the same connection
+		time.Sleep(2 * minIdleBucket) // the idle time itself is what is tested
+		ended = startAttempt()
+		readRequest(t, reader) // on the same connection
 		conn.Close()
 		if got := wait(t, ended, "outcome"); got != policy.ConnectionReset {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
-	ended := attemptOnce()
-	conn, r := far.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	ended := startAttempt()
+	conn, reader := backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(conn, okResponse)
 	wait(t, ended, "outcome")
-	limit := p.idleEstimator.limit(time.Now())
+	limit := pools.idleEstimator.limit(time.Now())
 	for range int(minBreaks) {
-		p.idleEstimator.observe(time.Now(), limit, true) // lest it fade while this test waits
+		pools.idleEstimator.observe(time.Now(), limit, true) // lest it decay while this test waits
 	}
 	time.Sleep(limit + minIdleBucket)
-	ended = attemptOnce()
-	conn, r = far.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	ended = startAttempt()
+	conn, reader = backend.accept(t)
+	readRequest(t, reader)
+	io.WriteString(conn, okResponse)
 	if got := wait(t, ended, "outcome"); got != policy.Served {
 		t.Errorf("outcome %d once it is known that connections are forgotten", got)
 	}
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -7,49 +7,50 @@
 	"testing"
 )
 
-// A reload moves discovery and counter under load and loses nothing: what is
-// held is answered, the new discovery is asked for its whole list, the counter's
-// call that is out is still taken from the old one, and a bad file changes nothing.
-func TestReload(t *testing.T) {
+// A reload moves discovery and counter under load and loses nothing: open requests are answered, the new discovery is
+// polled for its full list, the counter call in flight still gets its answer from the old one, and an invalid file
+// changes nothing.
+func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
-	backend, second, counter, moved := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
+	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
 	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
-		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list is given up meanwhile
+		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list times out meanwhile
 	defer r.stop() // before the new discovery is closed, which would wait for the end of its watch
-	_, held := r.client(t, ask("GET", "lookup", ""))
-	calls, cr := counter.accept(t)
-	call, _ := readRequest(t, cr) // not answered yet
+	_, openAnswers := r.client(t, ask("GET", "lookup", ""))
+	counterConn, counterReader := counter.accept(t)
+	call, _ := readRequest(t, counterReader) // not answered yet
 
-	good := *r.config.Load()
-	bad := good[:len(good)/2]
-	r.config.Store(&bad)
+	valid := *r.config.Load()
+	invalid := valid[:len(valid)/2]
+	r.config.Store(&invalid)
 	r.hup <- syscall.SIGHUP
-	other := newRegistry(t)
-	next := strings.NewReplacer(r.registry.address(), other.address(), counter.address(), moved.address()).Replace(good)
+	newDiscovery := newRegistry(t)
+	next := strings.NewReplacer(r.registry.address(), newDiscovery.address(),
+		counter.address(), newCounter.address()).Replace(valid)
 	r.config.Store(&next)
 	r.hup <- syscall.SIGHUP
-	if query := wait(t, other.calls, "call of the new discovery"); query != "" {
-		t.Errorf("the new discovery was asked for %q, not for the whole list", query)
+	if query := wait(t, newDiscovery.calls, "call of the new discovery"); query != "" {
+		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	total(calls, 200, call.URL.Query().Get("add")) // the window's first: nothing is left to be put right by a further call
+	total(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
 	serveOne(t, backend, "held")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the request that was held: status %d", resp.StatusCode)
+	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	other.answers <- listingOf(true, "Ready", second)
-	if query := wait(t, other.calls, "watch"); query != "since=1&timeout_ms=2800" {
+	newDiscovery.answers <- listingOf(true, "Ready", newBackend)
+	if query := wait(t, newDiscovery.calls, "watch"); query != "since=1&timeout_ms=2800" {
 		t.Errorf("watch %q", query)
 	}
-	if _, err := cr.ReadByte(); err != io.EOF {
+	if _, err := counterReader.ReadByte(); err != io.EOF {
 		t.Errorf("the old counter's connection: %v", err)
 	}
 	_, answers := r.client(t, ask("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
-	calls, cr = moved.accept(t)
-	call, _ = readRequest(t, cr)
-	total(calls, 200, call.URL.Query().Get("add"))
-	serveOne(t, second, "ok")
+	counterConn, counterReader = newCounter.accept(t)
+	call, _ = readRequest(t, counterReader)
+	total(counterConn, 200, call.URL.Query().Get("add"))
+	serveOne(t, newBackend, "ok")
 	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -38,7 +38,8 @@
 	g.loop = newEventLoop(&config, pools, nil, g.waitAtGate)
 	listing := Listing{Reset: true}
 	for i := range disconnectingClients {
-		listing.Instances = append(listing.Instances, Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1})
+		instance := Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1}
+		listing.Instances = append(listing.Instances, instance)
 	}
 	g.loop.applyListing(listing, policy.FullList)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
