--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -68,21 +68,9 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// configError is what is wrong with one key of a configuration file.
-type configError struct {
-	key string // with a dot before each inner key
-	err error
-}
-
-// Error returns the key and what is wrong with it, in one line.
-func (e *configError) Error() string { return e.key + ": " + e.err.Error() }
-
-// Unwrap returns what is wrong with the key.
-func (e *configError) Unwrap() error { return e.err }
-
-// invalidKey returns a configError with a formatted text.
+// invalidKey returns an error that says what is wrong with a key of the file. Inner keys are separated by dots.
 func invalidKey(key, format string, args ...any) error {
-	return &configError{key, fmt.Errorf(format, args...)}
+	return fmt.Errorf("%s: %w", key, fmt.Errorf(format, args...))
 }
 
 // ReadConfig reads and validates the configuration file at path. Its error is one line that names the file and, where
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -152,17 +152,20 @@
 		return decoded, badRequest("%s is missing or too long", correlationIDHeader)
 	}
 	var err error
-	if decoded.Class, err = f.decodeClass(r); err != nil {
+	decoded.Class, err = f.decodeClass(r)
+	if err != nil {
 		return decoded, err
 	}
 	decoded.Plan = slices.Index(f.deployment.PlanNames, r.Header.Get(planHeader))
 	if decoded.Plan < 0 {
 		return decoded, badRequest("%s names no plan", planHeader)
 	}
-	if decoded.Customer, err = decodeCustomer(r.Header.Get(apiKeyHeader)); err != nil {
+	decoded.Customer, err = decodeCustomer(r.Header.Get(apiKeyHeader))
+	if err != nil {
 		return decoded, err
 	}
-	if decoded.Deadline, err = decodeTimeout(r.Header.Get(timeLeftHeader)); err != nil {
+	decoded.Deadline, err = decodeTimeout(r.Header.Get(timeLeftHeader))
+	if err != nil {
 		return decoded, err
 	}
 	decoded.IsRetry = r.Header.Get(retryHeader) == "1"
