--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -156,7 +156,7 @@
 // hangingBackends starts backends that take requests and never answer, and a discovery that lists them.
 func hangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
-	var list []gateway.Instance
+	var list []gateway.EndpointEntry
 	for i := range 12 {
 		b, err := soak.StartBackend(fmt.Sprintf("b-%d", i), clock, func(time.Duration) soak.Behavior { return soak.Behavior{Hang: true} })
 		if err != nil {
@@ -164,7 +164,7 @@
 		}
 		t.Cleanup(b.Close)
 		backends = append(backends, b)
-		list = append(list, gateway.Instance{ID: b.Name, HostPort: b.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
+		list = append(list, gateway.EndpointEntry{ID: b.Name, HostPort: b.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
 	r := discovery.New(list, discovery.Options{})
 	address, err := r.Start(t.Context())
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -13,7 +13,7 @@
 )
 
 // behind puts way between the gateway and its listener.
-func behind(way *gated) func(net.Listener) net.Listener {
+func behind(way *gatedListener) func(net.Listener) net.Listener {
 	return func(listener net.Listener) net.Listener {
 		way.Listener = listener
 		return way
@@ -26,7 +26,7 @@
 	backend := newPeer(t)
 	silent := make(chan net.Conn, 100) // more than the limit, which is below 50
 	fewSockets := strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace
-	_, conn := raced(t, false, fewSockets, backend, func(r *rig, c *gatedConn) {
+	_, conn := startRace(t, false, fewSockets, backend, func(r *testGateway, c *gatedConn) {
 		c.armed.Store(true)
 		for range cap(silent) {
 			if conn, err := net.Dial("tcp", r.address); err == nil {
@@ -34,17 +34,17 @@
 			}
 		}
 		close(silent)
-		<-c.ended
+		<-c.readEnded
 	})
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
 		serveOne(t, backend, "paid")
 	}()
-	if resp, err := exchangeOn(t, conn, ask("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, err := roundTripOn(t, conn, requestText("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("the request that had been read: %v, %v", resp, err)
 	}
-	wait(t, served, "attempt")
+	await(t, served, "attempt")
 	for c := range silent {
 		c.Close()
 	}
@@ -66,14 +66,14 @@
 			t.Parallel()
 			backend := newPeer(t)
 			var remaining atomic.Int64 // failures to come
-			way := &gated{refuses: func() error {
+			way := &gatedListener{acceptError: func() error {
 				if remaining.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 				}
 				return nil
 			}}
-			r := newRigBehind(t, behind(way), unchanged, backend)
-			_, openAnswers := r.client(t, ask("POST", "payment", "held"))
+			r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
+			_, openAnswers := r.sendRequest(t, requestText("POST", "payment", "held"))
 			openConn, reader := backend.accept(t)
 			readRequest(t, reader)
 			serve := func() { // on a connection of its own
@@ -83,22 +83,22 @@
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
 			remaining.Store(failures) // the accept that is under way comes first
-			_, first := r.client(t, ask("GET", "lookup", ""))
+			_, first := r.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
-			if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			began := time.Now()
-			_, second := r.client(t, ask("GET", "lookup", ""))
+			_, second := r.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
-			if resp := wait(t, second, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, second, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d after the failures", resp.StatusCode)
 			}
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("accepted %v after %d failures", took, failures)
 			}
 			total(openConn, http.StatusOK, "paid")
-			if resp := wait(t, openAnswers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, openAnswers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the open request: status %d", resp.StatusCode)
 			}
 		})
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -38,7 +38,7 @@
 	peer := newPeer(t)
 	arrive := func() net.Conn { // with a request
 		near, far := connPair(t, peer)
-		send(t, near, far, ask("GET", "lookup", "", timeLeftHeader, "5000"))
+		send(t, near, far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
 	}
 	arrived := make(arrivedConns, 10)
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -54,7 +54,7 @@
 // awaitBytes waits until bytes have come on a connection; they may be on their way through the kernel.
 func awaitBytes(t *testing.T, conn net.Conn) {
 	t.Helper()
-	for end := time.Now().Add(patience); isQuiet(conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); isQuiet(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing arrives")
 		}
@@ -66,7 +66,7 @@
 func TestEndOfIdleWaitSparesArrivedRequest(t *testing.T) {
 	for name, endWait := range map[string]func(*clientConn){
 		"by the server's deadline": func(conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
-		"by a shutdown":            func(conn *clientConn) { conn.table.drain(time.Now().Add(patience)) },
+		"by a shutdown":            func(conn *clientConn) { conn.table.drain(time.Now().Add(testTimeout)) },
 		"by an eviction": func(conn *clientConn) {
 			conn.table.mu.Lock()
 			defer conn.table.mu.Unlock()
@@ -106,12 +106,12 @@
 		conn.Close()
 		readEnded <- err
 	}()
-	client.SetDeadline(time.Now().Add(patience))
+	client.SetDeadline(time.Now().Add(testTimeout))
 	answer, err := io.ReadAll(client)
 	if !evicted || err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
 		t.Errorf("evicted %t; the client got %q, %v", evicted, answer, err)
 	}
-	if err := wait(t, readEnded, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := await(t, readEnded, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the server got %v", err)
 	}
 }
@@ -120,8 +120,8 @@
 // taken for a request.
 func TestServersDeadlineDoesNotUndoClose(t *testing.T) {
 	conn, _ := newIdleClientConn(t)
-	conn.table.drain(time.Now().Add(patience))
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.table.drain(time.Now().Add(testTimeout))
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := conn.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -13,7 +13,7 @@
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
+	r := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
 	for range 100 { // the limit is below 40
 		conn, err := net.Dial("tcp", r.address)
@@ -23,13 +23,13 @@
 		defer conn.Close()
 		silent = append(silent, conn)
 	}
-	_, answers := r.client(t, ask("POST", "booking", "x"))
+	_, answers := r.sendRequest(t, requestText("POST", "booking", "x"))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	for i, conn := range silent {
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 			t.Errorf("silent connection %d: %d bytes, %v", i, n, err)
 		}
@@ -47,23 +47,23 @@
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, openAnswers := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	_, openAnswers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
-	complete := ask("POST", "booking", "pickup")
+	complete := requestText("POST", "booking", "pickup")
 	for _, text := range []string{complete[:10], complete[:len(complete)-1]} {
 		client, _ := net.Dial("tcp", r.address)
 		defer client.Close()
 		io.WriteString(client, text)
-		client.SetReadDeadline(time.Now().Add(patience))
+		client.SetReadDeadline(time.Now().Add(testTimeout))
 		answer, err := io.ReadAll(client)
 		if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 408 ") {
 			t.Errorf("after %d bytes: %q, %v", len(text), answer, err)
 		}
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // later than the time-out for reading
-	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 }
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, text)
 	return conn.(*net.TCPConn)
 }
@@ -81,13 +81,13 @@
 			}
 			var conns []*net.TCPConn
 			for range disconnectingClients {
-				conns = append(conns, dial(t, g.address, ask("GET", "lookup", "", quotaHeader, singleGatewayQuota)))
+				conns = append(conns, dial(t, g.address, requestText("GET", "lookup", "", quotaHeader, singleGatewayQuota)))
 			}
 			if first {
 				g.awaitInbox(t, disconnectingClients) // the requests
 			} else {
 				for range disconnectingClients {
-					wait(t, backend.received, "first attempt")
+					await(t, backend.received, "first attempt")
 				}
 				resume = g.stall(t)
 				close(backend.release)
@@ -112,7 +112,7 @@
 	t.Parallel()
 	backend := newCrowded(t)
 	g := newStallableGateway(t, backend.address, sameListener)
-	conn := dial(t, g.address, ask("POST", "payment", "x", quotaHeader, singleGatewayQuota))
+	conn := dial(t, g.address, requestText("POST", "payment", "x", quotaHeader, singleGatewayQuota))
 	awaitDialling(t, backend.address)
 	g.stall(t)
 	conn.Close()
@@ -146,14 +146,14 @@
 			t.Cleanup(backend.Close)
 			gate := make(chan struct{})
 			g := newStallableGateway(t, backend.Listener.Addr().String(), func(listener net.Listener) net.Listener {
-				return &gated{Listener: listener, accepted: func() { <-gate }}
+				return &gatedListener{Listener: listener, onAccept: func() { <-gate }}
 			})
 			for range disconnectingClients {
-				disconnect(dial(t, g.address, ask("POST", "booking", "x", quotaHeader, singleGatewayQuota)))
+				disconnect(dial(t, g.address, requestText("POST", "booking", "x", quotaHeader, singleGatewayQuota)))
 			}
 			close(gate)
 			g.expectServed(t, stayingID) // it was accepted after them
-			for end := time.Now().Add(patience); len(g.loop.inbox) > 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); len(g.loop.inbox) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if n := attempts.Load(); n > 0 {
@@ -167,8 +167,8 @@
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.client(t, ask("POST", "booking", "x"))
+	r := startTestGateway(t, backend)
+	conn, _ := r.sendRequest(t, requestText("POST", "booking", "x"))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
 	conn.Close()
@@ -185,24 +185,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
+			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
 			id := fmt.Sprintf("disconnected-%d", extra)
-			conn, answers := r.client(t, ask("GET", "lookup", "", correlationIDHeader, id))
+			conn, answers := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
 			counterConn, counterReader := counter.accept(t)
 			call, _ := readRequest(t, counterReader) // the request waits for its units
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
 				t.Errorf("the disconnected one: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
 			total(counterConn, http.StatusOK, call.URL.Query().Get("add"))
-			_, answers = r.client(t, ask("GET", "lookup", ""))
+			_, answers = r.sendRequest(t, requestText("GET", "lookup", ""))
 			backendConn, backendReader := backend.accept(t)
 			if req, _ := readRequest(t, backendReader); req.Header.Get(correlationIDHeader) == id {
 				t.Error("the request of the disconnected client was forwarded")
 			}
 			total(backendConn, http.StatusOK, "ok")
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
 		})
@@ -217,13 +217,13 @@
 		t.Run(fmt.Sprintf("cancel %t", canCancel), func(t *testing.T) {
 			t.Parallel()
 			backend := newCrowded(t)
-			r := newRigWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
+			r := startTestGatewayWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
-			r.list(t, backend.address)
-			conn, answers := r.client(t, ask("POST", "payment", "x", correlationIDHeader, "disconnected"))
+			r.publishBackends(t, backend.address)
+			conn, answers := r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "disconnected"))
 			awaitDialling(t, backend.address)
 			conn.(*net.TCPConn).CloseWrite()
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("the disconnected one: status %d", resp.StatusCode)
 			}
 			for end := time.Now().Add(5 * time.Second); dialling(t, backend.address); time.Sleep(time.Millisecond) {
@@ -231,13 +231,13 @@
 					t.Fatal("its dial goes on")
 				}
 			}
-			_, answers = r.client(t, ask("POST", "payment", "x", correlationIDHeader, stayingID))
+			_, answers = r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, stayingID))
 			backendConn, reader := backend.accept(t)
 			if req, _ := readRequest(t, reader); req.Header.Get(correlationIDHeader) != stayingID {
 				t.Errorf("request %q was forwarded", req.Header.Get(correlationIDHeader))
 			}
 			total(backendConn, http.StatusOK, "ok")
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
 		})
@@ -252,9 +252,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pools := newConnectionPools(patience, time.Minute, 8)
-	l := newEventLoop(&config, pools, newCounterClient(counter.address(), patience), func() {})
-	l.applyListing(listingOf(true, "Ready", backend), policy.FullList)
+	pools := newConnectionPools(testTimeout, time.Minute, 8)
+	l := newEventLoop(&config, pools, newCounterClient(counter.address(), testTimeout), func() {})
+	l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	req := &clientRequest{
 		correlationID: "one",
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -26,15 +26,15 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Name          string
-	Listen        string // host:port for clients
-	Discovery     string // host:port of the discovery service
-	Counter       string // host:port of the counter service; empty where the deployment has none
-	Seed          uint64 // of random numbers
-	Cores         float64
-	MemoryMB      int
-	Sockets       int     // file descriptors
-	CachedListing Listing // the list of backends as last known
+	Name            string
+	Listen          string // host:port for clients
+	Discovery       string // host:port of the discovery service
+	Counter         string // host:port of the counter service; empty where the deployment has none
+	Seed            uint64 // of random numbers
+	Cores           float64
+	MemoryMB        int
+	Sockets         int          // file descriptors
+	CachedEndpoints EndpointList // the list of backends as last known
 	wire.Deployment
 
 	// Log takes the gateway's lines; nil: slog.Default. It doesn't come from the file.
@@ -57,7 +57,7 @@
 	Counter       string          `json:"counter"`
 	Seed          string          `json:"seed"` // hex digits
 	Limits        limitsSection   `json:"limits"`
-	CachedListing Listing         `json:"known"`
+	CachedListing EndpointList    `json:"known"`
 	Settings      json.RawMessage `json:"settings"`
 }
 
@@ -105,16 +105,16 @@
 		return Config{}, invalidKey("seed", "%w", err)
 	}
 	c := Config{
-		Name:          file.Name,
-		Listen:        file.Listen,
-		Discovery:     file.Discovery,
-		Counter:       file.Counter,
-		Seed:          seed,
-		Cores:         file.Limits.Cores,
-		MemoryMB:      file.Limits.MemoryMB,
-		Sockets:       file.Limits.Sockets,
-		CachedListing: file.CachedListing,
-		Deployment:    deployment,
+		Name:            file.Name,
+		Listen:          file.Listen,
+		Discovery:       file.Discovery,
+		Counter:         file.Counter,
+		Seed:            seed,
+		Cores:           file.Limits.Cores,
+		MemoryMB:        file.Limits.MemoryMB,
+		Sockets:         file.Limits.Sockets,
+		CachedEndpoints: file.CachedListing,
+		Deployment:      deployment,
 	}
 	return c, c.validate()
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.GatewayIndex != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
-		c.IdleTimeout != 15 || c.Sockets != 1024 || c.CachedListing.Generation != 41 || c.Zones[1] != "b" {
+		c.IdleTimeout != 15 || c.Sockets != 1024 || c.CachedEndpoints.Generation != 41 || c.Zones[1] != "b" {
 		t.Errorf("read %+v", c)
 	}
 }
@@ -95,7 +95,7 @@
 func TestClockIsUnixTime(t *testing.T) {
 	c := newClock()
 	now := c.now()
-	if d := time.Since(c.toTime(now)); d < 0 || d > patience || time.Since(time.Unix(int64(now), 0)) > patience {
+	if d := time.Since(c.toTime(now)); d < 0 || d > testTimeout || time.Since(time.Unix(int64(now), 0)) > testTimeout {
 		t.Errorf("now is %f, %v ago", now, d)
 	}
 }
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -21,7 +21,7 @@
 }
 
 func startCounter(t *testing.T, address string) (c *counterClient, add func(amount float64) *counterCall, replies chan reply) {
-	c = newCounterClient(address, patience)
+	c = newCounterClient(address, testTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(ctx) })
@@ -63,7 +63,7 @@
 	total(conn, 503, "")
 	total(conn, 404, "")
 	for _, want := range []reply{{1, policy.Served, 1}, {-2.5, policy.Served, -1.5}, {3, policy.Rejected, 0}, {4, policy.ConnectFailed, 0}} {
-		if got := wait(t, replies, "reply"); got != want {
+		if got := await(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
 		}
 	}
@@ -71,7 +71,7 @@
 	add(5)
 	readRequest(t, r)
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
+	if got := await(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 		t.Errorf("reply after a break: %v", got)
 	}
 	// The next goes out on a new connection.
@@ -106,10 +106,10 @@
 		add(2)
 		readRequest(t, r) // written behind it
 		fmt.Fprint(conn, c.answer, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n8")
-		if got := wait(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
+		if got := await(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
 			t.Errorf("%.60q: reply %v", c.answer, got)
 		}
-		if got := wait(t, replies, "reply"); got != (reply{2, policy.ConnectionReset, 0}) {
+		if got := await(t, replies, "reply"); got != (reply{2, policy.ConnectionReset, 0}) {
 			t.Errorf("%.60q: reply to the call behind it %v", c.answer, got)
 		}
 	}
@@ -118,7 +118,7 @@
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // and no end but the connection's
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.Failed {
+	if got := await(t, replies, "reply"); got.outcome != policy.Failed {
 		t.Errorf("reply with no length: %v", got)
 	}
 }
@@ -133,7 +133,7 @@
 	readRequest(t, r)
 	time.Sleep(counterIOTimeout + 200*time.Millisecond) // the moment that is to be crossed
 	total(conn, 200, "5")
-	if got := wait(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
+	if got := await(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -147,7 +147,7 @@
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
-	for until := time.Now().Add(patience); !stuck.responseStarted.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(testTimeout); !stuck.responseStarted.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the answer's beginning is on its way
 	}
 	stuck.abandoned.Store(true)
@@ -155,7 +155,7 @@
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	total(conn, 200, "3")
-	for got := wait(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = wait(t, replies, "reply") {
+	for got := await(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = await(t, replies, "reply") {
 		if got.amount != 1 { // the stuck connection ends some day, and its call with it
 			t.Fatalf("reply on the new connection: %v", got)
 		}
@@ -166,7 +166,7 @@
 // the bound, calls go out on the last one.
 func TestCounterConnectionsBounded(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	var open atomic.Int64
 	open.Store(maxConnsPerStream - 1) // stand still already
 	conn, err := c.dial(context.Background(), &open)
@@ -198,7 +198,7 @@
 	far.listener.Close()
 	_, add, replies := startCounter(t, far.address())
 	add(1)
-	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectFailed {
+	if got := await(t, replies, "reply"); got.outcome != policy.ConnectFailed {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -206,7 +206,7 @@
 // A call that was given up before it was written must not be added later.
 func TestCounterGivenUpUnwritten(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	reported := make(chan policy.Outcome, 2)
 	report := func(_ *counterCall, o policy.Outcome, _ float64) { reported <- o }
 	k := &counterCall{key: 1, amount: 1, ttl: time.Minute, report: report}
@@ -221,7 +221,7 @@
 	if req, _ := readRequest(t, r); req.URL.Query().Get("add") != "2" {
 		t.Errorf("written: %s", req.RequestURI)
 	}
-	if got := wait(t, reported, "report"); got != policy.TimedOut {
+	if got := await(t, reported, "report"); got != policy.TimedOut {
 		t.Errorf("outcome %d", got)
 	}
 }
@@ -239,7 +239,7 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		total(conn, 200, "1")
-		wait(t, replies, "reply")
+		await(t, replies, "reply")
 		time.Sleep(10 * minIdleBucket) // the rest itself is what is tested
 	}
 }
@@ -256,12 +256,12 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		total(conn, 200, "1")
-		wait(t, replies, "reply")
+		await(t, replies, "reply")
 		time.Sleep(2 * minIdleBucket)
 		add(2)
 		readRequest(t, r)
 		conn.Close()
-		if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
+		if got := await(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 			t.Fatalf("reply %v", got)
 		}
 	}
@@ -271,7 +271,7 @@
 // doubt.
 func TestCounterClosedIdle(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	var open atomic.Int64
 	conn, err := c.dial(context.Background(), &open)
 	if err != nil {
@@ -287,7 +287,7 @@
 		t.Error("usable after the idle limit")
 	}
 	other.Close()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for isQuiet(conn.Conn) && time.Now().Before(until) {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -16,15 +16,15 @@
 func TestSilentCounter(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.1, "depth": 20}`,
 		`"fleetSize": 2`, `"fleetSize": 6`, // so many that own shares pay for nothing while the counter answers
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 1`).Replace, backend)
-	_, answers := r.client(t, ask("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -34,10 +34,10 @@
 func TestCounterAnswerWithoutEnd(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay again
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.5`).Replace, backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
@@ -53,7 +53,7 @@
 	}
 	total(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -64,16 +64,16 @@
 	t.Parallel()
 	const timeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay
 		`"mostUnits": 4`, fmt.Sprintf(`"mostUnits": 4, "hasCounter": true, "counterTimeoutS": %g`, timeout.Seconds())).Replace, backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
 	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
 	total(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // and no other call is answered
-	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -93,8 +93,8 @@
 			t.Parallel()
 			const others = 2.0 // another gateway's
 			counter := newPeer(t)
-			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
-			r.client(t, ask("GET", "lookup", ""))
+			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
+			r.sendRequest(t, requestText("GET", "lookup", ""))
 			conn, calls := counter.accept(t)
 			added := func() (string, float64) {
 				req, _ := readRequest(t, calls)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -24,20 +24,20 @@
 	maxWatchResponseTime = 1400 * time.Millisecond // and the longest: what a silent watch missed comes with the next in under 6 s
 	maxListTimeout       = 4500 * time.Millisecond // for a whole list, where nothing is sent by an older one
 	watchRetryDelay      = 100 * time.Millisecond  // pause after a failed call: a watch lapses after 200 ms
-	maxListingBytes      = 4 << 20                 // bytes of one answer
-	instancesPath        = "/registry/instances"
+	maxListBytes         = 4 << 20                 // bytes of one answer
+	endpointsPath        = "/registry/instances"
 	warnInterval         = 10 * time.Second // between lines about a discovery that stays down
 )
 
-// Listing is discovery's list of backends, or the changes to it.
-type Listing struct {
-	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // all there are, not changes alone
-	Instances  []Instance `json:"instances"`
+// EndpointList is discovery's list of backends, or the changes to it.
+type EndpointList struct {
+	Generation int64           `json:"generation"`
+	Reset      bool            `json:"reset"` // all there are, not changes alone
+	Entries    []EndpointEntry `json:"instances"`
 }
 
-// Instance is one backend in discovery's form.
-type Instance struct {
+// EndpointEntry is one backend in discovery's form.
+type EndpointEntry struct {
 	ID          string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
@@ -60,7 +60,7 @@
 
 // toBackend translates an entry. The module's clock is Unix time (see clock), so
 // a start needs its unit changed only.
-func (instance Instance) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
+func (instance EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := lifecycles[instance.Lifecycle]
 	zone := slices.Index(deployment.Zones, instance.Zone)
 	switch {
@@ -85,7 +85,7 @@
 	hasList                    bool // a whole list has come
 	listInUse                  bool // requests are sent by a list, be it an older one
 	listTimeouts               int  // calls for the whole list, in a row, that ended before it had come
-	onListing                  func(Listing)
+	onList                     func(EndpointList)
 	log                        *slog.Logger
 }
 
@@ -94,8 +94,8 @@
 // forgot while it was down, misses drains that count as told. So each call is
 // over, and the next on its way, well within that time. listInUse tells that requests
 // are sent by an older list meanwhile.
-func newDiscoveryWatcher(address string, drainGrace time.Duration, listInUse bool, onListing func(Listing)) *discoveryWatcher {
-	w := &discoveryWatcher{address: address, listInUse: listInUse, onListing: onListing, log: slog.Default(),
+func newDiscoveryWatcher(address string, drainGrace time.Duration, listInUse bool, onListing func(EndpointList)) *discoveryWatcher {
+	w := &discoveryWatcher{address: address, listInUse: listInUse, onList: onListing, log: slog.Default(),
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2}}}
 	w.responseTime = min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
 	w.watchTimeout = time.Duration(watchTimeShare / responseTimeShare * float64(w.responseTime))
@@ -109,10 +109,10 @@
 	defer w.client.CloseIdleConnections()
 	var warnedAt time.Time
 	for ctx.Err() == nil {
-		listing, err := w.poll(ctx)
+		list, err := w.poll(ctx)
 		if err == nil {
-			w.generation, w.hasList, w.listInUse, w.listTimeouts = listing.Generation, true, true, 0
-			w.onListing(listing)
+			w.generation, w.hasList, w.listInUse, w.listTimeouts = list.Generation, true, true, 0
+			w.onList(list)
 			continue
 		}
 		if !w.hasList && errors.Is(err, context.DeadlineExceeded) {
@@ -145,8 +145,8 @@
 	return min(timeout, maxTimeout)
 }
 
-func (w *discoveryWatcher) poll(ctx context.Context) (listing Listing, err error) {
-	url, timeout := "http://"+w.address+instancesPath, w.listTimeout()
+func (w *discoveryWatcher) poll(ctx context.Context) (list EndpointList, err error) {
+	url, timeout := "http://"+w.address+endpointsPath, w.listTimeout()
 	if w.hasList {
 		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.watchTimeout.Milliseconds())
 		timeout = w.watchTimeout + w.responseTime
@@ -155,31 +155,31 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return listing, err
+		return list, err
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return listing, err
+		return list, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListingBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return listing, err
+		return list, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		w.hasList = false // the version may be the trouble: start from the whole list
-		return listing, fmt.Errorf("status %s", resp.Status)
+		return list, fmt.Errorf("status %s", resp.Status)
 	}
-	if err := json.Unmarshal(body, &listing); err != nil {
+	if err := json.Unmarshal(body, &list); err != nil {
 		w.hasList = false
-		return listing, fmt.Errorf("list: %w", err)
+		return list, fmt.Errorf("list: %w", err)
 	}
 	if !w.hasList {
-		listing.Reset = true // a call without a version is answered with all there are
+		list.Reset = true // a call without a version is answered with all there are
 	}
-	if listing.Reset && listing.Instances == nil {
+	if list.Reset && list.Entries == nil {
 		w.hasList = false
-		return listing, errors.New("list: no instances in it") // Taken for an empty one, it would end all service
+		return list, errors.New("list: no instances in it") // Taken for an empty one, it would end all service
 	}
-	return listing, nil
+	return list, nil
 }
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -67,12 +67,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			far := newPeer(t)
-			heard := make(chan Listing, 8)
-			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l Listing) { heard <- l }))
+			heard := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { heard <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-			wait(t, heard, "list")
+			await(t, heard, "list")
 			var reached time.Time
 			for range 4 { // the first is a watch; what is spoilt has the next ask for all there are
 				readRequest(t, r)
@@ -82,7 +82,7 @@
 			}
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
-			if l := wait(t, heard, "change"); l.Generation != 45 {
+			if l := await(t, heard, "change"); l.Generation != 45 {
 				t.Errorf("heard of version %d", l.Generation)
 			}
 			if took := time.Since(reached); took > toldWithin {
@@ -95,18 +95,18 @@
 // The same holds where a connection never came up, and where it was refused.
 func TestChangeAfterNoConnection(t *testing.T) {
 	t.Parallel()
-	heard := make(chan Listing, 8)
-	tell := func(l Listing) { heard <- l }
+	heard := make(chan EndpointList, 8)
+	tell := func(l EndpointList) { heard <- l }
 	far := newCrowded(t)
 	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, tell))
-	for end := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !dialling(t, far.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	reached := time.Now()
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, heard, "list")
+	await(t, heard, "list")
 	if took := time.Since(reached); took > toldWithin {
 		t.Errorf("after a dial that hung, heard after %v", took)
 	}
@@ -142,7 +142,7 @@
 	defer conn.Close()
 	readRequest(t, bufio.NewReader(conn))
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, heard, "list")
+	await(t, heard, "list")
 	if took := time.Since(reached); took > toldWithin {
 		t.Errorf("after refused ones, heard after %v", took)
 	}
@@ -171,9 +171,9 @@
 				}
 			}))
 			t.Cleanup(slow.Close)
-			heard := make(chan Listing, 8)
-			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l Listing) { heard <- l }))
-			wait(t, heard, "list")
+			heard := make(chan EndpointList, 8)
+			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.inUse, func(l EndpointList) { heard <- l }))
+			await(t, heard, "list")
 		})
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -28,7 +28,7 @@
 		case <-q.Context().Done():
 		case a := <-r.answers:
 			switch a := a.(type) {
-			case Listing:
+			case EndpointList:
 				json.NewEncoder(w).Encode(a)
 			case string:
 				w.Write([]byte(a))
@@ -63,7 +63,7 @@
 		}
 	}
 	far := newPeer(t)
-	watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(Listing) {}))
+	watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(EndpointList) {}))
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -78,25 +78,25 @@
 // A backend in use of which something can't be read gets nothing more.
 func TestUnreadableInstanceIsLeftAlone(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
-	r := newRig(t, backend, other)
-	wait(t, r.registry.calls, "first list")
-	wait(t, r.registry.calls, "watch")
+	r := startTestGateway(t, backend, other)
+	await(t, r.discovery.calls, "first list")
+	await(t, r.discovery.calls, "watch")
 	spoilt := listingOf(false, "Terminating", backend)
-	spoilt.Instances[0].Zone = "nowhere"
+	spoilt.Entries[0].Zone = "nowhere"
 	odd := listingOf(false, "Leaving", other)
-	r.registry.answers <- Listing{Generation: 2, Instances: append(spoilt.Instances, odd.Instances...)}
-	wait(t, r.registry.calls, "next watch")
-	_, answers := r.client(t, ask("GET", "glance", ""))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
+	r.discovery.answers <- EndpointList{Generation: 2, Entries: append(spoilt.Entries, odd.Entries...)}
+	await(t, r.discovery.calls, "next watch")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, connections %d and %d", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
 
 func TestWatch(t *testing.T) {
 	r := newRegistry(t)
-	heard := make(chan Listing, 64)
-	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l Listing) { heard <- l }))
-	none := []Instance{}
+	heard := make(chan EndpointList, 64)
+	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { heard <- l }))
+	none := []EndpointEntry{}
 
 	// Each step: the call that is expected, its answer, and what is handed on.
 	for i, step := range []struct {
@@ -106,25 +106,25 @@
 		none   bool
 	}{
 		{"", nil, false, true}, // discovery is not there yet
-		{"", Listing{Generation: 41, Instances: none}, true, false},
+		{"", EndpointList{Generation: 41, Entries: none}, true, false},
 		{"since=41&timeout_ms=1000", nil, false, true}, // a broken watch goes on from the same version
-		{"since=41&timeout_ms=1000", Listing{Generation: 43}, false, false},
-		{"since=43&timeout_ms=1000", Listing{Generation: 2, Reset: true, Instances: none}, true, false},
+		{"since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
+		{"since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: none}, true, false},
 		{"since=2&timeout_ms=1000", 500, false, true}, // a version that is turned down is given up
-		{"", Listing{Generation: 50, Reset: true, Instances: none}, true, false},
+		{"", EndpointList{Generation: 50, Reset: true, Entries: none}, true, false},
 		{"since=50&timeout_ms=1000", "{", false, true},
 		{"", "{}", false, true}, // no list at all must not pass for an empty one
 		{"", "[]", false, true},
-		{"", Listing{Generation: 51, Reset: true, Instances: none}, true, false},
+		{"", EndpointList{Generation: 51, Reset: true, Entries: none}, true, false},
 	} {
-		if got := wait(t, r.calls, "call"); got != step.query {
+		if got := await(t, r.calls, "call"); got != step.query {
 			t.Fatalf("step %d: call %q, want %q", i, got, step.query)
 		}
 		r.answers <- step.answer
 		if step.none {
 			continue
 		}
-		if got := wait(t, heard, "list"); got.Generation != step.answer.(Listing).Generation || got.Reset != step.reset {
+		if got := await(t, heard, "list"); got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
 			t.Fatalf("step %d: heard %+v", i, got)
 		}
 	}
@@ -132,7 +132,7 @@
 
 func TestInstances(t *testing.T) {
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
-	b, err := Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
+	b, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.toBackend(d)
 	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5, StartedAt: 1.5}
 	if err != nil || b != want {
@@ -141,7 +141,7 @@
 	if backendID("s-5be2a07c") != 0x4caec46a {
 		t.Errorf("the id of a name has changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
 	}
-	for _, bad := range []Instance{
+	for _, bad := range []EndpointEntry{
 		{ID: "", Zone: "a", Lifecycle: "Ready"},
 		{ID: "s-1", Zone: "a", Lifecycle: "ready"},
 		{ID: "s-1", Zone: "c", Lifecycle: "Ready"},
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -2,12 +2,12 @@
 
 import "amberlb/policy"
 
-// applyListing takes in what discovery told. Connections follow it before the module
+// applyEndpointList takes in what discovery told. Connections follow it before the module
 // hears of it.
-func (l *eventLoop) applyListing(listing Listing, kind policy.ListKind) {
+func (l *eventLoop) applyEndpointList(listing EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
-	for _, instance := range listing.Instances {
+	for _, instance := range listing.Entries {
 		backend, err := instance.toBackend(l.deployment)
 		if err != nil {
 			l.log.Warn("discovery: an entry can't be read", "error", err)
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -34,7 +34,7 @@
 	}
 	shutdownStarted struct{ answerBy float64 } // the clock's time by which all is to be answered
 	listingReceived struct {
-		listing Listing
+		listing EndpointList
 		kind    policy.ListKind
 	}
 )
@@ -97,7 +97,7 @@
 }
 
 // endpointsUpdated passes on what discovery told.
-func (l *eventLoop) endpointsUpdated(listing Listing) {
+func (l *eventLoop) endpointsUpdated(listing EndpointList) {
 	kind := policy.Delta
 	if listing.Reset {
 		kind = policy.FullList
@@ -150,7 +150,7 @@
 		l.handleEvent(policy.Shutdown{AnswerBy: m.answerBy})
 	case listingReceived:
 		l.metrics.add(listsReceived)
-		l.applyListing(m.listing, m.kind)
+		l.applyEndpointList(m.listing, m.kind)
 	}
 }
 
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -16,10 +16,10 @@
 func TestServedResponseReachesClient(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("POST", "booking", "pickup"))
+	r := startTestGateway(t, backend)
+	_, answers := r.sendRequest(t, requestText("POST", "booking", "pickup"))
 	serveOne(t, backend, "booked\n")
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil ||
 		resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
@@ -31,7 +31,7 @@
 // retry what must not execute twice. Statuses and bodies are what operators and clients know; body "" is one of net/http's.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := startTestGateway(t, newPeer(t))
 	const quotaOutOfRange = "X-Call-Terms: units, spread or first is missing or out of range"
 	for _, c := range []struct {
 		name    string
@@ -39,42 +39,42 @@
 		status  int
 		body    string
 	}{
-		{"no id", ask("GET", "lookup", "", correlationIDHeader, ""), 400, "X-Correlation-Id is missing or too long"},
-		{"an unknown class", ask("GET", "lookups", ""), 400, "X-Service-Class names no class"},
-		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400, "the path is not one of the class"},
-		{"a path with no first segment", ask("GET", "lookup", "", "path", "//lookup"), 400, "the path is not one of the class"},
-		{"an unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400, "X-Tier names no plan"},
-		{"a short customer id", ask("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400, "X-Api-Key is not the number of a customer"},
-		{"a customer id too high", ask("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400,
+		{"no id", requestText("GET", "lookup", "", correlationIDHeader, ""), 400, "X-Correlation-Id is missing or too long"},
+		{"an unknown class", requestText("GET", "lookups", ""), 400, "X-Service-Class names no class"},
+		{"another path", requestText("GET", "lookup", "", "path", "/booking"), 400, "the path is not one of the class"},
+		{"a path with no first segment", requestText("GET", "lookup", "", "path", "//lookup"), 400, "the path is not one of the class"},
+		{"an unknown plan", requestText("GET", "lookup", "", planHeader, "gold"), 400, "X-Tier names no plan"},
+		{"a short customer id", requestText("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400, "X-Api-Key is not the number of a customer"},
+		{"a customer id too high", requestText("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400,
 			"X-Api-Key is not the number of a customer"},
-		{"no timeout", ask("GET", "lookup", "", timeLeftHeader, ""), 400, "X-Time-Left-Ms is not a time in milliseconds"},
-		{"no time left", ask("GET", "lookup", "", timeLeftHeader, "0"), 400, "X-Time-Left-Ms is not a time in milliseconds"},
-		{"a timeout without end", ask("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400,
+		{"no timeout", requestText("GET", "lookup", "", timeLeftHeader, ""), 400, "X-Time-Left-Ms is not a time in milliseconds"},
+		{"no time left", requestText("GET", "lookup", "", timeLeftHeader, "0"), 400, "X-Time-Left-Ms is not a time in milliseconds"},
+		{"a timeout without end", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400,
 			"X-Time-Left-Ms is not a time in milliseconds"},
-		{"no quota attributes", ask("GET", "lookup", "", quotaHeader, ""), 400, quotaOutOfRange},
-		{"units that are no number", ask("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400, quotaOutOfRange},
-		{"too many units", ask("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400, quotaOutOfRange},
-		{"more gateways than the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400, quotaOutOfRange},
-		{"a gateway beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400, quotaOutOfRange},
-		{"no idempotency key", ask("POST", "booking", "x", idempotencyKeyHeader, ""), 400, "Idempotency-Key is missing"},
-		{"the wrong method", ask("POST", "lookup", "x"), 405, "method POST does not fit the class"},
-		{"a GET with a key", ask("GET", "booking", ""), 405, "method GET does not fit the class"},
-		{"a large body", ask("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413, "the body is too long"},
-		{"a chunked body", ask("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\nok\r\n0\r\n\r\n", 411,
+		{"no quota attributes", requestText("GET", "lookup", "", quotaHeader, ""), 400, quotaOutOfRange},
+		{"units that are no number", requestText("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400, quotaOutOfRange},
+		{"too many units", requestText("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400, quotaOutOfRange},
+		{"more gateways than the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400, quotaOutOfRange},
+		{"a gateway beyond the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400, quotaOutOfRange},
+		{"no idempotency key", requestText("POST", "booking", "x", idempotencyKeyHeader, ""), 400, "Idempotency-Key is missing"},
+		{"the wrong method", requestText("POST", "lookup", "x"), 405, "method POST does not fit the class"},
+		{"a GET with a key", requestText("GET", "booking", ""), 405, "method GET does not fit the class"},
+		{"a large body", requestText("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413, "the body is too long"},
+		{"a chunked body", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\nok\r\n0\r\n\r\n", 411,
 			"a body needs a Content-Length"},
-		{"a quota key twice", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400,
+		{"a quota key twice", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400,
 			"X-Call-Terms: spread stands more than once"},
-		{"a header twice", ask("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400,
+		{"a header twice", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400,
 			"X-Tier stands more than once"},
-		{"a GET with a body", ask("GET", "lookup", "x"), 400, "a GET has no body"},
-		{"two lengths", ask("POST", "booking", "ok", "content-length", "3"), 400, ""},
-		{"a negative length", ask("POST", "booking", "", "Content-Length", "-2"), 400, ""},
-		{"HTTP/1.0", strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505, "HTTP/1.1 is wanted"},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
+		{"a GET with a body", requestText("GET", "lookup", "x"), 400, "a GET has no body"},
+		{"two lengths", requestText("POST", "booking", "ok", "content-length", "3"), 400, ""},
+		{"a negative length", requestText("POST", "booking", "", "Content-Length", "-2"), 400, ""},
+		{"HTTP/1.0", strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505, "HTTP/1.1 is wanted"},
+		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, answers := r.client(t, c.request)
-			resp := wait(t, answers, "answer")
+			_, answers := r.sendRequest(t, c.request)
+			resp := await(t, answers, "answer")
 			if resp.StatusCode != c.status || !resp.Close {
 				t.Errorf("status %d, want %d; closed %t", resp.StatusCode, c.status, resp.Close)
 			}
@@ -89,11 +89,11 @@
 func TestRequestHiddenByChunksIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	hidden := ask("POST", "booking", "hidden")
-	conn, answers := r.client(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked",
+	r := startTestGateway(t, backend)
+	hidden := requestText("POST", "booking", "hidden")
+	conn, answers := r.sendRequest(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked",
 		"Content-Length", fmt.Sprint(5+len(hidden)))+"0\r\n\r\n"+hidden)
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 411 || !resp.Close {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 411 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if rest, err := io.ReadAll(conn); isTimeout(err) {
@@ -109,14 +109,14 @@
 func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, first := r.client(t, ask("POST", "booking", "mine", correlationIDHeader, "one"))
+	r := startTestGateway(t, backend)
+	_, first := r.sendRequest(t, requestText("POST", "booking", "mine", correlationIDHeader, "one"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	expectConflict := func() {
 		t.Helper()
-		_, second := r.client(t, ask("GET", "lookup", "", correlationIDHeader, "one"))
-		if resp := wait(t, second, "answer to the second"); resp.StatusCode != 409 {
+		_, second := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, "one"))
+		if resp := await(t, second, "answer to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
 		if len(backend.conns) > 0 {
@@ -125,7 +125,7 @@
 	}
 	expectConflict()
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine")
-	if resp := wait(t, first, "answer to the first"); resp.StatusCode != 200 {
+	if resp := await(t, first, "answer to the first"); resp.StatusCode != 200 {
 		t.Errorf("the first: status %d", resp.StatusCode)
 	}
 	expectConflict()
@@ -135,11 +135,11 @@
 func TestSilentBackendHoldsNoRequestBeyondItsObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, answers := r.client(t, ask("GET", "glance", ""))
+	r := startTestGateway(t, backend)
+	conn, answers := r.sendRequest(t, requestText("GET", "glance", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -147,7 +147,7 @@
 		t.Errorf("the abandoned attempt's connection: %v", err)
 	}
 	// The client's connection carries the next request, and that one's answer only.
-	io.WriteString(conn, ask("GET", "lookup", ""))
+	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || next.StatusCode != 200 {
@@ -162,8 +162,8 @@
 func TestFloodBehindOpenRequestClosesConnection(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	conn, _ := r.sendRequest(t, requestText("GET", "lookup", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
 	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
@@ -176,15 +176,15 @@
 func TestPipelinedRequestIsServedNext(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, first := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	conn, first := r.sendRequest(t, requestText("GET", "lookup", ""))
 	backendConn, reader := backend.accept(t)
 	readRequest(t, reader)
-	second := ask("POST", "booking", strings.Repeat("y", 6000))
+	second := requestText("POST", "booking", strings.Repeat("y", 6000))
 	io.WriteString(conn, second[:1])
 	io.WriteString(conn, second[1:])
 	io.WriteString(backendConn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfirst")
-	if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	_, reader = backend.accept(t)
@@ -199,9 +199,9 @@
 	t.Parallel()
 	const bufferBytes = 4096 // of each socket, less than the answer
 	backend := newPeer(t)
-	way := &gated{before: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
+	way := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
 	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
-	r := newRigBehind(t, behind(way), shortDeadlines, backend)
+	r := startTestGatewayBehind(t, behind(way), shortDeadlines, backend)
 	dialer := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes)
@@ -212,17 +212,17 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	io.WriteString(slow, ask("GET", "lookup", ""))
+	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
 	for range 2 { // on a connection of its own, or on the first again
-		_, answers := r.client(t, ask("GET", "glance", ""))
-		resp := wait(t, answers, "another client's answer")
+		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
 	r.stop()
-	if err := wait(t, r.ended, "end"); err == nil {
+	if err := await(t, r.serveErr, "end"); err == nil {
 		t.Error("the answer that nobody read was not held at all")
 	}
 }
@@ -235,7 +235,7 @@
 	}
 	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
 	for timeLeft, want := range map[string]float64{"3600000": 20, "7000": 7} {
-		text := ask("GET", "lookup", "", timeLeftHeader, timeLeft)
+		text := requestText("GET", "lookup", "", timeLeftHeader, timeLeft)
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -55,7 +55,7 @@
 	for {
 		conn := c.acceptAny(t)
 		if !c.isFiller(conn) {
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			return conn, bufio.NewReader(conn)
 		}
 	}
@@ -100,7 +100,7 @@
 // awaitDialling waits until this process waits for a connection to an address, or for patience.
 func awaitDialling(t *testing.T, address string) {
 	t.Helper()
-	for end := time.Now().Add(patience); !dialling(t, address) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !dialling(t, address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -24,7 +24,7 @@
 // runHollow runs a hollow gateway with one backend until the test, or what it returns, ends it.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
 	discovery := newRegistry(t)
-	discovery.answers <- Listing{Generation: 1, Reset: true, Instances: []Instance{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
+	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	wg.Go(func() { h.Run(ctx) })
 	end = func() { cancel(); wg.Wait() }
 	t.Cleanup(end)
-	wait(t, h.Ready(), "list")
+	await(t, h.Ready(), "list")
 	return h, end
 }
 
@@ -65,7 +65,7 @@
 		began, answered := time.Now(), make(chan int, 2)
 		h.Submit(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
-		status := wait(t, answered, "answer")
+		status := await(t, answered, "answer")
 		got[status]++
 		if took := time.Since(began); status == http.StatusOK && took < service {
 			t.Errorf("served in %v", took)
@@ -83,7 +83,7 @@
 		made, unanswered := h.CounterCalls()
 		return made > 0 && made == calls && unanswered == 0
 	}
-	for until := time.Now().Add(patience); !agree(); time.Sleep(time.Millisecond) { // one may be on its way
+	for until := time.Now().Add(testTimeout); !agree(); time.Sleep(time.Millisecond) { // one may be on its way
 		if time.Now().After(until) {
 			made, unanswered := h.CounterCalls()
 			t.Fatalf("%d calls told of, %d of them unanswered, and the counter had others", made, unanswered)
@@ -99,11 +99,11 @@
 		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, sent, func(status int, _ float64) { answered <- status })
 	}
 	ask("one", func() { close(sent) })
-	wait(t, sent, "send")
+	await(t, sent, "send")
 	end()
 	ask("two", func() { t.Error("sent by a gateway that has ended") })
 	for range 2 {
-		if status := wait(t, answered, "answer"); status != http.StatusInternalServerError {
+		if status := await(t, answered, "answer"); status != http.StatusInternalServerError {
 			t.Errorf("answered %d", status)
 		}
 	}
@@ -115,7 +115,7 @@
 	a, ends := newAttempt(time.Hour), make(chan policy.Outcome, 1)
 	a.request.onSent = func() { t.Error("told as sent") }
 	b.startAttempt(a, func(r attemptResult) { ends <- r.outcome })
-	if got := wait(t, ends, "end"); got != policy.ConnectFailed {
+	if got := await(t, ends, "end"); got != policy.ConnectFailed {
 		t.Errorf("ended as %v", got)
 	}
 }
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -51,7 +51,7 @@
 	t.Parallel()
 	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	backend := newPeer(t)
-	pools := newConnectionPools(patience, patience, 8)
+	pools := newConnectionPools(testTimeout, testTimeout, 8)
 	defer func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -60,7 +60,7 @@
 	pools.updateEndpoint(1, backend.address(), 0)
 	startAttempt := func() <-chan policy.Outcome {
 		a := &attempt{request: &clientRequest{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
-			socketDeadline: time.Now().Add(patience)}
+			socketDeadline: time.Now().Add(testTimeout)}
 		a.ctx, a.cancelContext = context.WithCancel(context.Background())
 		ended := make(chan policy.Outcome, 1)
 		go func() {
@@ -77,14 +77,14 @@
 		conn, reader := backend.accept(t)
 		readRequest(t, reader)
 		io.WriteString(conn, okResponse)
-		if got := wait(t, ended, "outcome"); got != policy.Served {
+		if got := await(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
 		time.Sleep(2 * minIdleBucket) // the idle time itself is what is tested
 		ended = startAttempt()
 		readRequest(t, reader) // on the same connection
 		conn.Close()
-		if got := wait(t, ended, "outcome"); got != policy.ConnectionReset {
+		if got := await(t, ended, "outcome"); got != policy.ConnectionReset {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
@@ -92,7 +92,7 @@
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	io.WriteString(conn, okResponse)
-	wait(t, ended, "outcome")
+	await(t, ended, "outcome")
 	limit := pools.idleEstimator.limit(time.Now())
 	for range int(minBreaks) {
 		pools.idleEstimator.observe(time.Now(), limit, true) // lest it decay while this test waits
@@ -102,7 +102,7 @@
 	conn, reader = backend.accept(t)
 	readRequest(t, reader)
 	io.WriteString(conn, okResponse)
-	if got := wait(t, ended, "outcome"); got != policy.Served {
+	if got := await(t, ended, "outcome"); got != policy.Served {
 		t.Errorf("outcome %d once it is known that connections are forgotten", got)
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -81,14 +81,14 @@
 // start runs the parts, the HTTP server last, on goroutines that stop awaits.
 func (s *server) start() {
 	loop := s.frontend.loop
-	loop.applyListing(s.config.CachedListing, policy.CachedList)
+	loop.applyEndpointList(s.config.CachedEndpoints, policy.CachedList)
 	s.parts.Go(func() { loop.run(s.partsContext) })
 	s.parts.Go(func() { s.pools.sweepIdle(s.partsContext) })
 	s.parts.Go(func() { loop.metrics.logPeriodically(s.partsContext, s.log) })
 	if s.counter != nil {
 		s.parts.Go(func() { s.counter.run(s.partsContext) })
 	}
-	hasCachedList := len(s.config.CachedListing.Instances) > 0
+	hasCachedList := len(s.config.CachedEndpoints.Entries) > 0
 	s.watchDiscovery(s.config.Discovery, hasCachedList)
 	s.cachedListTimer = time.AfterFunc(cachedListDelay, func() {
 		if hasCachedList {
@@ -97,7 +97,7 @@
 	})
 	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
 	s.log.Info("started", "listen", s.clientConnections.Addr().String(), "discovery", s.config.Discovery,
-		"counter", s.config.Counter, "cached_backends", len(s.config.CachedListing.Instances),
+		"counter", s.config.Counter, "cached_backends", len(s.config.CachedEndpoints.Entries),
 		"max_client_connections", s.clientConnections.maxConns)
 }
 
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -13,45 +13,45 @@
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
 		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list times out meanwhile
 	defer r.stop() // before the new discovery is closed, which would wait for the end of its watch
-	_, openAnswers := r.client(t, ask("GET", "lookup", ""))
+	_, openAnswers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
 	call, _ := readRequest(t, counterReader) // not answered yet
 
 	valid := *r.config.Load()
 	invalid := valid[:len(valid)/2]
 	r.config.Store(&invalid)
-	r.hup <- syscall.SIGHUP
+	r.reloadSignal <- syscall.SIGHUP
 	newDiscovery := newRegistry(t)
-	next := strings.NewReplacer(r.registry.address(), newDiscovery.address(),
+	next := strings.NewReplacer(r.discovery.address(), newDiscovery.address(),
 		counter.address(), newCounter.address()).Replace(valid)
 	r.config.Store(&next)
-	r.hup <- syscall.SIGHUP
-	if query := wait(t, newDiscovery.calls, "call of the new discovery"); query != "" {
+	r.reloadSignal <- syscall.SIGHUP
+	if query := await(t, newDiscovery.calls, "call of the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
 	total(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
 	serveOne(t, backend, "held")
-	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 	newDiscovery.answers <- listingOf(true, "Ready", newBackend)
-	if query := wait(t, newDiscovery.calls, "watch"); query != "since=1&timeout_ms=2800" {
+	if query := await(t, newDiscovery.calls, "watch"); query != "since=1&timeout_ms=2800" {
 		t.Errorf("watch %q", query)
 	}
 	if _, err := counterReader.ReadByte(); err != io.EOF {
 		t.Errorf("the old counter's connection: %v", err)
 	}
-	_, answers := r.client(t, ask("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
 	counterConn, counterReader = newCounter.accept(t)
 	call, _ = readRequest(t, counterReader)
 	total(counterConn, 200, call.URL.Query().Get("add"))
 	serveOne(t, newBackend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
 }
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -23,15 +23,15 @@
 			t.Parallel()
 			backend := newPeer(t)
 			crossed := make(chan struct{})
-			_, conn := raced(t, fresh, unchanged, backend, func(r *rig, c *gatedConn) {
+			_, conn := startRace(t, fresh, unchangedConfig, backend, func(r *testGateway, c *gatedConn) {
 				c.armed.Store(true)
 				r.stop()
-				<-c.ended
+				<-c.readEnded
 				close(crossed)
 			})
-			text := ask("POST", "payment", "cash")
+			text := requestText("POST", "payment", "cash")
 			io.WriteString(conn, text[:40])
-			wait(t, crossed, "crossing")
+			await(t, crossed, "crossing")
 			io.WriteString(conn, text[40:])
 			want := http.StatusServiceUnavailable
 			if !fresh {
@@ -61,23 +61,23 @@
 			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
 			// Connections of readiness checks wait for requests as well, and must not be held at the gate.
 			own := freeAddress(t)
-			way := &gated{before: func(c *gatedConn) {
+			way := &gatedListener{beforeRead: func(c *gatedConn) {
 				if c.RemoteAddr().String() == own.String() && gateClosed.CompareAndSwap(true, false) {
 					waiting <- c
 					<-gate
 				}
 			}}
-			r := newRigBehind(t, behind(way), unchanged, backend)
+			r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
 			gateClosed.Store(!idle)
 			conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			if idle {
 				// The watch for a client that disconnects is one read, the wait for the next request the other.
-				io.WriteString(conn, ask("GET", "lookup", ""))
+				io.WriteString(conn, requestText("GET", "lookup", ""))
 				backendConn, reader := backend.accept(t)
 				readRequest(t, reader)
 				gateClosed.Store(true)
@@ -86,11 +86,11 @@
 					t.Fatal(resp, err)
 				}
 			}
-			held := wait(t, waiting, "read")
-			io.WriteString(conn, ask("GET", "glance", ""))
+			held := await(t, waiting, "read")
+			io.WriteString(conn, requestText("GET", "glance", ""))
 			awaitBytes(t, held.TCPConn)
 			r.stop()
-			r.closedListener(t)
+			r.awaitListenerClosed(t)
 			close(gate)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -99,7 +99,7 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			if err := wait(t, r.ended, "end"); err != nil {
+			if err := await(t, r.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -111,33 +111,33 @@
 func TestShutdownRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	var r *rig
+	var r *testGateway
 	var armed atomic.Bool // the next wait for a request begins the shutdown
 	shutdownBegun := make(chan struct{})
 	own := freeAddress(t)
-	way := &gated{deadline: func(c *gatedConn, at time.Time) {
+	way := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
 		// The server sets the longest deadline for the wait between two requests.
 		isIdleWait := time.Until(at) > idleTimeout/2
 		if c.RemoteAddr().String() == own.String() && isIdleWait && armed.CompareAndSwap(true, false) {
 			c.armed.Store(true)
 			r.stop()
 			select {
-			case <-c.ended: // the shutdown has closed idle connections
+			case <-c.readEnded: // the shutdown has closed idle connections
 			case <-time.After(lateConnectionDelay / 4): // or waits for this one
 			}
 			close(shutdownBegun)
 		}
 	}}
-	r = newRigBehind(t, behind(way), unchanged, backend)
+	r = startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
 	armed.Store(true)
 	conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, readinessRequest)
-	wait(t, shutdownBegun, "shutdown")
+	await(t, shutdownBegun, "shutdown")
 	began := time.Now()
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatal(err)
@@ -152,23 +152,23 @@
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
 	way, gateClosed, waiting, gate := holdAccept()
-	r := newRigBehind(t, behind(way), unchanged, newPeer(t))
+	r := startTestGatewayBehind(t, behind(way), unchangedConfig, newPeer(t))
 	gateClosed.Store(true)
 	var allAnswers []<-chan *http.Response
 	for range 20 {
-		_, answers := r.client(t, ask("GET", "glance", ""))
+		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
 		allAnswers = append(allAnswers, answers)
 	}
-	wait(t, waiting, "connection")
+	await(t, waiting, "connection")
 	r.stop()
 	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
 	close(gate)
 	for _, answers := range allAnswers {
-		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 		}
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -176,13 +176,13 @@
 // The times of a shutdown count from the signal, also where a reload is under way then.
 func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := startTestGateway(t, newPeer(t))
 	const readTime = 500 * time.Millisecond // of the configuration
-	r.reading.Store(int64(readTime))
-	r.hup <- syscall.SIGHUP
+	r.reloadDelay.Store(int64(readTime))
+	r.reloadSignal <- syscall.SIGHUP
 	began := time.Now()
 	r.stop()
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	maxTime := newShutdownSchedule(time.Second).listenUntil + readTime/2
@@ -197,18 +197,18 @@
 	t.Parallel()
 	backend := newPeer(t)
 	way, gateClosed, waiting, gate := holdAccept()
-	r := newRigBehind(t, behind(way), unchanged, backend)
+	r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
 	gateClosed.Store(true)
-	_, answers := r.client(t, ask("GET", "glance", "")) // its backend says nothing
-	wait(t, waiting, "connection")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
+	await(t, waiting, "connection")
 	r.stop()
 	close(gate)
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	rejectedLate := resp.StatusCode == http.StatusServiceUnavailable
 	if !rejectedLate && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
 		t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -221,21 +221,21 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			change := unchanged
+			change := unchangedConfig
 			silent := backend
 			if silentCounter {
 				change = withCounter(counter, 0.1, 3, 30*time.Second)
 				silent = counter
 			}
-			r := newRigWith(t, change, backend)
-			_, answers := r.client(t, ask("GET", "glance", ""))
+			r := startTestGatewayWith(t, change, backend)
+			_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
 			_, reader := silent.accept(t)
 			readRequest(t, reader) // and no answer
 			r.stop()
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if err := wait(t, r.ended, "end"); err != nil {
+			if err := await(t, r.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -246,8 +246,8 @@
 func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, openAnswers := r.client(t, ask("POST", "booking", "held"))
+	r := startTestGateway(t, backend)
+	_, openAnswers := r.sendRequest(t, requestText("POST", "booking", "held"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	unused, err := net.Dial("tcp", r.address) // must not delay the end
@@ -255,25 +255,25 @@
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	idle, first := r.client(t, readinessRequest)
-	wait(t, first, "answer") // leaves an idle connection behind
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle, first := r.sendRequest(t, readinessRequest)
+	await(t, first, "answer") // leaves an idle connection behind
+	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	r.stop()
 	if _, err := io.ReadAll(idle); err != nil {
 		t.Errorf("the idle connection after the signal: %v", err)
 	}
-	r.until(t, http.StatusServiceUnavailable)
-	_, late := r.client(t, ask("POST", "booking", "late"))
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
+	_, late := r.sendRequest(t, requestText("POST", "booking", "late"))
 	serveOne(t, backend, "late")
-	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
+	if resp := await(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	r.closedListener(t)
+	r.awaitListenerClosed(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, openAnswers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	g := &stallableGateway{stalled: make(chan struct{})}
-	pools := newConnectionPools(patience, time.Minute, 100)
+	pools := newConnectionPools(testTimeout, time.Minute, 100)
 	g.loop = newEventLoop(&config, pools, nil, g.waitAtGate)
-	listing := Listing{Reset: true}
+	listing := EndpointList{Reset: true}
 	for i := range disconnectingClients {
-		instance := Instance{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1}
-		listing.Instances = append(listing.Instances, instance)
+		instance := EndpointEntry{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1}
+		listing.Entries = append(listing.Entries, instance)
 	}
-	g.loop.applyListing(listing, policy.FullList)
+	g.loop.applyEndpointList(listing, policy.FullList)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	g.address = listener.Addr().String()
 	front := &frontend{loop: g.loop, deployment: &config.Deployment}
 	clients := newClientConnections(way(listener), maxStallableClients)
-	server := front.newHTTPServer(clients, patience)
+	server := front.newHTTPServer(clients, testTimeout)
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	parts.Go(func() { g.loop.run(ctx) })
@@ -78,7 +78,7 @@
 	gate := make(chan struct{})
 	g.gate.Store(&gate)
 	g.loop.post(listingReceived{kind: policy.Delta})
-	wait(t, g.stalled, "list")
+	await(t, g.stalled, "list")
 	resume = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(resume)
 	return resume
@@ -87,7 +87,7 @@
 // awaitInbox waits until n messages wait for the loop.
 func (g *stallableGateway) awaitInbox(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); len(g.loop.inbox) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(g.loop.inbox) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d messages for the loop, want %d", len(g.loop.inbox), n)
 		}
@@ -97,8 +97,8 @@
 // expectServed sends a request with a correlation id, and expects it to be served.
 func (g *stallableGateway) expectServed(t *testing.T, id string) {
 	t.Helper()
-	request := ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, singleGatewayQuota)
-	resp, err := exchangeOn(t, dial(t, g.address, ""), request)
+	request := requestText("GET", "lookup", "", correlationIDHeader, id, quotaHeader, singleGatewayQuota)
+	resp, err := roundTripOn(t, dial(t, g.address, ""), request)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -85,7 +85,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &rig{address: listener.Addr().String()}
+			r := &testGateway{address: listener.Addr().String()}
 			ctx, stop := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			startedAt := time.Now()
@@ -97,7 +97,7 @@
 				stop()
 				<-ended
 			})
-			r.until(t, http.StatusOK)
+			r.awaitReadiness(t, http.StatusOK)
 			if took := time.Since(startedAt); took > maxReadyTime {
 				t.Errorf("ready after %v", took)
 			}
--- a/internal/lab/backend/pool.go
+++ b/internal/lab/backend/pool.go
@@ -114,12 +114,12 @@
 
 // Instances returns n backends with their addresses, spread over zones and kinds in
 // turn. It needs a Start before; n is MostInstances at most.
-func (p *Pool) Instances(n int, zones, kinds []string) []gateway.Instance {
-	list := make([]gateway.Instance, n)
+func (p *Pool) Instances(n int, zones, kinds []string) []gateway.EndpointEntry {
+	list := make([]gateway.EndpointEntry, n)
 	for i := range list {
 		ip := firstIP + i
 		port := p.listeners[i%len(p.listeners)].Addr().(*net.TCPAddr).Port
-		list[i] = gateway.Instance{ID: fmt.Sprintf("b-%05d", i+1), Lifecycle: "Ready", Weight: 1,
+		list[i] = gateway.EndpointEntry{ID: fmt.Sprintf("b-%05d", i+1), Lifecycle: "Ready", Weight: 1,
 			HostPort: fmt.Sprintf("%d.%d.%d.%d:%d", ip>>24, ip>>16&255, ip>>8&255, ip&255, port)}
 		if len(zones) > 0 {
 			list[i].Zone = zones[i%len(zones)]
--- a/internal/lab/discovery/server.go
+++ b/internal/lab/discovery/server.go
@@ -43,7 +43,7 @@
 
 	mu         sync.Mutex
 	generation int64
-	instances  []gateway.Instance
+	instances  []gateway.EndpointEntry
 	indexByID  map[string]int // in instances, by id
 	changes    []change       // the last ones, each a generation
 	changed    chan struct{}  // closed at the next change
@@ -60,7 +60,7 @@
 // change is what one call of Change told.
 type change struct {
 	generation int64
-	entries    []gateway.Instance
+	entries    []gateway.EndpointEntry
 }
 
 // encodedList is a list that is encoded once and handed to many.
@@ -71,7 +71,7 @@
 }
 
 // New makes a registry of version 1 with these instances.
-func New(instances []gateway.Instance, o Options) *Server {
+func New(instances []gateway.EndpointEntry, o Options) *Server {
 	s := &Server{generation: 1, indexByID: make(map[string]int), changed: make(chan struct{}), deltaLists: make(map[int64]*encodedList)}
 	s.apply(instances)
 	if o.FullListsPerSecond > 0 {
@@ -115,7 +115,7 @@
 
 // ApplyDelta applies a delta, in which a Gone instance leaves the list, and wakes the
 // watches. It returns the new version.
-func (s *Server) ApplyDelta(entries []gateway.Instance) int64 {
+func (s *Server) ApplyDelta(entries []gateway.EndpointEntry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation++
@@ -138,7 +138,7 @@
 }
 
 // apply puts entries into the list.
-func (s *Server) apply(entries []gateway.Instance) {
+func (s *Server) apply(entries []gateway.EndpointEntry) {
 	for _, e := range entries {
 		i, known := s.indexByID[e.ID]
 		switch {
@@ -240,7 +240,7 @@
 	if listing := s.deltaLists[since]; listing != nil {
 		return listing
 	}
-	entries, indexByID := []gateway.Instance{}, make(map[string]int)
+	entries, indexByID := []gateway.EndpointEntry{}, make(map[string]int)
 	for _, c := range s.changes {
 		if c.generation <= since {
 			continue
@@ -259,11 +259,11 @@
 	return listing
 }
 
-func (s *Server) encode(entries []gateway.Instance, full bool) *encodedList {
+func (s *Server) encode(entries []gateway.EndpointEntry, full bool) *encodedList {
 	if entries == nil {
-		entries = []gateway.Instance{} // null would be no list
+		entries = []gateway.EndpointEntry{} // null would be no list
 	}
-	body, err := json.Marshal(gateway.Listing{Generation: s.generation, Reset: full, Instances: entries})
+	body, err := json.Marshal(gateway.EndpointList{Generation: s.generation, Reset: full, Entries: entries})
 	if err != nil {
 		panic(err) // an infinite weight, which the lab never makes
 	}
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -12,11 +12,11 @@
 	"amberlb/internal/gateway"
 )
 
-func instance(id, lifecycle string) gateway.Instance {
-	return gateway.Instance{ID: id, HostPort: "127.1.0.0:1", Zone: "a", Lifecycle: lifecycle, Weight: 1}
+func instance(id, lifecycle string) gateway.EndpointEntry {
+	return gateway.EndpointEntry{ID: id, HostPort: "127.1.0.0:1", Zone: "a", Lifecycle: lifecycle, Weight: 1}
 }
 
-func start(t *testing.T, instances ...gateway.Instance) (*Server, func(query string) gateway.Listing) {
+func start(t *testing.T, instances ...gateway.EndpointEntry) (*Server, func(query string) gateway.EndpointList) {
 	r := New(instances, Options{})
 	address, err := r.Start(t.Context())
 	if err != nil {
@@ -27,7 +27,7 @@
 			t.Error(err)
 		}
 	})
-	return r, func(query string) (l gateway.Listing) {
+	return r, func(query string) (l gateway.EndpointList) {
 		resp, err := http.Get("http://" + address + "/registry/instances" + query)
 		if err != nil {
 			t.Error(err)
@@ -42,13 +42,13 @@
 }
 
 // want checks a list's version, kind and entries, written id:lifecycle.
-func want(t *testing.T, l gateway.Listing, generation int64, reset bool, entries ...string) {
+func want(t *testing.T, l gateway.EndpointList, generation int64, reset bool, entries ...string) {
 	t.Helper()
 	got := []string{}
-	for _, i := range l.Instances {
+	for _, i := range l.Entries {
 		got = append(got, i.ID+":"+i.Lifecycle)
 	}
-	if l.Generation != generation || l.Reset != reset || l.Instances == nil || fmt.Sprint(got) != fmt.Sprint(entries) {
+	if l.Generation != generation || l.Reset != reset || l.Entries == nil || fmt.Sprint(got) != fmt.Sprint(entries) {
 		t.Errorf("version %d, reset %v, %v; want %d, %v, %v", l.Generation, l.Reset, got, generation, reset, entries)
 	}
 }
@@ -56,13 +56,13 @@
 func TestWatchWakesOnChange(t *testing.T) {
 	r, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
 	want(t, get(""), 1, true, "x:Ready", "y:Ready")
-	heard := make(chan gateway.Listing)
+	heard := make(chan gateway.EndpointList)
 	go func() { heard <- get("?since=1&timeout_ms=60000") }()
 	for r.Stats().Calls < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	changed := time.Now()
-	if g := r.ApplyDelta([]gateway.Instance{instance("y", "Terminating")}); g != 2 {
+	if g := r.ApplyDelta([]gateway.EndpointEntry{instance("y", "Terminating")}); g != 2 {
 		t.Errorf("version %d", g)
 	}
 	want(t, <-heard, 2, false, "y:Terminating")
@@ -79,10 +79,10 @@
 func TestOldVersionGetsTheWholeList(t *testing.T) {
 	r, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
 	for i := range maxChanges {
-		r.ApplyDelta([]gateway.Instance{instance("y", []string{"Terminating", "Ready"}[i%2])})
+		r.ApplyDelta([]gateway.EndpointEntry{instance("y", []string{"Terminating", "Ready"}[i%2])})
 	}
 	const last = maxChanges + 2
-	r.ApplyDelta([]gateway.Instance{instance("x", "Gone"), instance("z", "Ready")})
+	r.ApplyDelta([]gateway.EndpointEntry{instance("x", "Gone"), instance("z", "Ready")})
 	want(t, get("?since=2"), last, false, "y:Ready", "x:Gone", "z:Ready")
 	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // y was Terminating first
 	want(t, get("?since=1"), last, true, "y:Ready", "z:Ready")
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -31,7 +31,7 @@
 	counter                          *counter.Counter // nil: none
 	backends                         *backend.Pool
 	discoveryAddress, counterAddress string // addresses; no counter: ""
-	listedBackends, spareBackends    []gateway.Instance
+	listedBackends, spareBackends    []gateway.EndpointEntry
 }
 
 // startStandins starts them; they serve until ctx ends or close.
@@ -127,7 +127,7 @@
 	}
 	type drain struct {
 		at   time.Time
-		gone gateway.Instance
+		gone gateway.EndpointEntry
 	}
 	var draining []drain
 	ticker := time.NewTicker(churnInterval)
@@ -138,7 +138,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			var delta []gateway.Instance
+			var delta []gateway.EndpointEntry
 			for len(draining) > 0 && now.Sub(draining[0].at) >= drainGrace {
 				delta = append(delta, draining[0].gone)
 				draining = draining[1:]
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -24,7 +24,7 @@
 
 // job has a group without a quota and one that asks for twice its own.
 func job(t *testing.T) (Job, *counter.Counter) {
-	reg := discovery.New([]gateway.Instance{{ID: "b-1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1},
+	reg := discovery.New([]gateway.EndpointEntry{{ID: "b-1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1},
 		{ID: "b-2", HostPort: "127.0.0.2:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}, discovery.Options{})
 	discovery, err := reg.Start(context.Background())
 	if err != nil {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -49,7 +49,7 @@
 	gateways       []*gatewayNode
 	discovery      *discovery.Server
 	discoveryProxy *Proxy // before it
-	backendList    []gateway.Instance
+	backendList    []gateway.EndpointEntry
 
 	mu             sync.Mutex
 	clientAttempts []ClientAttempt
@@ -109,7 +109,7 @@
 
 // start starts the stand-ins and the gateways.
 func (r *runner) start(ctx context.Context) error {
-	var list []gateway.Instance
+	var list []gateway.EndpointEntry
 	for i := range r.plan.Backends {
 		b, err := StartBackend(fmt.Sprintf("b-%d", i), r.clock, r.behavior(i))
 		if err != nil {
@@ -121,7 +121,7 @@
 			return err
 		}
 		r.backendProxies = append(r.backendProxies, p)
-		list = append(list, gateway.Instance{ID: b.Name, HostPort: p.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
+		list = append(list, gateway.EndpointEntry{ID: b.Name, HostPort: p.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
 	r.backendList = list
 	r.discovery = discovery.New(slices.Clone(list), discovery.Options{})
@@ -319,7 +319,7 @@
 			}
 			entry := r.backendList[d.Backend]
 			entry.Lifecycle = step.lifecycle
-			r.discovery.ApplyDelta([]gateway.Instance{entry})
+			r.discovery.ApplyDelta([]gateway.EndpointEntry{entry})
 			r.mu.Lock()
 			r.listChanges = append(r.listChanges, ListChange{Backend: entry.ID, At: r.clock.Now(), Ready: step.lifecycle == "Ready"})
 			r.mu.Unlock()
