--- /dev/null
+++ b/internal/gateway/stallablegateway_test.go
@@ -0,0 +1,105 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"amberlb/policy"
+)
+
+// maxStallableClients is how many clients a stallableGateway has connections and backends for.
+const maxStallableClients = 2 * disconnectingClients
+
+// stallableGateway is a gateway whose event loop a test can stall.
+type stallableGateway struct {
+	loop    *eventLoop
+	address string
+	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it gets an endpoint list; nil: nothing
+	stalled chan struct{}                 // has an element when the loop waits
+}
+
+// newStallableGateway starts a gateway before as many backends as there are disconnecting clients, all at one address.
+func newStallableGateway(t *testing.T, backend string, way func(net.Listener) net.Listener) *stallableGateway {
+	t.Helper()
+	text := strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)
+	config, err := parseConfig([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &stallableGateway{stalled: make(chan struct{})}
+	pools := newConnectionPools(testTimeout, time.Minute, 100)
+	g.loop = newEventLoop(&config, pools, nil, g.waitAtGate)
+	listing := EndpointList{Reset: true}
+	for i := range disconnectingClients {
+		instance := EndpointEntry{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1}
+		listing.Entries = append(listing.Entries, instance)
+	}
+	g.loop.applyEndpointList(listing, policy.FullList)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.address = listener.Addr().String()
+	front := &frontend{loop: g.loop, deployment: &config.Deployment}
+	clients := newClientConnections(way(listener), maxStallableClients)
+	server := front.newHTTPServer(clients, testTimeout)
+	ctx, stop := context.WithCancel(context.Background())
+	var parts sync.WaitGroup
+	parts.Go(func() { g.loop.run(ctx) })
+	parts.Go(func() { pools.sweepIdle(ctx) })
+	parts.Go(func() { server.Serve(clients) })
+	t.Cleanup(func() {
+		server.Close()
+		stop()
+		parts.Wait()
+		g.loop.attempts.Wait()
+	})
+	return g
+}
+
+// waitAtGate stalls the loop, once, if a test has closed the gate.
+func (g *stallableGateway) waitAtGate() {
+	if gate := g.gate.Swap(nil); gate != nil {
+		g.stalled <- struct{}{}
+		<-*gate
+	}
+}
+
+// stall stalls the loop until resume is called.
+func (g *stallableGateway) stall(t *testing.T) (resume func()) {
+	t.Helper()
+	gate := make(chan struct{})
+	g.gate.Store(&gate)
+	g.loop.post(listingReceived{kind: policy.Delta})
+	await(t, g.stalled, "list")
+	resume = sync.OnceFunc(func() { close(gate) })
+	t.Cleanup(resume)
+	return resume
+}
+
+// awaitInbox waits until n messages wait for the loop.
+func (g *stallableGateway) awaitInbox(t *testing.T, n int) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); len(g.loop.inbox) < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d messages for the loop, want %d", len(g.loop.inbox), n)
+		}
+	}
+}
+
+// expectServed sends a request with a correlation id, and expects it to be served.
+func (g *stallableGateway) expectServed(t *testing.T, id string) {
+	t.Helper()
+	request := requestText("GET", "lookup", "", correlationIDHeader, id, quotaHeader, singleGatewayQuota)
+	resp, err := roundTripOn(t, dial(t, g.address, ""), request)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Fatal(resp, err)
+	}
+}
