--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,44 @@
 	"amberlb/policy"
 )
 
-// settingsJSON mirrors the JSON of an Attach record; unknown keys are passed over.
+// Deployment is all that the settings state: what the policy engine needs, and the names by which sockets refer to the
+// same things, in the settings' order.
+type Deployment struct {
+	policy.Settings
+	ClassNames  []string
+	PlanNames   []string
+	Zones       []string
+	Kinds       []string // of machines
+	IdleTimeout float64  // seconds after which idle connections are closed
+}
+
+// ParseSettings parses the settings of an instance.
+func ParseSettings(text []byte) (policy.Settings, error) {
+	deployment, err := ParseDeployment(text)
+	return deployment.Settings, err
+}
+
+// ParseDeployment parses the settings with the names in them. The error for a word that is not known is an
+// UnknownNameError, and that for settings without a class or plan is ErrNoClassesOrPlans.
+func ParseDeployment(text []byte) (Deployment, error) {
+	var parsed settingsJSON
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return Deployment{}, fmt.Errorf("settings: %w", err)
+	}
+	deployment := Deployment{
+		ClassNames:  parsed.classNames(),
+		PlanNames:   parsed.planNames(),
+		Zones:       parsed.Zones,
+		Kinds:       parsed.Kinds,
+		IdleTimeout: parsed.Capabilities.IdleTimeoutS,
+	}
+	var err error
+	deployment.Settings, err = parsed.policySettings()
+	return deployment, err
+}
+
+// settingsJSON mirrors the JSON of the settings. Its tags are the wire's names, which nothing else knows; unknown keys are
+// ignored. Names that end in S are seconds.
 type settingsJSON struct {
 	Capabilities struct {
 		CanCancel         bool    `json:"cancel"`
@@ -78,104 +115,3 @@
 	TickS   float64 `json:"tickS"`
 	Weights string  `json:"weights"`
 }
-
-var idempotencyByName = map[string]policy.Idempotency{"": policy.Idempotent, "repeatable": policy.Idempotent,
-	"by_key": policy.IdempotentByKey, "once": policy.NonIdempotent}
-
-var dedupeScopesByName = map[string]policy.DedupeScope{"": policy.ScopeAll, "all": policy.ScopeAll,
-	"zone": policy.ScopeZone, "cell": policy.ScopeCell}
-
-var loadFieldsByName = map[string]policy.LoadField{"busy_reqs": policy.LoadInFlight, "pending": policy.LoadQueued,
-	"cpu_share": policy.LoadCPU, "svc_ms": policy.LoadServiceMillis,
-	"served_ps": policy.LoadServedPerSecond, "failed_ps": policy.LoadErrorsPerSecond}
-
-// Deployment is all that the settings state: what the decisions need, and the
-// names by which sockets speak of the same things, in the settings' order.
-type Deployment struct {
-	policy.Settings
-	ClassNames, PlanNames, Zones, Kinds []string
-	IdleTimeout                         float64 // seconds; idle connections are closed after it
-}
-
-// ParseSettings reads the settings of an Attach record.
-func ParseSettings(text []byte) (policy.Settings, error) {
-	d, err := ParseDeployment(text)
-	return d.Settings, err
-}
-
-// ParseDeployment reads the settings with the names in them.
-func ParseDeployment(text []byte) (Deployment, error) {
-	var parsed settingsJSON
-	if err := json.Unmarshal(text, &parsed); err != nil {
-		return Deployment{}, fmt.Errorf("settings: %w", err)
-	}
-	d := Deployment{Zones: parsed.Zones, Kinds: parsed.Kinds, IdleTimeout: parsed.Capabilities.IdleTimeoutS}
-	for _, c := range parsed.Classes {
-		d.ClassNames = append(d.ClassNames, c.Name)
-	}
-	for _, p := range parsed.Plans {
-		d.PlanNames = append(d.PlanNames, p.Name)
-	}
-	var err error
-	d.Settings, err = parsed.policySettings()
-	return d, err
-}
-
-// policySettings translates the options into what the decisions need.
-func (j *settingsJSON) policySettings() (policy.Settings, error) {
-	s := j.generalSettings()
-	for _, c := range j.Classes {
-		idempotency, known := idempotencyByName[c.Idempotency]
-		if !known {
-			return s, fmt.Errorf("settings: effect %q is not known", c.Idempotency)
-		}
-		scope, known := dedupeScopesByName[c.DedupeScope]
-		if !known && idempotency == policy.IdempotentByKey {
-			return s, fmt.Errorf("settings: key scope %q is not known", c.DedupeScope)
-		}
-		s.Classes = append(s.Classes, policy.Class{LatencyObjective: c.ObjectiveS, ObjectivePerUnit: c.ObjectivePerUnitS,
-			Deadline: c.DeadlineS, PriorityWeight: c.PriorityWeight, LateWeightShare: c.LateWeightShare, Idempotency: idempotency,
-			DedupeScope: scope, DedupeWindow: c.DedupeWindowS, Streamed: c.Streamed})
-	}
-	for _, p := range j.Plans {
-		s.Plans = append(s.Plans, policy.Plan{WeightFactor: p.WeightFactor, Rate: p.Rate, Burst: p.Burst,
-			MaxConcurrent: int(p.MaxConcurrent), OverQuotaWeight: p.OverQuotaWeight, OverQuotaCost: p.OverQuotaCost,
-			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack})
-	}
-	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return s, fmt.Errorf("settings: no classes or no packages")
-	}
-	return s, nil
-}
-
-// generalSettings translates all that is neither a class nor a plan.
-func (j *settingsJSON) generalSettings() policy.Settings {
-	s := policy.Settings{
-		GatewayIndex: j.Rank, FleetSize: j.FleetSize, Zone: j.Zone, Tick: j.TickS,
-		PollDiscovery:      j.Discovery == "ask",
-		ApproximateWeights: j.Weights == "rough" || j.Weights == "nominal",
-		LoadInline:         j.LoadReport.Delivery == "inline",
-
-		Counter:        j.QuotaCounter.HasCounter,
-		CounterTimeout: j.QuotaCounter.CounterTimeoutS,
-		CounterPrice:   j.QuotaCounter.CounterPrice,
-		MaxUnits:       j.QuotaCounter.MaxUnits,
-		UnitsEstimated: j.QuotaCounter.UnitsEstimated,
-
-		CanCancel: j.Capabilities.CanCancel, CanProbe: j.Capabilities.CanProbe, CanHedge: j.Capabilities.CanHedge,
-		CanSendRetryAfter: j.Capabilities.CanSendRetryAfter, MaxRetryAfter: j.Capabilities.MaxRetryAfterS,
-		MaxAttempts: j.Capabilities.MaxAttempts, MaxOpenRequests: j.Capabilities.MaxOpen,
-		ConnectTimeout: j.Capabilities.ConnectTimeoutS,
-
-		AnswerSlack: j.Requirements.AnswerSlackS, DrainGrace: j.Requirements.DrainGraceS,
-		SlowStartMinShare: j.Requirements.SlowStartMinShare, SlowStartWindow: j.Requirements.SlowStartWindowS,
-		OverloadFactor: j.Requirements.OverloadFactor, OverloadDuration: j.Requirements.OverloadDurationS,
-
-		CrossZonePrice: j.Prices.CrossZone, WastePrice: j.Prices.Waste,
-		LateFailurePrice: j.Prices.LateFailure, ProbePrice: j.Prices.Probe,
-	}
-	for _, f := range j.LoadReport.Fields {
-		s.LoadFields = append(s.LoadFields, loadFieldsByName[f])
-	}
-	return s
-}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,8 @@
 	"amberlb/policy"
 )
 
-func frame(t testing.TB, text string) []byte {
+// unhex decodes hexadecimal digits, passing over white space.
+func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -20,10 +21,11 @@
 	return b
 }
 
+// emptyBatch is the empty batch of the wire's description.
 const emptyBatch = "4020d3126e978d50 00000008 00000000 00000001"
 
 func TestDecodeEvents(t *testing.T) {
-	in := frame(t, `4020d3126e978d50 00000046 00000005 0000000c
+	in := unhex(t, `4020d3126e978d50 00000046 00000005 0000000c
 		1c 00000003
 		12 5d3a91c4 3f800000 0000 91f03b7c55d20a64 40400000 40000000 01 0000 40214df3b645a1cb
 		16 000000000000004d
@@ -48,27 +50,29 @@
 	}
 }
 
-func TestDecodeListsInOrder(t *testing.T) {
-	one := "1b 00000000 00000001 03124a07 00 0000 0000 01 3f800000 0000000000000000"
-	two := "1b 00000000 00000001 2c9011f2 01 0000 0000 02 3fc00000 4018666666666666"
-	sync := "11 01 00000029 00000000"
-	in := frame(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+one+sync+two+sync)
+// A list that is defined again applies to the updates after it alone.
+func TestEndpointUpdateRefersToLatestList(t *testing.T) {
+	first := "1b 00000000 00000001 03124a07 00 0000 0000 01 3f800000 0000000000000000"
+	second := "1b 00000000 00000001 2c9011f2 01 0000 0000 02 3fc00000 4018666666666666"
+	update := "11 01 00000029 00000000"
+	in := unhex(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+first+update+second+update)
 	in[11] = byte(len(in) - 12)
 	b, err := NewDecoder(bytes.NewReader(in)).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := b.Records[0].Event.(policy.EndpointsUpdated), b.Records[1].Event.(policy.EndpointsUpdated)
-	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != policy.Ready || first.Kind != policy.Delta {
-		t.Errorf("first list %+v", first)
+	firstUpdate := b.Records[0].Event.(policy.EndpointsUpdated)
+	secondUpdate := b.Records[1].Event.(policy.EndpointsUpdated)
+	if e := firstUpdate.Entries[0]; e.ID != 0x03124a07 || e.State != policy.Ready || firstUpdate.Kind != policy.Delta {
+		t.Errorf("first list %+v", firstUpdate)
 	}
-	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
-		t.Errorf("second list %+v", second)
+	if e := secondUpdate.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
+		t.Errorf("second list %+v", secondUpdate)
 	}
 }
 
-func TestDecodeAttemptEndAndCounter(t *testing.T) {
-	in := frame(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
+func TestDecodeAttemptEndAndCounterReply(t *testing.T) {
+	in := unhex(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
 		14 5d3a91c4 00 03124a07 00 3f92f1a9fbe76c8b 01 0056 0003 02 40e0000040400000
 		1a 000000000089f690 00 42180000 3f619ce075f6fd22`)
 	in[11] = byte(len(in) - 12)
@@ -96,40 +100,52 @@
 	if err := r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}}); err != nil {
 		t.Fatal(err)
 	}
-	want := frame(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
+	want := unhex(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
 		52 3fe0000000000000 000000000000004d 57 00000005 5c 0011 74776f2073657276657273206b6e6f776e`)
 	if !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", r.Bytes(), want)
 	}
 	r.Reset(1)
-	if want := frame(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
+	if want := unhex(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("empty reply %x", r.Bytes())
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
-	for name, c := range map[string]struct{ in, says string }{
-		"short header":      {"4020d3126e978d50 0000", "within a header"},
-		"impossible length": {"4020d3126e978d50 00000004 00000000 00000001", "impossible length"},
-		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length"},
-		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame"},
-		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known"},
-		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short"},
-		"nobody named":      {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d", "no instance was named"},
-		"left over":         {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record"},
-		"missing list":      {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined"},
-		"bad settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
-			"settings"},
+// Malformed input has an error of its kind, with a text for standard error.
+func TestMalformedInputIsAnError(t *testing.T) {
+	for name, c := range map[string]struct {
+		in   string
+		text string
+		kind error // nil: checked by its text alone
+	}{
+		"short header":      {"4020d3126e978d50 0000", "within a header", ErrTruncatedHeader},
+		"impossible length": {"4020d3126e978d50 00000004 00000000 00000001", "impossible length", LengthError(4)},
+		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length", LengthError(0xffffffff)},
+		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
+		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known", ErrUnknownCode},
+		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrShortFrame},
+		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d", "no instance was named", ErrNoInstance},
+		"trailing byte":     {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
+		"missing list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
+			UndefinedListError(4)},
+		"malformed settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
+			"settings", nil},
 	} {
-		_, err := NewDecoder(bytes.NewReader(frame(t, c.in))).Next()
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v, want one that says %q", name, err, c.says)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := NewDecoder(bytes.NewReader(unhex(t, c.in))).Next()
+			if err == nil || !strings.Contains(err.Error(), c.text) {
+				t.Errorf("error %v, want one that says %q", err, c.text)
+			}
+			if c.kind != nil && !errors.Is(err, c.kind) {
+				t.Errorf("error %v is not of the kind of %q", err, c.kind)
+			}
+		})
 	}
 }
 
-func TestEndOfInput(t *testing.T) {
-	d := NewDecoder(bytes.NewReader(frame(t, emptyBatch)))
+// Input that ends between batches is no error.
+func TestEndOfInputBetweenBatches(t *testing.T) {
+	d := NewDecoder(bytes.NewReader(unhex(t, emptyBatch)))
 	if b, err := d.Next(); err != nil || len(b.Records) != 0 {
 		t.Errorf("empty batch: %v %v", b, err)
 	}
@@ -138,7 +154,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestSettingsAreTranslated(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"unknownKey": 1, "discovery": "ask",
 		"classes": [{"objectiveS": 0.8, "deadlineS": 2, "points": 3, "effect": "by_key", "keyScope": "cell", "windowS": 5}],
 		"packages": [{"pays": 0.5, "unitsPerS": 2, "depth": 4, "atOnce": 3, "neverOverRate": 9}],
@@ -157,14 +173,15 @@
 		s.LoadFields[1] != policy.LoadQueued {
 		t.Errorf("settings %+v", s)
 	}
-	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
-		t.Error("an unknown effect was let pass")
+	var unknown *UnknownNameError
+	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); !errors.As(err, &unknown) {
+		t.Errorf("an unknown effect was accepted, or has error %v", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, emptyBatch))
-	f.Add(frame(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
+	f.Add(unhex(f, emptyBatch))
+	f.Add(unhex(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
