--- a/cmd/simadapter/stream_test.go
+++ b/cmd/simadapter/stream_test.go
@@ -24,108 +24,108 @@
 
 // Record codes of the wire, with the statuses and forms that the generator uses.
 const (
-	eventAttach, eventSync, eventAsk, eventEstablished, eventAttemptEnd  = 16, 17, 18, 19, 20
-	eventAborted, eventAlarm, eventChecked, eventPeerData, eventTeardown = 21, 22, 23, 24, 25
-	eventCounterReply, eventManifest, eventFor                           = 26, 27, 28
+	eventStartInstance, eventEndpointUpdate, eventRequest, eventResponseStarted, eventAttemptEnd    = 16, 17, 18, 19, 20
+	eventClientDisconnected, eventTimerFired, eventProbeResult, eventPeerMessage, eventStopInstance = 21, 22, 23, 24, 25
+	eventCounterReply, eventDefineEndpointList, eventInstanceEvents                                 = 26, 27, 28
 
-	actionAskLoad, actionDropAttempt, actionSleep, actionCount, actionDecline = 80, 81, 82, 85, 86
-	actionSpeaking, actionStreamChanges, actionAbort, actionPassOn            = 87, 88, 89, 91
+	actionProbe, actionCancelAttempt, actionSetTimer, actionCounterAdd, actionReject = 80, 81, 82, 85, 86
+	actionInstanceActions, actionPollEndpoints, actionFailRequest, actionSendAttempt = 87, 88, 89, 91
 
-	statusServed, statusError, statusFull, statusTimeout, statusConnectFailed = 0, 255, 254, 253, 252
-	statusReset, statusCancelled, statusMoot                                  = 251, 250, 249
+	statusServed, statusFailed, statusRejected, statusTimeout, statusConnectFailed = 0, 255, 254, 253, 252
+	statusReset, statusCancelled, statusNotSent                                    = 251, 250, 249
 
 	listFull, listDelta, listCached, listFailed = 0, 1, 2, 3
-	stateGone, stateReady, stateDraining        = 0, 1, 2
+	stateRemoved, stateReady, stateDraining     = 0, 1, 2
 
-	flagClientRepeat  = 2
-	headerAfterLength = 8  // bytes of a batch header that the length counts
-	maxManifests      = 16 // lists that can be in use at a time
+	flagRetry         = 2
+	countedHeaderSize = 8  // bytes of a batch header that the length counts
+	maxEndpointLists  = 16 // lists that can be in use at a time
 )
 
-// provesNeverRan tells whether a status proves that an attempt had no effect.
-func provesNeverRan(status uint8) bool {
-	return status == statusFull || status == statusConnectFailed || status == statusMoot
+// provesNotExecuted tells whether a status proves that an attempt had no effect.
+func provesNotExecuted(status uint8) bool {
+	return status == statusRejected || status == statusConnectFailed || status == statusNotSent
 }
 
-// frame builds the records of one instance in a batch.
-type frame struct {
+// recordWriter builds the records of one instance in a batch.
+type recordWriter struct {
 	data    []byte
 	records uint32
 }
 
-func (f *frame) start(code uint8) { f.data, f.records = append(f.data, code), f.records+1 }
-func (f *frame) u8(v uint8)       { f.data = append(f.data, v) }
-func (f *frame) u16(v int)        { f.data = binary.BigEndian.AppendUint16(f.data, uint16(v)) }
-func (f *frame) u32(v uint32)     { f.data = binary.BigEndian.AppendUint32(f.data, v) }
-func (f *frame) u64(v uint64)     { f.data = binary.BigEndian.AppendUint64(f.data, v) }
-func (f *frame) f64(v float64)    { f.u64(math.Float64bits(v)) }
-func (f *frame) f32(v float64)    { f.u32(math.Float32bits(float32(v))) }
+func (f *recordWriter) begin(code uint8) { f.data, f.records = append(f.data, code), f.records+1 }
+func (f *recordWriter) u8(v uint8)       { f.data = append(f.data, v) }
+func (f *recordWriter) u16(v int)        { f.data = binary.BigEndian.AppendUint16(f.data, uint16(v)) }
+func (f *recordWriter) u32(v uint32)     { f.data = binary.BigEndian.AppendUint32(f.data, v) }
+func (f *recordWriter) u64(v uint64)     { f.data = binary.BigEndian.AppendUint64(f.data, v) }
+func (f *recordWriter) f64(v float64)    { f.u64(math.Float64bits(v)) }
+func (f *recordWriter) f32(v float64)    { f.u32(math.Float32bits(float32(v))) }
 
-// reader takes fields from a reply; a reply that is too short panics, which fails the test.
-type reader []byte
+// replyReader takes fields from a reply; a reply that is too short panics, which fails the test.
+type replyReader []byte
 
-func (r *reader) number(n int) (v uint64) {
+func (r *replyReader) number(n int) (v uint64) {
 	for _, b := range (*r)[:n] {
 		v = v<<8 | uint64(b)
 	}
 	*r = (*r)[n:]
 	return v
 }
-func (r *reader) u8() uint8    { return uint8(r.number(1)) }
-func (r *reader) u32() uint32  { return uint32(r.number(4)) }
-func (r *reader) f64() float64 { return math.Float64frombits(r.number(8)) }
-func (r *reader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
-
-// simEvent is something due at a time: an event for an instance in its present life, or a change of the world.
-type simEvent struct {
-	at     float64
-	list   bool // discovery's news come first in a batch
-	happen func()
+func (r *replyReader) u8() uint8    { return uint8(r.number(1)) }
+func (r *replyReader) u32() uint32  { return uint32(r.number(4)) }
+func (r *replyReader) f64() float64 { return math.Float64frombits(r.number(8)) }
+func (r *replyReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
+
+// scheduledEvent is something due at a time: an event for an instance in its present life, or a change of the world.
+type scheduledEvent struct {
+	at            float64
+	fromDiscovery bool // discovery's news come first in a batch
+	apply         func()
 }
 
-// simGateway is one instance: what it has been told and the part of the batch that is for it.
-type simGateway struct {
-	number, rank int
-	life         int // counts the starts
-	attached     bool
-	subscribed   bool
-	held         map[uint32]simBackend // the list as this instance was told it
-	part         frame
+// simInstance is one instance: what it has been told and the part of the batch that is for it.
+type simInstance struct {
+	number, rank   int
+	incarnation    int // counts the starts
+	running        bool
+	subscribed     bool
+	knownEndpoints map[uint32]simBackend // the list as this instance was told it
+	events         recordWriter
 }
 
 // simulation generates one stream and checks the replies to it.
 type simulation struct {
 	draws
-	t           *testing.T
-	seed        uint64
-	settings    simSettings
-	now, until  float64
-	tick        float64 // now in ticks
-	batch       uint32
-	pending     []simEvent // by time
-	gateways    []*simGateway
-	backends    []*simBackend
-	cached      []simBackend // the list as instances hold it over a restart
-	customers   []*simCustomer
-	requests    map[uint32]*simRequest
-	nextRequest uint32
-	manifest    uint32
-	counter     map[uint64]simCounter
-	counterMood string
-	lastReply   map[simCall]float64
-	seen        map[uint8]int // actions by code
-	adapterIn   io.Writer
-	adapterOut  io.Reader
-	batches     bytes.Buffer
-	replies     bytes.Buffer
+	t                  *testing.T
+	seed               uint64
+	settings           simSettings
+	now, until         float64
+	tick               float64 // now in ticks
+	batchSeq           uint32
+	pending            []scheduledEvent // by time
+	instances          []*simInstance
+	backends           []*simBackend
+	cachedList         []simBackend // the list as instances hold it over a restart
+	customers          []*simCustomer
+	requests           map[uint32]*simRequest
+	lastRequestID      uint32
+	listNumber         uint32
+	counterTotals      map[uint64]simCounterTotal
+	counterCondition   string
+	lastCounterReplyAt map[simCounterName]float64
+	actionCounts       map[uint8]int // actions by code
+	adapterIn          io.Writer
+	adapterOut         io.Reader
+	batches            bytes.Buffer
+	replies            bytes.Buffer
 }
 
 // after schedules something; it happens in a later batch.
 func (s *simulation) after(delay float64, happen func()) { s.schedule(delay, false, happen) }
 
 func (s *simulation) schedule(delay float64, list bool, happen func()) {
-	e := simEvent{s.now + max(delay, 0), list, happen}
-	at, _ := slices.BinarySearchFunc(s.pending, e.at, func(p simEvent, at float64) int {
+	e := scheduledEvent{s.now + max(delay, 0), list, happen}
+	at, _ := slices.BinarySearchFunc(s.pending, e.at, func(p scheduledEvent, at float64) int {
 		if p.at <= at { // events of the same time keep their order
 			return -1
 		}
@@ -134,12 +134,12 @@
 	s.pending = slices.Insert(s.pending, at, e)
 }
 
-// tell schedules an event for an instance; it is void if that is stopped before.
-func (s *simulation) tell(g *simGateway, delay float64, write func(f *frame)) {
-	life := g.life
+// notify schedules an event for an instance; it is void if that is stopped before.
+func (s *simulation) notify(g *simInstance, delay float64, write func(f *recordWriter)) {
+	life := g.incarnation
 	s.after(delay, func() {
-		if g.attached && g.life == life {
-			write(&g.part)
+		if g.running && g.incarnation == life {
+			write(&g.events)
 		}
 	})
 }
@@ -152,8 +152,8 @@
 		if now > s.until {
 			break
 		}
-		s.now, s.batch = now, s.batch+1
-		n := slices.IndexFunc(s.pending, func(e simEvent) bool { return e.at > now })
+		s.now, s.batchSeq = now, s.batchSeq+1
+		n := slices.IndexFunc(s.pending, func(e scheduledEvent) bool { return e.at > now })
 		if n < 0 {
 			n = len(s.pending)
 		}
@@ -161,13 +161,13 @@
 		s.pending = slices.Delete(s.pending, 0, n)
 		for _, list := range []bool{true, false} {
 			for _, e := range due {
-				if e.list == list {
-					e.happen()
+				if e.fromDiscovery == list {
+					e.apply()
 				}
 			}
 		}
 		if err := s.exchange(); err != nil {
-			return fmt.Errorf("batch %d: %w", s.batch, err)
+			return fmt.Errorf("batch %d: %w", s.batchSeq, err)
 		}
 	}
 	return nil
@@ -175,19 +175,19 @@
 
 // exchange sends the batch that has been put together and takes the reply.
 func (s *simulation) exchange() error {
-	var head, body frame
-	for _, g := range s.gateways {
-		if g.part.records > 0 {
-			body.start(eventFor)
+	var head, body recordWriter
+	for _, g := range s.instances {
+		if g.events.records > 0 {
+			body.begin(eventInstanceEvents)
 			body.u32(uint32(g.number))
-			body.data, body.records = append(body.data, g.part.data...), body.records+g.part.records
-			g.part = frame{data: g.part.data[:0]}
+			body.data, body.records = append(body.data, g.events.data...), body.records+g.events.records
+			g.events = recordWriter{data: g.events.data[:0]}
 		}
 	}
 	head.f64(s.now)
-	head.u32(uint32(len(body.data) + headerAfterLength))
+	head.u32(uint32(len(body.data) + countedHeaderSize))
 	head.u32(body.records)
-	head.u32(s.batch)
+	head.u32(s.batchSeq)
 	batch := append(head.data, body.data...)
 	s.batches.Write(batch)
 	if _, err := s.adapterIn.Write(batch); err != nil {
@@ -202,46 +202,46 @@
 		return err
 	}
 	s.replies.Write(reply)
-	return s.obey(reply[4:])
+	return s.applyReply(reply[4:])
 }
 
-// obey lets the actions of a reply have their effects.
-func (s *simulation) obey(r reader) error {
+// applyReply lets the actions of a reply have their effects.
+func (s *simulation) applyReply(r replyReader) error {
 	records, number := r.u32(), r.u32()
-	if number != s.batch {
+	if number != s.batchSeq {
 		return fmt.Errorf("the reply is to batch %d", number)
 	}
-	var g *simGateway
+	var g *simInstance
 	for range records {
 		code := r.u8()
-		s.seen[code]++
+		s.actionCounts[code]++
 		switch code {
-		case actionSpeaking:
-			g = s.gateways[r.u32()]
-		case actionSleep:
+		case actionInstanceActions:
+			g = s.instances[r.u32()]
+		case actionSetTimer:
 			delay, token := r.f64(), r.number(8)
-			s.tell(g, delay, func(f *frame) { f.start(eventAlarm); f.u64(token) })
-		case actionCount:
+			s.notify(g, delay, func(f *recordWriter) { f.begin(eventTimerFired); f.u64(token) })
+		case actionCounterAdd:
 			name, amount, keep := r.number(8), r.f32(), r.f64()
-			s.count(g, name, amount, keep)
-		case actionStreamChanges:
+			s.callCounter(g, name, amount, keep)
+		case actionPollEndpoints:
 			r.u8()
-			s.subscribe(g)
-		case actionAskLoad:
-			s.probe(g, r.u32())
-		case actionPassOn:
-			req := s.known(g, r.u32())
+			s.answerPoll(g)
+		case actionProbe:
+			s.answerProbe(g, r.u32())
+		case actionSendAttempt:
+			req := s.openRequest(g, r.u32())
 			patience, backend := r.f64(), r.u32()
-			s.send(req, patience, backend)
-		case actionDropAttempt:
-			req := s.known(g, r.u32())
-			s.cancel(req, int(r.u8()))
-		case actionDecline, actionAbort:
-			req := s.known(g, r.u32())
-			if code == actionDecline {
-				s.repeatLater(req, r.f64())
+			s.startAttempt(req, patience, backend)
+		case actionCancelAttempt:
+			req := s.openRequest(g, r.u32())
+			s.cancelAttempt(req, int(r.u8()))
+		case actionReject, actionFailRequest:
+			req := s.openRequest(g, r.u32())
+			if code == actionReject {
+				s.retryLater(req, r.f64())
 			}
-			s.answer(req, code == actionDecline)
+			s.checkFinalAnswer(req, code == actionReject)
 		default:
 			return fmt.Errorf("unexpected action %d", code)
 		}
@@ -249,76 +249,78 @@
 	return nil
 }
 
-// known finds the request that an action names.
-func (s *simulation) known(g *simGateway, id uint32) *simRequest {
+// openRequest finds the request that an action names.
+func (s *simulation) openRequest(g *simInstance, id uint32) *simRequest {
 	req := s.requests[id]
-	if req == nil || req.gateway != g || !req.alive() {
+	if req == nil || req.instance != g || !req.instanceRuns() {
 		s.t.Fatalf("seed %d batch %d: an action names request %d, which instance %d does not hold",
-			s.seed, s.batch, id, g.number)
+			s.seed, s.batchSeq, id, g.number)
 	}
 	return req
 }
 
-func (s *simulation) fault(req *simRequest, what string) {
-	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batch, s.now, req.id, req.class.Effect,
-		req.class.KeyScope, what)
+func (s *simulation) violation(req *simRequest, what string) {
+	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id, req.class.Idempotency,
+		req.class.DedupeScope, what)
 }
 
-// alive tells whether the instance still runs that took the request.
-func (req *simRequest) alive() bool { return req.gateway.attached && req.gateway.life == req.life }
+// instanceRuns tells whether the instance still runs that took the request.
+func (req *simRequest) instanceRuns() bool {
+	return req.instance.running && req.instance.incarnation == req.incarnation
+}
 
-// mayRepeatEffect tells whether an attempt on b could be a second effect; without b, whether a claim that there
+// mayExecuteTwice tells whether an attempt on b could be a second effect; without b, whether a claim that there
 // was none, as Decline makes, could be wrong.
-func (req *simRequest) mayRepeatEffect(b *simBackend, now float64) bool {
+func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
-		case !a.mayHaveRun || req.class.Effect == "repeatable":
+		case !a.mayHaveExecuted || req.class.Idempotency == "repeatable":
 			return false
-		case req.class.Effect == "once":
+		case req.class.Idempotency == "once":
 			return true
 		case b == nil:
-			return req.class.KeyScope != "all"
+			return req.class.DedupeScope != "all"
 		}
-		return now > a.sentAt+req.class.WindowS || req.class.KeyScope == "zone" && a.backend.zone != b.zone ||
-			req.class.KeyScope == "cell" && a.backend.cell != b.cell
+		return now > a.sentAt+req.class.DedupeWindowS || req.class.DedupeScope == "zone" && a.backend.zone != b.zone ||
+			req.class.DedupeScope == "cell" && a.backend.cell != b.cell
 	})
 }
 
 // checkSend holds the rules on a further attempt.
 func (s *simulation) checkSend(req *simRequest, b *simBackend) {
-	out := slices.ContainsFunc(req.attempts, func(a simAttempt) bool { return a.out })
+	out := slices.ContainsFunc(req.attempts, func(a simAttempt) bool { return a.inFlight })
 	for _, rule := range []struct {
 		broken bool
 		what   string
 	}{
-		{req.owned || req.over && req.overIn < s.batch, "sent after its end"},
-		{req.stream > 0 && req.streamIn < s.batch, "sent after its stream had started"},
-		{req.gateway.held[b.id].state != stateReady, "sent to a backend that is not ready"},
-		{len(req.attempts) >= s.settings.Allowed.MostTries, "more attempts than allowed"},
-		{out && !s.settings.Allowed.MayDuplicate, "two attempts out at once"},
-		{req.mayRepeatEffect(b, s.now), "sent where a second effect is possible"},
+		{req.answered || req.ended && req.endedInBatch < s.batchSeq, "sent after its end"},
+		{req.streamedAttempt > 0 && req.streamedInBatch < s.batchSeq, "sent after its stream had started"},
+		{req.instance.knownEndpoints[b.id].state != stateReady, "sent to a backend that is not ready"},
+		{len(req.attempts) >= s.settings.Capabilities.MaxAttempts, "more attempts than allowed"},
+		{out && !s.settings.Capabilities.CanHedge, "two attempts out at once"},
+		{req.mayExecuteTwice(b, s.now), "sent where a second effect is possible"},
 	} {
 		if rule.broken {
-			s.fault(req, rule.what)
+			s.violation(req, rule.what)
 		}
 	}
 }
 
-// answer takes a final answer of the adapter. One that crosses the end of its request in the same batch is void.
-func (s *simulation) answer(req *simRequest, declined bool) {
+// checkFinalAnswer takes a final answer of the adapter. One that crosses the end of its request in the same batch is void.
+func (s *simulation) checkFinalAnswer(req *simRequest, declined bool) {
 	switch {
-	case req.owned || req.over && req.overIn < s.batch:
-		s.fault(req, "a second final answer")
-	case req.over:
+	case req.answered || req.ended && req.endedInBatch < s.batchSeq:
+		s.violation(req, "a second final answer")
+	case req.ended:
 		return
-	case req.stream > 0 && req.streamIn < s.batch:
-		s.fault(req, "answered after its stream had started")
-	case s.now > req.deadline+s.settings.Obligations.AnswerSlackS:
-		s.fault(req, "answered too late")
-	case declined && req.mayRepeatEffect(nil, s.now):
-		s.fault(req, "declined though it may have run")
+	case req.streamedAttempt > 0 && req.streamedInBatch < s.batchSeq:
+		s.violation(req, "answered after its stream had started")
+	case s.now > req.deadline+s.settings.Requirements.AnswerSlackS:
+		s.violation(req, "answered too late")
+	case declined && req.mayExecuteTwice(nil, s.now):
+		s.violation(req, "declined though it may have run")
 	}
-	req.over, req.owned, req.overIn = true, true, s.batch
+	req.ended, req.answered, req.endedInBatch = true, true, s.batchSeq
 }
 
 // replay gives recorded batches to a fresh adapter.
@@ -374,10 +376,10 @@
 		if *recordDir != "" {
 			record(t, *recordDir, s)
 		}
-		t.Logf("seed %d: %d batches, %d requests, %.0f s", seed, s.batch, len(s.requests), s.until)
+		t.Logf("seed %d: %d batches, %d requests, %.0f s", seed, s.batchSeq, len(s.requests), s.until)
 	}
-	for code, name := range map[uint8]string{actionPassOn: "PassOn", actionDecline: "Decline", actionAbort: "Abort",
-		actionSleep: "Sleep", actionCount: "Count", actionDropAttempt: "DropAttempt", actionStreamChanges: "StreamChanges"} {
+	for code, name := range map[uint8]string{actionSendAttempt: "PassOn", actionReject: "Decline", actionFailRequest: "Abort",
+		actionSetTimer: "Sleep", actionCounterAdd: "Count", actionCancelAttempt: "DropAttempt", actionPollEndpoints: "StreamChanges"} {
 		if seen[code] == 0 {
 			t.Errorf("no stream led to a %s", name)
 		}
