--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -1,157 +1,227 @@
 package main
 
-const healthy = "healthy"
+// condition is how a backend or the counter does for a while.
+type condition string
 
-// simBackend is an entry of the list with what the simulation knows of the backend besides.
+const (
+	healthy     condition = "healthy"
+	slow        condition = "slow"
+	failing     condition = "failing"
+	rejecting   condition = "rejecting"
+	unreachable condition = "unreachable"
+	silent      condition = "silent"
+	overloaded  condition = "overloaded" // of the counter alone
+	malformed   condition = "malformed"  // of the counter alone: its answers can't be read
+)
+
+// Bounds of the number of ready backends: below the first one is added, and from the second on none is.
+const (
+	minReadyBackends = 1
+	maxReadyBackends = 8
+)
+
+// simBackend is an entry of the endpoint list with what the simulation knows of the backend besides.
 type simBackend struct {
-	id, version uint32 // the version counts its changes
-	zone        uint8
-	cell        int
-	state       uint8
-	weight      float64
-	startedAt   float64
-	latency     float64
-	condition   string
-	inFlight    int
+	id        uint32
+	version   uint32 // counts its changes
+	zone      uint8
+	cell      int
+	state     uint8
+	weight    float64
+	startedAt float64 // clock time; 0: long ago
+	latency   float64 // of an idle and healthy one, in seconds
+	condition condition
+	inFlight  int // attempts
 }
 
-func (s *simulation) addBackend(born float64) {
-	s.backends = append(s.backends, &simBackend{id: s.Uint32(), version: 1, zone: uint8(s.IntN(3)), cell: s.IntN(2),
-		state: stateReady, weight: s.between(0.5, 4), startedAt: born, latency: s.between(0.02, 0.3), condition: healthy})
+// addBackend adds a backend that is ready.
+func (s *simulation) addBackend(startedAt float64) {
+	s.backends = append(s.backends, &simBackend{
+		id:        s.Uint32(),
+		version:   1,
+		zone:      uint8(s.IntN(3)),
+		cell:      s.IntN(2),
+		state:     stateReady,
+		weight:    s.between(0.5, 4),
+		startedAt: startedAt,
+		latency:   s.between(0.02, 0.3),
+		condition: healthy,
+	})
 }
 
-// refreshCachedList takes the list that instances hold over a restart.
-func (s *simulation) refreshCachedList() {
-	s.cachedList = s.cachedList[:0]
+// currentList returns a copy of the endpoint list as it is now.
+func (s *simulation) currentList() []simBackend {
+	list := make([]simBackend, 0, len(s.backends))
 	for _, b := range s.backends {
-		s.cachedList = append(s.cachedList, *b)
+		list = append(list, *b)
 	}
+	return list
 }
 
-// changeBackends lets one backend change its health or its state, or a new one join.
-func (s *simulation) changeBackends() {
-	b := s.backends[s.IntN(len(s.backends))]
-	b.condition = oneOf(s.draws, healthy, healthy, healthy, "slow", "failing", "rejecting", "unreachable", "silent")
+// refreshCachedList replaces the list that instances get at their start.
+func (s *simulation) refreshCachedList() { s.cachedList = s.currentList() }
+
+func (s *simulation) readyBackends() int {
 	ready := 0
-	for _, other := range s.backends {
-		if other.state == stateReady {
+	for _, b := range s.backends {
+		if b.state == stateReady {
 			ready++
 		}
 	}
+	return ready
+}
+
+// changeBackends changes the condition of one backend, and in some cases its state, or adds a new one. Discovery sends
+// changes of the list to all instances.
+func (s *simulation) changeBackends() {
+	b := s.backends[s.IntN(len(s.backends))]
+	b.condition = oneOf(s.draws, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
+	if !s.changeList(b) {
+		return
+	}
+	b.version++
+	for _, inst := range s.instances {
+		s.scheduleEndpointUpdate(inst, oneOf[uint8](s.draws, listDelta, listDelta, listDelta, listFull))
+	}
+}
+
+// changeList draws a change of the list, most often one of backend b. It returns false if there is none.
+func (s *simulation) changeList(b *simBackend) bool {
+	ready := s.readyBackends()
 	switch {
-	case ready < 1 || ready < 8 && s.chance(0.12):
+	case ready < minReadyBackends || ready < maxReadyBackends && s.chance(0.12):
 		s.addBackend(s.now)
 	case s.chance(0.03):
-		for _, other := range s.backends { // a deployment that replaces all processes at once
-			if other.state == stateReady {
-				other.startedAt = s.now
-				other.version++
-			}
-		}
+		s.restartReadyBackends()
 	case b.state == stateReady && s.chance(0.12):
-		b.startedAt, b.condition = s.now, healthy // it restarted
+		b.startedAt = s.now // it restarted
+		b.condition = healthy
 	case b.state == stateReady && s.chance(0.1):
 		b.state = stateDraining
 	case b.state == stateDraining && s.chance(0.5), s.chance(0.02):
 		b.state = stateRemoved
 	default:
-		return
+		return false
 	}
-	b.version++
-	for _, g := range s.instances {
-		s.scheduleEndpointUpdate(g, oneOf[uint8](s.draws, listDelta, listDelta, listDelta, listFull))
+	return true
+}
+
+// restartReadyBackends is a rollout that replaces all processes at once.
+func (s *simulation) restartReadyBackends() {
+	for _, b := range s.backends {
+		if b.state == stateReady {
+			b.startedAt = s.now
+			b.version++
+		}
 	}
 }
 
-// scheduleEndpointUpdate has discovery tell an instance of changes, if it listens by then. A subscription may break.
-func (s *simulation) scheduleEndpointUpdate(g *simInstance, form uint8) {
-	life := g.incarnation
+// scheduleEndpointUpdate has discovery send the list, or what is new in it, to an instance that is subscribed by then. A
+// subscription may break instead.
+func (s *simulation) scheduleEndpointUpdate(inst *simInstance, form uint8) {
+	incarnation := inst.incarnation
 	s.schedule(s.between(0.02, 0.6), true, func() {
-		if !g.running || g.incarnation != life || !g.subscribed {
+		if !inst.runs(incarnation) || !inst.subscribed {
 			return
 		}
 		if s.settings.Discovery == "ask" && s.chance(0.1) {
-			g.subscribed = false
+			inst.subscribed = false
 			form = listFailed
 		}
-		entries := make([]simBackend, 0, len(s.backends))
-		for _, b := range s.backends {
-			entries = append(entries, *b)
-		}
-		s.writeEndpointUpdate(g, form, entries)
+		s.writeEndpointUpdate(inst, form, s.currentList())
 	})
 }
 
-// answerPoll answers a call to discovery.
-func (s *simulation) answerPoll(g *simInstance) {
-	if g.subscribed = s.chance(0.75); g.subscribed {
-		s.scheduleEndpointUpdate(g, listFull)
+// answerPoll answers an instance's poll of discovery.
+func (s *simulation) answerPoll(inst *simInstance) {
+	inst.subscribed = s.chance(0.75)
+	if inst.subscribed {
+		s.scheduleEndpointUpdate(inst, listFull)
 		return
 	}
-	s.notify(g, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(g, listFailed, nil) })
+	s.notify(inst, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(inst, listFailed, nil) })
 }
 
-// writeEndpointUpdate writes what is news to an instance and keeps what it has been told.
-func (s *simulation) writeEndpointUpdate(g *simInstance, form uint8, truth []simBackend) {
-	var entries []simBackend
-	for _, b := range truth {
-		old, listed := g.knownEndpoints[b.id]
-		if form != listDelta && b.state != stateRemoved || form == listDelta && old.version != b.version &&
-			(listed || b.state != stateRemoved) {
-			entries = append(entries, b)
-		}
-	}
-	f := &g.events
+// writeEndpointUpdate writes an update of the given form for an instance and notes what the instance knows then.
+func (s *simulation) writeEndpointUpdate(inst *simInstance, form uint8, current []simBackend) {
 	if form != listFailed {
+		entries := inst.entriesFor(form, current)
 		if form != listDelta {
-			g.knownEndpoints = map[uint32]simBackend{}
+			inst.knownEndpoints = map[uint32]simBackend{}
 		}
-		s.listNumber = (s.listNumber + 1) % maxEndpointLists
-		f.begin(eventDefineEndpointList)
-		f.u32(s.listNumber)
-		f.u32(uint32(len(entries)))
+		s.defineEndpointList(&inst.events, entries)
 		for _, b := range entries {
-			g.knownEndpoints[b.id] = b
-			f.endpoint(b)
+			inst.knownEndpoints[b.id] = b
 		}
 	}
-	f.begin(eventEndpointUpdate)
-	f.u8(form)
-	f.u32(s.batchSeq)
-	f.u32(s.listNumber)
+	w := &inst.events
+	w.begin(eventEndpointUpdate)
+	w.u8(form)
+	w.u32(s.batchSeq)
+	w.u32(s.listNumber)
+}
+
+// entriesFor returns the entries that an update of the given form has for the instance.
+func (inst *simInstance) entriesFor(form uint8, current []simBackend) []simBackend {
+	var entries []simBackend
+	for _, b := range current {
+		known, listed := inst.knownEndpoints[b.id]
+		include := b.state != stateRemoved
+		if form == listDelta {
+			include = known.version != b.version && (listed || b.state != stateRemoved)
+		}
+		if include {
+			entries = append(entries, b)
+		}
+	}
+	return entries
+}
+
+// defineEndpointList writes a list under the next number.
+func (s *simulation) defineEndpointList(w *recordWriter, entries []simBackend) {
+	s.listNumber = (s.listNumber + 1) % maxEndpointLists
+	w.begin(eventDefineEndpointList)
+	w.u32(s.listNumber)
+	w.u32(uint32(len(entries)))
+	for _, b := range entries {
+		w.endpoint(b)
+	}
 }
 
-func (f *recordWriter) endpoint(b simBackend) {
-	f.u32(b.id)
-	f.u8(b.zone)
-	f.u16(0)
-	f.u16(b.cell)
-	f.u8(b.state)
-	f.f32(b.weight)
-	f.f64(b.startedAt)
+// endpoint writes an entry of an endpoint list.
+func (w *recordWriter) endpoint(b simBackend) {
+	w.u32(b.id)
+	w.u8(b.zone)
+	w.u16(0) // kind of machine
+	w.u16(b.cell)
+	w.u8(b.state)
+	w.f32(b.weight)
+	w.f64(b.startedAt)
 }
 
-// answerProbe answers a check of a backend.
-func (s *simulation) answerProbe(g *simInstance, id uint32) {
+// answerProbe answers a health check of a backend.
+func (s *simulation) answerProbe(inst *simInstance, backend uint32) {
 	if !s.settings.Capabilities.CanProbe {
 		s.t.Errorf("seed %d batch %d: probes are not allowed", s.seed, s.batchSeq)
 	}
-	s.notify(g, 0.01, func(f *recordWriter) {
-		f.begin(eventProbeResult)
-		f.u32(id)
-		f.u8(statusServed)
-		f.f64(0.01)
-		s.writeLoadReport(f, true, s.backends[0])
+	const latency = 0.01
+	s.notify(inst, latency, func(w *recordWriter) {
+		w.begin(eventProbeResult)
+		w.u32(backend)
+		w.u8(statusServed)
+		w.f64(latency)
+		s.writeLoadReport(w, true, s.backends[0])
 	})
 }
 
-func (s *simulation) writeLoadReport(f *recordWriter, told bool, b *simBackend) {
-	if !told {
-		f.u8(0)
+// writeLoadReport writes a backend's load report, or that none came along.
+func (s *simulation) writeLoadReport(w *recordWriter, included bool, b *simBackend) {
+	if !included {
+		w.u8(0)
 		return
 	}
-	f.u8(uint8(len(s.settings.LoadReport.Fields)))
+	w.u8(uint8(len(s.settings.LoadReport.Fields)))
 	for range s.settings.LoadReport.Fields {
-		f.f32(float64(b.inFlight) + s.Float64())
+		w.f32(float64(b.inFlight) + s.Float64())
 	}
 }
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -2,23 +2,25 @@
 
 import "slices"
 
-// openRequest finds the request that an action names.
-func (s *simulation) openRequest(g *simInstance, id uint32) *simRequest {
+// violation reports a rule that was broken for a request.
+func (s *simulation) violation(req *simRequest, what string) {
+	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id, req.class.Idempotency,
+		req.class.DedupeScope, what)
+}
+
+// openRequest returns the request that an action names, and fails the test unless the instance got it in its present
+// incarnation.
+func (s *simulation) openRequest(inst *simInstance, id uint32) *simRequest {
 	req := s.requests[id]
-	if req == nil || req.instance != g || !req.instanceRuns() {
+	if req == nil || req.instance != inst || !req.instanceRuns() {
 		s.t.Fatalf("seed %d batch %d: an action names request %d, which instance %d does not hold",
-			s.seed, s.batchSeq, id, g.number)
+			s.seed, s.batchSeq, id, inst.number)
 	}
 	return req
 }
 
-func (s *simulation) violation(req *simRequest, what string) {
-	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id, req.class.Idempotency,
-		req.class.DedupeScope, what)
-}
-
-// mayExecuteTwice tells whether an attempt on b could be a second effect; without b, whether a claim that there
-// was none, as Decline makes, could be wrong.
+// mayExecuteTwice tells whether an attempt at backend b could have a second effect. Without a backend it tells whether the
+// claim of a rejection, that a retry is harmless, could be wrong.
 func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
@@ -29,24 +31,25 @@
 		case b == nil:
 			return req.class.DedupeScope != "all"
 		}
-		return now > a.sentAt+req.class.DedupeWindowS || req.class.DedupeScope == "zone" && a.backend.zone != b.zone ||
+		return now > a.sentAt+req.class.DedupeWindowS ||
+			req.class.DedupeScope == "zone" && a.backend.zone != b.zone ||
 			req.class.DedupeScope == "cell" && a.backend.cell != b.cell
 	})
 }
 
-// checkSend holds the rules on a further attempt.
-func (s *simulation) checkSend(req *simRequest, b *simBackend) {
-	out := slices.ContainsFunc(req.attempts, func(a simAttempt) bool { return a.inFlight })
+// checkAttempt checks the rules on a new attempt of a request at a backend.
+func (s *simulation) checkAttempt(req *simRequest, b *simBackend) {
+	inFlight := slices.ContainsFunc(req.attempts, func(a simAttempt) bool { return a.inFlight })
 	for _, rule := range []struct {
 		broken bool
 		what   string
 	}{
-		{req.answered || req.ended && req.endedInBatch < s.batchSeq, "sent after its end"},
-		{req.streamedAttempt > 0 && req.streamedInBatch < s.batchSeq, "sent after its stream had started"},
-		{req.instance.knownEndpoints[b.id].state != stateReady, "sent to a backend that is not ready"},
+		{req.answered || req.endedBefore(s.batchSeq), "attempt after its end"},
+		{req.streamedBefore(s.batchSeq), "attempt after its response had started"},
+		{req.instance.knownEndpoints[b.id].state != stateReady, "attempt at a backend that is not ready"},
 		{len(req.attempts) >= s.settings.Capabilities.MaxAttempts, "more attempts than allowed"},
-		{out && !s.settings.Capabilities.CanHedge, "two attempts out at once"},
-		{req.mayExecuteTwice(b, s.now), "sent where a second effect is possible"},
+		{inFlight && !s.settings.Capabilities.CanHedge, "two attempts in flight at once"},
+		{req.mayExecuteTwice(b, s.now), "attempt where a second effect is possible"},
 	} {
 		if rule.broken {
 			s.violation(req, rule.what)
@@ -54,19 +57,40 @@
 	}
 }
 
-// checkFinalAnswer takes a final answer of the adapter. One that crosses the end of its request in the same batch is void.
-func (s *simulation) checkFinalAnswer(req *simRequest, declined bool) {
+// expectFinalAnswer checks after the deadline that a request has ended.
+func (s *simulation) expectFinalAnswer(req *simRequest) {
+	s.after(req.deadline+s.settings.Requirements.AnswerSlackS+s.settings.TickS-s.now, func() {
+		if req.instanceRuns() && !req.ended && req.streamedAttempt == 0 {
+			s.violation(req, "no final answer")
+		}
+	})
+}
+
+// handleFinalAnswer checks the rules on a final answer of the adapter and ends the request. An answer that crosses the end
+// of its request in the same batch is void.
+func (s *simulation) handleFinalAnswer(req *simRequest, rejected bool) {
+	if what := s.finalAnswerViolation(req, rejected); what != "" {
+		s.violation(req, what)
+	} else if req.ended {
+		return
+	}
+	req.answered = true
+	req.end(s.batchSeq)
+}
+
+// finalAnswerViolation returns the rule that a final answer breaks, or "".
+func (s *simulation) finalAnswerViolation(req *simRequest, rejected bool) string {
 	switch {
-	case req.answered || req.ended && req.endedInBatch < s.batchSeq:
-		s.violation(req, "a second final answer")
+	case req.answered || req.endedBefore(s.batchSeq):
+		return "a second final answer"
 	case req.ended:
-		return
-	case req.streamedAttempt > 0 && req.streamedInBatch < s.batchSeq:
-		s.violation(req, "answered after its stream had started")
+		return ""
+	case req.streamedBefore(s.batchSeq):
+		return "answered after its response had started"
 	case s.now > req.deadline+s.settings.Requirements.AnswerSlackS:
-		s.violation(req, "answered too late")
-	case declined && req.mayExecuteTwice(nil, s.now):
-		s.violation(req, "declined though it may have run")
+		return "answered too late"
+	case rejected && req.mayExecuteTwice(nil, s.now):
+		return "rejected though it may have executed"
 	}
-	req.ended, req.answered, req.endedInBatch = true, true, s.batchSeq
+	return ""
 }
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -1,50 +1,74 @@
 package main
 
+// simCustomer is a customer whose clients send requests to its set of gateways.
 type simCustomer struct {
-	id                         uint64
-	plan                       int
-	firstGateway, gatewayCount int // its gateways
-	meanInterval               float64
+	id           uint64
+	plan         int
+	firstGateway int // rank of the first gateway of its set; the others follow
+	gatewayCount int
+	meanInterval float64 // seconds between requests
 }
 
+// simRequest is one request of a client. A retry is a request of its own.
 type simRequest struct {
 	id              uint32
-	instance        *simInstance
-	incarnation     int
+	instance        *simInstance // that it was sent to
+	incarnation     int          // of the instance
 	class           *simClass
 	classIndex      int
 	customer        *simCustomer
 	units           float64
-	deadline        float64 // of this try
-	giveUpAt        float64 // the clock time at which the client gives up altogether
+	deadline        float64 // clock time at which the client stops waiting for this request
+	giveUpAt        float64 // clock time at which the client gives up with all its retries
 	attempts        []simAttempt
-	streamedAttempt int // 1 + the attempt whose stream has started
-	streamedInBatch uint32
-	ended, answered bool   // it has ended; the instance ended it
+	streamedAttempt int    // 1 + the attempt whose response has started; 0: none
+	streamedInBatch uint32 // the batch in which it started
+	ended           bool
 	endedInBatch    uint32 // the batch that ended it
+	answered        bool   // it was ended by a final answer of the instance
 }
 
-// instanceRuns tells whether the instance still runs that took the request.
-func (req *simRequest) instanceRuns() bool {
-	return req.instance.running && req.instance.incarnation == req.incarnation
+// instanceRuns tells whether the incarnation that got the request still runs.
+func (req *simRequest) instanceRuns() bool { return req.instance.runs(req.incarnation) }
+
+// end notes that the request has ended in a batch.
+func (req *simRequest) end(batchSeq uint32) {
+	req.ended = true
+	req.endedInBatch = batchSeq
+}
+
+// endedBefore tells whether the request ended in a batch before the given one.
+func (req *simRequest) endedBefore(batchSeq uint32) bool {
+	return req.ended && req.endedInBatch < batchSeq
+}
+
+// streamedBefore tells whether a response started in a batch before the given one.
+func (req *simRequest) streamedBefore(batchSeq uint32) bool {
+	return req.streamedAttempt > 0 && req.streamedInBatch < batchSeq
 }
 
+// addCustomer adds a customer of a plan. One of the instances belongs to its set.
 func (s *simulation) addCustomer(plan int) {
-	fleet, near := s.settings.FleetSize, s.instances[s.IntN(len(s.instances))]
-	spread := oneOf(s.draws, fleet, fleet, 1+s.IntN(fleet))
-	c := &simCustomer{id: s.Uint64N(1 << 33), plan: plan, gatewayCount: spread,
-		firstGateway: (near.rank - s.IntN(spread) + fleet) % fleet}
+	fleet := s.settings.FleetSize
+	member := s.instances[s.IntN(len(s.instances))]
+	gatewayCount := oneOf(s.draws, fleet, fleet, 1+s.IntN(fleet))
+	c := &simCustomer{
+		id:           s.Uint64N(1 << 33),
+		plan:         plan,
+		firstGateway: (member.rank - s.IntN(gatewayCount) + fleet) % fleet,
+		gatewayCount: gatewayCount,
+	}
 	s.drawInterval(c)
 	s.customers = append(s.customers, c)
 	s.after(s.ExpFloat64()*2, func() { s.nextArrival(c) })
 }
 
-// drawInterval draws how long a customer's requests are apart, from bursts to none for a minute.
+// drawInterval draws the mean time between a customer's requests, from bursts to none for a minute.
 func (s *simulation) drawInterval(c *simCustomer) {
 	c.meanInterval = oneOf(s.draws, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
 }
 
-// nextArrival lets a request of a customer come in, and the next one later.
+// nextArrival has a customer send a request, and schedules the next one.
 func (s *simulation) nextArrival(c *simCustomer) {
 	if s.chance(0.03) || c.meanInterval > 5 {
 		s.drawInterval(c)
@@ -58,57 +82,72 @@
 	s.after(s.ExpFloat64()*c.meanInterval, func() { s.nextArrival(c) })
 }
 
-// sendRequest has a client send a try to one of its customer's gateways. Some tries have less time than the client.
-func (s *simulation) sendRequest(c *simCustomer, class int, units, patience float64, repeat bool) {
-	g := s.instances[s.IntN(len(s.instances))]
-	fleet := s.settings.FleetSize
-	place := (g.rank - c.firstGateway + fleet) % fleet
-	if !g.running || s.now >= patience || place >= c.gatewayCount && !s.chance(0.05) {
-		return // unreachable, too late, or none of the customer's
+// sendRequest has a client send a request to one of its customer's gateways. Some requests have less time than the client.
+func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
+	inst := s.instances[s.IntN(len(s.instances))]
+	if !inst.running || s.now >= giveUpAt || !s.mayReach(c, inst) {
+		return
 	}
 	s.lastRequestID++
-	req := &simRequest{id: s.lastRequestID, instance: g, incarnation: g.incarnation, class: &s.settings.Classes[class], classIndex: class,
-		customer: c, units: units, giveUpAt: patience, deadline: patience}
+	req := &simRequest{
+		id:          s.lastRequestID,
+		instance:    inst,
+		incarnation: inst.incarnation,
+		class:       &s.settings.Classes[class],
+		classIndex:  class,
+		customer:    c,
+		units:       units,
+		deadline:    giveUpAt,
+		giveUpAt:    giveUpAt,
+	}
 	if s.chance(0.1) {
-		req.deadline = s.now + (patience-s.now)*s.Float64()
+		req.deadline = s.now + (giveUpAt-s.now)*s.Float64()
 	}
 	s.requests[req.id] = req
-	f := &g.events
-	f.begin(eventRequest)
-	f.u32(req.id)
-	f.f32(float64(c.firstGateway))
-	f.u16(c.plan)
-	f.u64(c.id)
-	f.f32(float64(c.gatewayCount))
-	f.f32(units)
-	f.u8(map[bool]uint8{true: flagRetry}[repeat])
-	f.u16(class)
-	f.f64(req.deadline)
-	s.after(req.deadline+s.settings.Requirements.AnswerSlackS+s.settings.TickS-s.now, func() {
-		if req.instanceRuns() && !req.ended && req.streamedAttempt == 0 {
-			s.violation(req, "no final answer")
-		}
-	})
+	inst.events.request(req, isRetry)
+	s.expectFinalAnswer(req)
 	if s.chance(0.1) {
 		s.after((req.deadline-s.now)*s.Float64(), func() { s.disconnect(req) })
 	}
 }
 
-// disconnect has the client go. Its news may cross the end of the request.
+// mayReach tells whether a customer's request may be sent to an instance: some are sent outside of the customer's set.
+func (s *simulation) mayReach(c *simCustomer, inst *simInstance) bool {
+	fleet := s.settings.FleetSize
+	place := (inst.rank - c.firstGateway + fleet) % fleet
+	return place < c.gatewayCount || s.chance(0.05)
+}
+
+// request writes the arrival of a request.
+func (w *recordWriter) request(req *simRequest, isRetry bool) {
+	w.begin(eventRequest)
+	w.u32(req.id)
+	w.f32(float64(req.customer.firstGateway))
+	w.u16(req.customer.plan)
+	w.u64(req.customer.id)
+	w.f32(float64(req.customer.gatewayCount))
+	w.f32(req.units)
+	w.flag(isRetry, flagRetry)
+	w.u16(req.classIndex)
+	w.f64(req.deadline)
+}
+
+// disconnect has the client of a request leave. The event may cross the end of the request.
 func (s *simulation) disconnect(req *simRequest) {
 	if !req.instanceRuns() {
 		return
 	}
 	if !req.ended {
-		req.ended, req.endedInBatch = true, s.batchSeq
+		req.end(s.batchSeq)
 	}
 	req.instance.events.begin(eventClientDisconnected)
 	req.instance.events.u32(req.id)
 }
 
-// retryLater has a client that was turned away try again, through any gateway.
-func (s *simulation) retryLater(req *simRequest, advice float64) {
-	if pause := advice + s.ExpFloat64()*0.2; !req.ended && s.chance(0.5) && s.now+pause < req.giveUpAt {
-		s.after(pause, func() { s.sendRequest(req.customer, req.classIndex, req.units, req.giveUpAt, true) })
+// retryLater has the client of a rejected request retry, through any gateway.
+func (s *simulation) retryLater(req *simRequest, retryAfter float64) {
+	backoff := retryAfter + s.ExpFloat64()*0.2
+	if !req.ended && s.chance(0.5) && s.now+backoff < req.giveUpAt {
+		s.after(backoff, func() { s.sendRequest(req.customer, req.classIndex, req.units, req.giveUpAt, true) })
 	}
 }
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -1,65 +1,92 @@
 package main
 
-type simCounterTotal struct{ total, expires float64 }
+// simCounterTotal is a number of the counter, which is forgotten after a while.
+type simCounterTotal struct {
+	total   float64
+	expires float64 // clock time
+}
 
-type simCounterName struct {
+// simCounterCaller is an instance with a name that it calls the counter for. Replies to one caller keep the calls' order.
+type simCounterCaller struct {
 	instance int
 	name     uint64
 }
 
-// changeCounter draws how the counter does for the next seconds, or has it lose all numbers.
+// counterOutcome is how a call to the counter ends.
+type counterOutcome struct {
+	status  uint8
+	latency float64
+	added   bool
+}
+
+// changeCounter draws how the counter does for the next seconds, and in some cases has it lose all numbers.
 func (s *simulation) changeCounter() {
-	s.counterCondition = oneOf(s.draws, healthy, healthy, healthy, "crowded", "slow", "silent", "unreachable", "spoilt")
+	s.counterCondition = oneOf(s.draws, healthy, healthy, healthy, overloaded, slow, silent, unreachable, malformed)
 	if s.chance(0.1) {
 		clear(s.counterTotals)
 	}
 }
 
-// callCounter answers a call to the counter. Replies to one instance for one name keep the order of the calls.
-func (s *simulation) callCounter(g *simInstance, name uint64, amount, keep float64) {
+// callCounter executes an instance's call to the counter and schedules its reply.
+func (s *simulation) callCounter(inst *simInstance, name uint64, amount, ttl float64) {
 	if !s.settings.QuotaCounter.HasCounter {
-		s.t.Errorf("seed %d batch %d: a call to a counter that is not there", s.seed, s.batchSeq)
+		s.t.Errorf("seed %d batch %d: a call to a counter that does not exist", s.seed, s.batchSeq)
 	}
-	status, took, added := uint8(statusServed), s.between(0.001, 0.02), true
-	switch luck := s.Float64(); {
-	case s.counterCondition == "crowded" && luck < 0.5 || luck < 0.01:
-		status, added = statusRejected, false
-	case s.counterCondition == "unreachable" && luck < 0.8 || luck < 0.02:
-		status, added = statusConnectFailed, false
-	case s.counterCondition == "silent" && luck < 0.8 || luck < 0.03:
-		status, took, added = statusTimeout, s.settings.QuotaCounter.CounterTimeoutS, s.chance(0.5)
-	case s.counterCondition == "slow":
-		took = s.settings.QuotaCounter.CounterTimeoutS * s.between(0.5, 1)
-	case s.counterCondition == "spoilt" && luck < 0.6:
-		status = oneOf[uint8](s.draws, statusFailed, statusReset)
+	outcome := s.drawCounterOutcome()
+	total := s.addToCounter(name, amount, ttl, outcome.added)
+	caller := simCounterCaller{inst.number, name}
+	repliedAt := max(s.now+outcome.latency, s.lastCounterReplyAt[caller])
+	s.lastCounterReplyAt[caller] = repliedAt
+	s.notify(inst, repliedAt-s.now, func(w *recordWriter) { w.counterReply(name, outcome.status, total, outcome.latency) })
+}
+
+// drawCounterOutcome draws how a call ends under the counter's present condition.
+func (s *simulation) drawCounterOutcome() counterOutcome {
+	timeout := s.settings.QuotaCounter.CounterTimeoutS
+	outcome := counterOutcome{status: statusServed, latency: s.between(0.001, 0.02), added: true}
+	luck := s.Float64()
+	switch {
+	case s.counterCondition == overloaded && luck < 0.5 || luck < 0.01:
+		outcome.status = statusRejected
+		outcome.added = false
+	case s.counterCondition == unreachable && luck < 0.8 || luck < 0.02:
+		outcome.status = statusConnectFailed
+		outcome.added = false
+	case s.counterCondition == silent && luck < 0.8 || luck < 0.03:
+		outcome.status = statusTimeout
+		outcome.latency = timeout
+		outcome.added = s.chance(0.5)
+	case s.counterCondition == slow:
+		outcome.latency = timeout * s.between(0.5, 1)
+	case s.counterCondition == malformed && luck < 0.6:
+		outcome.status = oneOf[uint8](s.draws, statusFailed, statusReset)
 	}
-	total := s.addToCounter(name, amount, keep, added)
-	call, at := simCounterName{g.number, name}, s.now+took
-	at = max(at, s.lastCounterReplyAt[call])
-	s.lastCounterReplyAt[call] = at
-	s.notify(g, at-s.now, func(f *recordWriter) {
-		f.begin(eventCounterReply)
-		f.u64(name)
-		f.u8(status)
-		f.f32(total)
-		f.f64(took)
-	})
+	return outcome
 }
 
-// addToCounter changes a number of the counter. Gateways outside the stream use what the customer has, too.
-func (s *simulation) addToCounter(name uint64, amount, keep float64, added bool) float64 {
+// addToCounter adds an amount to a number of the counter, unless the call failed, and returns the total. Gateways outside
+// of the stream may add to the customer's number, too.
+func (s *simulation) addToCounter(name uint64, amount, ttl float64, added bool) float64 {
 	c := s.counterTotals[name]
 	if s.now >= c.expires {
-		c = simCounterTotal{expires: s.now + keep}
+		c = simCounterTotal{expires: s.now + ttl}
 	}
 	if added {
 		c.total += amount
 	}
-	s.counterTotals[name] = c
 	total := c.total
 	if amount > 0 && s.chance(0.3) {
 		c.total += amount * s.Float64() * float64(min(s.settings.FleetSize-1, 4))
-		s.counterTotals[name] = c
 	}
+	s.counterTotals[name] = c
 	return total
 }
+
+// counterReply writes the reply to a call to the counter.
+func (w *recordWriter) counterReply(name uint64, status uint8, total, latency float64) {
+	w.begin(eventCounterReply)
+	w.u64(name)
+	w.u8(status)
+	w.f32(total)
+	w.f64(latency)
+}
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -12,113 +12,145 @@
 	"testing"
 )
 
-const instanceCount = 3
+// maxInstances is how many gateways of the fleet are simulated, at most.
+const maxInstances = 3
 
-// scheduledEvent is something due at a time: an event for an instance in its present life, or a change of the world.
-type scheduledEvent struct {
-	at            float64
-	fromDiscovery bool // discovery's news come first in a batch
-	apply         func()
-}
-
-// simInstance is one instance: what it has been told and the part of the batch that is for it.
+// simInstance is one simulated gateway.
 type simInstance struct {
-	number, rank   int
+	number         int // on the wire
+	rank           int // in the fleet
 	incarnation    int // counts the starts
 	running        bool
-	subscribed     bool
-	knownEndpoints map[uint32]simBackend // the list as this instance was told it
-	events         recordWriter
+	subscribed     bool                  // discovery sends it changes
+	knownEndpoints map[uint32]simBackend // the endpoint list as it was sent to this incarnation
+	events         recordWriter          // its part of the batch that is being put together
 }
 
-// simulation generates one stream and checks the replies to it.
+// runs tells whether the given incarnation runs.
+func (inst *simInstance) runs(incarnation int) bool {
+	return inst.running && inst.incarnation == incarnation
+}
+
+// scheduledEvent is something due at a time: an event for an instance, or a change of the world.
+type scheduledEvent struct {
+	at            float64 // clock time
+	fromDiscovery bool    // such events come first in a batch
+	apply         func()
+}
+
+// simulation generates the stream of one seed and checks the replies to it.
 type simulation struct {
 	draws
-	t                  *testing.T
-	seed               uint64
-	settings           simSettings
-	now, until         float64
-	tick               float64 // now in ticks
-	batchSeq           uint32
-	pending            []scheduledEvent // by time
-	instances          []*simInstance
-	backends           []*simBackend
-	cachedList         []simBackend // the list as instances hold it over a restart
-	customers          []*simCustomer
-	requests           map[uint32]*simRequest
-	lastRequestID      uint32
-	listNumber         uint32
-	counterTotals      map[uint64]simCounterTotal
-	counterCondition   string
-	lastCounterReplyAt map[simCounterName]float64
-	actionCounts       map[uint8]int // actions by code
-	adapterIn          io.Writer
-	adapterOut         io.Reader
-	batches            bytes.Buffer
-	replies            bytes.Buffer
+	t        *testing.T
+	seed     uint64
+	settings simSettings
+
+	now     float64          // clock time
+	until   float64          // clock time at which the stream ends
+	tick    float64          // now in ticks
+	pending []scheduledEvent // by time
+
+	instances     []*simInstance
+	backends      []*simBackend
+	cachedList    []simBackend // the endpoint list that an instance gets at its start
+	listNumber    uint32       // of the endpoint list that was defined last
+	customers     []*simCustomer
+	requests      map[uint32]*simRequest // by id
+	lastRequestID uint32
+
+	counterCondition   condition
+	counterTotals      map[uint64]simCounterTotal // by name
+	lastCounterReplyAt map[simCounterCaller]float64
+
+	batchSeq     uint32
+	toAdapter    io.Writer
+	fromAdapter  io.Reader
+	batches      bytes.Buffer  // all that was sent
+	replies      bytes.Buffer  // all that was received
+	actionCounts map[uint8]int // by code
 }
 
-// newSimulation draws the world of a seed and schedules what happens in it of itself.
-func newSimulation(t *testing.T, seed uint64, seen map[uint8]int, in io.Writer, out io.Reader) *simulation {
+// newSimulation draws the world of a seed and schedules what happens in it without a cause in the replies. It adds the
+// actions of the replies to actionCounts.
+func newSimulation(t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader) *simulation {
 	d := draws{rand.New(rand.NewPCG(seed, 1))}
-	s := &simulation{draws: d, t: t, seed: seed, actionCounts: seen, adapterIn: in, adapterOut: out, settings: d.settings(seed),
-		requests: map[uint32]*simRequest{}, counterTotals: map[uint64]simCounterTotal{}, lastCounterReplyAt: map[simCounterName]float64{},
-		now: d.between(5, 50)}
+	s := &simulation{
+		draws:              d,
+		t:                  t,
+		seed:               seed,
+		settings:           d.settings(seed),
+		now:                d.between(5, 50),
+		requests:           map[uint32]*simRequest{},
+		counterTotals:      map[uint64]simCounterTotal{},
+		lastCounterReplyAt: map[simCounterCaller]float64{},
+		toAdapter:          toAdapter,
+		fromAdapter:        fromAdapter,
+		actionCounts:       actionCounts,
+	}
 	s.until = s.now + d.between(60, 110)
 	if s.settings.TickS < 0.01 {
 		s.until = s.now + d.between(60, 70)
 	}
+	s.addWorld()
+	s.every(1.5, s.changeBackends)
+	s.every(4, s.changeCounter)
+	s.every(10, s.refreshCachedList)
+	s.every(0.5, s.sendStrayEvent)
+	s.every(30, s.restartInstance)
+	return s
+}
+
+// addWorld adds the backends, instances and customers that are there from the beginning.
+func (s *simulation) addWorld() {
 	for range 3 + s.IntN(4) {
 		s.addBackend(0)
 	}
 	s.refreshCachedList()
 	firstRank := s.IntN(s.settings.FleetSize)
-	for i := range min(instanceCount, s.settings.FleetSize) {
-		g := &simInstance{number: i, rank: (firstRank + i) % s.settings.FleetSize}
-		s.instances = append(s.instances, g)
-		s.after(s.Float64(), func() { s.start(g) })
+	for i := range min(maxInstances, s.settings.FleetSize) {
+		inst := &simInstance{number: i, rank: (firstRank + i) % s.settings.FleetSize}
+		s.instances = append(s.instances, inst)
+		s.after(s.Float64(), func() { s.start(inst) })
 	}
 	for i := range 3 * len(s.settings.Plans) {
 		s.addCustomer(i % len(s.settings.Plans))
 	}
-	s.every(1.5, s.changeBackends)
-	s.every(4, s.changeCounter)
-	s.every(10, s.refreshCachedList)
-	s.every(0.5, s.sendStrayEvent)
-	s.every(30, s.restartInstance)
-	return s
 }
 
-// every repeats something after random gaps.
-func (s *simulation) every(mean float64, happen func()) {
-	s.after(s.ExpFloat64()*mean, func() { happen(); s.every(mean, happen) })
-}
+// after schedules a change of the world; it happens in a later batch.
+func (s *simulation) after(delay float64, apply func()) { s.schedule(delay, false, apply) }
 
-// after schedules something; it happens in a later batch.
-func (s *simulation) after(delay float64, happen func()) { s.schedule(delay, false, happen) }
+// every repeats a change of the world at random intervals.
+func (s *simulation) every(meanInterval float64, apply func()) {
+	s.after(s.ExpFloat64()*meanInterval, func() {
+		apply()
+		s.every(meanInterval, apply)
+	})
+}
 
-func (s *simulation) schedule(delay float64, list bool, happen func()) {
-	e := scheduledEvent{s.now + max(delay, 0), list, happen}
-	at, _ := slices.BinarySearchFunc(s.pending, e.at, func(p scheduledEvent, at float64) int {
-		if p.at <= at { // events of the same time keep their order
-			return -1
+// notify schedules an event for an instance; it is void if the incarnation ends before.
+func (s *simulation) notify(inst *simInstance, delay float64, write func(w *recordWriter)) {
+	incarnation := inst.incarnation
+	s.after(delay, func() {
+		if inst.runs(incarnation) {
+			write(&inst.events)
 		}
-		return 1
 	})
-	s.pending = slices.Insert(s.pending, at, e)
 }
 
-// notify schedules an event for an instance; it is void if that is stopped before.
-func (s *simulation) notify(g *simInstance, delay float64, write func(f *recordWriter)) {
-	life := g.incarnation
-	s.after(delay, func() {
-		if g.running && g.incarnation == life {
-			write(&g.events)
+// schedule adds to the pending events. Events of the same time keep their order.
+func (s *simulation) schedule(delay float64, fromDiscovery bool, apply func()) {
+	event := scheduledEvent{s.now + max(delay, 0), fromDiscovery, apply}
+	i, _ := slices.BinarySearchFunc(s.pending, event.at, func(p scheduledEvent, at float64) int {
+		if p.at <= at {
+			return -1
 		}
+		return 1
 	})
+	s.pending = slices.Insert(s.pending, i, event)
 }
 
-// run exchanges batches with the adapter until the time is over.
+// run exchanges batches with the adapter until the stream ends or the test has failed.
 func (s *simulation) run() error {
 	for len(s.pending) > 0 && !s.t.Failed() {
 		s.tick = max(s.tick+1, math.Ceil(s.pending[0].at/s.settings.TickS))
@@ -126,20 +158,9 @@
 		if now > s.until {
 			break
 		}
-		s.now, s.batchSeq = now, s.batchSeq+1
-		n := slices.IndexFunc(s.pending, func(e scheduledEvent) bool { return e.at > now })
-		if n < 0 {
-			n = len(s.pending)
-		}
-		due := slices.Clone(s.pending[:n])
-		s.pending = slices.Delete(s.pending, 0, n)
-		for _, list := range []bool{true, false} {
-			for _, e := range due {
-				if e.fromDiscovery == list {
-					e.apply()
-				}
-			}
-		}
+		s.now = now
+		s.batchSeq++
+		s.applyDueEvents()
 		if err := s.exchange(); err != nil {
 			return fmt.Errorf("batch %d: %w", s.batchSeq, err)
 		}
@@ -147,157 +168,151 @@
 	return nil
 }
 
-// exchange sends the batch that has been put together and takes the reply.
-func (s *simulation) exchange() error {
-	var head, body recordWriter
-	for _, g := range s.instances {
-		if g.events.records > 0 {
-			body.begin(eventInstanceEvents)
-			body.u32(uint32(g.number))
-			body.data, body.records = append(body.data, g.events.data...), body.records+g.events.records
-			g.events = recordWriter{data: g.events.data[:0]}
+// applyDueEvents applies the pending events whose time has come, those of discovery first.
+func (s *simulation) applyDueEvents() {
+	n := slices.IndexFunc(s.pending, func(e scheduledEvent) bool { return e.at > s.now })
+	if n < 0 {
+		n = len(s.pending)
+	}
+	due := slices.Clone(s.pending[:n])
+	s.pending = slices.Delete(s.pending, 0, n)
+	for _, fromDiscovery := range []bool{true, false} {
+		for _, event := range due {
+			if event.fromDiscovery == fromDiscovery {
+				event.apply()
+			}
 		}
 	}
-	head.f64(s.now)
-	head.u32(uint32(len(body.data) + countedHeaderSize))
-	head.u32(body.records)
-	head.u32(s.batchSeq)
-	batch := append(head.data, body.data...)
+}
+
+// exchange sends the batch that has been put together, receives the reply and applies it.
+func (s *simulation) exchange() error {
+	batch := s.takeBatch()
 	s.batches.Write(batch)
-	if _, err := s.adapterIn.Write(batch); err != nil {
+	if _, err := s.toAdapter.Write(batch); err != nil {
 		return err
 	}
-	reply := make([]byte, 4)
-	if _, err := io.ReadFull(s.adapterOut, reply); err != nil {
+	reply := make([]byte, replyLengthSize)
+	if _, err := io.ReadFull(s.fromAdapter, reply); err != nil {
 		return err
 	}
 	reply = append(reply, make([]byte, binary.BigEndian.Uint32(reply))...)
-	if _, err := io.ReadFull(s.adapterOut, reply[4:]); err != nil {
+	if _, err := io.ReadFull(s.fromAdapter, reply[replyLengthSize:]); err != nil {
 		return err
 	}
 	s.replies.Write(reply)
-	return s.applyReply(reply[4:])
+	return s.applyReply(reply[replyLengthSize:])
+}
+
+// takeBatch returns the frame with the events of all instances, and begins an empty batch.
+func (s *simulation) takeBatch() []byte {
+	var header, body recordWriter
+	for _, inst := range s.instances {
+		if inst.events.records > 0 {
+			body.begin(eventInstanceEvents)
+			body.u32(uint32(inst.number))
+			body.appendRecords(&inst.events)
+			inst.events.reset()
+		}
+	}
+	header.f64(s.now)
+	header.u32(uint32(len(body.data) + countedHeaderSize))
+	header.u32(body.records)
+	header.u32(s.batchSeq)
+	return append(header.data, body.data...)
 }
 
 // applyReply lets the actions of a reply have their effects.
 func (s *simulation) applyReply(r replyReader) error {
-	records, number := r.u32(), r.u32()
-	if number != s.batchSeq {
-		return fmt.Errorf("the reply is to batch %d", number)
+	records := r.u32()
+	if seq := r.u32(); seq != s.batchSeq {
+		return fmt.Errorf("the reply is to batch %d", seq)
 	}
-	var g *simInstance
+	var inst *simInstance
 	for range records {
 		code := r.u8()
 		s.actionCounts[code]++
-		switch code {
-		case actionInstanceActions:
-			g = s.instances[r.u32()]
-		case actionSetTimer:
-			delay, token := r.f64(), r.number(8)
-			s.notify(g, delay, func(f *recordWriter) { f.begin(eventTimerFired); f.u64(token) })
-		case actionCounterAdd:
-			name, amount, keep := r.number(8), r.f32(), r.f64()
-			s.callCounter(g, name, amount, keep)
-		case actionPollEndpoints:
-			r.u8()
-			s.answerPoll(g)
-		case actionProbe:
-			s.answerProbe(g, r.u32())
-		case actionSendAttempt:
-			req := s.openRequest(g, r.u32())
-			patience, backend := r.f64(), r.u32()
-			s.startAttempt(req, patience, backend)
-		case actionCancelAttempt:
-			req := s.openRequest(g, r.u32())
-			s.cancelAttempt(req, int(r.u8()))
-		case actionReject, actionFailRequest:
-			req := s.openRequest(g, r.u32())
-			if code == actionReject {
-				s.retryLater(req, r.f64())
-			}
-			s.checkFinalAnswer(req, code == actionReject)
-		default:
-			return fmt.Errorf("unexpected action %d", code)
+		if code == actionInstanceActions {
+			inst = s.instances[r.u32()]
+			continue
+		}
+		if err := s.applyAction(inst, code, &r); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// start starts an instance with the list as it may have held it last.
-func (s *simulation) start(g *simInstance) {
-	g.running, g.subscribed, g.knownEndpoints = true, s.settings.Discovery == "push", map[uint32]simBackend{}
-	g.incarnation++
+// applyAction reads the fields of an action of an instance and lets it have its effect.
+func (s *simulation) applyAction(inst *simInstance, code uint8, r *replyReader) error {
+	switch code {
+	case actionSetTimer:
+		delay, token := r.f64(), r.u64()
+		s.notify(inst, delay, func(w *recordWriter) {
+			w.begin(eventTimerFired)
+			w.u64(token)
+		})
+	case actionCounterAdd:
+		name, amount, ttl := r.u64(), r.f32(), r.f64()
+		s.callCounter(inst, name, amount, ttl)
+	case actionPollEndpoints:
+		r.u8() // on or off
+		s.answerPoll(inst)
+	case actionProbe:
+		s.answerProbe(inst, r.u32())
+	case actionSendAttempt:
+		req := s.openRequest(inst, r.u32())
+		timeout, backendID := r.f64(), r.u32()
+		s.startAttempt(req, timeout, backendID)
+	case actionCancelAttempt:
+		req := s.openRequest(inst, r.u32())
+		s.cancelAttempt(req, int(r.u8()))
+	case actionReject:
+		req := s.openRequest(inst, r.u32())
+		s.retryLater(req, r.f64())
+		s.handleFinalAnswer(req, true)
+	case actionFailRequest:
+		s.handleFinalAnswer(s.openRequest(inst, r.u32()), false)
+	default:
+		return fmt.Errorf("unexpected action %d", code)
+	}
+	return nil
+}
+
+// start starts an instance with the endpoint list as it may have had it last.
+func (s *simulation) start(inst *simInstance) {
+	inst.running = true
+	inst.incarnation++
+	inst.subscribed = s.settings.Discovery == "push"
+	inst.knownEndpoints = map[uint32]simBackend{}
 	settings := s.settings
-	settings.Rank = g.rank
+	settings.Rank = inst.rank
 	text, err := json.Marshal(settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	g.events.begin(eventStartInstance)
-	g.events.u64(s.Uint64())
-	g.events.u32(uint32(len(text)))
-	g.events.data = append(g.events.data, text...)
-	s.writeEndpointUpdate(g, listCached, s.cachedList)
-	if g.subscribed {
-		s.scheduleEndpointUpdate(g, listFull)
+	w := &inst.events
+	w.begin(eventStartInstance)
+	w.u64(s.Uint64())
+	w.u32(uint32(len(text)))
+	w.data = append(w.data, text...)
+	s.writeEndpointUpdate(inst, listCached, s.cachedList)
+	if inst.subscribed {
+		s.scheduleEndpointUpdate(inst, listFull)
 	}
 }
 
+// restartInstance kills an instance and starts it again, in some cases in the same batch.
 func (s *simulation) restartInstance() {
-	g := s.instances[s.IntN(len(s.instances))]
-	if !g.running {
+	inst := s.instances[s.IntN(len(s.instances))]
+	if !inst.running {
 		return
 	}
-	g.running = false
-	g.events.begin(eventStopInstance)
+	inst.running = false
+	inst.events.begin(eventStopInstance)
 	if s.chance(0.3) {
-		s.start(g)
+		s.start(inst)
 	} else {
-		s.after(s.between(0.5, 5), func() { s.start(g) })
-	}
-}
-
-// sendStrayEvent sends an instance something that it need not expect: of unknown or finished requests and attempts,
-// unknown tokens and names, data of a peer.
-func (s *simulation) sendStrayEvent() {
-	g := s.instances[s.IntN(len(s.instances))]
-	if !g.running {
-		return
-	}
-	f, unknown := &g.events, &simRequest{id: 1<<31 + s.Uint32N(1<<20), attempts: []simAttempt{{backend: s.backends[0]}}}
-	switch s.IntN(6) {
-	case 0:
-		s.writeAttemptEnd(f, unknown, 0, statusServed, 0)
-	case 1:
-		f.begin(eventTimerFired)
-		f.u64(0xee<<56 | uint64(s.Uint32()))
-	case 2:
-		f.begin(eventCounterReply)
-		f.u64(s.Uint64())
-		f.u8(statusServed)
-		f.f32(3)
-		f.f64(0.01)
-	case 3:
-		f.begin(eventPeerMessage)
-		f.u32(0)
-		f.u16(2)
-		f.u16(0x6869)
-	case 4:
-		f.begin(eventResponseStarted)
-		f.u32(unknown.id)
-		f.u32(s.backends[0].id)
-		f.f64(0.1)
-		f.u8(0)
-	case 5:
-		s.repeatAttemptEnd(f, g)
-	}
-}
-
-// repeatAttemptEnd ends an attempt of a recent request a second time.
-func (s *simulation) repeatAttemptEnd(f *recordWriter, g *simInstance) {
-	req := s.requests[s.lastRequestID-min(s.lastRequestID, s.Uint32N(20))]
-	if req == nil || req.instance != g || !req.instanceRuns() || len(req.attempts) == 0 || req.attempts[0].inFlight {
-		return
+		s.after(s.between(0.5, 5), func() { s.start(inst) })
 	}
-	s.writeAttemptEnd(f, req, 0, statusFailed, 0)
 }
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -24,6 +24,7 @@
 	Weights      string             `json:"weights"`
 }
 
+// simCapabilities are what the deployment permits.
 type simCapabilities struct {
 	CanCancel         bool    `json:"cancel"`
 	ConnectTimeoutS   float64 `json:"connectTimeoutS"`
@@ -35,6 +36,7 @@
 	CanSendRetryAfter bool    `json:"retryAfter"`
 }
 
+// simClass is a class of requests.
 type simClass struct {
 	ObjectivePerUnitS float64 `json:"aimStretch,omitempty"`
 	DeadlineS         float64 `json:"deadlineS"`
@@ -48,6 +50,7 @@
 	DedupeWindowS     float64 `json:"windowS"`
 }
 
+// simPlan is a plan with its quotas, which apply per customer.
 type simPlan struct {
 	MaxConcurrent   int     `json:"atOnce"`
 	OverQuotaCost   float64 `json:"beyondCosts"`
@@ -61,6 +64,7 @@
 	Rate            float64 `json:"unitsPerS"`
 }
 
+// simQuotaCounter describes the counter and the units that requests draw.
 type simQuotaCounter struct {
 	CounterPrice    float64 `json:"counterPrice"`
 	CounterTimeoutS float64 `json:"counterTimeoutS"`
@@ -69,11 +73,13 @@
 	UnitsEstimated  bool    `json:"truedUp"`
 }
 
+// simLoadReport describes the load reports of backends.
 type simLoadReport struct {
 	Fields   []string `json:"fields"`
 	Delivery string   `json:"how"`
 }
 
+// simRequirements are the figures that the rules refer to.
 type simRequirements struct {
 	AnswerSlackS      float64 `json:"answerSlackS"`
 	PollIntervalS     float64 `json:"askEveryS"`
@@ -84,51 +90,121 @@
 	OverloadDurationS float64 `json:"overloadForS"`
 }
 
-// draws are the random draws of a stream.
+// draws are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped or moved changes
+// all streams.
 type draws struct{ *rand.Rand }
 
+// chance draws whether something of probability p happens.
 func (d draws) chance(p float64) bool { return d.Float64() < p }
 
+// between draws a number that is evenly distributed.
 func (d draws) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
+// oneOf draws one of the values, all equally likely.
 func oneOf[T any](d draws, values ...T) T { return values[d.IntN(len(values))] }
 
-// settings draws a deployment. The size of the fleet and the use of a counter go round with the seed, so that
-// few seeds meet them all.
+// settings draws a deployment. The size of the fleet and the use of a counter depend on the seed alone, so that few seeds
+// cover them all.
 func (d draws) settings(seed uint64) simSettings {
 	s := simSettings{
-		FleetSize: []int{3, 60, 1, 8, 5}[seed%5], TickS: oneOf(d, 0.004, 0.02, 0.04),
-		Discovery: oneOf(d, "push", "ask"), Weights: oneOf(d, "off", "nominal", "rough", "live"),
-		Kinds: []string{"small", "wide"}, Zones: []string{"east", "west", "north"}, Zone: d.IntN(3),
-		Capabilities: simCapabilities{CanCancel: d.chance(0.6), ConnectTimeoutS: 0.25, MaxOpen: 20000, MaxRetryAfterS: 0.5,
-			CanHedge: d.chance(0.6), MaxAttempts: 1 + d.IntN(5), CanProbe: d.chance(0.5), CanSendRetryAfter: d.chance(0.6)},
-		QuotaCounter: simQuotaCounter{CounterPrice: 0.02, CounterTimeoutS: 0.08, HasCounter: seed%4 != 3,
-			MaxUnits: 1 + d.IntN(4), UnitsEstimated: d.chance(0.3)},
-		LoadReport: simLoadReport{[]string{"pending", "busy_reqs"}, oneOf(d, "inline", "on_probe", "off")},
-		Requirements: simRequirements{AnswerSlackS: 0.016, PollIntervalS: 10, SlowStartMinShare: d.between(0.1, 0.5),
-			SlowStartWindowS: oneOf(d, 0, 5.0, 13.0), DrainGraceS: 2, OverloadFactor: 2, OverloadDurationS: 2},
-		Prices: map[string]float64{"crossZone": oneOf(d, 0, 0.1), "waste": 0.05, "lateFail": 0.05, "probe": 0.01},
+		FleetSize:    []int{3, 60, 1, 8, 5}[seed%5],
+		TickS:        oneOf(d, 0.004, 0.02, 0.04),
+		Discovery:    oneOf(d, "push", "ask"),
+		Weights:      oneOf(d, "off", "nominal", "rough", "live"),
+		Kinds:        []string{"small", "wide"},
+		Zones:        []string{"east", "west", "north"},
+		Zone:         d.IntN(3),
+		Capabilities: d.capabilities(),
+		QuotaCounter: d.quotaCounter(seed%4 != 3),
+		LoadReport: simLoadReport{
+			Fields:   []string{"pending", "busy_reqs"},
+			Delivery: oneOf(d, "inline", "on_probe", "off"),
+		},
+		Requirements: d.requirements(),
+		Prices:       map[string]float64{"crossZone": oneOf(d, 0, 0.1), "waste": 0.05, "lateFail": 0.05, "probe": 0.01},
 	}
-	for _, c := range []struct{ effect, scope string }{{"repeatable", "all"}, {"repeatable", "all"}, {"once", "all"},
-		{"by_key", "all"}, {"by_key", "zone"}, {"by_key", "cell"}} {
-		aim := d.between(0.2, 2)
-		s.Classes = append(s.Classes, simClass{ObjectivePerUnitS: oneOf(d, 0, 0, 2.0), DeadlineS: aim * d.between(1.5, 4),
-			Idempotency: c.effect, DedupeScope: c.scope, LateWeightShare: oneOf(d, 0, 0.4), ObjectiveS: aim,
-			Name: fmt.Sprintf("class-%d", len(s.Classes)), PriorityWeight: 1 + float64(d.IntN(8)),
-			Streamed: c.effect != "by_key" && d.chance(0.4), DedupeWindowS: oneOf(d, 0.6, 0.9, 5.0)})
+	s.Classes = d.classes()
+	s.Plans = d.plans()
+	return s
+}
+
+func (d draws) capabilities() simCapabilities {
+	return simCapabilities{
+		CanCancel:         d.chance(0.6),
+		ConnectTimeoutS:   0.25,
+		MaxOpen:           20000,
+		MaxRetryAfterS:    0.5,
+		CanHedge:          d.chance(0.6),
+		MaxAttempts:       1 + d.IntN(5),
+		CanProbe:          d.chance(0.5),
+		CanSendRetryAfter: d.chance(0.6),
+	}
+}
+
+func (d draws) quotaCounter(hasCounter bool) simQuotaCounter {
+	return simQuotaCounter{
+		CounterPrice:    0.02,
+		CounterTimeoutS: 0.08,
+		HasCounter:      hasCounter,
+		MaxUnits:        1 + d.IntN(4),
+		UnitsEstimated:  d.chance(0.3),
+	}
+}
+
+func (d draws) requirements() simRequirements {
+	return simRequirements{
+		AnswerSlackS:      0.016,
+		PollIntervalS:     10,
+		SlowStartMinShare: d.between(0.1, 0.5),
+		SlowStartWindowS:  oneOf(d, 0, 5.0, 13.0),
+		DrainGraceS:       2,
+		OverloadFactor:    2,
+		OverloadDurationS: 2,
+	}
+}
+
+// classes draws a class for each kind of idempotency, and one more of those that may be retried at will.
+func (d draws) classes() []simClass {
+	var classes []simClass
+	for _, kind := range []struct{ idempotency, scope string }{
+		{"repeatable", "all"}, {"repeatable", "all"}, {"once", "all"}, {"by_key", "all"}, {"by_key", "zone"}, {"by_key", "cell"},
+	} {
+		objective := d.between(0.2, 2)
+		classes = append(classes, simClass{
+			ObjectivePerUnitS: oneOf(d, 0, 0, 2.0),
+			DeadlineS:         objective * d.between(1.5, 4),
+			Idempotency:       kind.idempotency,
+			DedupeScope:       kind.scope,
+			LateWeightShare:   oneOf(d, 0, 0.4),
+			ObjectiveS:        objective,
+			Name:              fmt.Sprintf("class-%d", len(classes)),
+			PriorityWeight:    1 + float64(d.IntN(8)),
+			Streamed:          kind.idempotency != "by_key" && d.chance(0.4),
+			DedupeWindowS:     oneOf(d, 0.6, 0.9, 5.0),
+		})
 	}
+	return classes
+}
+
+// plans draws a plan for each combination of quotas: none, by rate, with a ceiling, and by concurrency.
+func (d draws) plans() []simPlan {
 	rate := d.between(0.5, 4)
-	s.Plans = []simPlan{{},
+	plans := []simPlan{
+		{},
 		{Rate: rate, Burst: d.between(2, 16)},
 		{Rate: 4 + 3*rate, Burst: d.between(5, 30)},
 		{Rate: rate, Burst: d.between(3, 15), CeilingRate: rate * d.between(1, 3), CeilingBurst: d.between(4, 30)},
 		{Rate: 3 * rate, Burst: d.between(4, 15), CeilingRate: 4 * rate, CeilingBurst: 400, OverQuotaWeight: 0.6},
-		{MaxConcurrent: 1 + d.IntN(8), Rate: oneOf(d, 0, rate)}, {MaxConcurrent: 2, Rate: 2, Burst: 4},
-		{Rate: 0.1, Burst: 1}}
-	for i := range s.Plans {
-		p := &s.Plans[i]
-		p.Name, p.WeightFactor, p.CeilingSlack = fmt.Sprintf("plan-%d", i), d.between(0.3, 2), 3
+		{MaxConcurrent: 1 + d.IntN(8), Rate: oneOf(d, 0, rate)},
+		{MaxConcurrent: 2, Rate: 2, Burst: 4},
+		{Rate: 0.1, Burst: 1},
+	}
+	for i := range plans {
+		p := &plans[i]
+		p.Name = fmt.Sprintf("plan-%d", i)
+		p.WeightFactor = d.between(0.3, 2)
+		p.CeilingSlack = 3
 		p.OverQuotaCost = oneOf(d, 0, 0.3, 1.2)
 	}
-	return s
+	return plans
 }
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -5,24 +5,68 @@
 	"math"
 )
 
-// Record codes of the wire, with the statuses and forms that the generator uses.
+// Codes of the records in a batch.
 const (
-	eventStartInstance, eventEndpointUpdate, eventRequest, eventResponseStarted, eventAttemptEnd    = 16, 17, 18, 19, 20
-	eventClientDisconnected, eventTimerFired, eventProbeResult, eventPeerMessage, eventStopInstance = 21, 22, 23, 24, 25
-	eventCounterReply, eventDefineEndpointList, eventInstanceEvents                                 = 26, 27, 28
+	eventStartInstance      = 16
+	eventEndpointUpdate     = 17
+	eventRequest            = 18
+	eventResponseStarted    = 19
+	eventAttemptEnd         = 20
+	eventClientDisconnected = 21
+	eventTimerFired         = 22
+	eventProbeResult        = 23
+	eventPeerMessage        = 24
+	eventStopInstance       = 25
+	eventCounterReply       = 26
+	eventDefineEndpointList = 27
+	eventInstanceEvents     = 28
+)
 
-	actionProbe, actionCancelAttempt, actionSetTimer, actionCounterAdd, actionReject = 80, 81, 82, 85, 86
-	actionInstanceActions, actionPollEndpoints, actionFailRequest, actionSendAttempt = 87, 88, 89, 91
+// Codes of the records in a reply.
+const (
+	actionProbe           = 80
+	actionCancelAttempt   = 81
+	actionSetTimer        = 82
+	actionCounterAdd      = 85
+	actionReject          = 86
+	actionInstanceActions = 87
+	actionPollEndpoints   = 88
+	actionFailRequest     = 89
+	actionSendAttempt     = 91
+)
 
-	statusServed, statusFailed, statusRejected, statusTimeout, statusConnectFailed = 0, 255, 254, 253, 252
-	statusReset, statusCancelled, statusNotSent                                    = 251, 250, 249
+// Statuses of attempts, probes and calls to the counter.
+const (
+	statusServed        = 0
+	statusNotSent       = 249
+	statusCancelled     = 250
+	statusReset         = 251
+	statusConnectFailed = 252
+	statusTimeout       = 253
+	statusRejected      = 254
+	statusFailed        = 255
+)
 
-	listFull, listDelta, listCached, listFailed = 0, 1, 2, 3
-	stateRemoved, stateReady, stateDraining     = 0, 1, 2
+// Forms of an endpoint update.
+const (
+	listFull   = 0
+	listDelta  = 1
+	listCached = 2
+	listFailed = 3
+)
 
-	flagRetry         = 2
+// States of a backend in a list.
+const (
+	stateRemoved  = 0
+	stateReady    = 1
+	stateDraining = 2
+)
+
+const (
+	flagRetry         = 2  // of a request: the client marks it as a retry
 	countedHeaderSize = 8  // bytes of a batch header that the length counts
-	maxEndpointLists  = 16 // lists that can be in use at a time
+	maxEndpointLists  = 16 // lists that can be defined at a time
+	replyLengthSize   = 4  // bytes of a reply's length, which it does not count
 )
 
 // provesNotExecuted tells whether a status proves that an attempt had no effect.
@@ -30,29 +74,49 @@
 	return status == statusRejected || status == statusConnectFailed || status == statusNotSent
 }
 
-// recordWriter builds the records of one instance in a batch.
+// recordWriter appends records and their fields, which are big-endian and not padded.
 type recordWriter struct {
 	data    []byte
-	records uint32
+	records uint32 // how many have begun
 }
 
-func (f *recordWriter) begin(code uint8) { f.data, f.records = append(f.data, code), f.records+1 }
-
-func (f *recordWriter) u8(v uint8) { f.data = append(f.data, v) }
-
-func (f *recordWriter) u16(v int) { f.data = binary.BigEndian.AppendUint16(f.data, uint16(v)) }
-
-func (f *recordWriter) u32(v uint32) { f.data = binary.BigEndian.AppendUint32(f.data, v) }
+// begin starts a record; its fields follow.
+func (w *recordWriter) begin(code uint8) {
+	w.u8(code)
+	w.records++
+}
 
-func (f *recordWriter) u64(v uint64) { f.data = binary.BigEndian.AppendUint64(f.data, v) }
+// appendRecords appends the records of another writer.
+func (w *recordWriter) appendRecords(other *recordWriter) {
+	w.data = append(w.data, other.data...)
+	w.records += other.records
+}
 
-func (f *recordWriter) f64(v float64) { f.u64(math.Float64bits(v)) }
+// reset empties the writer and keeps its buffer.
+func (w *recordWriter) reset() {
+	w.data = w.data[:0]
+	w.records = 0
+}
 
-func (f *recordWriter) f32(v float64) { f.u32(math.Float32bits(float32(v))) }
+func (w *recordWriter) u8(v uint8)    { w.data = append(w.data, v) }
+func (w *recordWriter) u16(v int)     { w.data = binary.BigEndian.AppendUint16(w.data, uint16(v)) }
+func (w *recordWriter) u32(v uint32)  { w.data = binary.BigEndian.AppendUint32(w.data, v) }
+func (w *recordWriter) u64(v uint64)  { w.data = binary.BigEndian.AppendUint64(w.data, v) }
+func (w *recordWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
+func (w *recordWriter) f32(v float64) { w.u32(math.Float32bits(float32(v))) }
+
+// flag writes a bit value if it is set, and 0 otherwise.
+func (w *recordWriter) flag(set bool, bit uint8) {
+	if !set {
+		bit = 0
+	}
+	w.u8(bit)
+}
 
-// replyReader takes fields from a reply; a reply that is too short panics, which fails the test.
+// replyReader takes fields from a reply. A reply that is too short panics, which fails the test.
 type replyReader []byte
 
+// number takes an unsigned number of n bytes.
 func (r *replyReader) number(n int) (v uint64) {
 	for _, b := range (*r)[:n] {
 		v = v<<8 | uint64(b)
@@ -61,10 +125,8 @@
 	return v
 }
 
-func (r *replyReader) u8() uint8 { return uint8(r.number(1)) }
-
-func (r *replyReader) u32() uint32 { return uint32(r.number(4)) }
-
-func (r *replyReader) f64() float64 { return math.Float64frombits(r.number(8)) }
-
+func (r *replyReader) u8() uint8    { return uint8(r.number(1)) }
+func (r *replyReader) u32() uint32  { return uint32(r.number(4)) }
+func (r *replyReader) u64() uint64  { return r.number(8) }
+func (r *replyReader) f64() float64 { return math.Float64frombits(r.u64()) }
 func (r *replyReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
