--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -3,43 +3,55 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"math"
+	"errors"
 	"os"
 	"os/exec"
 	"strings"
 	"testing"
 )
 
+// settings are those of the instances in this file's batches.
 const settings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
 	"tickS": 0.002, "allowed": {"mostTries": 2}}`
 
+// encodeBatch returns the frame of a batch with the given records, at clock time 5.
 func encodeBatch(seq uint32, records ...[]byte) []byte {
 	var body []byte
-	for _, r := range records {
-		body = append(body, r...)
+	for _, record := range records {
+		body = append(body, record...)
 	}
-	out := binary.BigEndian.AppendUint64(nil, math.Float64bits(5))
-	out = binary.BigEndian.AppendUint32(out, uint32(len(body)+8))
-	out = binary.BigEndian.AppendUint32(out, uint32(len(records)))
-	return append(binary.BigEndian.AppendUint32(out, seq), body...)
+	var header recordWriter
+	header.f64(5)
+	header.u32(uint32(len(body) + countedHeaderSize))
+	header.u32(uint32(len(records)))
+	header.u32(seq)
+	return append(header.data, body...)
 }
 
-func instanceRecord(n byte) []byte { return []byte{28, 0, 0, 0, n} }
+// instanceRecord names the instance that the next records are for.
+func instanceRecord(number byte) []byte { return []byte{eventInstanceEvents, 0, 0, 0, number} }
 
-func attach() []byte {
-	out := binary.BigEndian.AppendUint32(append([]byte{16}, make([]byte, 8)...), uint32(len(settings)))
-	return append(out, settings...)
+// startRecord starts an instance with the seed 0.
+func startRecord() []byte {
+	var w recordWriter
+	w.begin(eventStartInstance)
+	w.u64(0)
+	w.u32(uint32(len(settings)))
+	return append(w.data, settings...)
 }
 
-func TestRestartInOneBatch(t *testing.T) {
-	in := encodeBatch(1, instanceRecord(2), attach(), []byte{25}, attach())
-	in = append(in, encodeBatch(2)...)
-	var out bytes.Buffer
-	if err := serve(bytes.NewReader(in), &out); err != nil {
+// stopRecord stops an instance.
+func stopRecord() []byte { return []byte{eventStopInstance} }
+
+// An instance that restarts within a batch acts for its new incarnation alone, and has no part in the next reply.
+func TestRestartWithinBatch(t *testing.T) {
+	batches := encodeBatch(1, instanceRecord(2), startRecord(), stopRecord(), startRecord())
+	batches = append(batches, encodeBatch(2)...)
+	got, err := replay(batches)
+	if err != nil {
 		t.Fatal(err)
 	}
-	got := out.Bytes()
-	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // its name and one timer, from the new life only
+	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // the instance and one timer, from the new incarnation only
 		t.Errorf("%d records in the first reply, want 2", n)
 	}
 	if second := got[4+binary.BigEndian.Uint32(got):]; !bytes.Equal(second, []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 2}) {
@@ -47,35 +59,48 @@
 	}
 }
 
-func TestUnknownPlanAndInstance(t *testing.T) {
-	ask := append([]byte{18}, make([]byte, 37)...)
-	ask[10] = 9 // plan
-	for _, in := range [][]byte{encodeBatch(1, instanceRecord(2), attach(), ask), encodeBatch(1, instanceRecord(2), []byte{25})} {
-		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Error("no error")
-		}
+// A request of a plan that the settings don't have, and an event for an instance that has not started, are errors.
+func TestUnknownPlanOrInstanceIsAnError(t *testing.T) {
+	request := append([]byte{eventRequest}, make([]byte, 37)...)
+	request[10] = 9 // the plan
+	for name, c := range map[string]struct {
+		batch []byte
+		want  error
+	}{
+		"plan":     {encodeBatch(1, instanceRecord(2), startRecord(), request), unknownClassOrPlanError(0)},
+		"instance": {encodeBatch(1, instanceRecord(2), stopRecord()), notStartedError(2)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := replay(c.batch); !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
-// TestMain lets the test binary stand in for the command.
+// asCommandKey is the environment variable that makes the test binary run as the command.
+const asCommandKey = "SIMADAPTER_TEST_AS_COMMAND"
+
+// TestMain lets the test binary run as the command.
 func TestMain(m *testing.M) {
-	if os.Getenv("SIMADAPTER_TEST_RUN") != "" {
+	if os.Getenv(asCommandKey) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
+// Malformed input ends the command with one line on standard error.
 func TestMalformedInputEndsTheCommand(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "SIMADAPTER_TEST_RUN=1")
+	cmd.Env = append(os.Environ(), asCommandKey+"=1")
 	cmd.Stdin = strings.NewReader("this is no frame, but it is long enough")
-	var errs bytes.Buffer
-	cmd.Stderr = &errs
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Run(); err == nil {
 		t.Error("exit 0")
 	}
-	if text := errs.String(); strings.Count(text, "\n") != 1 || strings.Contains(text, "goroutine") {
+	if text := stderr.String(); strings.Count(text, "\n") != 1 || strings.Contains(text, "goroutine") {
 		t.Errorf("want one plain line on stderr, got %q", text)
 	}
 }
