--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -21,8 +21,9 @@
 	testTimeout    = 20 * time.Second // bounds every wait of a test; none is expected to take so long
 )
 
-// descriptorLimitConfig is the configuration of a gateway whose customers always need the counter.
-// Its verbs are the addresses of clients, discovery, counter and backend, with the descriptor limit after the counter.
+// descriptorLimitConfig is the configuration of a gateway whose customers always need the counter. Its
+// verbs are the addresses of clients, discovery, counter and backend, with the descriptor limit after the
+// counter.
 const descriptorLimitConfig = `{"name": "n0", "listen": %q, "discovery": %q, "counter": %q, "seed": "1",
 	"limits": {"cores": 1, "memory_mb": 64, "sockets": %d},
 	"known": {"generation": 0, "reset": true, "instances": [{"instanceId": "s-1", "hostPort": %q, "zone": "a",
@@ -33,9 +34,9 @@
 	"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1}],
 	"packages": [{"name": "p", "pays": 1, "unitsPerS": 0.05, "depth": 100}]}}`
 
-// Idle clients may use all the descriptors that are theirs while discovery is down. What needs a descriptor when
-// discovery returns still gets one under the system's limit: discovery, the counter with all its connections, backends
-// and health checks.
+// Idle clients may use all the descriptors that are theirs while discovery is down. What needs a descriptor
+// when discovery returns still gets one under the system's limit: discovery, the counter with all its
+// connections, backends and health checks.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	var discoveryUp atomic.Bool
 	counterUnblocked := make(chan struct{})
@@ -148,7 +149,8 @@
 	}
 }
 
-// do sends a request on a new connection and returns the status, or 0 if the gateway closes the connection unread.
+// do sends a request on a new connection and returns the status, or 0 if the gateway closes the connection
+// unread.
 func (c *descriptorClient) do(text string) (status int) {
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -10,8 +10,8 @@
 	"amberlb/internal/lab/soak"
 )
 
-// A log that nobody reads, be its pipe closed or full, neither ends a gateway nor blocks its requests or its graceful
-// shutdown.
+// A log that nobody reads, be its pipe closed or full, neither ends a gateway nor blocks its requests or
+// its graceful shutdown.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	t.Parallel()
 	for name, closed := range map[string]bool{"closed": true, "full": false} {
--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -1,5 +1,6 @@
-// Amberlb is one gateway on real sockets. The environment variable EDGE_CONFIG names its configuration file. SIGHUP
-// reloads the file; SIGTERM and SIGINT start a graceful shutdown, which answers the requests that are open.
+// Amberlb is one gateway on real sockets. The environment variable EDGE_CONFIG names its configuration
+// file. SIGHUP reloads the file; SIGTERM and SIGINT start a graceful shutdown, which answers the requests
+// that are open.
 package main
 
 import (
@@ -51,7 +52,8 @@
 	}
 }
 
-// run reads the configuration and runs the gateway until ctx ends. Each signal on hup reloads the configuration.
+// run reads the configuration and runs the gateway until ctx ends. Each signal on hup reloads the
+// configuration.
 func run(ctx context.Context, hup <-chan os.Signal, log io.Writer) error {
 	path := os.Getenv(configPathKey)
 	if path == "" {
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// SIGHUP before the gateway is ready, and together with SIGTERM, must not end it in another way than SIGTERM does.
+// SIGHUP before the gateway is ready, and together with SIGTERM, must not end it in another way than
+// SIGTERM does.
 func TestReloadSignalsDuringStartAndShutdown(t *testing.T) {
 	polled := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -17,20 +17,21 @@
 
 const sweepStep = 20 * time.Millisecond // between the moments of a sweep
 
-// commandEnv makes the test binary run as the command. The race detector would sleep for a second before an exit.
+// commandEnv makes the test binary run as the command. The race detector would sleep for a second before an
+// exit.
 var commandEnv = []string{asCommandKey + "=1", "GORACE=atexit_sleep_ms=0"}
 
-// shutdownSweep is one graceful shutdown with a request on each of many connections that were opened before it. The
-// requests come at moments that are a step apart.
+// shutdownSweep is one graceful shutdown with a request on each of many connections that were opened before
+// it. The requests come at moments that are a step apart.
 type shutdownSweep struct {
 	deadline   time.Duration // of the one class, whose requests are not idempotent
 	lastMoment time.Duration // after SIGTERM
 	inHalves   bool          // the requests begin right after SIGTERM, and their second half comes at the moment
 }
 
-// A gateway in graceful shutdown answers every request that it admits, whatever moment of the shutdown the request comes
-// at and whatever the deadlines are, while all backends hang. The incident's own values are a deadline of 2.412 s and a
-// request 0.600 s after SIGTERM.
+// A gateway in graceful shutdown answers every request that it admits, whatever moment of the shutdown the
+// request comes at and whatever the deadlines are, while all backends hang. The incident's own values are a
+// deadline of 2.412 s and a request 0.600 s after SIGTERM.
 func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 2412 * time.Millisecond,
@@ -51,8 +52,9 @@
 	}
 }
 
-// A request that a shutdown finds half read, or that begins during it, is answered however late its last byte comes: the
-// gateway has read a part of it, so its client can't tell the close of its connection from that of an idle one.
+// A request that a shutdown finds half read, or that begins during it, is answered however late its last
+// byte comes: the gateway has read a part of it, so its client can't tell the close of its connection from
+// that of an idle one.
 func TestShutdownAnswersPartlyReadRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second} {
@@ -69,8 +71,8 @@
 	}
 }
 
-// run starts a gateway, shuts it down, and reports each violation of the rules. The gateway gets SIGKILL at the earliest
-// moment that the rules allow, and must have exited before.
+// run starts a gateway, shuts it down, and reports each violation of the rules. The gateway gets SIGKILL at
+// the earliest moment that the rules allow, and must have exited before.
 func (s shutdownSweep) run(t *testing.T) []soak.ClientAttempt {
 	t.Helper()
 	clock := soak.NewClock()
@@ -161,7 +163,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup := soak.GatewayOptions{Name: "n1", Listen: listen, Discovery: discovery, DescriptorLimit: 1024, Classes: classes, Env: commandEnv}
+	setup := soak.GatewayOptions{
+		Name:            "n1",
+		Listen:          listen,
+		Discovery:       discovery,
+		DescriptorLimit: 1024,
+		Classes:         classes,
+		Env:             commandEnv,
+	}
 	options, err := setup.ProcessOptions()
 	if err != nil {
 		t.Fatal(err)
@@ -173,38 +182,41 @@
 func hangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
 	var list []gateway.EndpointEntry
+	hang := func(time.Duration) soak.Behavior { return soak.Behavior{Hang: true} }
 	for i := range 12 {
-		b, err := soak.StartBackend(fmt.Sprintf("b-%d", i), clock, func(time.Duration) soak.Behavior { return soak.Behavior{Hang: true} })
+		b, err := soak.StartBackend(fmt.Sprintf("b-%d", i), clock, hang)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(b.Close)
 		backends = append(backends, b)
-		list = append(list, gateway.EndpointEntry{ID: b.Name, HostPort: b.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
+		list = append(list, gateway.EndpointEntry{
+			ID: b.Name, HostPort: b.Address(), Zone: "a", MachineType: "m", Lifecycle: "Ready", Weight: 1})
 	}
-	r := discovery.New(list, discovery.Options{})
-	address, err := r.Start(t.Context())
+	server := discovery.New(list, discovery.Options{})
+	address, err := server.Start(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close() })
+	t.Cleanup(func() { server.Close() })
 	return backends, address
 }
 
-// Restarts under fault injection, short and seeded: series of signals, hanging backends, slow and disconnecting clients
-// that use open connections until SIGKILL, many idle clients, proxies. fleetlab soak runs more seeds, and longer.
+// Restarts under fault injection, short and seeded: series of signals, hanging backends, slow and
+// disconnecting clients that use open connections until SIGKILL, many idle clients, proxies. fleetlab soak
+// runs more seeds, and longer.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds  = 4
 		length = 8 * time.Second
 	)
-	slots := make(chan struct{}, 2) // runs at a time
+	concurrentRuns := make(chan struct{}, 2)
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			concurrentRuns <- struct{}{}
+			defer func() { <-concurrentRuns }()
 			result, err := soak.Run(t.Context(), soak.NewPlan(seed, length), soak.Options{
 				Program: gatewayprocess.Program{Command: "exec " + os.Args[0], Dir: "."},
 				Env:     commandEnv, Log: slog.New(slog.DiscardHandler)})
@@ -215,7 +227,8 @@
 				t.Error(violation)
 			}
 			if v := result.Verdict; result.Partial || v.Served < 100 || v.Rejected+v.Failed == 0 {
-				t.Errorf("partial %t: %d served, %d rejected, %d failed: the run did not go as meant", result.Partial, v.Served, v.Rejected, v.Failed)
+				t.Errorf("partial %t: %d served, %d rejected, %d failed: the run did not go as meant",
+					result.Partial, v.Served, v.Rejected, v.Failed)
 			}
 		})
 	}
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("request %d: no such class or plan in the settings", policy.RequestID(e))
 }
 
-// instance is one gateway. Its actions of the current batch are kept apart from those of other instances, since the reply
-// groups them.
+// instance is one gateway. Its actions of the current batch are kept apart from those of other instances,
+// since the reply groups them.
 type instance struct {
 	settings policy.Settings
 	engine   *policy.Engine  // nil while the instance is stopped
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Simadapter runs the policy engines of many gateways on the simulator's wire: batches of events on standard input, one
-// reply to each on standard output. It exits with status 0 at the end of the input, and with status 1 and one line on
-// standard error after malformed input.
+// Simadapter runs the policy engines of many gateways on the simulator's wire: batches of events on
+// standard input, one reply to each on standard output. It exits with status 0 at the end of the input, and
+// with status 1 and one line on standard error after malformed input.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -43,7 +43,8 @@
 // stopRecord stops an instance.
 func stopRecord() []byte { return []byte{eventStopInstance} }
 
-// An instance that restarts within a batch acts for its new incarnation alone, and has no part in the next reply.
+// An instance that restarts within a batch acts for its new incarnation alone, and has no part in the next
+// reply.
 func TestRestartWithinBatch(t *testing.T) {
 	batches := encodeBatch(1, instanceRecord(2), startRecord(), stopRecord(), startRecord())
 	batches = append(batches, encodeBatch(2)...)
@@ -59,7 +60,8 @@
 	}
 }
 
-// A request of a plan that the settings don't have, and an event for an instance that has not started, are errors.
+// A request of a plan that the settings don't have, and an event for an instance that has not started, are
+// errors.
 func TestUnknownPlanOrInstanceIsAnError(t *testing.T) {
 	request := append([]byte{eventRequest}, make([]byte, 37)...)
 	request[10] = 9 // the plan
--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -35,7 +35,8 @@
 	return statusServed, latency
 }
 
-// startAttempt sends an attempt to a backend and schedules its end, if it gets one. A timeout of 0 is the client's deadline.
+// startAttempt sends an attempt to a backend and schedules its end, if it gets one. A timeout of 0 is the
+// client's deadline.
 func (s *simulation) startAttempt(req *simRequest, timeout float64, backendID uint32) {
 	i := slices.IndexFunc(s.backends, func(b *simBackend) bool { return b.id == backendID })
 	if i < 0 {
@@ -87,7 +88,8 @@
 	w.u8(uint8(n))
 }
 
-// endAttempt ends an attempt that is still in flight. An attempt that is served ends its request, unless it comes second.
+// endAttempt ends an attempt that is still in flight. An attempt that is served ends its request, unless it
+// comes second.
 func (s *simulation) endAttempt(req *simRequest, n int, status uint8) {
 	a := &req.attempts[n]
 	if !a.inFlight {
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -71,8 +71,8 @@
 	return ready
 }
 
-// changeBackends changes the condition of one backend, and in some cases its state, or adds a new one. Discovery sends
-// changes of the list to all instances.
+// changeBackends changes the condition of one backend, and in some cases its state, or adds a new one.
+// Discovery sends changes of the list to all instances.
 func (s *simulation) changeBackends() {
 	b := s.backends[s.IntN(len(s.backends))]
 	b.condition = oneOf(s.draws, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
@@ -116,8 +116,8 @@
 	}
 }
 
-// scheduleEndpointUpdate has discovery send the list, or what is new in it, to an instance that is subscribed by then. A
-// subscription may break instead.
+// scheduleEndpointUpdate has discovery send the list, or what is new in it, to an instance that is
+// subscribed by then. A subscription may break instead.
 func (s *simulation) scheduleEndpointUpdate(inst *simInstance, form uint8) {
 	incarnation := inst.incarnation
 	s.schedule(s.between(0.02, 0.6), true, func() {
@@ -142,7 +142,8 @@
 	s.notify(inst, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(inst, listFailed, nil) })
 }
 
-// writeEndpointUpdate writes an update of the given form for an instance and notes what the instance knows then.
+// writeEndpointUpdate writes an update of the given form for an instance and notes what the instance knows
+// then.
 func (s *simulation) writeEndpointUpdate(inst *simInstance, form uint8, current []simBackend) {
 	if form != listFailed {
 		entries := inst.entriesFor(form, current)
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -8,8 +8,8 @@
 		req.class.DedupeScope, what)
 }
 
-// openRequest returns the request that an action names, and fails the test unless the instance got it in its present
-// incarnation.
+// openRequest returns the request that an action names, and fails the test unless the instance got it in
+// its present incarnation.
 func (s *simulation) openRequest(inst *simInstance, id uint32) *simRequest {
 	req := s.requests[id]
 	if req == nil || req.instance != inst || !req.instanceRuns() {
@@ -19,8 +19,8 @@
 	return req
 }
 
-// mayExecuteTwice tells whether an attempt at backend b could have a second effect. Without a backend it tells whether the
-// claim of a rejection, that a retry is harmless, could be wrong.
+// mayExecuteTwice tells whether an attempt at backend b could have a second effect. Without a backend it
+// tells whether the claim of a rejection, that a retry is harmless, could be wrong.
 func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
@@ -66,8 +66,8 @@
 	})
 }
 
-// handleFinalAnswer checks the rules on a final answer of the adapter and ends the request. An answer that crosses the end
-// of its request in the same batch is void.
+// handleFinalAnswer checks the rules on a final answer of the adapter and ends the request. An answer that
+// crosses the end of its request in the same batch is void.
 func (s *simulation) handleFinalAnswer(req *simRequest, rejected bool) {
 	if what := s.finalAnswerViolation(req, rejected); what != "" {
 		s.violation(req, what)
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -82,7 +82,8 @@
 	s.after(s.ExpFloat64()*c.meanInterval, func() { s.nextArrival(c) })
 }
 
-// sendRequest has a client send a request to one of its customer's gateways. Some requests have less time than the client.
+// sendRequest has a client send a request to one of its customer's gateways. Some requests have less time
+// than the client.
 func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running || s.now >= giveUpAt || !s.mayReach(c, inst) {
@@ -111,7 +112,8 @@
 	}
 }
 
-// mayReach tells whether a customer's request may be sent to an instance: some are sent outside of the customer's set.
+// mayReach tells whether a customer's request may be sent to an instance: some are sent outside of the
+// customer's set.
 func (s *simulation) mayReach(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
 	place := (inst.rank - c.firstGateway + fleet) % fleet
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -6,7 +6,8 @@
 	expires float64 // clock time
 }
 
-// simCounterCaller is an instance with a name that it calls the counter for. Replies to one caller keep the calls' order.
+// simCounterCaller is an instance with a name that it calls the counter for. Replies to one caller keep the
+// calls' order.
 type simCounterCaller struct {
 	instance int
 	name     uint64
@@ -64,8 +65,8 @@
 	return outcome
 }
 
-// addToCounter adds an amount to a number of the counter, unless the call failed, and returns the total. Gateways outside
-// of the stream may add to the customer's number, too.
+// addToCounter adds an amount to a number of the counter, unless the call failed, and returns the total.
+// Gateways outside of the stream may add to the customer's number, too.
 func (s *simulation) addToCounter(name uint64, amount, ttl float64, added bool) float64 {
 	c := s.counterTotals[name]
 	if s.now >= c.expires {
--- a/cmd/simadapter/simstrayevents_test.go
+++ b/cmd/simadapter/simstrayevents_test.go
@@ -1,7 +1,7 @@
 package main
 
-// sendStrayEvent sends an instance an event that it does not expect: about unknown or finished requests and attempts,
-// unknown timers and names of the counter, or a message of a peer.
+// sendStrayEvent sends an instance an event that it does not expect: about unknown or finished requests and
+// attempts, unknown timers and names of the counter, or a message of a peer.
 func (s *simulation) sendStrayEvent() {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running {
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -70,9 +70,11 @@
 	actionCounts map[uint8]int // by code
 }
 
-// newSimulation draws the world of a seed and schedules what happens in it without a cause in the replies. It adds the
-// actions of the replies to actionCounts.
-func newSimulation(t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader) *simulation {
+// newSimulation draws the world of a seed and schedules what happens in it without a cause in the replies.
+// It adds the actions of the replies to actionCounts.
+func newSimulation(
+	t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader,
+) *simulation {
 	d := draws{rand.New(rand.NewPCG(seed, 1))}
 	s := &simulation{
 		draws:              d,
--- a/cmd/simadapter/stream_test.go
+++ b/cmd/simadapter/stream_test.go
@@ -10,17 +10,18 @@
 	"testing"
 )
 
-// The test in this file drives the adapter with event streams drawn from a seed. The generator, in the sim files, is a
-// small simulator: it sends a batch, reads the reply and lets the actions have their effects in later batches. Batches and
-// replies are plain bytes of the wire, so streams recorded with one version can be replayed into another.
+// The test in this file drives the adapter with event streams drawn from a seed. The generator, in the sim
+// files, is a small simulator: it sends a batch, reads the reply and lets the actions have their effects in
+// later batches. Batches and replies are plain bytes of the wire, so streams recorded with one version can
+// be replayed into another.
 
 var (
 	recordDir = flag.String("record", "", "directory for SEED.batches and SEED.replies")
 	seedCount = flag.Int("seeds", 6, "how many seeded streams to run")
 )
 
-// TestSeededStreams checks the rules that bind every reply, on streams that lead deep into the states of the gateways, and
-// that the same batches give the same replies.
+// TestSeededStreams checks the rules that bind every reply, on streams that lead deep into the states of
+// the gateways, and that the same batches give the same replies.
 func TestSeededStreams(t *testing.T) {
 	actionCounts := map[uint8]int{}
 	for seed := range uint64(*seedCount) {
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -90,8 +90,8 @@
 	OverloadDurationS float64 `json:"overloadForS"`
 }
 
-// draws are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped or moved changes
-// all streams.
+// draws are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped
+// or moved changes all streams.
 type draws struct{ *rand.Rand }
 
 // chance draws whether something of probability p happens.
@@ -103,8 +103,8 @@
 // oneOf draws one of the values, all equally likely.
 func oneOf[T any](d draws, values ...T) T { return values[d.IntN(len(values))] }
 
-// settings draws a deployment. The size of the fleet and the use of a counter depend on the seed alone, so that few seeds
-// cover them all.
+// settings draws a deployment. The size of the fleet and the use of a counter depend on the seed alone, so
+// that few seeds cover them all.
 func (d draws) settings(seed uint64) simSettings {
 	s := simSettings{
 		FleetSize:    []int{3, 60, 1, 8, 5}[seed%5],
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -1,5 +1,5 @@
-// Package asyncwriter provides an io.Writer that never blocks its callers. It decouples a program from the reader of
-// its log, which may be slow, stuck or gone.
+// Package asyncwriter provides an io.Writer that never blocks its callers. It decouples a program from the
+// reader of its log, which may be slow, stuck or gone.
 package asyncwriter
 
 import (
@@ -13,9 +13,9 @@
 // maxQueuedLines is the length of the queue. Lines that don't fit are dropped and counted.
 const maxQueuedLines = 1024
 
-// Writer forwards each Write to another writer, in order, on a goroutine of its own. Errors of that writer are ignored:
-// a log that nobody reads must not keep a program from its work. Its methods may be called from many goroutines.
-// A Writer is made by New, and its goroutine lasts as long as the process.
+// Writer forwards each Write to another writer, in order, on a goroutine of its own. Errors of that writer
+// are ignored: a log that nobody reads must not keep a program from its work. Its methods may be called
+// from many goroutines. A Writer is made by New, and its goroutine lasts as long as the process.
 type Writer struct {
 	dst     io.Writer
 	queue   chan queueEntry
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -24,8 +24,8 @@
 	return g.text.Write(p)
 }
 
-// Lines are written in order. While the destination blocks, no caller does, and lines that don't fit the queue are
-// counted.
+// Lines are written in order. While the destination blocks, no caller does, and lines that don't fit the
+// queue are counted.
 func TestBlockedDestinationBlocksNoCaller(t *testing.T) {
 	dst := &gatedWriter{gate: make(chan struct{})}
 	w := New(dst)
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// clock is the module's time: Unix time in seconds, read once at the start and advanced by the monotonic clock, so that a
-// step of the system's clock moves no deadline. All gateways must share its origin, since their lease windows are cut
-// from it. The zero value is not usable; newClock makes a clock.
+// clock is the module's time: Unix time in seconds, read once at the start and advanced by the monotonic
+// clock, so that a step of the system's clock moves no deadline. All gateways must share its origin, since
+// their lease windows are cut from it. The zero value is not usable; newClock makes a clock.
 type clock struct {
 	start     time.Time // with its monotonic reading
 	startUnix float64   // the same moment in Unix seconds
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -20,9 +20,9 @@
 	maxCounterTTL = 60 * time.Second // the counter takes longer ones for this
 )
 
-// counterCall is one addition on the counter. The event loop makes it. Once queued, it is owned by the stream's goroutine
-// until it is written, and then by its connection's reader; the owner at its end calls report. Meanwhile the loop uses the
-// atomic fields, its own ones, and those that don't change.
+// counterCall is one addition on the counter. The event loop makes it. Once queued, it is owned by the
+// stream's goroutine until it is written, and then by its connection's reader; the owner at its end calls
+// report. Meanwhile the loop uses the atomic fields, its own ones, and those that don't change.
 type counterCall struct {
 	id      uint64 // the module's
 	key     uint64 // the counter's name
@@ -43,8 +43,8 @@
 	total   float64
 }
 
-// counterClient makes calls over a few pipelined connections. The calls for one name keep to one stream, so they are sent
-// in order; a stream leaves a connection that is stuck for a new one.
+// counterClient makes calls over a few pipelined connections. The calls for one name keep to one stream, so
+// they are sent in order; a stream leaves a connection that is stuck for a new one.
 type counterClient struct {
 	address       atomic.Pointer[string]
 	timeout       time.Duration // of a call, and of a dial
@@ -63,10 +63,12 @@
 	return c
 }
 
-// setAddress directs all further calls to another address. Calls in flight to the old one may still be answered there.
+// setAddress directs all further calls to another address. Calls in flight to the old one may still be
+// answered there.
 func (c *counterClient) setAddress(address string) { c.address.Store(&address) }
 
-// enqueue queues a call without waiting. It returns false if the queue is full; the call stays the caller's then.
+// enqueue queues a call without waiting. It returns false if the queue is full; the call stays the caller's
+// then.
 func (c *counterClient) enqueue(call *counterCall) bool {
 	select {
 	case c.queues[call.key%counterStreams] <- call:
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -21,8 +21,11 @@
 	total   float64
 }
 
-// startCounter runs a client of the counter until the test ends. add queues a call whose reply is then in replies.
-func startCounter(t *testing.T, address string) (c *counterClient, add func(amount float64) *counterCall, replies chan reply) {
+// startCounter runs a client of the counter until the test ends. add queues a call whose reply is then in
+// replies.
+func startCounter(t *testing.T, address string) (
+	c *counterClient, add func(amount float64) *counterCall, replies chan reply,
+) {
 	t.Helper()
 	c = newCounterClient(address, patience)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,8 +51,8 @@
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// Calls are pipelined in order. The answer to an abandoned one is not taken for the next call's, and a call whose answer is
-// cut off is in doubt.
+// Calls are pipelined in order. The answer to an abandoned one is not taken for the next call's, and a call
+// whose answer is cut off is in doubt.
 func TestCounterCallsArePipelined(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
@@ -64,14 +67,19 @@
 			t.Errorf("call %d: %s, want %s", i, req.RequestURI, uri)
 		}
 	}
-	// The loop abandons the first call. Its late answer keeps its place, lest each later call get the total of the one
-	// before.
+	// The loop abandons the first call. Its late answer keeps its place, lest each later call get the total of
+	// the one before.
 	abandoned.abandoned.Store(true)
 	total(conn, 200, "1")
 	total(conn, 200, "-1.5\n")
 	total(conn, 503, "")
 	total(conn, 404, "")
-	for _, want := range []reply{{1, policy.Served, 1}, {-2.5, policy.Served, -1.5}, {3, policy.Rejected, 0}, {4, policy.ConnectFailed, 0}} {
+	for _, want := range []reply{
+		{1, policy.Served, 1},
+		{-2.5, policy.Served, -1.5},
+		{3, policy.Rejected, 0},
+		{4, policy.ConnectFailed, 0},
+	} {
 		if got := wait(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
 		}
@@ -89,8 +97,8 @@
 	readRequest(t, r)
 }
 
-// A malformed answer says that the amount was added and no more: a call behind it is in doubt, and the connection is not
-// used any more.
+// A malformed answer says that the amount was added and no more: a call behind it is in doubt, and the
+// connection is not used any more.
 func TestMalformedCounterAnswerEndsConnection(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
@@ -147,8 +155,8 @@
 	}
 }
 
-// An answer that never ends blocks the calls behind it on its connection and no others: the next call gets a new
-// connection.
+// An answer that never ends blocks the calls behind it on its connection and no others: the next call gets
+// a new connection.
 func TestBlockedCounterConnectionIsReplaced(t *testing.T) {
 	far := newPeer(t)
 	_, add, replies := startCounter(t, far.address())
@@ -171,7 +179,8 @@
 	}
 }
 
-// A counter that is slow for all must not get connections without limit: at the limit, calls are sent on the last one.
+// A counter that is slow for all must not get connections without limit: at the limit, calls are sent on
+// the last one.
 func TestCounterConnectionsAreLimited(t *testing.T) {
 	far := newPeer(t)
 	c := newCounterClient(far.address(), patience)
@@ -234,8 +243,8 @@
 	}
 }
 
-// Something on the way to the counter drops idle connections: once that is known, a call is sent on a new one and is not in
-// doubt.
+// Something on the way to the counter drops idle connections: once that is known, a call is sent on a new
+// one and is not in doubt.
 func TestIdleConnectionIsReplacedAboveEstimatedLimit(t *testing.T) {
 	far := newPeer(t)
 	c, add, replies := startCounter(t, far.address())
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -21,12 +21,14 @@
 	maxCounterResponseBytes = 16 << 10        // bytes of an answer with its headers
 )
 
-// countRequest tells http.ReadResponse that an answer is to a POST, so that it has a body. It is never changed.
+// countRequest tells http.ReadResponse that an answer is to a POST, so that it has a body. It is never
+// changed.
 var countRequest = &http.Request{Method: http.MethodPost}
 
-// counterConn is one pipelined connection: calls are written in order, and their answers arrive in the same order. An
-// abandoned call keeps its place in the pipeline, so that its late answer is not taken for the next call's. The stream's
-// goroutine writes; one reader goroutine, counted in counterClient.readers, reads and closes.
+// counterConn is one pipelined connection: calls are written in order, and their answers arrive in the same
+// order. An abandoned call keeps its place in the pipeline, so that its late answer is not taken for the
+// next call's. The stream's goroutine writes; one reader goroutine, counted in counterClient.readers, reads
+// and closes.
 type counterConn struct {
 	net.Conn
 	host            string
@@ -40,7 +42,8 @@
 	retireOnce      sync.Once
 }
 
-// dial opens a connection and starts its reader. It counts the connection in openConns until the reader has ended.
+// dial opens a connection and starts its reader. It counts the connection in openConns until the reader has
+// ended.
 func (c *counterClient) dial(ctx context.Context, openConns *atomic.Int64) (*counterConn, error) {
 	dialer := net.Dialer{Timeout: c.timeout, KeepAlive: -1}
 	address := *c.address.Load()
@@ -64,8 +67,9 @@
 	return conn, nil
 }
 
-// retire takes no more calls; the connection ends with its reader, once the calls in flight have been answered or given
-// up. Only the stream's goroutine calls it, so no call is added to the pipeline afterwards.
+// retire takes no more calls; the connection ends with its reader, once the calls in flight have been
+// answered or given up. Only the stream's goroutine calls it, so no call is added to the pipeline
+// afterwards.
 func (c *counterConn) retire() { c.retireOnce.Do(func() { close(c.pipeline) }) }
 
 // Close ends the connection at once; its reader reports the calls in flight.
@@ -74,8 +78,8 @@
 	return c.Conn.Close()
 }
 
-// reusable tells whether another call may be written after an idle time. The counter may close an idle connection sooner
-// than agreed, and it would be in doubt whether a call written then has been added.
+// reusable tells whether another call may be written after an idle time. The counter may close an idle
+// connection sooner than agreed, and it would be in doubt whether a call written then has been added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
 	if c.failed.Load() || idleFor > counterIdleTimeout {
 		return false
@@ -86,18 +90,19 @@
 	return idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn)
 }
 
-// headOfLineBlocked tells whether the stream should leave a connection, since the call whose answer is next has been
-// abandoned and another connection may be opened. An answer that never ends blocks all answers behind it, and so calls
-// that the counter has served would time out, for many customers, as if it were overloaded. This covers a lost or silent
-// connection as well. It could do harm with a counter that is slow for all, which gets more connections from it, so these
-// are few; an answer that arrives late is still read on its connection.
+// headOfLineBlocked tells whether the stream should leave a connection, since the call whose answer is next
+// has been abandoned and another connection may be opened. An answer that never ends blocks all answers
+// behind it, and so calls that the counter has served would time out, for many customers, as if it were
+// overloaded. This covers a lost or silent connection as well. It could do harm with a counter that is slow
+// for all, which gets more connections from it, so these are few; an answer that arrives late is still read
+// on its connection.
 func (c *counterConn) headOfLineBlocked() bool {
 	call := c.headCall.Load()
 	return call != nil && call.abandoned.Load() && c.openConns.Load() < maxConnsPerStream
 }
 
-// writeCall writes one call and adds it to the pipeline, from which its answer is read. Where the pipeline is full the
-// connection is stuck, and the call fails.
+// writeCall writes one call and adds it to the pipeline, from which its answer is read. Where the pipeline
+// is full the connection is stuck, and the call fails.
 func (c *counterConn) writeCall(call *counterCall) {
 	if len(c.pipeline) == cap(c.pipeline) {
 		call.report(call, policy.ConnectFailed, 0)
@@ -116,8 +121,8 @@
 	c.pipeline <- call
 }
 
-// readReplies reads the answers to the calls in the pipeline until it is closed. Calls behind a failed one end as
-// ConnectionReset: they may have been added.
+// readReplies reads the answers to the calls in the pipeline until it is closed. Calls behind a failed one
+// end as ConnectionReset: they may have been added.
 func (c *counterConn) readReplies() {
 	defer c.Conn.Close()
 	limited := &io.LimitedReader{R: c.Conn}
@@ -142,8 +147,8 @@
 	}
 }
 
-// readReply reads the answer to the call at the head of the pipeline, and lets the idle estimator learn from it. After an
-// error no further answer may be read from the connection.
+// readReply reads the answer to the call at the head of the pipeline, and lets the idle estimator learn
+// from it. After an error no further answer may be read from the connection.
 func (c *counterConn) readReply(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
 	c.SetReadDeadline(time.Now().Add(c.responseTimeout))
 	if _, err := reader.Peek(1); err != nil {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A silent counter must not block customers inside their quotas: the call times out and the gateway's local tokens pay.
+// A silent counter must not block customers inside their quotas: the call times out and the gateway's local
+// tokens pay.
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
@@ -29,8 +30,8 @@
 	}
 }
 
-// An answer of the counter that begins and never ends is no time-out: the amount was added, so the customer's total is
-// requested again at once and the amount is written off.
+// An answer of the counter that begins and never ends is no time-out: the amount was added, so the
+// customer's total is requested again at once and the amount is written off.
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
@@ -57,7 +58,8 @@
 	}
 }
 
-// An answer that arrives after its call has timed out tells what was added: the queued request is admitted by it.
+// An answer that arrives after its call has timed out tells what was added: the queued request is admitted
+// by it.
 func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
 	const timeout = 200 * time.Millisecond
@@ -75,8 +77,8 @@
 	}
 }
 
-// The units of a call whose answer holds no total are returned where the answer shows that they were added. Where that is
-// in doubt the customer loses them once, and no more.
+// The units of a call whose answer holds no total are returned where the answer shows that they were added.
+// Where that is in doubt the customer loses them once, and no more.
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -14,8 +14,9 @@
 	counterIdlePollInterval = 1 * time.Second // between checks for an idle connection
 )
 
-// counterStream writes the calls of one queue, in order, on one connection at a time. A connection that was left ends by
-// itself once its calls in flight have ended. The goroutine of runStream owns all fields but openConns.
+// counterStream writes the calls of one queue, in order, on one connection at a time. A connection that was
+// left ends by itself once its calls in flight have ended. The goroutine of runStream owns all fields but
+// openConns.
 type counterStream struct {
 	client    *counterClient
 	conn      *counterConn // nil: the next call dials
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -30,8 +30,9 @@
 
 func (e *counterStatusError) Error() string { return fmt.Sprintf("counter: status %s", e.status) }
 
-// readTotal reads the answer to a call, with the total where the outcome is Served. A malformed answer says that the
-// amount was added and no more. After an error, the connection can't be trusted with the next call's answer.
+// readTotal reads the answer to a call, with the total where the outcome is Served. A malformed answer says
+// that the amount was added and no more. After an error, the connection can't be trusted with the next
+// call's answer.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -17,8 +17,8 @@
 	discoveryWarnInterval = 10 * time.Second // between log lines while discovery stays down
 )
 
-// unusableListError reports that discovery answered with something else than a usable list. The version that was asked
-// from may be the cause, so the next poll asks for the full list.
+// unusableListError reports that discovery answered with something else than a usable list. The version
+// that was asked from may be the cause, so the next poll asks for the full list.
 type unusableListError struct {
 	status string // of the answer, if it is not 200
 	cause  error  // what is wrong with the body of one that is
@@ -33,8 +33,8 @@
 
 func (e *unusableListError) Unwrap() error { return e.cause }
 
-// discoveryWatcher follows discovery by long polls and hands on each answer. The goroutine that calls run owns all of its
-// fields.
+// discoveryWatcher follows discovery by long polls and hands on each answer. The goroutine that calls run
+// owns all of its fields.
 type discoveryWatcher struct {
 	address  string
 	timeouts pollTimeouts
@@ -49,10 +49,12 @@
 	warnedAt     time.Time // of the last log line about a failed poll
 }
 
-// newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending to a draining
-// backend for drainGrace. listInUse tells that requests are routed by an older list meanwhile. onList is called on the
-// goroutine of run.
-func newDiscoveryWatcher(address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList)) *discoveryWatcher {
+// newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending
+// to a draining backend for drainGrace. listInUse tells that requests are routed by an older list
+// meanwhile. onList is called on the goroutine of run.
+func newDiscoveryWatcher(
+	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
+) *discoveryWatcher {
 	transport := &http.Transport{DisableCompression: true, MaxConnsPerHost: maxDiscoveryConns}
 	return &discoveryWatcher{
 		address:   address,
@@ -64,8 +66,9 @@
 	}
 }
 
-// run polls until ctx ends: first for the full list, from then on for changes. A failed poll is repeated soon, on a new
-// connection, from the last version that arrived; what changed meanwhile comes with its answer.
+// run polls until ctx ends: first for the full list, from then on for changes. A failed poll is repeated
+// soon, on a new connection, from the last version that arrived; what changed meanwhile comes with its
+// answer.
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// knownWithin is the time after which a change counts as known to a gateway, from when discovery had it and could be
-// reached.
+// knownWithin is the time after which a change counts as known to a gateway, from when discovery had it and
+// could be reached.
 const knownWithin = 6 * time.Second
 
-// Whatever the drain grace is, a poll that falls silent, the delay after it and the answer to the next one fit in the time
-// after which a change counts as known.
+// Whatever the drain grace is, a poll that falls silent, the delay after it and the answer to the next one
+// fit in the time after which a change counts as known.
 func TestMissedChangeArrivesInTime(t *testing.T) {
 	for grace := time.Duration(0); grace <= time.Minute; grace += 100 * time.Millisecond {
 		timeouts := newPollTimeouts(grace)
@@ -67,7 +67,7 @@
 			t.Parallel()
 			far := newPeer(t)
 			received := make(chan EndpointList, 8)
-			watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { received <- l }))
+			runWatcher(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { received <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -97,7 +97,7 @@
 	received := make(chan EndpointList, 8)
 	onList := func(l EndpointList) { received <- l }
 	far := newCrowded(t)
-	watchFor(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, onList))
+	runWatcher(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, onList))
 	for deadline := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port) // where nobody listens yet
-	watchFor(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, onList))
+	runWatcher(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, onList))
 	time.Sleep(2 * watchRetryDelay) // some dials are refused
 	if err := syscall.Listen(fd, 8); err != nil {
 		t.Fatal(err)
@@ -147,8 +147,8 @@
 	}
 }
 
-// A full list that takes long to be written arrives all the same, also one slower than a watch may be where no other list
-// is in use.
+// A full list that takes long to be written arrives all the same, also one slower than a watch may be where
+// no other list is in use.
 func TestSlowFullListArrives(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -171,7 +171,8 @@
 			}))
 			t.Cleanup(slow.Close)
 			received := make(chan EndpointList, 8)
-			watchFor(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.listInUse, func(l EndpointList) { received <- l }))
+			onList := func(l EndpointList) { received <- l }
+			runWatcher(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.listInUse, onList))
 			wait(t, received, "list")
 		})
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -45,16 +45,16 @@
 
 func (r *registry) address() string { return r.Listener.Addr().String() }
 
-// watchFor runs a watcher until the test ends.
-func watchFor(t *testing.T, w *discoveryWatcher) {
+// runWatcher runs a watcher until the test ends.
+func runWatcher(t *testing.T, w *discoveryWatcher) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { w.run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// What a silent watch misses is polled for again, on a new connection, within the drain grace, also when the next watch is
-// as silent.
+// What a silent watch misses is polled for again, on a new connection, within the drain grace, also when
+// the next watch is as silent.
 func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
 		if total := newPollTimeouts(grace).watchTotal() + watchRetryDelay; total > grace*9/10 {
@@ -62,7 +62,7 @@
 		}
 	}
 	far := newPeer(t)
-	watchFor(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(EndpointList) {}))
+	runWatcher(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(EndpointList) {}))
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
@@ -74,7 +74,8 @@
 	}
 }
 
-// A backend in use whose entry can't be decoded gets no further request: what can't be read may be that it drains.
+// A backend in use whose entry can't be decoded gets no further request: what can't be read may be that it
+// drains.
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
 	r := newRig(t, backend, other)
@@ -91,12 +92,12 @@
 	}
 }
 
-// A watch resumes from its last version. After an answer that is no usable list the watcher starts over from the full
-// list.
+// A watch resumes from its last version. After an answer that is no usable list the watcher starts over
+// from the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
 	r := newRegistry(t)
 	received := make(chan EndpointList, 64)
-	watchFor(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
+	runWatcher(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
 	// Each step: the poll that is expected, its answer, and whether a list is handed on, and as a full one.
@@ -126,7 +127,8 @@
 		if step.none {
 			continue
 		}
-		if got := wait(t, received, "list"); got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
+		got := wait(t, received, "list")
+		if got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
 			t.Fatalf("%s: received %+v", step.name, got)
 		}
 	}
@@ -136,7 +138,8 @@
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.toBackend(d)
-	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5, StartedAt: 1.5}
+	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5,
+		StartedAt: 1.5}
 	if err != nil || b != want {
 		t.Errorf("%+v, %v; want %+v", b, err, want)
 	}
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -33,13 +33,17 @@
 }
 
 // backendStates maps discovery's lifecycles to the module's states.
-var backendStates = map[string]policy.BackendState{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
+var backendStates = map[string]policy.BackendState{
+	"Ready":       policy.Ready,
+	"Terminating": policy.Draining,
+	"Gone":        policy.Removed,
+}
 
 // errNoEntries reports an answer without a list. Taken for an empty list, it would end all service.
 var errNoEntries = errors.New("no instances in it")
 
-// decodeEndpointList decodes the body of an answer. fullList tells that the poll asked for the full list: such an answer
-// holds all entries, whether it says so or not.
+// decodeEndpointList decodes the body of an answer. fullList tells that the poll asked for the full list:
+// such an answer holds all entries, whether it says so or not.
 func decodeEndpointList(body []byte, fullList bool) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -54,17 +58,18 @@
 	return list, nil
 }
 
-// backendID derives the module's id from the name alone, so that all gateways agree on it in whatever order they learn of
-// the backends.
+// backendID derives the module's id from the name alone, so that all gateways agree on it in whatever order
+// they learn of the backends.
 func backendID(name string) policy.BackendID {
 	h := fnv.New32a()
 	io.WriteString(h, name)
 	return policy.BackendID(h.Sum32())
 }
 
-// toBackend translates an entry to the module's form. The module's clock is Unix time (see clock), so the start needs a
-// change of its unit only. It returns an error where the entry can't be understood, since a wrong reading could route
-// requests to a draining backend or repeat one in a zone that does not know of the first attempt.
+// toBackend translates an entry to the module's form. The module's clock is Unix time (see clock), so the
+// start needs a change of its unit only. It returns an error where the entry can't be understood, since a
+// wrong reading could route requests to a draining backend or repeat one in a zone that does not know of
+// the first attempt.
 func (e EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := backendStates[e.Lifecycle]
 	zone := slices.Index(deployment.Zones, e.Zone)
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Bounds of the polls of discovery. A change counts as known to a gateway 6 s after discovery had it and could be
-// reached, whatever becomes of one poll. A silent watch, the delay after it and the answer to the next one must
-// therefore fit in 6 s; TestMissedChangeArrivesInTime adds them up.
+// Bounds of the polls of discovery. A change counts as known to a gateway 6 s after discovery had it and
+// could be reached, whatever becomes of one poll. A silent watch, the delay after it and the answer to the
+// next one must therefore fit in 6 s; TestMissedChangeArrivesInTime adds them up.
 const (
 	watchTimeShare       = 0.5                     // share of the drain grace for which a watch stays open
 	responseTimeShare    = 0.25                    // share of the drain grace that an answer may take beside
@@ -20,9 +20,9 @@
 	response time.Duration // how long an answer may take beside
 }
 
-// newPollTimeouts computes the bounds for a gateway that may go on sending to a draining backend for drainGrace. A watch
-// that has fallen silent, or that discovery forgot while it was down, misses drains that count as known. So each watch
-// is over, and the next on its way, well within the grace.
+// newPollTimeouts computes the bounds for a gateway that may go on sending to a draining backend for
+// drainGrace. A watch that has fallen silent, or that discovery forgot while it was down, misses drains
+// that count as known. So each watch is over, and the next on its way, well within the grace.
 func newPollTimeouts(drainGrace time.Duration) pollTimeouts {
 	response := min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
 	return pollTimeouts{
@@ -34,9 +34,9 @@
 // watchTotal bounds a watch with its answer.
 func (p pollTimeouts) watchTotal() time.Duration { return p.watch + p.response }
 
-// fullList bounds a poll for the full list after a number of them, in a row, that timed out. Each time-out doubles the
-// bound: a list that is always cut off would never arrive. While requests are routed by an older list (listInUse), no
-// poll may outlast a watch.
+// fullList bounds a poll for the full list after a number of them, in a row, that timed out. Each time-out
+// doubles the bound: a list that is always cut off would never arrive. While requests are routed by an
+// older list (listInUse), no poll may outlast a watch.
 func (p pollTimeouts) fullList(timedOut int, listInUse bool) time.Duration {
 	maxTimeout := p.watchTotal()
 	if !listInUse {
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -9,14 +9,14 @@
 	"amberlb/policy"
 )
 
-// SimulatedBackend decides how long an attempt of a hollow gateway takes at a backend and how it ends. Serve is called on
-// the gateway's event loop and must not block.
+// SimulatedBackend decides how long an attempt of a hollow gateway takes at a backend and how it ends.
+// Serve is called on the gateway's event loop and must not block.
 type SimulatedBackend interface {
 	Serve(id policy.BackendID) (time.Duration, policy.Outcome)
 }
 
-// Hollow is a gateway without sockets to clients and backends, so that many fit in a process. Its event loop, its
-// discovery watcher and its counter client are those of the real gateway.
+// Hollow is a gateway without sockets to clients and backends, so that many fit in a process. Its event
+// loop, its discovery watcher and its counter client are those of the real gateway.
 type Hollow struct {
 	config  Config
 	loop    *eventLoop
@@ -24,8 +24,8 @@
 	ready   chan struct{}  // closed by the first list
 }
 
-// NewHollow makes a hollow gateway. It ignores Name, Listen, the cached endpoints and the limits of the configuration, and
-// returns an error where the rest is invalid.
+// NewHollow makes a hollow gateway. It ignores Name, Listen, the cached endpoints and the limits of the
+// configuration, and returns an error where the rest is invalid.
 func NewHollow(c *Config, backend SimulatedBackend) (*Hollow, error) {
 	h := &Hollow{config: *c, ready: make(chan struct{})}
 	h.config.Listen = "127.0.0.1:0"
@@ -59,8 +59,8 @@
 	h.loop.attempts.Wait()
 }
 
-// cancelAttempts cancels the attempts that are still in flight. It may be called once the loop, which owns them, has
-// ended.
+// cancelAttempts cancels the attempts that are still in flight. It may be called once the loop, which owns
+// them, has ended.
 func (h *Hollow) cancelAttempts() {
 	for _, req := range h.loop.requests {
 		for _, a := range req.attempts {
@@ -76,11 +76,14 @@
 
 // Submit gives the gateway a request under a client's correlation id, without waiting.
 //
-// decoded.Deadline is the time that the client waits, in seconds from now; the class's own deadline bounds it. The ID and
-// SentAt of the request are set by the gateway. onSent is called once, on the event loop, when the first attempt has
-// reached a backend; it must not block. onAnswered is called once, on a goroutine of its own, with the status and the
-// seconds of Retry-After, 0 for none. A gateway that has ended answers with 500; one that was never run does not answer.
-func (h *Hollow) Submit(decoded policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64)) {
+// decoded.Deadline is the time that the client waits, in seconds from now; the class's own deadline bounds
+// it. The ID and SentAt of the request are set by the gateway. onSent is called once, on the event loop,
+// when the first attempt has reached a backend; it must not block. onAnswered is called once, on a
+// goroutine of its own, with the status and the seconds of Retry-After, 0 for none. A gateway that has
+// ended answers with 500; one that was never run does not answer.
+func (h *Hollow) Submit(
+	decoded policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
+) {
 	decoded.SentAt = h.loop.clock.now()
 	decoded.Deadline = min(decoded.Deadline, h.config.Classes[decoded.Class].Deadline) + decoded.SentAt - responseMargin
 	req := &clientRequest{
@@ -103,7 +106,8 @@
 	}()
 }
 
-// CounterCalls returns how many calls to the counter have been made, and how many of these ended without its answer.
+// CounterCalls returns how many calls to the counter have been made, and how many of these ended without
+// its answer.
 func (h *Hollow) CounterCalls() (made, unanswered uint64) {
 	return h.loop.counterCalls.Load(), h.loop.counterCallsUnanswered.Load()
 }
@@ -120,8 +124,8 @@
 // removeEndpoint does nothing, as updateEndpoint.
 func (t *hollowTransport) removeEndpoint(policy.BackendID) {}
 
-// startAttempt runs an attempt on a timer. The end of the attempt is reported by the timer or by the end of the attempt's
-// context, whichever stops the other.
+// startAttempt runs an attempt on a timer. The end of the attempt is reported by the timer or by the end of
+// the attempt's context, whichever stops the other.
 func (t *hollowTransport) startAttempt(a *attempt, onDone func(attemptResult)) {
 	if _, listed := t.loop.instanceNames[a.backend]; !listed {
 		go onDone(attemptResult{outcome: policy.ConnectFailed}) // onDone posts to the loop, which is the caller
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -67,8 +67,8 @@
 	return c.calls
 }
 
-// A hollow gateway serves what its customer's quota pays for, after the time that the backend takes, and rejects
-// the rest; the quota is kept by the counter.
+// A hollow gateway serves what its customer's quota pays for, after the time that the backend takes, and
+// rejects the rest; the quota is kept by the counter.
 func TestHollowServesWithinQuota(t *testing.T) {
 	const (
 		burst   = 5
@@ -111,13 +111,15 @@
 	}
 }
 
-// A hollow gateway that ends answers the open requests and waits for no backend. One that has ended answers too.
+// A hollow gateway that ends answers the open requests and waits for no backend. One that has ended answers
+// too.
 func TestHollowAnswersAtItsEnd(t *testing.T) {
 	h, end := runHollow(t, testSettings, "127.0.0.1:1", constantLatency(time.Hour))
 	answered := make(chan int, 2)
 	sent := make(chan struct{})
 	submit := func(id string, onSent func()) {
-		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, onSent, func(status int, _ float64) { answered <- status })
+		onAnswered := func(status int, _ float64) { answered <- status }
+		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, onSent, onAnswered)
 	}
 	submit("one", func() { close(sent) })
 	wait(t, sent, "send")
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -54,7 +54,8 @@
 	listsReceived:         "discovery.lists",
 }
 
-// metrics counts what a gateway does. Its methods may be called from many goroutines; the zero value is ready.
+// metrics counts what a gateway does. Its methods may be called from many goroutines; the zero value is
+// ready.
 type metrics struct {
 	counts   [metricCount]atomic.Uint64
 	rejected [policy.ReasonCount]atomic.Uint64  // requests rejected by the policy engine, by reason
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's binary frames and the events and actions of package policy, and reads
-// the settings of a deployment. It maps names and units and decides nothing. The words of the wire's description are known
-// here alone: as the keys in settings.go and in the comments of codes.go.
+// Package wire translates between the simulator's binary frames and the events and actions of package
+// policy, and reads the settings of a deployment. It maps names and units and decides nothing. The words of
+// the wire's description are known here alone: as the keys in settings.go and in the comments of codes.go.
 package wire
 
 import (
@@ -50,8 +50,8 @@
 // NewDecoder returns a decoder of the frames in r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
-// Next reads one batch. It returns io.EOF where the input ends between frames, ErrTruncatedHeader where it ends within a
-// header, and a BatchError for any other malformed input.
+// Next reads one batch. It returns io.EOF where the input ends between frames, ErrTruncatedHeader where it
+// ends within a header, and a BatchError for any other malformed input.
 func (d *Decoder) Next() (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(d.reader, header[:]); err != nil {
@@ -89,8 +89,8 @@
 	return d.decodeRecords(body, count)
 }
 
-// readBody reads n bytes, which are valid until the next call. It grows the buffer only as they arrive, so that a
-// malformed length allocates no more than the input holds.
+// readBody reads n bytes, which are valid until the next call. It grows the buffer only as they arrive, so
+// that a malformed length allocates no more than the input holds.
 func (d *Decoder) readBody(n int) ([]byte, error) {
 	d.body = d.body[:0]
 	for len(d.body) < n {
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -1,6 +1,7 @@
 package wire
 
-// Codes of the records in a batch. Each comment begins with the word of the wire's description for the record.
+// Codes of the records in a batch. Each comment begins with the word of the wire's description for the
+// record.
 const (
 	codeStartInstance      = 16 // Attach: an instance starts with a seed and its settings
 	codeEndpointUpdate     = 17 // Sync: discovery's list, or changes to it, for an instance
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// cursor reads the fields of a frame, which are big-endian and not padded. Past the end it reads zeros and sets truncated,
-// so that a record's decoder needs no check after each field.
+// cursor reads the fields of a frame, which are big-endian and not padded. Past the end it reads zeros and
+// sets truncated, so that a record's decoder needs no check after each field.
 type cursor struct {
 	remaining []byte
 	truncated bool // a field extended past the end
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -7,8 +7,8 @@
 	maxEndpointLists = 16 // lists that can be defined at a time
 )
 
-// endpointList is a numbered list, which endpoint updates refer to. It may be shared by instances, so it is never
-// changed.
+// endpointList is a numbered list, which endpoint updates refer to. It may be shared by instances, so it is
+// never changed.
 type endpointList struct {
 	defined bool
 	entries []policy.Backend
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -17,8 +17,8 @@
 	249: policy.NotSent,
 }
 
-// decodeRecords decodes the records of a frame. Those that define a list or name an instance take effect here; the others
-// are returned, in order, with the instance that was named last.
+// decodeRecords decodes the records of a frame. Those that define a list or name an instance take effect
+// here; the others are returned, in order, with the instance that was named last.
 func (d *Decoder) decodeRecords(body []byte, count uint32) ([]Record, error) {
 	c := &cursor{remaining: body}
 	var records []Record
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -14,7 +14,8 @@
 	followingChanges = 1  // the field of codePollEndpoints: on
 )
 
-// Reply collects the actions of all instances in answer to one batch. The zero value needs a Reset before its use.
+// Reply collects the actions of all instances in answer to one batch. The zero value needs a Reset before
+// its use.
 type Reply struct {
 	buf         []byte
 	recordCount uint32
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,8 +7,8 @@
 	"amberlb/policy"
 )
 
-// Deployment is all that the settings state: what the policy engine needs, and the names by which sockets refer to the
-// same things, in the settings' order.
+// Deployment is all that the settings state: what the policy engine needs, and the names by which sockets
+// refer to the same things, in the settings' order.
 type Deployment struct {
 	policy.Settings
 	ClassNames  []string
@@ -43,8 +43,8 @@
 	return deployment, err
 }
 
-// settingsJSON mirrors the JSON of the settings. Its tags are the wire's names, which nothing else knows; unknown keys are
-// ignored. Names that end in S are seconds.
+// settingsJSON mirrors the JSON of the settings. Its tags are the wire's names, which nothing else knows;
+// unknown keys are ignored. Names that end in S are seconds.
 type settingsJSON struct {
 	Capabilities struct {
 		CanCancel         bool    `json:"cancel"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -81,7 +81,8 @@
 		t.Fatal(err)
 	}
 	e := b.Records[0].Event.(policy.AttemptEnded)
-	if e.Outcome != policy.Served || !e.RequestOver || e.QuotaUse != 0x56 || e.ActualUnits != 3 || len(e.LoadReport) != 2 || e.LoadReport[0] != 7 {
+	if e.Outcome != policy.Served || !e.RequestOver || e.QuotaUse != 0x56 || e.ActualUnits != 3 ||
+		len(e.LoadReport) != 2 || e.LoadReport[0] != 7 {
 		t.Errorf("got %+v", e)
 	}
 	if c := b.Records[1].Event.(policy.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
@@ -124,8 +125,9 @@
 		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
 		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known", ErrUnknownCode},
 		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrShortFrame},
-		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d", "no instance was named", ErrNoInstance},
-		"trailing byte":     {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
+		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d",
+			"no instance was named", ErrNoInstance},
+		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
 		"missing list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
 			UndefinedListError(4)},
 		"malformed settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
@@ -163,7 +165,8 @@
 		t.Fatal(err)
 	}
 	c, p := s.Classes[0], s.Plans[0]
-	if c.Idempotency != policy.IdempotentByKey || c.DedupeScope != policy.ScopeCell || c.LatencyObjective != 0.8 || c.DedupeWindow != 5 || c.PriorityWeight != 3 {
+	if c.Idempotency != policy.IdempotentByKey || c.DedupeScope != policy.ScopeCell || c.LatencyObjective != 0.8 ||
+		c.DedupeWindow != 5 || c.PriorityWeight != 3 {
 		t.Errorf("class %+v", c)
 	}
 	if p.WeightFactor != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
