--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	silent := make(chan net.Conn, 100)
-	_, conn := raced(t, false, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend, func(r *rig, c *gatedConn) {
+	_, conn := startRace(t, false, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend, func(r *testGateway, c *gatedConn) {
 		c.armed.Store(true)
 		for range cap(silent) { // the bound is below 50
 			if conn, err := net.Dial("tcp", r.address); err == nil {
@@ -26,17 +26,17 @@
 			}
 		}
 		close(silent)
-		<-c.ended
+		<-c.readEnded
 	})
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
 		serveOne(t, backend, "paid")
 	}()
-	if resp, err := exchangeOn(t, conn, ask("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, err := roundTripOn(t, conn, requestText("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("the request that had been read: %v, %v", resp, err)
 	}
-	wait(t, answered, "attempt")
+	await(t, answered, "attempt")
 	for c := range silent {
 		c.Close()
 	}
@@ -55,14 +55,14 @@
 			t.Parallel()
 			backend := newPeer(t)
 			var failures atomic.Int64
-			way := &gated{refuses: func() error {
+			way := &gatedListener{acceptError: func() error {
 				if failures.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 				}
 				return nil
 			}}
-			r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
-			_, held := r.client(t, ask("POST", "payment", "held"))
+			r := startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchangedConfig, backend)
+			_, held := r.sendRequest(t, requestText("POST", "payment", "held"))
 			conn, br := backend.accept(t)
 			readRequest(t, br)
 			serve := func() { // on a connection of its own
@@ -71,22 +71,22 @@
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
 			failures.Store(12) // the accept that is under way comes first
-			_, first := r.client(t, ask("GET", "lookup", ""))
+			_, first := r.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
-			if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			began := time.Now()
-			_, second := r.client(t, ask("GET", "lookup", ""))
+			_, second := r.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
-			if resp := wait(t, second, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, second, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d after the failures", resp.StatusCode)
 			}
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("accepted %v after 12 failures", took)
 			}
 			total(conn, http.StatusOK, "paid")
-			if resp := wait(t, held, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, held, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the held request: status %d", resp.StatusCode)
 			}
 		})
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -40,8 +40,8 @@
 		}
 		near, _ := p.accept(t)
 		t.Cleanup(func() { far.Close(); near.Close() })
-		io.WriteString(far, ask("GET", "lookup", "", timeLeftHeader, "5000"))
-		for end := time.Now().Add(patience); isQuiet(near) && time.Now().Before(end); {
+		io.WriteString(far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
+		for end := time.Now().Add(testTimeout); isQuiet(near) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		return near
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -19,8 +19,8 @@
 // may leave for it: neither by a dial that comes up later, nor on a connection.
 func TestCalledOff(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	a := newAttempt(patience)
+	p := newPoolsFor(t, backend.address())
+	a := newAttempt(testTimeout)
 	a.cancel()
 	a.ctx = context.Background() // as if the dial had come up all the same
 	p.roundTrip(a)
@@ -30,15 +30,15 @@
 	}
 	conn.Close()
 
-	a = newAttempt(patience)
-	done := start(p, a)
+	a = newAttempt(testTimeout)
+	done := startRoundTrip(p, a)
 	_, r = backend.accept(t)
 	readRequest(t, r)
 	a.cancel()
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection after the call-off: %v", err)
 	}
-	wait(t, done, "result")
+	await(t, done, "result")
 	if p.openConns != 0 {
 		t.Errorf("%d connections open", p.openConns)
 	}
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -30,7 +30,7 @@
 	if _, err := io.WriteString(far, text); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); isQuiet(near.Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); isQuiet(near.Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing arrives")
 		}
@@ -42,7 +42,7 @@
 func TestWaitEndsAsRequestComes(t *testing.T) {
 	for name, ends := range map[string]func(*clientConn){
 		"by the server's time-out": func(near *clientConn) { near.SetReadDeadline(time.Unix(1, 0)) },
-		"by a stop":                func(near *clientConn) { near.table.drain(time.Now().Add(patience)) },
+		"by a stop":                func(near *clientConn) { near.table.drain(time.Now().Add(testTimeout)) },
 		"to make room": func(near *clientConn) {
 			near.table.mu.Lock()
 			defer near.table.mu.Unlock()
@@ -82,12 +82,12 @@
 		near.Close()
 		ended <- err
 	}()
-	far.SetDeadline(time.Now().Add(patience))
+	far.SetDeadline(time.Now().Add(testTimeout))
 	answer, err := io.ReadAll(far)
 	if !evicted || err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
 		t.Errorf("evicted %t; the client got %q, %v", evicted, answer, err)
 	}
-	if err := wait(t, ended, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := await(t, ended, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the server got %v", err)
 	}
 }
@@ -98,8 +98,8 @@
 	near, _ := newClientConn(t)
 	near.table.onConnState(near, http.StateActive)
 	near.table.onConnState(near, http.StateIdle)
-	near.table.drain(time.Now().Add(patience))
-	near.SetReadDeadline(time.Now().Add(patience))
+	near.table.drain(time.Now().Add(testTimeout))
+	near.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := near.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -14,7 +14,7 @@
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
+	r := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
 	for range 100 { // the bound is below 40
 		c, err := net.Dial("tcp", r.address)
@@ -24,13 +24,13 @@
 		defer c.Close()
 		silent = append(silent, c)
 	}
-	_, answers := r.client(t, ask("POST", "booking", "x"))
+	_, answers := r.sendRequest(t, requestText("POST", "booking", "x"))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	for i, c := range silent {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := c.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 			t.Errorf("silent connection %d: %d bytes, %v", i, n, err)
 		}
@@ -47,23 +47,23 @@
 func TestHalfRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, held := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	_, held := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
-	whole := ask("POST", "booking", "pickup")
+	whole := requestText("POST", "booking", "pickup")
 	for _, text := range []string{whole[:10], whole[:len(whole)-1]} {
 		c, _ := net.Dial("tcp", r.address)
 		defer c.Close()
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		answer, err := io.ReadAll(c)
 		if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 408 ") {
 			t.Errorf("after %d bytes: %q, %v", len(text), answer, err)
 		}
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // later than the time-out for reading
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, held, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the request that was held: status %d", resp.StatusCode)
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	arrived, far := pair(http.StateNew, time.Hour)
 	io.WriteString(far, "G")
-	for end := time.Now().Add(patience); isQuiet(arrived.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); isQuiet(arrived.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // the byte is on its way through the kernel
 	}
 	resting := served(http.StateIdle, time.Hour, pair)
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	b := &busy{held: make(chan struct{})}
-	pools := newConnectionPools(patience, time.Minute, 100)
+	pools := newConnectionPools(testTimeout, time.Minute, 100)
 	b.loop = newEventLoop(&c, pools, nil, func() {
 		if gate := b.gate.Swap(nil); gate != nil {
 			b.held <- struct{}{}
@@ -61,7 +61,7 @@
 	b.address = l.Addr().String()
 	front := &frontend{loop: b.loop, deployment: &c.Deployment}
 	callers := newClientConnections(way(l), 2*leavers)
-	server := front.newServer(callers, patience)
+	server := front.newServer(callers, testTimeout)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { b.loop.run(ctx) })
@@ -77,7 +77,7 @@
 	gate := make(chan struct{})
 	b.gate.Store(&gate)
 	b.loop.post(listingReceived{kind: policy.Delta})
-	wait(t, b.held, "list")
+	await(t, b.held, "list")
 	free = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(free)
 	return free
@@ -86,7 +86,7 @@
 // inboxHas waits until so much waits for the loop.
 func (b *busy) inboxHas(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); len(b.loop.inbox) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(b.loop.inbox) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d messages for the loop, want %d", len(b.loop.inbox), n)
 		}
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, text)
 	return conn.(*net.TCPConn)
 }
@@ -108,7 +108,7 @@
 // served has a client that stays sent on and answered.
 func (b *busy) served(t *testing.T, id string) {
 	t.Helper()
-	resp, err := exchangeOn(t, dial(t, b.address, ""), ask("GET", "lookup", "", correlationIDHeader, id, quotaHeader, alone))
+	resp, err := roundTripOn(t, dial(t, b.address, ""), requestText("GET", "lookup", "", correlationIDHeader, id, quotaHeader, alone))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
@@ -147,13 +147,13 @@
 				free = b.hold(t)
 			}
 			for range leavers {
-				conns = append(conns, dial(t, b.address, ask("GET", "lookup", "", quotaHeader, alone)))
+				conns = append(conns, dial(t, b.address, requestText("GET", "lookup", "", quotaHeader, alone)))
 			}
 			if first {
 				b.inboxHas(t, leavers) // they have arrived
 			} else {
 				for range leavers {
-					wait(t, came, "first attempt")
+					await(t, came, "first attempt")
 				}
 				free = b.hold(t)
 				close(answer)
@@ -178,8 +178,8 @@
 	t.Parallel()
 	backend := newCrowded(t)
 	b := newBusy(t, backend.address, unchangedWay)
-	conn := dial(t, b.address, ask("POST", "payment", "x", quotaHeader, alone))
-	for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
+	conn := dial(t, b.address, requestText("POST", "payment", "x", quotaHeader, alone))
+	for end := time.Now().Add(testTimeout); !dialling(t, backend.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	b.hold(t)
@@ -210,14 +210,14 @@
 			t.Cleanup(backend.Close)
 			gate := make(chan struct{})
 			b := newBusy(t, backend.Listener.Addr().String(), func(l net.Listener) net.Listener {
-				return &gated{Listener: l, accepted: func() { <-gate }}
+				return &gatedListener{Listener: l, onAccept: func() { <-gate }}
 			})
 			for range leavers {
-				leave(dial(t, b.address, ask("POST", "booking", "x", quotaHeader, alone)))
+				leave(dial(t, b.address, requestText("POST", "booking", "x", quotaHeader, alone)))
 			}
 			close(gate)
 			b.served(t, "stays") // it was accepted after them
-			for end := time.Now().Add(patience); len(b.loop.inbox) > 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); len(b.loop.inbox) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if n := begun.Load(); n > 0 {
@@ -231,8 +231,8 @@
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.client(t, ask("POST", "booking", "x"))
+	r := startTestGateway(t, backend)
+	conn, _ := r.sendRequest(t, requestText("POST", "booking", "x"))
 	_, br := backend.accept(t)
 	readRequest(t, br)
 	conn.Close()
@@ -250,24 +250,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
+			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
 			id := fmt.Sprintf("left-%d", extra)
-			conn, answers := r.client(t, ask("GET", "lookup", "", correlationIDHeader, id))
+			conn, answers := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
 			calls, cr := counter.accept(t)
 			call, _ := readRequest(t, cr) // the request waits for its units
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
 				t.Errorf("the one that left: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
 			total(calls, http.StatusOK, call.URL.Query().Get("add"))
-			_, answers = r.client(t, ask("GET", "lookup", ""))
+			_, answers = r.sendRequest(t, requestText("GET", "lookup", ""))
 			bc, br := backend.accept(t)
 			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) == id {
 				t.Error("the request of the one that left was sent on")
 			}
 			total(bc, http.StatusOK, "ok")
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
 		})
@@ -328,7 +328,7 @@
 		if filler := slices.ContainsFunc(c.fillers, func(f net.Conn) bool {
 			return f.LocalAddr().String() == conn.RemoteAddr().String()
 		}); !filler {
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			return conn, bufio.NewReader(conn)
 		}
 	}
@@ -354,15 +354,15 @@
 		t.Run(fmt.Sprintf("cancel %t", cancel), func(t *testing.T) {
 			t.Parallel()
 			backend := newCrowded(t)
-			r := newRigWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel),
+			r := startTestGatewayWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
-			r.list(t, backend.address)
-			conn, answers := r.client(t, ask("POST", "payment", "x", correlationIDHeader, "left"))
-			for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
+			r.publishBackends(t, backend.address)
+			conn, answers := r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "left"))
+			for end := time.Now().Add(testTimeout); !dialling(t, backend.address) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			conn.(*net.TCPConn).CloseWrite()
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("the one that left: status %d", resp.StatusCode)
 			}
 			for end := time.Now().Add(5 * time.Second); dialling(t, backend.address); time.Sleep(time.Millisecond) {
@@ -370,13 +370,13 @@
 					t.Fatal("its dial goes on")
 				}
 			}
-			_, answers = r.client(t, ask("POST", "payment", "x", correlationIDHeader, "stays"))
+			_, answers = r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "stays"))
 			bc, br := backend.accept(t)
 			if req, _ := readRequest(t, br); req.Header.Get(correlationIDHeader) != "stays" {
 				t.Errorf("request %q was sent on", req.Header.Get(correlationIDHeader))
 			}
 			total(bc, http.StatusOK, "ok")
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
 		})
@@ -391,7 +391,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newEventLoop(&c, newConnectionPools(patience, time.Minute, 8), newCounterClient(far.address(), patience), func() {})
+	l := newEventLoop(&c, newConnectionPools(testTimeout, time.Minute, 8), newCounterClient(far.address(), testTimeout), func() {})
 	l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	x := &clientRequest{correlationID: "one", method: "GET", uri: "/lookup", host: "h", header: http.Header{}, response: make(chan clientResponse, 2),
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -78,7 +78,7 @@
 func TestClock(t *testing.T) {
 	c := newClock()
 	at := c.now()
-	if d := time.Since(c.toTime(at)); d < 0 || d > patience || time.Since(time.Unix(int64(at), 0)) > patience {
+	if d := time.Since(c.toTime(at)); d < 0 || d > testTimeout || time.Since(time.Unix(int64(at), 0)) > testTimeout {
 		t.Errorf("now is %f, %v ago", at, d)
 	}
 }
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -12,13 +12,13 @@
 
 func TestNeverConnected(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
+	p := newPoolsFor(t, backend.address())
 	backend.listener.Close()
-	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
 	p.removeEndpoint(1)
-	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed || p.openConns != 0 {
+	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed || p.openConns != 0 {
 		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
@@ -27,22 +27,22 @@
 // a reset and could not be sent again; so the socket is looked at first.
 func TestClosedIdleConnection(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	done := start(p, newAttempt(patience))
+	p := newPoolsFor(t, backend.address())
+	done := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wait(t, done, "result")
+	await(t, done, "result")
 	conn.Close()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for idle := p.endpoints[1].idleConns[0]; isQuiet(idle.Conn) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
-	done = start(p, newAttempt(patience))
+	done = startRoundTrip(p, newAttempt(testTimeout))
 	conn, r = backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, done, "result"); got.outcome != policy.Served {
+	if got := await(t, done, "result"); got.outcome != policy.Served {
 		t.Errorf("outcome %d", got.outcome)
 	}
 }
@@ -51,21 +51,21 @@
 // request may be sent there meanwhile, lest the copy be taken for its answer.
 func TestLateCopy(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	done := start(p, newAttempt(patience))
+	p := newPoolsFor(t, backend.address())
+	done := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	wait(t, done, "result")
+	await(t, done, "result")
 	p.mu.Lock()
 	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
 	p.mu.Unlock()
-	done = start(p, newAttempt(patience))
+	done = startRoundTrip(p, newAttempt(testTimeout))
 	other, r := backend.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	io.WriteString(other, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-	if got := wait(t, done, "result"); string(got.body) != "second" {
+	if got := await(t, done, "result"); string(got.body) != "second" {
 		t.Errorf("body %q", got.body)
 	}
 }
@@ -74,22 +74,22 @@
 // new one; it is not used all the same.
 func TestLateCopyWithoutRoom(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
+	p := newPoolsFor(t, backend.address())
 	p.maxConns = 1
-	done := start(p, newAttempt(patience))
+	done := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, "first")
-	wait(t, done, "result")
+	await(t, done, "result")
 	p.mu.Lock()
 	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
 	p.mu.Unlock()
-	done = start(p, newAttempt(patience))
+	done = startRoundTrip(p, newAttempt(testTimeout))
 	other, r := backend.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, "first")
 	total(other, http.StatusOK, "second")
-	if got := wait(t, done, "result"); string(got.body) != "second" || p.openConns != 1 {
+	if got := await(t, done, "result"); string(got.body) != "second" || p.openConns != 1 {
 		t.Errorf("body %q, %d open", got.body, p.openConns)
 	}
 }
@@ -98,19 +98,19 @@
 // costs its backend work.
 func TestReuseAfterOldDeadline(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	done := start(p, newAttempt(patience))
+	p := newPoolsFor(t, backend.address())
+	done := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	for i := range 2 {
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != policy.Served {
+		if got := await(t, done, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
 		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
-			done = start(p, newAttempt(patience))
+			done = startRoundTrip(p, newAttempt(testTimeout))
 		}
 	}
 	if len(backend.conns) != 0 || p.openConns != 1 {
@@ -120,29 +120,29 @@
 
 func TestIdleLimitAndMostOpen(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
+	p := newPoolsFor(t, backend.address())
 	p.maxConns = 1
-	first := start(p, newAttempt(patience))
+	first := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
-	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wait(t, first, "result")
+	await(t, first, "result")
 	// An idle connection elsewhere gives way to one that is needed.
 	other := newPeer(t)
 	p.updateEndpoint(2, other.address(), 0)
-	a := newAttempt(patience)
+	a := newAttempt(testTimeout)
 	a.backend = 2
-	first = start(p, a)
+	first = startRoundTrip(p, a)
 	conn, r = other.accept(t)
 	readRequest(t, r)
 	if len(p.endpoints[1].idleConns) != 0 || p.openConns != 1 {
 		t.Errorf("%d idle, %d open", len(p.endpoints[1].idleConns), p.openConns)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wait(t, first, "result")
+	await(t, first, "result")
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour)); p.openConns != 1 {
@@ -153,14 +153,14 @@
 	}
 }
 
-func poolFor(t *testing.T, address string) *connectionPools {
-	p := newConnectionPools(patience, time.Minute, 8)
+func newPoolsFor(t *testing.T, address string) *connectionPools {
+	p := newConnectionPools(testTimeout, time.Minute, 8)
 	p.updateEndpoint(1, address, 0)
 	t.Cleanup(func() { p.removeEndpoint(1) })
 	return p
 }
 
-func start(p *connectionPools, a *attempt) <-chan attemptResult {
+func startRoundTrip(p *connectionPools, a *attempt) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
 	go func() { done <- p.roundTrip(a) }()
 	return done
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -27,7 +27,7 @@
 	c *counterClient, add func(amount float64) *counterCall, replies chan reply,
 ) {
 	t.Helper()
-	c = newCounterClient(address, patience)
+	c = newCounterClient(address, testTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(ctx) })
@@ -80,7 +80,7 @@
 		{3, policy.Rejected, 0},
 		{4, policy.ConnectFailed, 0},
 	} {
-		if got := wait(t, replies, "reply"); got != want {
+		if got := await(t, replies, "reply"); got != want {
 			t.Errorf("reply %v, want %v", got, want)
 		}
 	}
@@ -88,7 +88,7 @@
 	add(5)
 	readRequest(t, r)
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
+	if got := await(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 		t.Errorf("reply after the connection was closed: %v", got)
 	}
 	// The next is sent on a new connection.
@@ -123,10 +123,10 @@
 		add(2)
 		readRequest(t, r) // written behind it
 		fmt.Fprint(conn, c.answer, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n8")
-		if got := wait(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
+		if got := await(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
 			t.Errorf("%.60q: reply %v", c.answer, got)
 		}
-		if got := wait(t, replies, "reply"); got != (reply{2, policy.ConnectionReset, 0}) {
+		if got := await(t, replies, "reply"); got != (reply{2, policy.ConnectionReset, 0}) {
 			t.Errorf("%.60q: reply to the call behind it %v", c.answer, got)
 		}
 	}
@@ -135,7 +135,7 @@
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // and no end but the connection's
 	conn.Close()
-	if got := wait(t, replies, "reply"); got.outcome != policy.Failed {
+	if got := await(t, replies, "reply"); got.outcome != policy.Failed {
 		t.Errorf("reply with no length: %v", got)
 	}
 }
@@ -150,7 +150,7 @@
 	readRequest(t, r)
 	time.Sleep(counterIOTimeout + 200*time.Millisecond) // the moment that is to be crossed
 	total(conn, 200, "5")
-	if got := wait(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
+	if got := await(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -164,7 +164,7 @@
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
-	for deadline := time.Now().Add(patience); !blocked.responseStarted.Load() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); !blocked.responseStarted.Load() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond) // the answer's beginning is on its way
 	}
 	blocked.abandoned.Store(true)
@@ -172,7 +172,7 @@
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	total(conn, 200, "3")
-	for got := wait(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = wait(t, replies, "reply") {
+	for got := await(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = await(t, replies, "reply") {
 		if got.amount != 1 { // the blocked connection ends at its time-out, and its call with it
 			t.Fatalf("reply on the new connection: %v", got)
 		}
@@ -183,7 +183,7 @@
 // the last one.
 func TestCounterConnectionsAreLimited(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	var openConns atomic.Int64
 	openConns.Store(maxConnsPerStream - 1) // blocked already
 	conn, err := c.dial(context.Background(), &openConns)
@@ -215,7 +215,7 @@
 	far.listener.Close()
 	_, add, replies := startCounter(t, far.address())
 	add(1)
-	if got := wait(t, replies, "reply"); got.outcome != policy.ConnectFailed {
+	if got := await(t, replies, "reply"); got.outcome != policy.ConnectFailed {
 		t.Errorf("reply %v", got)
 	}
 }
@@ -223,7 +223,7 @@
 // A call that was abandoned before it was written is never written.
 func TestAbandonedCallIsNotWritten(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	reported := make(chan policy.Outcome, 2)
 	report := func(_ *counterCall, outcome policy.Outcome, _ float64) { reported <- outcome }
 	abandoned := &counterCall{key: 1, amount: 1, ttl: time.Minute, report: report}
@@ -238,7 +238,7 @@
 	if req, _ := readRequest(t, r); req.URL.Query().Get("add") != "2" {
 		t.Errorf("written: %s", req.RequestURI)
 	}
-	if got := wait(t, reported, "report"); got != policy.TimedOut {
+	if got := await(t, reported, "report"); got != policy.TimedOut {
 		t.Errorf("outcome %d", got)
 	}
 }
@@ -256,7 +256,7 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		total(conn, 200, "1")
-		wait(t, replies, "reply")
+		await(t, replies, "reply")
 		time.Sleep(10 * minIdleBucket) // the idle time itself is what is tested
 	}
 }
@@ -273,12 +273,12 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		total(conn, 200, "1")
-		wait(t, replies, "reply")
+		await(t, replies, "reply")
 		time.Sleep(2 * minIdleBucket)
 		add(2)
 		readRequest(t, r)
 		conn.Close()
-		if got := wait(t, replies, "reply"); got.outcome != policy.ConnectionReset {
+		if got := await(t, replies, "reply"); got.outcome != policy.ConnectionReset {
 			t.Fatalf("reply %v", got)
 		}
 	}
@@ -287,7 +287,7 @@
 // A connection that the counter closed while idle is not reused: a call written to it would be in doubt.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	far := newPeer(t)
-	c := newCounterClient(far.address(), patience)
+	c := newCounterClient(far.address(), testTimeout)
 	var openConns atomic.Int64
 	conn, err := c.dial(context.Background(), &openConns)
 	if err != nil {
@@ -303,7 +303,7 @@
 		t.Error("reusable after the idle limit")
 	}
 	counterSide.Close()
-	for deadline := time.Now().Add(patience); isQuiet(conn.Conn) && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); isQuiet(conn.Conn) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
 	if conn.reusable(0) {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -16,16 +16,16 @@
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := newRigWith(t, func(config string) string {
+	r := startTestGatewayWith(t, func(config string) string {
 		// So many gateways that local tokens pay for nothing while the counter answers.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
-	_, answers := r.client(t, ask("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
 	_, calls := counter.accept(t)
 	readRequest(t, calls)
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -36,8 +36,8 @@
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are too few to pay again.
-	r := newRigWith(t, withCounter(counter, 0.001, 2, 500*time.Millisecond), backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, 500*time.Millisecond), backend)
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
@@ -53,7 +53,7 @@
 	}
 	total(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
 	serveOne(t, backend, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -65,14 +65,14 @@
 	const timeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are too few to pay.
-	r := newRigWith(t, withCounter(counter, 0.001, 2, timeout), backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, timeout), backend)
+	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
 	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
 	total(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // and no other call is answered
-	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -92,8 +92,8 @@
 			t.Parallel()
 			const otherGateway = 2.0 // units that another gateway has added
 			counter := newPeer(t)
-			r := newRigWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
-			r.client(t, ask("GET", "lookup", ""))
+			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
+			r.sendRequest(t, requestText("GET", "lookup", ""))
 			conn, calls := counter.accept(t)
 			nextCall := func() (path string, added float64) {
 				req, _ := readRequest(t, calls)
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -71,7 +71,7 @@
 			conn, r := far.accept(t)
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-			wait(t, received, "list")
+			await(t, received, "list")
 			var sentAt time.Time
 			for range 4 { // the first is a watch; after a malformed answer the next poll asks for the full list
 				readRequest(t, r)
@@ -81,7 +81,7 @@
 			}
 			readRequest(t, r)
 			total(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
-			if l := wait(t, received, "change"); l.Generation != 45 {
+			if l := await(t, received, "change"); l.Generation != 45 {
 				t.Errorf("received version %d", l.Generation)
 			}
 			if elapsed := time.Since(sentAt); elapsed > knownWithin {
@@ -98,14 +98,14 @@
 	onList := func(l EndpointList) { received <- l }
 	far := newCrowded(t)
 	runWatcher(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, onList))
-	for deadline := time.Now().Add(patience); !dialling(t, far.address) && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); !dialling(t, far.address) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	sentAt := time.Now()
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, received, "list")
+	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > knownWithin {
 		t.Errorf("after a dial that hung, received after %v", elapsed)
 	}
@@ -141,7 +141,7 @@
 	defer conn.Close()
 	readRequest(t, bufio.NewReader(conn))
 	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	wait(t, received, "list")
+	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > knownWithin {
 		t.Errorf("after refused dials, received after %v", elapsed)
 	}
@@ -173,7 +173,7 @@
 			received := make(chan EndpointList, 8)
 			onList := func(l EndpointList) { received <- l }
 			runWatcher(t, newDiscoveryWatcher(slow.Listener.Addr().String(), 2*time.Second, c.listInUse, onList))
-			wait(t, received, "list")
+			await(t, received, "list")
 		})
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -78,16 +78,16 @@
 // drains.
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
-	r := newRig(t, backend, other)
-	wait(t, r.registry.calls, "first list")
-	wait(t, r.registry.calls, "watch")
+	r := startTestGateway(t, backend, other)
+	await(t, r.discovery.calls, "first list")
+	await(t, r.discovery.calls, "watch")
 	unknownZone := listingOf(false, "Terminating", backend)
 	unknownZone.Entries[0].Zone = "nowhere"
 	unknownLifecycle := listingOf(false, "Leaving", other)
-	r.registry.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
-	wait(t, r.registry.calls, "next watch")
-	_, answers := r.client(t, ask("GET", "glance", ""))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
+	r.discovery.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
+	await(t, r.discovery.calls, "next watch")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, connections %d and %d", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
@@ -120,14 +120,14 @@
 		{"an array", "", "[]", false, true},
 		{"the full list after these", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
 	} {
-		if got := wait(t, r.calls, "poll"); got != step.query {
+		if got := await(t, r.calls, "poll"); got != step.query {
 			t.Fatalf("%s: poll %q, want %q", step.name, got, step.query)
 		}
 		r.answers <- step.answer
 		if step.none {
 			continue
 		}
-		got := wait(t, received, "list")
+		got := await(t, received, "list")
 		if got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
 			t.Fatalf("%s: received %+v", step.name, got)
 		}
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -14,24 +14,24 @@
 func TestRefusedBackendAndDrain(t *testing.T) {
 	t.Parallel()
 	dead, backend := newPeer(t), newPeer(t)
-	r := newRig(t, dead, backend)
+	r := startTestGateway(t, dead, backend)
 	dead.listener.Close()
 	for range 4 { // none is lost, whichever is picked first
-		_, answers := r.client(t, ask("POST", "payment", "x"))
+		_, answers := r.sendRequest(t, requestText("POST", "payment", "x"))
 		conn, br := backend.accept(t)
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+		if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
 	// The call after the one that told of the drain shows that it was heard.
-	wait(t, r.registry.calls, "first list")
-	wait(t, r.registry.calls, "watch")
-	r.registry.answers <- listingOf(false, "Terminating", backend)
-	wait(t, r.registry.calls, "next watch")
-	_, answers := r.client(t, ask("GET", "glance", ""))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	await(t, r.discovery.calls, "first list")
+	await(t, r.discovery.calls, "watch")
+	r.discovery.answers <- listingOf(false, "Terminating", backend)
+	await(t, r.discovery.calls, "next watch")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
 }
@@ -41,17 +41,17 @@
 func TestDrainRacesDial(t *testing.T) {
 	t.Parallel()
 	backend, other := newCrowded(t), newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
-	r.list(t, backend.address)
-	_, answers := r.client(t, ask("POST", "payment", "x"))
-	for end := time.Now().Add(patience); !dialling(t, backend.address) && time.Now().Before(end); {
+	r := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
+	r.publishBackends(t, backend.address)
+	_, answers := r.sendRequest(t, requestText("POST", "payment", "x"))
+	for end := time.Now().Add(testTimeout); !dialling(t, backend.address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	told := listingOf(true, "Ready", other)
 	told.Entries = append(told.Entries, EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
-	r.registry.answers <- told
+	r.discovery.answers <- told
 	serveOne(t, other, "ok")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if dialling(t, backend.address) {
@@ -63,21 +63,21 @@
 // anew; a request written there is lost or in doubt.
 func TestNewLife(t *testing.T) {
 	backend, moved := newPeer(t), newPeer(t)
-	p := poolFor(t, backend.address())
-	out := start(p, newAttempt(patience))
+	p := newPoolsFor(t, backend.address())
+	out := startRoundTrip(p, newAttempt(testTimeout))
 	_, r := backend.accept(t)
 	readRequest(t, r)
 	p.updateEndpoint(1, backend.address(), 5)
-	if got := wait(t, out, "result"); got.outcome != policy.ConnectionReset {
+	if got := await(t, out, "result"); got.outcome != policy.ConnectionReset {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.address(), moved.address()} {
 		p.updateEndpoint(1, address, 5)
-		done := start(p, newAttempt(patience))
+		done := startRoundTrip(p, newAttempt(testTimeout))
 		conn, r := []*peer{backend, moved}[n].accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != policy.Served || p.openConns != 1 {
+		if got := await(t, done, "result"); got.outcome != policy.Served || p.openConns != 1 {
 			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.openConns)
 		}
 	}
@@ -86,16 +86,16 @@
 // A draining backend gets nothing new, but what it has it may finish.
 func TestDrain(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	out := start(p, newAttempt(patience))
+	p := newPoolsFor(t, backend.address())
+	out := startRoundTrip(p, newAttempt(testTimeout))
 	conn, r := backend.accept(t)
 	readRequest(t, r)
 	p.removeEndpoint(1)
-	if got := p.roundTrip(newAttempt(patience)); got.outcome != policy.ConnectFailed {
+	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
 		t.Errorf("new work: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, out, "result"); got.outcome != policy.Served || p.openConns != 0 {
+	if got := await(t, out, "result"); got.outcome != policy.Served || p.openConns != 0 {
 		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -15,10 +15,10 @@
 func TestServed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("POST", "booking", "pickup"))
+	r := startTestGateway(t, backend)
+	_, answers := r.sendRequest(t, requestText("POST", "booking", "pickup"))
 	serveOne(t, backend, "booked\n")
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil || resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
 		t.Errorf("%d %q %v %v", resp.StatusCode, body, resp.Header, err)
@@ -29,42 +29,42 @@
 // customer, or repeat what must not run twice.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := startTestGateway(t, newPeer(t))
 	for _, c := range []struct {
 		name, text string
 		status     int
 	}{
-		{"no id", ask("GET", "lookup", "", correlationIDHeader, ""), 400},
-		{"unknown class", ask("GET", "lookups", ""), 400},
-		{"another path", ask("GET", "lookup", "", "path", "/booking"), 400},
-		{"a path with no first part", ask("GET", "lookup", "", "path", "//lookup"), 400},
-		{"unknown plan", ask("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", ask("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400},
-		{"a customer too high", ask("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400},
-		{"no time", ask("GET", "lookup", "", timeLeftHeader, ""), 400},
-		{"no time left", ask("GET", "lookup", "", timeLeftHeader, "0"), 400},
-		{"time without end", ask("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
-		{"no terms", ask("GET", "lookup", "", quotaHeader, ""), 400},
-		{"no number", ask("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400},
-		{"too many units", ask("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400},
-		{"a set beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400},
-		{"a gateway beyond the fleet", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400},
-		{"no key", ask("POST", "booking", "x", idempotencyKeyHeader, ""), 400},
-		{"the wrong method", ask("POST", "lookup", "x"), 405},
-		{"a keyed GET", ask("GET", "booking", ""), 405},
-		{"a large body", ask("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413},
-		{"a large body in chunks", ask("POST", "booking", "", "Transfer-Encoding", "chunked") +
+		{"no id", requestText("GET", "lookup", "", correlationIDHeader, ""), 400},
+		{"unknown class", requestText("GET", "lookups", ""), 400},
+		{"another path", requestText("GET", "lookup", "", "path", "/booking"), 400},
+		{"a path with no first part", requestText("GET", "lookup", "", "path", "//lookup"), 400},
+		{"unknown plan", requestText("GET", "lookup", "", planHeader, "gold"), 400},
+		{"a short customer", requestText("GET", "lookup", "", apiKeyHeader, "b4d65521"), 400},
+		{"a customer too high", requestText("GET", "lookup", "", apiKeyHeader, "0000000200000000"), 400},
+		{"no time", requestText("GET", "lookup", "", timeLeftHeader, ""), 400},
+		{"no time left", requestText("GET", "lookup", "", timeLeftHeader, "0"), 400},
+		{"time without end", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
+		{"no terms", requestText("GET", "lookup", "", quotaHeader, ""), 400},
+		{"no number", requestText("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400},
+		{"too many units", requestText("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400},
+		{"a set beyond the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400},
+		{"a gateway beyond the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400},
+		{"no key", requestText("POST", "booking", "x", idempotencyKeyHeader, ""), 400},
+		{"the wrong method", requestText("POST", "lookup", "x"), 405},
+		{"a keyed GET", requestText("GET", "booking", ""), 405},
+		{"a large body", requestText("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413},
+		{"a large body in chunks", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") +
 			"2\r\nok\r\n0\r\n\r\n", 411},
-		{"a set told twice", ask("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400},
-		{"a header told twice", ask("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
-		{"a GET with a body", ask("GET", "lookup", "x"), 400},
-		{"two lengths", ask("POST", "booking", "ok", "content-length", "3"), 400},
-		{"a negative length", ask("POST", "booking", "", "Content-Length", "-2"), 400},
-		{"HTTP/1.0", strings.Replace(ask("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505},
-		{"endless headers", ask("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
+		{"a set told twice", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400},
+		{"a header told twice", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
+		{"a GET with a body", requestText("GET", "lookup", "x"), 400},
+		{"two lengths", requestText("POST", "booking", "ok", "content-length", "3"), 400},
+		{"a negative length", requestText("POST", "booking", "", "Content-Length", "-2"), 400},
+		{"HTTP/1.0", strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505},
+		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
 	} {
-		_, answers := r.client(t, c.text)
-		if resp := wait(t, answers, "answer to "+c.name); resp.StatusCode != c.status || !resp.Close {
+		_, answers := r.sendRequest(t, c.text)
+		if resp := await(t, answers, "answer to "+c.name); resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%s: status %d, want %d; closed %t", c.name, resp.StatusCode, c.status, resp.Close)
 		}
 	}
@@ -75,11 +75,11 @@
 func TestHiddenRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	hidden := ask("POST", "booking", "hidden")
-	conn, answers := r.client(t, ask("POST", "booking", "", "Transfer-Encoding", "chunked",
+	r := startTestGateway(t, backend)
+	hidden := requestText("POST", "booking", "hidden")
+	conn, answers := r.sendRequest(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked",
 		"Content-Length", fmt.Sprint(5+len(hidden)))+"0\r\n\r\n"+hidden)
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 411 || !resp.Close {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 411 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if rest, err := io.ReadAll(conn); isTimeout(err) {
@@ -95,13 +95,13 @@
 func TestIdTwice(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, first := r.client(t, ask("POST", "booking", "mine", correlationIDHeader, "one"))
+	r := startTestGateway(t, backend)
+	_, first := r.sendRequest(t, requestText("POST", "booking", "mine", correlationIDHeader, "one"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	for range 2 {
-		_, second := r.client(t, ask("GET", "lookup", "", correlationIDHeader, "one"))
-		if resp := wait(t, second, "answer to the second"); resp.StatusCode != 409 {
+		_, second := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, "one"))
+		if resp := await(t, second, "answer to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
 		if len(backend.conns) > 0 {
@@ -109,7 +109,7 @@
 		}
 		if conn != nil {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine")
-			if resp := wait(t, first, "answer to the first"); resp.StatusCode != 200 {
+			if resp := await(t, first, "answer to the first"); resp.StatusCode != 200 {
 				t.Errorf("the first: status %d", resp.StatusCode)
 			}
 			conn = nil
@@ -122,11 +122,11 @@
 func TestSilence(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, answers := r.client(t, ask("GET", "glance", ""))
+	r := startTestGateway(t, backend)
+	conn, answers := r.sendRequest(t, requestText("GET", "glance", ""))
 	_, br := backend.accept(t)
 	readRequest(t, br)
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -134,7 +134,7 @@
 		t.Errorf("the given-up attempt's connection: %v", err)
 	}
 	// The client's connection carries the next request, and that one's answer only.
-	io.WriteString(conn, ask("GET", "lookup", ""))
+	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || next.StatusCode != 200 {
@@ -150,8 +150,8 @@
 func TestFloodBehindRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, _ := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	conn, _ := r.sendRequest(t, requestText("GET", "lookup", ""))
 	_, br := backend.accept(t)
 	readRequest(t, br)
 	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
@@ -165,15 +165,15 @@
 func TestPipelined(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	conn, first := r.client(t, ask("GET", "lookup", ""))
+	r := startTestGateway(t, backend)
+	conn, first := r.sendRequest(t, requestText("GET", "lookup", ""))
 	bc, br := backend.accept(t)
 	readRequest(t, br)
-	second := ask("POST", "booking", strings.Repeat("y", 6000))
+	second := requestText("POST", "booking", strings.Repeat("y", 6000))
 	io.WriteString(conn, second[:1])
 	io.WriteString(conn, second[1:])
 	io.WriteString(bc, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfirst")
-	if resp := wait(t, first, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	_, br = backend.accept(t)
@@ -187,8 +187,8 @@
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	way := &gated{before: func(c *gatedConn) { c.SetWriteBuffer(4096) }}
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way },
+	way := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(4096) }}
+	r := startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way },
 		strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace, backend)
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -198,17 +198,17 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	io.WriteString(slow, ask("GET", "lookup", ""))
+	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
 	for range 2 { // on a connection of its own, or on the first again
-		_, answers := r.client(t, ask("GET", "glance", ""))
-		resp := wait(t, answers, "another client's answer")
+		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
 	r.stop()
-	if err := wait(t, r.ended, "end"); err == nil {
+	if err := await(t, r.serveErr, "end"); err == nil {
 		t.Error("the answer that nobody read was not held at all")
 	}
 }
@@ -221,7 +221,7 @@
 	}
 	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &c.Deployment}
 	for left, most := range map[string]float64{"3600000": 20, "7000": 7} {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", "", timeLeftHeader, left))))
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("GET", "lookup", "", timeLeftHeader, left))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -14,35 +14,35 @@
 	"time"
 )
 
-// rig is a whole gateway between loopback sockets.
-type rig struct {
-	address  string
-	registry *registry
-	stop     context.CancelFunc
-	ended    chan error
-	hup      chan os.Signal
-	config   atomic.Pointer[string] // what a reload reads
-	reading  atomic.Int64           // nanoseconds that a reload takes to read it
+// testGateway is a whole gateway between loopback sockets.
+type testGateway struct {
+	address      string
+	discovery    *registry
+	stop         context.CancelFunc
+	serveErr     chan error
+	reloadSignal chan os.Signal
+	config       atomic.Pointer[string] // what a reload reads
+	reloadDelay  atomic.Int64           // nanoseconds that a reload takes to read it
 }
 
-// newRig starts a gateway that knows the given backends and waits until it is
+// startTestGateway starts a gateway that knows the given backends and waits until it is
 // ready.
-func newRig(t *testing.T, backends ...*peer) *rig {
+func startTestGateway(t *testing.T, backends ...*peer) *testGateway {
 	t.Helper()
-	return newRigWith(t, func(text string) string { return text }, backends...)
+	return startTestGatewayWith(t, func(text string) string { return text }, backends...)
 }
 
-// newRigWith does so with another configuration.
-func newRigWith(t *testing.T, change func(config string) string, backends ...*peer) *rig {
+// startTestGatewayWith does so with another configuration.
+func startTestGatewayWith(t *testing.T, changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
-	return newRigBehind(t, func(l net.Listener) net.Listener { return l }, change, backends...)
+	return startTestGatewayBehind(t, func(l net.Listener) net.Listener { return l }, changeConfig, backends...)
 }
 
-// newRigBehind does so with another way to its clients.
-func newRigBehind(t *testing.T, way func(net.Listener) net.Listener, change func(config string) string, backends ...*peer) *rig {
+// startTestGatewayBehind does so with another way to its clients.
+func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener, changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
-	r := &rig{registry: newRegistry(t), ended: make(chan error, 1), hup: make(chan os.Signal)}
-	config := change(configText(r.registry.address(), testSettings))
+	r := &testGateway{discovery: newRegistry(t), serveErr: make(chan error, 1), reloadSignal: make(chan os.Signal)}
+	config := changeConfig(configText(r.discovery.address(), testSettings))
 	c, err := parseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
@@ -55,18 +55,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	r.config.Store(&config)
-	reload := Reload{r.hup, func() (Config, error) {
-		time.Sleep(time.Duration(r.reading.Load()))
+	reload := Reload{r.reloadSignal, func() (Config, error) {
+		time.Sleep(time.Duration(r.reloadDelay.Load()))
 		return parseConfig([]byte(*r.config.Load()))
 	}}
 	done := make(chan struct{})
-	go func() { defer close(done); r.ended <- serve(ctx, &c, way(l), reload) }()
+	go func() { defer close(done); r.serveErr <- serve(ctx, &c, wrapListener(l), reload) }()
 	t.Cleanup(func() { stop(); <-done })
-	if got := r.ready(t); got != http.StatusServiceUnavailable {
+	if got := r.readinessStatus(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the list is had: %d", got)
 	}
-	r.registry.answers <- listingOf(true, "Ready", backends...)
-	r.until(t, http.StatusOK)
+	r.discovery.answers <- listingOf(true, "Ready", backends...)
+	r.awaitReadiness(t, http.StatusOK)
 	return r
 }
 
@@ -79,7 +79,7 @@
 	return l
 }
 
-func (r *rig) ready(t *testing.T) int {
+func (r *testGateway) readinessStatus(t *testing.T) int {
 	t.Helper()
 	resp, err := http.Get("http://" + r.address + readyPath)
 	if err != nil {
@@ -89,33 +89,33 @@
 	return resp.StatusCode
 }
 
-func (r *rig) until(t *testing.T, status int) {
+func (r *testGateway) awaitReadiness(t *testing.T, status int) {
 	t.Helper()
-	for end := time.Now().Add(patience); r.ready(t) != status; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.readinessStatus(t) != status; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("readiness never became %d", status)
 		}
 	}
 }
 
-// list tells the gateway of backends at these addresses, and waits until it has
+// publishBackends tells the gateway of backends at these addresses, and waits until it has
 // heard.
-func (r *rig) list(t *testing.T, addresses ...string) {
+func (r *testGateway) publishBackends(t *testing.T, addresses ...string) {
 	t.Helper()
 	told := EndpointList{Generation: 2, Reset: true}
 	for _, address := range addresses {
 		told.Entries = append(told.Entries, EndpointEntry{ID: address, HostPort: address, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	wait(t, r.registry.calls, "first list")
-	wait(t, r.registry.calls, "watch")
-	r.registry.answers <- told
-	wait(t, r.registry.calls, "next watch")
+	await(t, r.discovery.calls, "first list")
+	await(t, r.discovery.calls, "watch")
+	r.discovery.answers <- told
+	await(t, r.discovery.calls, "next watch")
 }
 
-// closedListener waits until clients are taken no longer.
-func (r *rig) closedListener(t *testing.T) {
+// awaitListenerClosed waits until clients are taken no longer.
+func (r *testGateway) awaitListenerClosed(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", r.address)
 		if err != nil {
 			return
@@ -127,10 +127,10 @@
 	}
 }
 
-var asked atomic.Int64 // requests have ids of their own
+var lastCorrelationID atomic.Int64 // requests have ids of their own
 
-func ask(method, class, body string, change ...string) string {
-	headers := map[string]string{correlationIDHeader: fmt.Sprintf("%016x", asked.Add(1)), classHeader: class, planHeader: "basic",
+func requestText(method, class, body string, change ...string) string {
+	headers := map[string]string{correlationIDHeader: fmt.Sprintf("%016x", lastCorrelationID.Add(1)), classHeader: class, planHeader: "basic",
 		apiKeyHeader: "00000000b4d65521", timeLeftHeader: "15000", quotaHeader: "units=2,spread=2,first=1", idempotencyKeyHeader: "k1"}
 	path := "/" + class
 	for i := 0; i < len(change); i += 2 {
@@ -150,15 +150,15 @@
 	return text + "\r\n" + body
 }
 
-// client sends one request and returns the channel of its answer.
-func (r *rig) client(t *testing.T, text string) (net.Conn, <-chan *http.Response) {
+// sendRequest sends one request and returns the channel of its answer.
+func (r *testGateway) sendRequest(t *testing.T, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
@@ -178,8 +178,8 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Backend-Load: {}\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// patience bounds every wait of a test; none is expected to last so long.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test; none is expected to last so long.
+const testTimeout = 20 * time.Second
 
 // peer is the other side of connections: it hands each one on, and closes what
 // is left at the end of the test.
@@ -213,17 +213,17 @@
 
 func (p *peer) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c := wait(t, p.conns, "a connection")
-	c.SetDeadline(time.Now().Add(patience))
+	c := await(t, p.conns, "a connection")
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
-func wait[T any](t *testing.T, ch <-chan T, what string) T {
+func await[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s came", what)
 		panic("unreachable")
 	}
@@ -242,7 +242,7 @@
 	return req, body
 }
 
-func unchanged(config string) string { return config }
+func unchangedConfig(config string) string { return config }
 
 // withCounter gives the test's customers a quota kept on a counter, which is
 // given so long to answer. With a small depth their first request has to call it.
@@ -252,8 +252,8 @@
 		`"mostUnits": 4`, fmt.Sprintf(`"mostUnits": 4, "hasCounter": true, "counterTimeoutS": %g`, timeout.Seconds())).Replace
 }
 
-// exchangeOn sends one more request on a connection.
-func exchangeOn(t *testing.T, conn net.Conn, text string) (*http.Response, error) {
+// roundTripOn sends one more request on a connection.
+func roundTripOn(t *testing.T, conn net.Conn, text string) (*http.Response, error) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
 		return nil, err
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -39,7 +39,7 @@
 	running.Go(func() { h.Run(ctx) })
 	end = func() { cancel(); running.Wait() }
 	t.Cleanup(end)
-	wait(t, h.Ready(), "list")
+	await(t, h.Ready(), "list")
 	return h, end
 }
 
@@ -87,7 +87,7 @@
 		answered := make(chan int, 2)
 		h.Submit(policy.Request{Customer: 7, Units: 1, FirstGateway: 1, Gateways: 1, Deadline: 15}, fmt.Sprint(n),
 			func() { sent.Add(1) }, func(status int, _ float64) { answered <- status })
-		status := wait(t, answered, "answer")
+		status := await(t, answered, "answer")
 		statusCounts[status]++
 		if elapsed := time.Since(submittedAt); status == http.StatusOK && elapsed < latency {
 			t.Errorf("served in %v", elapsed)
@@ -103,7 +103,7 @@
 		made, unanswered := h.CounterCalls()
 		return made > 0 && made == calls.callCount() && unanswered == 0
 	}
-	for deadline := time.Now().Add(patience); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
+	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
 		if time.Now().After(deadline) {
 			made, unanswered := h.CounterCalls()
 			t.Fatalf("%d calls reported, %d of them unanswered, and the counter had others", made, unanswered)
@@ -122,11 +122,11 @@
 		h.Submit(policy.Request{Units: 1, Gateways: 1, Deadline: 15}, id, onSent, onAnswered)
 	}
 	submit("one", func() { close(sent) })
-	wait(t, sent, "send")
+	await(t, sent, "send")
 	end()
 	submit("two", func() { t.Error("sent by a gateway that has ended") })
 	for range 2 {
-		if status := wait(t, answered, "answer"); status != http.StatusInternalServerError {
+		if status := await(t, answered, "answer"); status != http.StatusInternalServerError {
 			t.Errorf("answered %d", status)
 		}
 	}
@@ -139,7 +139,7 @@
 	outcomes := make(chan policy.Outcome, 1)
 	a.request.onSent = func() { t.Error("reported as sent") }
 	transport.startAttempt(a, func(r attemptResult) { outcomes <- r.outcome })
-	if got := wait(t, outcomes, "outcome"); got != policy.ConnectFailed {
+	if got := await(t, outcomes, "outcome"); got != policy.ConnectFailed {
 		t.Errorf("ended as %v", got)
 	}
 }
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -47,7 +47,7 @@
 func TestForgottenConnections(t *testing.T) {
 	t.Parallel()
 	far := newPeer(t)
-	p := newConnectionPools(patience, patience, 8)
+	p := newConnectionPools(testTimeout, testTimeout, 8)
 	defer func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -56,7 +56,7 @@
 	p.updateEndpoint(1, far.address(), 0)
 	attemptOnce := func() chan policy.Outcome {
 		a := &attempt{request: &clientRequest{method: "GET", uri: "/lookup", host: "origin.svc"}, backend: 1,
-			socketDeadline: time.Now().Add(patience)}
+			socketDeadline: time.Now().Add(testTimeout)}
 		a.ctx, a.cancelContext = context.WithCancel(context.Background())
 		ended := make(chan policy.Outcome, 1)
 		go func() { defer a.cancelContext(); ended <- p.roundTrip(a).outcome }()
@@ -70,14 +70,14 @@
 		conn, r := far.accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		if got := wait(t, ended, "outcome"); got != policy.Served {
+		if got := await(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
 		time.Sleep(2 * minIdleBucket) // the rest itself is what is tested
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
-		if got := wait(t, ended, "outcome"); got != policy.ConnectionReset {
+		if got := await(t, ended, "outcome"); got != policy.ConnectionReset {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
@@ -85,7 +85,7 @@
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	wait(t, ended, "outcome")
+	await(t, ended, "outcome")
 	limit := p.idleEstimator.limit(time.Now())
 	for range int(minBreaks) {
 		p.idleEstimator.observe(time.Now(), limit, true) // lest it fade while this test waits
@@ -95,7 +95,7 @@
 	conn, r = far.accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if got := wait(t, ended, "outcome"); got != policy.Served {
+	if got := await(t, ended, "outcome"); got != policy.Served {
 		t.Errorf("outcome %d once it is known that connections are forgotten", got)
 	}
 }
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -47,8 +47,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
-			p := poolFor(t, backend.address())
-			done := start(p, newAttempt(patience))
+			p := newPoolsFor(t, backend.address())
+			done := startRoundTrip(p, newAttempt(testTimeout))
 			conn, r := backend.accept(t)
 			readRequest(t, r)
 			go func() {
@@ -57,7 +57,7 @@
 					conn.(*net.TCPConn).CloseWrite()
 				}
 			}()
-			got := wait(t, done, "result")
+			got := await(t, done, "result")
 			if got.outcome != c.want || string(got.body) != c.body {
 				t.Errorf("outcome %d, body of %d bytes; want %d and %q", got.outcome, len(got.body), c.want, c.body)
 			}
@@ -72,11 +72,11 @@
 
 func TestRequestUnchanged(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
-	a := newAttempt(patience)
+	p := newPoolsFor(t, backend.address())
+	a := newAttempt(testTimeout)
 	a.request.header[idempotencyKeyHeader] = []string{"key-1"}
 	a.request.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxBodyBytes/4)
-	done := start(p, a)
+	done := startRoundTrip(p, a)
 	conn, r := backend.accept(t)
 	req, body := readRequest(t, r)
 	if req.Method != "POST" || req.RequestURI != a.request.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.request.body) ||
@@ -84,14 +84,14 @@
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wait(t, done, "result")
+	await(t, done, "result")
 }
 
 // A machine that went silent keeps its connections open: only our clock ends
 // the wait, and the connection with it.
 func TestSilentBackend(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.address())
+	p := newPoolsFor(t, backend.address())
 	got := p.roundTrip(newAttempt(50 * time.Millisecond))
 	if got.outcome != policy.TimedOut || p.openConns != 0 {
 		t.Errorf("outcome %d, %d open", got.outcome, p.openConns)
@@ -109,15 +109,15 @@
 	t.Parallel()
 	for class, status := range map[string]int{"payment": 502, "booking": 200} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		_, answers := r.client(t, ask("POST", class, "x"))
+		r := startTestGateway(t, backend)
+		_, answers := r.sendRequest(t, requestText("POST", class, "x"))
 		conn, br := backend.accept(t)
 		readRequest(t, br)
 		conn.Close()
 		if status == 200 {
 			serveOne(t, backend, "ok") // in its group and within its window a keyed request may go out again
 		}
-		if resp := wait(t, answers, "answer"); resp.StatusCode != status {
+		if resp := await(t, answers, "answer"); resp.StatusCode != status {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, status)
 		}
 		if n := len(backend.conns); n > 0 {
@@ -138,7 +138,7 @@
 		"a client that leaves":        func(l *eventLoop, x *clientRequest) { l.handleMessage(clientDisconnected{x}) },
 	} {
 		backend := newPeer(t)
-		p := newConnectionPools(patience, time.Minute, 8)
+		p := newConnectionPools(testTimeout, time.Minute, 8)
 		l := newEventLoop(&c, p, nil, func() {})
 		l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
 		now := l.clock.now()
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -21,15 +21,15 @@
 			t.Parallel()
 			backend := newPeer(t)
 			crossed := make(chan struct{})
-			_, conn := raced(t, fresh, unchanged, backend, func(r *rig, c *gatedConn) {
+			_, conn := startRace(t, fresh, unchangedConfig, backend, func(r *testGateway, c *gatedConn) {
 				c.armed.Store(true)
 				r.stop()
-				<-c.ended
+				<-c.readEnded
 				close(crossed)
 			})
-			text := ask("POST", "payment", "cash")
+			text := requestText("POST", "payment", "cash")
 			io.WriteString(conn, text[:40])
-			wait(t, crossed, "crossing")
+			await(t, crossed, "crossing")
 			io.WriteString(conn, text[40:])
 			want := http.StatusServiceUnavailable
 			if !fresh {
@@ -60,23 +60,23 @@
 			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
 			// The connections that asked for readiness wait for requests as well, and must not take the gate.
 			own := freeAddress(t)
-			way := &gated{before: func(c *gatedConn) {
+			way := &gatedListener{beforeRead: func(c *gatedConn) {
 				if c.RemoteAddr().String() == own.String() && shut.CompareAndSwap(true, false) {
 					waiting <- c
 					<-gate
 				}
 			}}
-			r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
+			r := startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchangedConfig, backend)
 			shut.Store(!idle)
 			conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			if idle {
 				// The watch for a client that leaves is one read, the wait for the next request the other.
-				io.WriteString(conn, ask("GET", "lookup", ""))
+				io.WriteString(conn, requestText("GET", "lookup", ""))
 				bc, br := backend.accept(t)
 				readRequest(t, br)
 				shut.Store(true)
@@ -85,13 +85,13 @@
 					t.Fatal(resp, err)
 				}
 			}
-			at := wait(t, waiting, "read")
-			io.WriteString(conn, ask("GET", "glance", ""))
-			for end := time.Now().Add(patience); isQuiet(at.TCPConn) && time.Now().Before(end); {
+			at := await(t, waiting, "read")
+			io.WriteString(conn, requestText("GET", "glance", ""))
+			for end := time.Now().Add(testTimeout); isQuiet(at.TCPConn) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond) // the request is on its way through the kernel
 			}
 			r.stop()
-			r.closedListener(t)
+			r.awaitListenerClosed(t)
 			close(gate)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -100,7 +100,7 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			if err := wait(t, r.ended, "end"); err != nil {
+			if err := await(t, r.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -112,32 +112,32 @@
 func TestStopRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	var r *rig
+	var r *testGateway
 	var shut atomic.Bool
 	stopped := make(chan struct{})
 	own := freeAddress(t)
-	way := &gated{deadline: func(c *gatedConn, at time.Time) {
+	way := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
 		// The server sets the longest deadline for the wait between two requests.
 		if c.RemoteAddr().String() == own.String() && time.Until(at) > idleTimeout/2 && shut.CompareAndSwap(true, false) {
 			c.armed.Store(true)
 			r.stop()
 			select {
-			case <-c.ended: // the stop has closed idle connections
+			case <-c.readEnded: // the stop has closed idle connections
 			case <-time.After(lateConnectionDelay / 4): // or waits for this one
 			}
 			close(stopped)
 		}
 	}}
-	r = newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
+	r = startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchangedConfig, backend)
 	shut.Store(true)
 	conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-	wait(t, stopped, "stop")
+	await(t, stopped, "stop")
 	began := time.Now()
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatal(err)
@@ -152,23 +152,23 @@
 func TestStopEmptiesTheAcceptQueue(t *testing.T) {
 	t.Parallel()
 	way, shut, waiting, gate := holdAccept()
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, newPeer(t))
+	r := startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchangedConfig, newPeer(t))
 	shut.Store(true)
 	var all []<-chan *http.Response
 	for range 20 {
-		_, answers := r.client(t, ask("GET", "glance", ""))
+		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
 		all = append(all, answers)
 	}
-	wait(t, waiting, "connection")
+	await(t, waiting, "connection")
 	r.stop()
 	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
 	close(gate)
 	for _, answers := range all {
-		if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 		}
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -176,13 +176,13 @@
 // A stop's times count from the signal, also where a reload is under way then.
 func TestStopDuringReload(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newPeer(t))
+	r := startTestGateway(t, newPeer(t))
 	const reading = 500 * time.Millisecond
-	r.reading.Store(int64(reading))
-	r.hup <- syscall.SIGHUP
+	r.reloadDelay.Store(int64(reading))
+	r.reloadSignal <- syscall.SIGHUP
 	began := time.Now()
 	r.stop()
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	if took, most := time.Since(began), newShutdownSchedule(time.Second).listenUntil+reading/2; took > most {
@@ -196,17 +196,17 @@
 	t.Parallel()
 	backend := newPeer(t)
 	way, shut, waiting, gate := holdAccept()
-	r := newRigBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchanged, backend)
+	r := startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, unchangedConfig, backend)
 	shut.Store(true)
-	_, answers := r.client(t, ask("GET", "glance", "")) // its backend says nothing
-	wait(t, waiting, "connection")
+	_, answers := r.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
+	await(t, waiting, "connection")
 	r.stop()
 	close(gate)
-	resp := wait(t, answers, "answer")
+	resp := await(t, answers, "answer")
 	if late := resp.StatusCode == http.StatusServiceUnavailable; !late && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
 		t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -219,12 +219,12 @@
 		t.Run(silent, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			change := unchanged
+			change := unchangedConfig
 			if silent == "the counter" {
 				change = withCounter(counter, 0.1, 3, 30*time.Second)
 			}
-			r := newRigWith(t, change, backend)
-			_, held := r.client(t, ask("GET", "glance", ""))
+			r := startTestGatewayWith(t, change, backend)
+			_, held := r.sendRequest(t, requestText("GET", "glance", ""))
 			at := backend
 			if silent == "the counter" {
 				at = counter
@@ -232,10 +232,10 @@
 			_, br := at.accept(t)
 			readRequest(t, br) // and no answer
 			r.stop()
-			if resp := wait(t, held, "answer"); resp.StatusCode != http.StatusTooManyRequests {
+			if resp := await(t, held, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if err := wait(t, r.ended, "end"); err != nil {
+			if err := await(t, r.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -247,8 +247,8 @@
 func TestStop(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, held := r.client(t, ask("POST", "booking", "held"))
+	r := startTestGateway(t, backend)
+	_, held := r.sendRequest(t, requestText("POST", "booking", "held"))
 	conn, br := backend.accept(t)
 	readRequest(t, br)
 	unused, err := net.Dial("tcp", r.address) // must not hold up the end
@@ -256,25 +256,25 @@
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	idle, first := r.client(t, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-	wait(t, first, "answer") // leaves an idle connection behind
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle, first := r.sendRequest(t, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
+	await(t, first, "answer") // leaves an idle connection behind
+	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	r.stop()
 	if _, err := io.ReadAll(idle); err != nil {
 		t.Errorf("the idle connection after the stop: %v", err)
 	}
-	r.until(t, http.StatusServiceUnavailable)
-	_, late := r.client(t, ask("POST", "booking", "late"))
+	r.awaitReadiness(t, http.StatusServiceUnavailable)
+	_, late := r.sendRequest(t, requestText("POST", "booking", "late"))
 	serveOne(t, backend, "late")
-	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
+	if resp := await(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	r.closedListener(t)
+	r.awaitListenerClosed(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, held, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the held request: status %d", resp.StatusCode)
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := await(t, r.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -71,13 +71,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &rig{address: l.Addr().String()}
+			r := &testGateway{address: l.Addr().String()}
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			start := time.Now()
 			go func() { defer close(done); serve(ctx, &config, l, Reload{}) }()
 			t.Cleanup(func() { stop(); <-done })
-			r.until(t, http.StatusOK)
+			r.awaitReadiness(t, http.StatusOK)
 			if took := time.Since(start); took > readyWithin {
 				t.Errorf("ready after %v", took)
 			}
