--- /dev/null
+++ b/cmd/simadapter/simbackends_test.go
@@ -0,0 +1,228 @@
+package main
+
+// condition is how a backend or the counter does for a while.
+type condition string
+
+const (
+	healthy     condition = "healthy"
+	slow        condition = "slow"
+	failing     condition = "failing"
+	rejecting   condition = "rejecting"
+	unreachable condition = "unreachable"
+	silent      condition = "silent"
+	overloaded  condition = "overloaded" // of the counter alone
+	malformed   condition = "malformed"  // of the counter alone: its answers can't be read
+)
+
+// Bounds of the number of ready backends: below the first one is added, and from the second on none is.
+const (
+	minReadyBackends = 1
+	maxReadyBackends = 8
+)
+
+// simBackend is an entry of the endpoint list with what the simulation knows of the backend besides.
+type simBackend struct {
+	id        uint32
+	version   uint32 // counts its changes
+	zone      uint8
+	cell      int
+	state     uint8
+	weight    float64
+	startedAt float64 // clock time; 0: long ago
+	latency   float64 // of an idle and healthy one, in seconds
+	condition condition
+	inFlight  int // attempts
+}
+
+// addBackend adds a backend that is ready.
+func (s *simulation) addBackend(startedAt float64) {
+	s.backends = append(s.backends, &simBackend{
+		id:        s.Uint32(),
+		version:   1,
+		zone:      uint8(s.IntN(3)),
+		cell:      s.IntN(2),
+		state:     stateReady,
+		weight:    s.between(0.5, 4),
+		startedAt: startedAt,
+		latency:   s.between(0.02, 0.3),
+		condition: healthy,
+	})
+}
+
+// currentList returns a copy of the endpoint list as it is now.
+func (s *simulation) currentList() []simBackend {
+	list := make([]simBackend, 0, len(s.backends))
+	for _, b := range s.backends {
+		list = append(list, *b)
+	}
+	return list
+}
+
+// refreshCachedList replaces the list that instances get at their start.
+func (s *simulation) refreshCachedList() { s.cachedList = s.currentList() }
+
+func (s *simulation) readyBackends() int {
+	ready := 0
+	for _, b := range s.backends {
+		if b.state == stateReady {
+			ready++
+		}
+	}
+	return ready
+}
+
+// changeBackends changes the condition of one backend, and in some cases its state, or adds a new one.
+// Discovery sends changes of the list to all instances.
+func (s *simulation) changeBackends() {
+	b := s.backends[s.IntN(len(s.backends))]
+	b.condition = oneOf(s.draws, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
+	if !s.changeList(b) {
+		return
+	}
+	b.version++
+	for _, inst := range s.instances {
+		s.scheduleEndpointUpdate(inst, oneOf[uint8](s.draws, listDelta, listDelta, listDelta, listFull))
+	}
+}
+
+// changeList draws a change of the list, most often one of backend b. It returns false if there is none.
+func (s *simulation) changeList(b *simBackend) bool {
+	ready := s.readyBackends()
+	switch {
+	case ready < minReadyBackends || ready < maxReadyBackends && s.chance(0.12):
+		s.addBackend(s.now)
+	case s.chance(0.03):
+		s.restartReadyBackends()
+	case b.state == stateReady && s.chance(0.12):
+		b.startedAt = s.now // it restarted
+		b.condition = healthy
+	case b.state == stateReady && s.chance(0.1):
+		b.state = stateDraining
+	case b.state == stateDraining && s.chance(0.5), s.chance(0.02):
+		b.state = stateRemoved
+	default:
+		return false
+	}
+	return true
+}
+
+// restartReadyBackends is a rollout that replaces all processes at once.
+func (s *simulation) restartReadyBackends() {
+	for _, b := range s.backends {
+		if b.state == stateReady {
+			b.startedAt = s.now
+			b.version++
+		}
+	}
+}
+
+// scheduleEndpointUpdate has discovery send the list, or what is new in it, to an instance that is
+// subscribed by then. A subscription may break instead.
+func (s *simulation) scheduleEndpointUpdate(inst *simInstance, form uint8) {
+	incarnation := inst.incarnation
+	s.schedule(s.between(0.02, 0.6), true, func() {
+		if !inst.runs(incarnation) || !inst.subscribed {
+			return
+		}
+		if s.settings.Discovery == "ask" && s.chance(0.1) {
+			inst.subscribed = false
+			form = listFailed
+		}
+		s.writeEndpointUpdate(inst, form, s.currentList())
+	})
+}
+
+// answerPoll answers an instance's poll of discovery.
+func (s *simulation) answerPoll(inst *simInstance) {
+	inst.subscribed = s.chance(0.75)
+	if inst.subscribed {
+		s.scheduleEndpointUpdate(inst, listFull)
+		return
+	}
+	s.notify(inst, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(inst, listFailed, nil) })
+}
+
+// writeEndpointUpdate writes an update of the given form for an instance and notes what the instance knows
+// then.
+func (s *simulation) writeEndpointUpdate(inst *simInstance, form uint8, current []simBackend) {
+	if form != listFailed {
+		entries := inst.entriesFor(form, current)
+		if form != listDelta {
+			inst.knownEndpoints = map[uint32]simBackend{}
+		}
+		s.defineEndpointList(&inst.events, entries)
+		for _, b := range entries {
+			inst.knownEndpoints[b.id] = b
+		}
+	}
+	w := &inst.events
+	w.begin(eventEndpointUpdate)
+	w.u8(form)
+	w.u32(s.batchSeq)
+	w.u32(s.listNumber)
+}
+
+// entriesFor returns the entries that an update of the given form has for the instance.
+func (inst *simInstance) entriesFor(form uint8, current []simBackend) []simBackend {
+	var entries []simBackend
+	for _, b := range current {
+		known, listed := inst.knownEndpoints[b.id]
+		include := b.state != stateRemoved
+		if form == listDelta {
+			include = known.version != b.version && (listed || b.state != stateRemoved)
+		}
+		if include {
+			entries = append(entries, b)
+		}
+	}
+	return entries
+}
+
+// defineEndpointList writes a list under the next number.
+func (s *simulation) defineEndpointList(w *recordWriter, entries []simBackend) {
+	s.listNumber = (s.listNumber + 1) % maxEndpointLists
+	w.begin(eventDefineEndpointList)
+	w.u32(s.listNumber)
+	w.u32(uint32(len(entries)))
+	for _, b := range entries {
+		w.endpoint(b)
+	}
+}
+
+// endpoint writes an entry of an endpoint list.
+func (w *recordWriter) endpoint(b simBackend) {
+	w.u32(b.id)
+	w.u8(b.zone)
+	w.u16(0) // kind of machine
+	w.u16(b.cell)
+	w.u8(b.state)
+	w.f32(b.weight)
+	w.f64(b.startedAt)
+}
+
+// answerProbe answers a health check of a backend.
+func (s *simulation) answerProbe(inst *simInstance, backend uint32) {
+	if !s.settings.Capabilities.CanProbe {
+		s.t.Errorf("seed %d batch %d: probes are not allowed", s.seed, s.batchSeq)
+	}
+	const latency = 0.01
+	s.notify(inst, latency, func(w *recordWriter) {
+		w.begin(eventProbeResult)
+		w.u32(backend)
+		w.u8(statusServed)
+		w.f64(latency)
+		s.writeLoadReport(w, true, s.backends[0])
+	})
+}
+
+// writeLoadReport writes a backend's load report, or that none came along.
+func (s *simulation) writeLoadReport(w *recordWriter, included bool, b *simBackend) {
+	if !included {
+		w.u8(0)
+		return
+	}
+	w.u8(uint8(len(s.settings.LoadReport.Fields)))
+	for range s.settings.LoadReport.Fields {
+		w.f32(float64(b.inFlight) + s.Float64())
+	}
+}
--- /dev/null
+++ b/cmd/simadapter/simulation_test.go
@@ -0,0 +1,320 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// maxInstances is how many gateways of the fleet are simulated, at most.
+const maxInstances = 3
+
+// simInstance is one simulated gateway.
+type simInstance struct {
+	number         int // on the wire
+	rank           int // in the fleet
+	incarnation    int // counts the starts
+	running        bool
+	subscribed     bool                  // discovery sends it changes
+	knownEndpoints map[uint32]simBackend // the endpoint list as it was sent to this incarnation
+	events         recordWriter          // its part of the batch that is being put together
+}
+
+// runs tells whether the given incarnation runs.
+func (inst *simInstance) runs(incarnation int) bool {
+	return inst.running && inst.incarnation == incarnation
+}
+
+// scheduledEvent is something due at a time: an event for an instance, or a change of the world.
+type scheduledEvent struct {
+	at            float64 // clock time
+	fromDiscovery bool    // such events come first in a batch
+	apply         func()
+}
+
+// simulation generates the stream of one seed and checks the replies to it.
+type simulation struct {
+	draws
+	t        *testing.T
+	seed     uint64
+	settings simSettings
+
+	now     float64          // clock time
+	until   float64          // clock time at which the stream ends
+	tick    float64          // now in ticks
+	pending []scheduledEvent // by time
+
+	instances     []*simInstance
+	backends      []*simBackend
+	cachedList    []simBackend // the endpoint list that an instance gets at its start
+	listNumber    uint32       // of the endpoint list that was defined last
+	customers     []*simCustomer
+	requests      map[uint32]*simRequest // by id
+	lastRequestID uint32
+
+	counterCondition   condition
+	counterTotals      map[uint64]simCounterTotal // by name
+	lastCounterReplyAt map[simCounterCaller]float64
+
+	batchSeq     uint32
+	toAdapter    io.Writer
+	fromAdapter  io.Reader
+	batches      bytes.Buffer  // all that was sent
+	replies      bytes.Buffer  // all that was received
+	actionCounts map[uint8]int // by code
+}
+
+// newSimulation draws the world of a seed and schedules what happens in it without a cause in the replies.
+// It adds the actions of the replies to actionCounts.
+func newSimulation(
+	t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader,
+) *simulation {
+	d := draws{rand.New(rand.NewPCG(seed, 1))}
+	s := &simulation{
+		draws:              d,
+		t:                  t,
+		seed:               seed,
+		settings:           d.settings(seed),
+		now:                d.between(5, 50),
+		requests:           map[uint32]*simRequest{},
+		counterTotals:      map[uint64]simCounterTotal{},
+		lastCounterReplyAt: map[simCounterCaller]float64{},
+		toAdapter:          toAdapter,
+		fromAdapter:        fromAdapter,
+		actionCounts:       actionCounts,
+	}
+	s.until = s.now + d.between(60, 110)
+	if s.settings.TickS < 0.01 {
+		s.until = s.now + d.between(60, 70)
+	}
+	s.addWorld()
+	s.every(1.5, s.changeBackends)
+	s.every(4, s.changeCounter)
+	s.every(10, s.refreshCachedList)
+	s.every(0.5, s.sendStrayEvent)
+	s.every(30, s.restartInstance)
+	return s
+}
+
+// addWorld adds the backends, instances and customers that are there from the beginning.
+func (s *simulation) addWorld() {
+	for range 3 + s.IntN(4) {
+		s.addBackend(0)
+	}
+	s.refreshCachedList()
+	firstRank := s.IntN(s.settings.FleetSize)
+	for i := range min(maxInstances, s.settings.FleetSize) {
+		inst := &simInstance{number: i, rank: (firstRank + i) % s.settings.FleetSize}
+		s.instances = append(s.instances, inst)
+		s.after(s.Float64(), func() { s.start(inst) })
+	}
+	for i := range 3 * len(s.settings.Plans) {
+		s.addCustomer(i % len(s.settings.Plans))
+	}
+}
+
+// after schedules a change of the world; it happens in a later batch.
+func (s *simulation) after(delay float64, apply func()) { s.schedule(delay, false, apply) }
+
+// every repeats a change of the world at random intervals.
+func (s *simulation) every(meanInterval float64, apply func()) {
+	s.after(s.ExpFloat64()*meanInterval, func() {
+		apply()
+		s.every(meanInterval, apply)
+	})
+}
+
+// notify schedules an event for an instance; it is void if the incarnation ends before.
+func (s *simulation) notify(inst *simInstance, delay float64, write func(w *recordWriter)) {
+	incarnation := inst.incarnation
+	s.after(delay, func() {
+		if inst.runs(incarnation) {
+			write(&inst.events)
+		}
+	})
+}
+
+// schedule adds to the pending events. Events of the same time keep their order.
+func (s *simulation) schedule(delay float64, fromDiscovery bool, apply func()) {
+	event := scheduledEvent{s.now + max(delay, 0), fromDiscovery, apply}
+	i, _ := slices.BinarySearchFunc(s.pending, event.at, func(p scheduledEvent, at float64) int {
+		if p.at <= at {
+			return -1
+		}
+		return 1
+	})
+	s.pending = slices.Insert(s.pending, i, event)
+}
+
+// run exchanges batches with the adapter until the stream ends or the test has failed.
+func (s *simulation) run() error {
+	for len(s.pending) > 0 && !s.t.Failed() {
+		s.tick = max(s.tick+1, math.Ceil(s.pending[0].at/s.settings.TickS))
+		now := s.tick * s.settings.TickS
+		if now > s.until {
+			break
+		}
+		s.now = now
+		s.batchSeq++
+		s.applyDueEvents()
+		if err := s.exchange(); err != nil {
+			return fmt.Errorf("batch %d: %w", s.batchSeq, err)
+		}
+	}
+	return nil
+}
+
+// applyDueEvents applies the pending events whose time has come, those of discovery first.
+func (s *simulation) applyDueEvents() {
+	n := slices.IndexFunc(s.pending, func(e scheduledEvent) bool { return e.at > s.now })
+	if n < 0 {
+		n = len(s.pending)
+	}
+	due := slices.Clone(s.pending[:n])
+	s.pending = slices.Delete(s.pending, 0, n)
+	for _, fromDiscovery := range []bool{true, false} {
+		for _, event := range due {
+			if event.fromDiscovery == fromDiscovery {
+				event.apply()
+			}
+		}
+	}
+}
+
+// exchange sends the batch that has been put together, receives the reply and applies it.
+func (s *simulation) exchange() error {
+	batch := s.takeBatch()
+	s.batches.Write(batch)
+	if _, err := s.toAdapter.Write(batch); err != nil {
+		return err
+	}
+	reply := make([]byte, replyLengthSize)
+	if _, err := io.ReadFull(s.fromAdapter, reply); err != nil {
+		return err
+	}
+	reply = append(reply, make([]byte, binary.BigEndian.Uint32(reply))...)
+	if _, err := io.ReadFull(s.fromAdapter, reply[replyLengthSize:]); err != nil {
+		return err
+	}
+	s.replies.Write(reply)
+	return s.applyReply(reply[replyLengthSize:])
+}
+
+// takeBatch returns the frame with the events of all instances, and begins an empty batch.
+func (s *simulation) takeBatch() []byte {
+	var header, body recordWriter
+	for _, inst := range s.instances {
+		if inst.events.records > 0 {
+			body.begin(eventInstanceEvents)
+			body.u32(uint32(inst.number))
+			body.appendRecords(&inst.events)
+			inst.events.reset()
+		}
+	}
+	header.f64(s.now)
+	header.u32(uint32(len(body.data) + countedHeaderSize))
+	header.u32(body.records)
+	header.u32(s.batchSeq)
+	return append(header.data, body.data...)
+}
+
+// applyReply lets the actions of a reply have their effects.
+func (s *simulation) applyReply(r replyReader) error {
+	records := r.u32()
+	if seq := r.u32(); seq != s.batchSeq {
+		return fmt.Errorf("the reply is to batch %d", seq)
+	}
+	var inst *simInstance
+	for range records {
+		code := r.u8()
+		s.actionCounts[code]++
+		if code == actionInstanceActions {
+			inst = s.instances[r.u32()]
+			continue
+		}
+		if err := s.applyAction(inst, code, &r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// applyAction reads the fields of an action of an instance and lets it have its effect.
+func (s *simulation) applyAction(inst *simInstance, code uint8, r *replyReader) error {
+	switch code {
+	case actionSetTimer:
+		delay, token := r.f64(), r.u64()
+		s.notify(inst, delay, func(w *recordWriter) {
+			w.begin(eventTimerFired)
+			w.u64(token)
+		})
+	case actionCounterAdd:
+		name, amount, ttl := r.u64(), r.f32(), r.f64()
+		s.callCounter(inst, name, amount, ttl)
+	case actionPollEndpoints:
+		r.u8() // on or off
+		s.answerPoll(inst)
+	case actionProbe:
+		s.answerProbe(inst, r.u32())
+	case actionSendAttempt:
+		req := s.openRequest(inst, r.u32())
+		timeout, backendID := r.f64(), r.u32()
+		s.startAttempt(req, timeout, backendID)
+	case actionCancelAttempt:
+		req := s.openRequest(inst, r.u32())
+		s.cancelAttempt(req, int(r.u8()))
+	case actionReject:
+		req := s.openRequest(inst, r.u32())
+		s.retryLater(req, r.f64())
+		s.handleFinalAnswer(req, true)
+	case actionFailRequest:
+		s.handleFinalAnswer(s.openRequest(inst, r.u32()), false)
+	default:
+		return fmt.Errorf("unexpected action %d", code)
+	}
+	return nil
+}
+
+// start starts an instance with the endpoint list as it may have had it last.
+func (s *simulation) start(inst *simInstance) {
+	inst.running = true
+	inst.incarnation++
+	inst.subscribed = s.settings.Discovery == "push"
+	inst.knownEndpoints = map[uint32]simBackend{}
+	settings := s.settings
+	settings.Rank = inst.rank
+	text, err := json.Marshal(settings)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	w := &inst.events
+	w.begin(eventStartInstance)
+	w.u64(s.Uint64())
+	w.u32(uint32(len(text)))
+	w.data = append(w.data, text...)
+	s.writeEndpointUpdate(inst, listCached, s.cachedList)
+	if inst.subscribed {
+		s.scheduleEndpointUpdate(inst, listFull)
+	}
+}
+
+// restartInstance kills an instance and starts it again, in some cases in the same batch.
+func (s *simulation) restartInstance() {
+	inst := s.instances[s.IntN(len(s.instances))]
+	if !inst.running {
+		return
+	}
+	inst.running = false
+	inst.events.begin(eventStopInstance)
+	if s.chance(0.3) {
+		s.start(inst)
+	} else {
+		s.after(s.between(0.5, 5), func() { s.start(inst) })
+	}
+}
