--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -1,36 +1,54 @@
 package policy
 
-// What is left out while calls fail. Each is a share or a count that holds for any deployment.
+// While calls to the counter fail, some are shed. Each value holds for any deployment.
 const (
 	counterFailureGain = 0.05 // weight of the newest call in the share of calls that fail
-	shedFactor         = 4.0  // so many times that share of calls are left out: a crowded counter gets air
-	maxShedShare       = 0.9
+	shedFactor         = 4.0  // so many times that share of calls is shed, so that the counter recovers
+	maxShedShare       = 0.9  // of the calls, however many fail
 )
 
-// shedCounterCall leaves a call out, the more often the more of late have failed. Each of many gateways
-// learns for itself that a quota is used up, and a client that was refused for it comes again elsewhere, so
-// most calls of a crowd are for repeats, and get nothing. Those go first, and the lowest level before others.
+// recordReply counts a reply in the share of calls that fail, as one that is no sign of overload.
+func (s *counterState) recordReply() { s.failureRate -= counterFailureGain * s.failureRate }
+
+// recordOverload has the reply that was recorded last count as a failure.
+func (s *counterState) recordOverload() { s.failureRate += counterFailureGain }
+
+// shedCounterCall reports whether the call for a customer's first waiting request is shed, and delays the
+// next one then. Calls are shed the more often the more of late have failed.
+//
+// Each of many gateways learns for itself that a quota is used up, and a client that was rejected for it
+// retries at another, so most calls in an overload are for retries, and are granted nothing. Those are shed
+// first, and the lowest level before others. Of few gateways, each knows what is used up.
 func (e *Engine) shedCounterCall(c *customer) bool {
-	req, out := c.waiting[0], min(shedFactor*e.counter.failureRate, maxShedShare)
-	if !c.quota.smallGatewaySet { // of few gateways, this one knows what is used up
-		all, below := 0.0, 0.0
-		for l, rate := range e.queue.arrivalRates {
-			if all += rate; l < req.level {
-				below += rate
-			}
-		}
-		from, part := 0.0, e.retries.clientShare
-		if !req.IsRetry {
-			from, part = e.retries.clientShare, 1-e.retries.clientShare
-		}
-		if all > 0 {
-			from, part = from+part*below/all, part*e.queue.arrivalRates[req.level]/all
-		}
-		out = min((out-from)/max(part, counterFailureGain/2), maxShedShare)
+	shedShare := min(shedFactor*e.counter.failureRate, maxShedShare)
+	if !c.quota.smallGatewaySet {
+		shedShare = e.shedShareInOrder(c.waiting[0], shedShare)
 	}
-	if e.rng.Float64() >= out {
+	if e.rng.Float64() >= shedShare {
 		return false
 	}
 	c.backoff.delayOnce(e.now)
 	return true
 }
+
+// shedShareInOrder returns the share of calls to shed among those for requests like this one, where
+// shedShare of all are to be shed: retries first, each in order of their levels.
+func (e *Engine) shedShareInOrder(req *request, shedShare float64) float64 {
+	// The calls for requests like this one are a part of all, from a share of all that is shed before them.
+	from, part := 0.0, e.retries.clientShare
+	if !req.IsRetry {
+		from, part = e.retries.clientShare, 1-e.retries.clientShare
+	}
+	all, below := 0.0, 0.0
+	for level, rate := range e.queue.arrivalRates {
+		all += rate
+		if level < req.level {
+			below += rate
+		}
+	}
+	if all > 0 {
+		from += part * below / all
+		part = part * e.queue.arrivalRates[req.level] / all
+	}
+	return min((shedShare-from)/max(part, counterFailureGain/2), maxShedShare)
+}
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -1,74 +1,62 @@
 package policy
 
-// handleCounterReply takes the answer to a call. An unanswered call grants nothing: it may have been added,
-// and the next totals will tell. Neither does one whose answer can't be read, but that was added, so the
-// next call takes it back, and what it wrote off, which the next call writes off again. Under a ceiling
-// that stays: the first call of a window must not find less there than it told. A short window has no
-// refill to write off.
+// handleCounterReply applies the outcome of a call and admits what it allows.
+//
+// A call without a reply grants nothing: it may have been added, and the next totals will show it. Neither
+// does one whose reply is malformed, but that one was added, so the next call takes it back.
 func (e *Engine) handleCounterReply(event CounterReply) {
 	call, ok := e.takePendingCall(event.Name)
 	if !ok {
 		return
 	}
 	c := call.customer
-	e.counter.failureRate -= counterFailureGain * e.counter.failureRate
+	e.counter.recordReply()
 	if event.Outcome == TimedOut && call.window == c.window.number {
 		e.counter.rememberUnanswered(call)
 	}
-	switch {
-	case event.Outcome == Failed || event.Outcome == ConnectionReset:
-		// A spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
-		// left out that the counter bears, and customers refused inside their quotas.
-		if event.Outcome == Failed {
-			c.reclaimLease(call)
+	switch event.Outcome {
+	case Served:
+		if c.usesTotalOf(call) {
+			c.backoff.reset()
+			e.applyTotal(c, call, event.Total)
 		}
-		c.backoff.delayRepeated(e.now)
-	case event.Outcome != Served:
-		// A unit that was not given back is missing to all gateways. A call turned away has
-		// changed nothing and is made again; one unanswered may have counted and is let be.
-		if event.Outcome != TimedOut {
-			c.requeueReport(call)
-		}
-		if event.Outcome != Rejected {
-			c.local.releaseFallback()
-		}
-		e.counter.failureRate += counterFailureGain
-		c.backoff.delayNext(e.now)
-	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff.reset()
-		e.applyGrant(c, call, event.Total)
+	case Failed, ConnectionReset:
+		e.counterReplyMalformed(c, call, event.Outcome)
+	default:
+		e.counterOverloaded(c, call, event.Outcome)
 	}
 	e.admit(c)
 }
 
-// reclaimLease has the next call take back what a call added for nothing.
-func (c *customer) reclaimLease(call counterCall) {
-	if call.leaseUnits > 0 && call.window == c.window.number {
-		if c.unreportedUnits -= call.leaseUnits; c.quota.reportedStore {
-			c.unreportedUnits -= call.writeOff
-		}
+// counterReplyMalformed handles a reply that can't be read, or a connection that broke. Neither is a sign of
+// overload. Were it taken for one, calls would be shed that the counter can bear, and customers rejected
+// inside their quotas.
+func (e *Engine) counterReplyMalformed(c *customer, call counterCall, outcome Outcome) {
+	if outcome == Failed {
+		c.reclaimLease(call)
 	}
+	c.backoff.delayRepeated(e.now)
 }
 
-// requeueReport has the next call tell what a call that was not added was to tell.
-func (c *customer) requeueReport(call counterCall) {
-	if c.quota.reportedStore {
-		// Spending counts from an earlier window too; what was written off there says nothing of this one.
-		c.unreportedUnits += call.spent
-		if call.window == c.window.number {
-			c.unreportedUnits += min(call.writeOff, 0)
-		}
-	} else if call.window == c.window.number && call.name == c.window.name {
-		if c.unreportedUnits += call.spent; call.leaseUnits == 0 {
-			c.unreportedUnits += call.writeOff
-		}
+// counterOverloaded handles a call that was rejected or had no reply. A unit that is not returned is missing
+// at all gateways. So a rejected call, which has changed nothing, is made again; one that timed out may have
+// been added, and is not.
+func (e *Engine) counterOverloaded(c *customer, call counterCall, outcome Outcome) {
+	if outcome != TimedOut {
+		c.requeueReport(call)
+	}
+	if outcome != Rejected {
+		c.local.releaseFallback()
 	}
+	e.counter.recordOverload()
+	c.backoff.delayNext(e.now)
 }
 
-// handleLateCounterReply takes what came of a call after it was given up. A counter that is slow for a moment
-// adds all the same, and what it added and nobody uses is missing at all gateways. So a late total grants
-// as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
-// network's; a total too old for its window is of no use.
+// handleLateCounterReply applies the outcome of a call that had timed out before.
+//
+// A counter that is slow for a moment adds all the same, and what it added and nobody uses is missing at all
+// gateways. So a late total grants what one in time would, and ends the pause. The pause goes on where the
+// counter is slow for every call, or the network was silent. A total of a window that is over is of no use.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
 	call, ok := e.counter.takeUnanswered(event.Call)
 	if !ok {
@@ -78,14 +66,62 @@
 	if call.window != c.window.number || event.Outcome == TimedOut || event.Outcome == ConnectionReset {
 		return
 	}
-	switch {
-	case event.Outcome == Failed:
+	switch event.Outcome {
+	case Served:
+		if c.usesTotalOf(call) {
+			c.backoff.end(e.now)
+			e.applyTotal(c, call, event.Total)
+		}
+	case Failed:
 		c.reclaimLease(call)
-	case event.Outcome != Served:
+	default:
 		c.requeueReport(call)
-	case call.leaseUnits > 0 || c.quota.reportedStore:
-		c.backoff.end(e.now)
-		e.applyGrant(c, call, event.Total)
 	}
 	e.admit(c)
 }
+
+// usesTotalOf reports whether the total that a call returns matters: it does for a lease, and each one does
+// for a store kept by reports.
+func (c *customer) usesTotalOf(call counterCall) bool {
+	return call.leaseUnits > 0 || c.quota.reportedStore
+}
+
+// applyTotal takes from the total that a call returned what the lease gets, and corrects it at the counter.
+func (e *Engine) applyTotal(c *customer, call counterCall, total float64) {
+	if c.quota.reportedStore {
+		e.reconcileReportedStore(c, call, total)
+	} else {
+		e.reconcileWindowedStore(c, call, total)
+	}
+}
+
+// reclaimLease has the next call take back what a call added without a grant. Of a store kept by reports
+// that includes what it wrote off, which the next call writes off again. Under a ceiling that stays: the
+// first call of a window must not find less there than it reported. A short window has no refill to write
+// off.
+func (c *customer) reclaimLease(call counterCall) {
+	if call.leaseUnits > 0 && call.window == c.window.number {
+		c.unreportedUnits -= call.leaseUnits
+		if c.quota.reportedStore {
+			c.unreportedUnits -= call.writeOff
+		}
+	}
+}
+
+// requeueReport has the next call report what a call that was not added was to report.
+func (c *customer) requeueReport(call counterCall) {
+	if c.quota.reportedStore {
+		// Spending counts from an earlier window too; what was written off there says nothing of this one.
+		c.unreportedUnits += call.spent
+		if call.window == c.window.number {
+			c.unreportedUnits += min(call.writeOff, 0)
+		}
+		return
+	}
+	if call.window == c.window.number && call.name == c.window.name {
+		c.unreportedUnits += call.spent
+		if call.leaseUnits == 0 {
+			c.unreportedUnits += call.writeOff
+		}
+	}
+}
--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -39,17 +39,17 @@
 	return min(c.store.unusedRefill, max(floor-c.window.lastTotal, 0))
 }
 
-// reconcileStore takes the answer for a store that is kept by reports. Each gateway spends its own share
-// with no call and tells of it later. So the total is what all have told, and lags behind what they have
-// spent by about half a mean report for each. The store is full where the total lies below the refill by no
-// more than that (slack); what lies further below has not been used, and is written off, lest a burst find
-// it all at once.
+// reconcileReportedStore takes the answer for a store that is kept by reports. Each gateway spends its own
+// share with no call and tells of it later. So the total is what all have told, and lags behind what they
+// have spent by about half a mean report for each. The store is full where the total lies below the refill
+// by no more than that (slack); what lies further below has not been used, and is written off, lest a burst
+// find it all at once.
 //
 // In any time L a customer gets at most rate*L, the burst that is lent, maxUnusedRefill+maxReportSlack
 // bursts that were not written off yet, what was leased before, and what each gateway has spent and not
 // told: its own share, reportShare of a burst or minReport, whichever is most. Over long times that is the
 // rate.
-func (e *Engine) reconcileStore(c *customer, call counterCall, total float64) {
+func (e *Engine) reconcileReportedStore(c *customer, call counterCall, total float64) {
 	// Two gateways may write off the same refill. Each takes its own as a guess, and who came second
 	// finds too much there and takes it back. What a call takes back is none, nor what goes on from a window.
 	taken := total - call.leaseUnits
--- a/policy/windowedstore.go
+++ b/policy/windowedstore.go
@@ -7,13 +7,10 @@
 	maxExhaustedUnits = 3.0 // units of refill after which an empty store is asked for again
 )
 
-// applyGrant keeps what fits of a block. An exact store gets the rest back. In a short window it is left:
-// there is nothing for anyone until the next, and the calls for it would be as many as those for units.
-func (e *Engine) applyGrant(c *customer, call counterCall, total float64) {
-	if c.quota.reportedStore {
-		e.reconcileStore(c, call, total)
-		return
-	}
+// reconcileWindowedStore keeps what fits of a block. An exact store gets the rest back. In a short window
+// it is left: there is nothing for anyone until the next, and the calls for it would be as many as those
+// for units.
+func (e *Engine) reconcileWindowedStore(c *customer, call counterCall, total float64) {
 	before := total - call.writeOff - call.leaseUnits
 	target := max(before, call.refill)
 	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
