--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -26,8 +26,7 @@
 		if limited {
 			c.enterWindow(e.now)
 			switch {
-			case c.lease.units >= req.Units:
-				c.lease.units -= req.Units
+			case c.lease.take(req.Units):
 				if !c.quota.reportedStore {
 					c.chargeLocalTokens(e.now, req.Units)
 				}
--- a/policy/windowedstore.go
+++ b/policy/windowedstore.go
@@ -2,41 +2,86 @@
 
 import "math"
 
-// An exact store.
+// The windowed store: each gateway calls the counter for all that it spends. Few gateways keep it exactly,
+// over long windows in which the allowance grows. Of many, the windows are short, and each stands for itself.
+
 const (
-	maxExhaustedUnits = 3.0 // units of refill after which an empty store is asked for again
+	maxExhaustedUnits = 3.0 // units of refill after which an empty store is called for again
+	leaseLifeShare    = 0.5 // a lease lives this part of the time in which the allowance is earned
 )
 
-// reconcileWindowedStore keeps what fits of a block. An exact store gets the rest back. In a short window
-// it is left: there is nothing for anyone until the next, and the calls for it would be as many as those
-// for units.
+// windowedLeaseUnits returns the size of the next lease: what waits, and what the demand of a second needs.
+// It is a whole number, since a unit that no request comes for is missing at the other gateways.
+func (c *customer) windowedLeaseUnits() float64 {
+	units := math.Ceil(c.waitingUnits()) + math.Floor(c.windowedUnitsAhead())
+	return max(min(units, c.quota.allowance), 1)
+}
+
+// windowedUnitsAhead returns what to lease for requests to come: at first all of this gateway's part.
+func (c *customer) windowedUnitsAhead() float64 {
+	if !c.counterSeen {
+		return c.quota.initialLease
+	}
+	return min(c.demand.rate, c.quota.initialLease)
+}
+
+// windowedWriteOff returns the refill that the next call writes off, since this gateway hasn't seen it used.
+func (c *customer) windowedWriteOff(refill float64) float64 {
+	if c.window.lastTotal == 0 {
+		// A window that is new to this gateway may be new to all. The call that starts it must report, in
+		// one step, that not all of the store is there; who was not the first takes it back.
+		return refill + c.quota.allowance - c.quota.initialAllowance
+	}
+	return max(refill-c.window.lastTotal, 0)
+}
+
+// reconcileWindowedStore takes a lease from the total that a call returned, as far as the store can pay for
+// it. An exact store gets the rest back. In a short window it is left there: nobody gets more until the next
+// one, and the calls to return it would be as many as those for leases.
 func (e *Engine) reconcileWindowedStore(c *customer, call counterCall, total float64) {
-	before := total - call.writeOff - call.leaseUnits
-	target := max(before, call.refill)
-	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
-		target = max(target, c.window.lastTotal, call.refill+c.quota.allowance-c.quota.initialAllowance)
-	}
-	unit, avail := c.nextRequestUnits(), c.quota.allowance-(target-call.refill)
-	grant := affordableUnits(call.leaseUnits, avail, unit)
-	if grant < call.leaseUnits {
-		// Another gateway may be about to take back what it wrote off twice; until it has, the store
-		// looks emptier than it is.
-		short := min(2*unit-avail+grant, maxExhaustedUnits*unit)
-		c.exhaustedUntil = e.now + max(short/max(c.quota.rate, 1e-3), e.settings.Tick)
+	level := c.windowedLevel(call, total)
+	requestUnits := c.nextRequestUnits()
+	available := c.quota.allowance - (level - call.refill)
+	granted := affordableUnits(call.leaseUnits, available, requestUnits)
+	if granted < call.leaseUnits {
+		// Another gateway may be about to take back what both wrote off. Until it has, the store looks
+		// emptier than it is.
+		missing := min(2*requestUnits-available+granted, maxExhaustedUnits*requestUnits)
+		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
 			c.exhaustedUntil = c.windowEnd(call.window)
 		}
 	}
-	c.lease.units += grant
-	if grant > 0 {
-		c.lease.expiresAt = e.now + leaseLifeShare*c.quota.allowance/max(c.quota.rate, 1e-3)
-	}
+	c.lease.add(granted, e.now+leaseLifeShare*c.quota.allowance/max(c.quota.rate, minRate))
 	if c.window.number == call.window {
-		c.window.lastTotal = target + grant
+		c.window.lastTotal = level + granted
 	}
 	c.counterSeen = true
-	if more := target + grant - total; c.quota.smallGatewaySet && math.Abs(more) > minCorrection*unit {
-		// Less, or what an emptied counter lost.
-		e.callCounter(call.newCorrection(more))
+	// What was not granted, or what a counter has lost that came back empty.
+	correction := level + granted - total
+	if c.quota.smallGatewaySet && math.Abs(correction) > minCorrection*requestUnits {
+		e.callCounter(call.newCorrection(correction))
+	}
+}
+
+// windowedLevel returns what the total should have been before a call's lease was added.
+func (c *customer) windowedLevel(call counterCall, total float64) float64 {
+	before := total - call.writeOff - call.leaseUnits
+	level := max(before, call.refill)
+	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
+		level = max(level, c.window.lastTotal, call.refill+c.quota.allowance-c.quota.initialAllowance)
+	}
+	return level
+}
+
+// returnUnusedUnits returns units to a windowed store, where they are enough to be worth a call.
+func (e *Engine) returnUnusedUnits(c *customer) {
+	if c.unreportedUnits >= -minCorrection || c.quota.reportedStore ||
+		c.calls.pending > 0 || c.backoff.active(e.now) {
+		return
+	}
+	c.enterWindow(e.now)
+	if c.unreportedUnits < 0 { // else they were of a window that is over
+		e.callCounter(c.newReport(0))
 	}
 }
