--- a/policy/localtokens.go
+++ b/policy/localtokens.go
@@ -23,6 +23,9 @@
 	return true
 }
 
+// giveBack returns units that were taken, as far as the burst has capacity for them.
+func (b *tokenBucket) giveBack(units, burst float64) { b.tokens = min(b.tokens+units, burst) }
+
 // releaseFallback adds the units that were withheld.
 func (b *tokenBucket) releaseFallback() {
 	b.tokens += b.fallback
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -1,89 +1,145 @@
 package policy
 
-// The quota of a customer over all its gateways: leases from the counter, the gateway's own share for when
-// the counter grants nothing, and places for attempts out at once. admit is the first step of a request;
-// engine.go has the others.
+// Admission by quota is the first step of a request. A request is paid for by the customer's lease from the
+// counter, or by this gateway's local tokens where the counter grants nothing.
+
+// maxQuotaWaitShare is the part of its time that a request may wait until an exhausted store has units again.
+const maxQuotaWaitShare = 0.4
+
+// admissionDecision is what becomes of the first waiting request of a customer.
+type admissionDecision int
 
-// What a request may wait for units.
 const (
-	maxQuotaWaitShare = 0.4 // part of its time that a request may wait for the end of a dry spell
+	admitNow             admissionDecision = iota // its units are paid
+	holdRequest                                   // it and those behind it wait for capacity, units or a reply
+	needsLease                                    // the counter is to be called, and the decision made again
+	rejectForQuota                                // its customer has no units left
+	rejectForConcurrency                          // its customer has no concurrency at this gateway
 )
 
-// admit lets a customer's waiting requests go as far as its leases reach.
+// admit admits a customer's waiting requests, as far as its quota allows, and rejects those that need not
+// wait.
 func (e *Engine) admit(c *customer) {
-	limited := c.quota.rate > 0
 	for len(c.waiting) > 0 {
 		req := c.waiting[0]
-		if c.quota.concurrencyLimit > 0 && c.openAttempts >= c.quota.localConcurrency {
-			if c.quota.localConcurrency > 0 {
-				return // a place may come free before its time is over
-			}
-			// Were places leased, each gateway's asks would look to the others like places that are
-			// taken, and crowd the counter. So each has its own, and a client comes to another gateway.
+		switch e.decideAdmission(c, req) {
+		case admitNow:
+			e.admitFirst(c)
+		case holdRequest:
+			return
+		case needsLease:
+			e.requestLease(c)
+		case rejectForQuota:
+			e.answerWithout(req, ReasonQuota)
+		case rejectForConcurrency:
 			e.answerWithout(req, ReasonConcurrency)
-			continue
 		}
-		if limited {
-			c.enterWindow(e.now)
-			switch {
-			case c.lease.take(req.Units):
-				if !c.quota.reportedStore {
-					c.chargeLocalTokens(e.now, req.Units)
-				}
-			case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
-				c.unreportedUnits += req.Units
-				e.reportSpent(c)
-			case c.calls.pendingLeases > 0:
-				return
-			case e.now < c.exhaustedUntil:
-				if c.refillsSoon(req, e.settings.MaxRetryAfter) {
-					return // held
-				}
-				if !c.quota.admitsOverQuota || !c.takeLocalTokens(e.now, req.Units) {
-					e.answerWithout(req, ReasonQuota)
-					continue
-				}
-				req.level = 0 // beyond the quota, as far as is known here
-			case !e.settings.Counter || c.backoff.active(e.now):
-				if !c.takeLocalTokens(e.now, req.Units) {
-					if e.settings.Counter && c.quota.smallGatewaySet &&
-						c.backoff.until+e.latency.mean < req.answerBy {
-						return // held: a crowded counter may have room in a moment
-					}
-					e.answerWithout(req, ReasonQuota)
-					continue
-				}
-				c.unreportedUnits += req.Units
-			default:
-				e.requestLease(c)
-				continue
-			}
+	}
+}
+
+// admitFirst moves the first waiting request to the queue of its level.
+func (e *Engine) admitFirst(c *customer) {
+	req := c.waiting[0]
+	c.waiting = c.waiting[1:]
+	c.openAttempts++
+	req.admitted = true
+	e.enqueue(req)
+	e.dispatch()
+}
+
+// decideAdmission decides on the first waiting request. Where it is admitted, its units have been spent.
+func (e *Engine) decideAdmission(c *customer, req *request) admissionDecision {
+	if c.quota.concurrencyLimit > 0 && c.openAttempts >= c.quota.localConcurrency {
+		return c.decideAtConcurrencyLimit()
+	}
+	if c.quota.rate > 0 {
+		return e.decideByUnits(c, req)
+	}
+	return admitNow
+}
+
+// decideAtConcurrencyLimit decides on a request that would exceed this gateway's part of the concurrency
+// limit. One attempt may end before the request's time is over.
+//
+// Were concurrency leased, the calls of each gateway would look to the others like concurrency in use, and
+// overload the counter. So each gateway has its own part, and a client that is rejected where that is 0 comes
+// to another.
+func (c *customer) decideAtConcurrencyLimit() admissionDecision {
+	if c.quota.localConcurrency > 0 {
+		return holdRequest
+	}
+	return rejectForConcurrency
+}
+
+// decideByUnits decides on a request whose customer has a quota of units, and spends what admits it.
+func (e *Engine) decideByUnits(c *customer, req *request) admissionDecision {
+	c.enterWindow(e.now)
+	switch {
+	case c.lease.take(req.Units):
+		if !c.quota.reportedStore {
+			c.chargeLocalTokens(e.now, req.Units)
 		}
-		c.waiting = c.waiting[1:]
-		c.openAttempts++
-		req.admitted = true
-		e.enqueue(req)
-		e.dispatch()
+		return admitNow
+	case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
+		c.unreportedUnits += req.Units
+		e.reportSpent(c)
+		return admitNow
+	case c.calls.pendingLeases > 0:
+		return holdRequest
+	case e.now < c.exhaustedUntil:
+		return e.decideWhileExhausted(c, req)
+	case !e.settings.Counter || c.backoff.active(e.now):
+		return e.decideWithoutCounter(c, req)
+	}
+	return needsLease
+}
+
+// decideWhileExhausted decides on a request whose customer's store has too few units. Local tokens may admit
+// it at the lowest level: as far as is known here, it is beyond the quota.
+func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
+	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
+		return holdRequest
+	}
+	if c.quota.admitsOverQuota && c.takeLocalTokens(e.now, req.Units) {
+		req.level = 0
+		return admitNow
+	}
+	return rejectForQuota
+}
+
+// decideWithoutCounter decides on a request while the counter is not called: local tokens admit it. Where
+// there are too few, it is held if the pause ends in time, since an overloaded counter may have capacity then.
+func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
+	if c.takeLocalTokens(e.now, req.Units) {
+		c.unreportedUnits += req.Units
+		return admitNow
+	}
+	if e.settings.Counter && c.quota.smallGatewaySet && c.backoff.until+e.latency.mean < req.answerBy {
+		return holdRequest
 	}
+	return rejectForQuota
 }
 
-// refillsSoon tells whether a request may wait for the end of a dry spell, given how long its client would
-// stay away after a refusal: not longer, for a refusal would bring it again, and no large part of its time.
-// A gateway is dry for a moment where others hold what they leased ahead, though the customer is inside its
-// quota; not so where all of the rate wouldn't do for what comes here, or in a short window that is used
-// up.
-func (c *customer) refillsSoon(req *request, away float64) bool {
+// refillsSoon reports whether a request may wait until an exhausted store has units again. retryAfter is how
+// long its client would stay away after a rejection, in seconds.
+//
+// The wait is not longer than that, for a rejection would bring the request again, and no large part of its
+// time. A store is exhausted for a moment where other gateways hold what they leased ahead, though the
+// customer is inside its quota. It is not so where all of the rate would be too little for what comes here,
+// nor in a short window that is used up.
+func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
 	return c.quota.reportedStore && c.demand.sustainedRate < c.quota.rate &&
-		c.exhaustedUntil < req.SentAt+min(away, maxQuotaWaitShare*(req.answerBy-req.SentAt))
+		c.exhaustedUntil < req.SentAt+min(retryAfter, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
-// refund takes back what a request had paid that was never sent. Where own shares are reported it goes to
-// these, and the next call takes it out of the total: a lease lasts long, and all would miss it meanwhile.
+// refund returns the units of a request that was admitted and never sent. Of a reported store they go to the
+// local tokens, and the next call takes them out of the total: a lease lasts long, and they would be missing
+// at the other gateways meanwhile.
 func (c *customer) refund(units float64) {
 	if !c.quota.reportedStore {
 		c.lease.units += units
 		return
 	}
 	c.unreportedUnits -= units
-	c.local.tokens = min(c.local.tokens+units, c.quota.localBurst)
+	c.local.giveBack(units, c.quota.localBurst)
 }
