--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -108,7 +108,8 @@
 }
 
 // decideWithoutCounter decides on a request while the counter is not called: local tokens admit it. Where
-// there are too few, it is held if the pause ends in time, since an overloaded counter may have capacity then.
+// there are too few, it is held if the pause ends in time, since an overloaded counter may have capacity by
+// then.
 func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
 	if c.takeLocalTokens(e.now, req.Units) {
 		c.unreportedUnits += req.Units
