--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -13,7 +13,7 @@
 // enterWindow moves to the window that contains now. What an exact store has not reported, and that it is
 // exhausted, ends with its window.
 func (c *customer) enterWindow(now float64) {
-	number := math.Floor(now/c.quota.window + c.windowPhase())
+	number := math.Floor(now/c.quota.windowDuration + c.windowPhase())
 	if number == c.window.number {
 		return
 	}
@@ -32,12 +32,12 @@
 	if !c.quota.refillsWithinWindow {
 		return 0
 	}
-	return c.quota.rate * (now - (c.window.number-c.windowPhase())*c.quota.window)
+	return c.quota.rate * (now - (c.window.number-c.windowPhase())*c.quota.windowDuration)
 }
 
 // windowEnd returns the time at which the window of a number ends.
 func (c *customer) windowEnd(number float64) float64 {
-	return (number + 1 - c.windowPhase()) * c.quota.window
+	return (number + 1 - c.windowPhase()) * c.quota.windowDuration
 }
 
 // windowPhase returns the part of a window, from 0 to 1, by which the customer's windows begin early.
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -1,94 +1,161 @@
 package policy
 
-// What a plan comes to. Each is a share or a count that holds for any deployment.
+// Each of these holds for any deployment.
 const (
-	maxSmallGatewaySet     = 5.0  // gateways of a customer that are few
-	longWindow             = 50.0 // seconds of a long window; names live 60 s at most
-	ceilingLeaseShare      = 0.22 // of a ceiling's burst: what a window may lease; local shares have the rest
-	concurrencyUtilization = 0.65 // mean use of the places, where they are kept as a rate
-	concurrencyRateWindow  = 1.0  // seconds of the window for that
-	minUnitsPerGateway     = 4.0  // units of refill a window and gateway, lest reports come too late
-	localUnits             = 5.0  // units that one of many holds, as far as that is so many bursts for all
-	smallSetOverdraft      = 0.8  // part of the burst that the counter lends where gateways are few
-	largeSetOverdraft      = 2.0  // and where they are many: what these hold ahead would pass for a dry spell
+	maxSmallGatewaySet = 5.0  // gateways of a customer that count as few
+	longWindow         = 50.0 // seconds of a long window; less than counterNameTTL
+
+	// A reported store.
+	minUnitsPerGateway = 4.0 // units of refill a window and gateway, lest reports come too late
+	localUnits         = 5.0 // local burst of each of many gateways, within as many bursts for them all
+	smallSetOverdraft  = 0.8 // of the burst, where gateways are few
+	largeSetOverdraft  = 2.0 // where they are many: what these lease ahead would pass for exhaustion
+
+	// A ceiling.
+	ceilingLeaseShare = 0.22 // of its burst: what a window may lease; local tokens have the rest
+
+	// A concurrency limit that is kept as a rate.
+	concurrencyUtilization = 0.65 // mean use of the limit
+	concurrencyRateWindow  = 1.0  // seconds of its window
 )
 
-// quotaAttributes are what a plan comes to for one customer at one gateway.
+// quotaAttributes is what a plan comes to for one customer at one gateway. The zero value is a plan without
+// limits.
 type quotaAttributes struct {
-	smallGatewaySet         bool // its gateways are
-	reportedStore           bool // its store is kept by reports of what own shares have spent
-	refillsWithinWindow     bool // its window is: allowances grow with time
-	admitsOverQuota         bool // what own shares let in beyond the quota earns more than it costs
-	gatewayCount            float64
-	overdraft               float64 // of such a store: units that the counter lends at once
-	rate, allowance, window float64 // units a second, units a window, its length
-	initialAllowance        float64 // the first allowance where nothing is known
-	localRate, localBurst   float64
-	initialLease            float64 // block
-	concurrencyLimit        int
-	localConcurrency        int // of the places, this gateway's own
+	gatewayCount    float64 // gateways of the customer, at least 1
+	smallGatewaySet bool    // gatewayCount is at most maxSmallGatewaySet
+
+	rate             float64 // units a second, over all gateways; 0: no quota of units
+	allowance        float64 // units that the store holds at most, or that a short window grants
+	initialAllowance float64 // units that the store begins with where nothing is known of it
+	initialLease     float64 // units of this gateway's part, which its leases take ahead at most
+
+	windowDuration      float64 // seconds of a window of the counter
+	refillsWithinWindow bool    // the allowance grows with time in a window; else it is granted at its start
+	reportedStore       bool    // the store is kept by reports of what local tokens have paid for
+	overdraft           float64 // units that a reported store lends beyond its refill
+
+	localRate       float64 // units a second that this gateway may spend without the counter
+	localBurst      float64 // units of that at once
+	admitsOverQuota bool    // what local tokens admit beyond the quota earns more than it costs
+
+	concurrencyLimit int // attempts in flight over all gateways; 0: no limit
+	localConcurrency int // this gateway's part of concurrencyLimit
 }
 
-// quotaFor works out what a plan comes to for a customer of so many gateways.
-//
-// A store is kept by reports of what own shares have spent (settle) wherever a customer has few gateways,
-// or these see enough of it. Under a ceiling, calls keep it alone: few gateways each see the totals often
-// enough for an exact store, a long window whose allowance grows with time. Else each window is short and
-// stands for itself.
+// quotaFor works out what a plan comes to for a customer of so many gateways, at the one of an index from 0.
 //
-// Under a ceiling, leases and local shares together never pass it. An exact store spends in any time L
-// allowance*(1+leaseLifeShare) + rate*L at most, and twice the first allowance if the counter comes back
-// empty; short windows allowance*(2+leaseLifeShare) + rate*L. The shares have the rest of burst and rate.
-// Where a plan gains by what is served beyond its quota, they also pay for that, at the lowest level;
-// without a ceiling nothing would bound it.
+// A store is kept by reports wherever a customer has few gateways, or these see enough of it. Under a
+// ceiling, it is kept by calls alone: few gateways each see the totals often enough for an exact store, a
+// long window whose allowance grows with time. Else each window is short and stands for itself.
 func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaAttributes {
-	n := float64(max(gateways, 1))
-	t := quotaAttributes{gatewayCount: n, rate: p.Rate, allowance: p.Burst, initialLease: p.Burst / n,
-		smallGatewaySet: n <= maxSmallGatewaySet,
-		localRate:       p.Rate / n, localBurst: max(p.Burst/n, 1), concurrencyLimit: p.MaxConcurrent,
-		localConcurrency: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
-	t.reportedStore = e.settings.Counter && p.CeilingRate <= 0 && p.Rate > 0 &&
-		(t.smallGatewaySet || p.Rate*longWindow >= minUnitsPerGateway*n)
-	switch {
-	case t.reportedStore && t.smallGatewaySet:
-		t.overdraft = smallSetOverdraft * p.Burst
-	case t.reportedStore:
-		t.overdraft = largeSetOverdraft * p.Burst
-		t.localBurst = max(p.Burst/n, min(localUnits, localUnits*p.Burst/n), 1)
+	q := newQuotaAttributes(p, gateways, index)
+	if e.settings.Counter && q.suitsReportedStore(p) {
+		q.useReportedStore(p)
 	}
-	t.refillsWithinWindow = t.smallGatewaySet || t.reportedStore
-	t.initialAllowance = t.allowance
+	q.refillsWithinWindow = q.smallGatewaySet || q.reportedStore
 	if p.CeilingRate > 0 {
-		t.rate = min(p.Rate, p.CeilingRate)
-		if t.smallGatewaySet {
-			t.allowance = min(p.Burst, p.CeilingBurst/(1+leaseLifeShare))
-			t.initialAllowance = (p.CeilingBurst - (1+leaseLifeShare)*t.allowance) / 2
-			t.localBurst = t.initialAllowance / n
-		} else {
-			t.allowance = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
-			if (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n < 1 {
-				// A share that never holds a unit pays for nothing, and is lost to the customer. So
-				// leases have what they can use of it.
-				t.allowance = min(p.Burst, p.CeilingBurst/(2+leaseLifeShare))
-			}
-			t.initialAllowance, t.localBurst = t.allowance, (p.CeilingBurst-(2+leaseLifeShare)*t.allowance)/n
-		}
-		t.initialLease, t.localRate = t.allowance/n, (p.CeilingRate-t.rate)/n
-		t.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
+		q.applyCeiling(p)
+	}
+	q.windowDuration = longWindow
+	if !q.refillsWithinWindow {
+		q.windowDuration = q.allowance / max(q.rate, minRate)
+	}
+	if !q.smallGatewaySet && q.concurrencyLimit > 0 {
+		q.keepConcurrencyAsRate(p, e.latency.mean)
+	}
+	return q
+}
+
+// newQuotaAttributes returns what a plan comes to without a counter and a ceiling: an equal part for each
+// gateway. The parts of the concurrency limit add up to it.
+func newQuotaAttributes(p *Plan, gateways, index int) quotaAttributes {
+	n := float64(max(gateways, 1))
+	return quotaAttributes{
+		gatewayCount:     n,
+		smallGatewaySet:  n <= maxSmallGatewaySet,
+		rate:             p.Rate,
+		allowance:        p.Burst,
+		initialAllowance: p.Burst,
+		initialLease:     p.Burst / n,
+		localRate:        p.Rate / n,
+		localBurst:       max(p.Burst/n, 1),
+		concurrencyLimit: p.MaxConcurrent,
+		localConcurrency: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1),
+	}
+}
+
+// suitsReportedStore reports whether the store can be kept by reports: there is no ceiling to hold, and
+// reports come soon enough.
+func (q *quotaAttributes) suitsReportedStore(p *Plan) bool {
+	return p.CeilingRate <= 0 && p.Rate > 0 &&
+		(q.smallGatewaySet || p.Rate*longWindow >= minUnitsPerGateway*q.gatewayCount)
+}
+
+// useReportedStore has the store kept by reports.
+func (q *quotaAttributes) useReportedStore(p *Plan) {
+	q.reportedStore = true
+	if q.smallGatewaySet {
+		q.overdraft = smallSetOverdraft * p.Burst
+		return
+	}
+	q.overdraft = largeSetOverdraft * p.Burst
+	q.localBurst = max(p.Burst/q.gatewayCount, min(localUnits, localUnits*p.Burst/q.gatewayCount), 1)
+}
+
+// applyCeiling divides a plan's ceiling between leases and local tokens, which together never exceed it.
+//
+// An exact store spends in any time L allowance*(1+leaseLifeShare) + rate*L at most, and twice the initial
+// allowance if the counter comes back empty; short windows spend allowance*(2+leaseLifeShare) + rate*L. Local
+// tokens have the rest of burst and rate. Where a plan gains by what is served beyond its quota, they also
+// pay for that, at the lowest level; without a ceiling nothing would bound it.
+func (q *quotaAttributes) applyCeiling(p *Plan) {
+	q.rate = min(p.Rate, p.CeilingRate)
+	if q.smallGatewaySet {
+		q.divideCeilingOfExactStore(p)
+	} else {
+		q.divideCeilingOfShortWindows(p)
 	}
-	t.window = longWindow
-	if !t.refillsWithinWindow {
-		t.window = t.allowance / max(t.rate, 1e-3)
+	q.initialLease = q.allowance / q.gatewayCount
+	q.localRate = (p.CeilingRate - q.rate) / q.gatewayCount
+	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
+}
+
+// divideCeilingOfExactStore divides a ceiling's burst for a store that few gateways keep.
+func (q *quotaAttributes) divideCeilingOfExactStore(p *Plan) {
+	q.allowance = min(p.Burst, p.CeilingBurst/(1+leaseLifeShare))
+	q.initialAllowance = (p.CeilingBurst - (1+leaseLifeShare)*q.allowance) / 2
+	q.localBurst = q.initialAllowance / q.gatewayCount
+}
+
+// divideCeilingOfShortWindows divides a ceiling's burst for many gateways.
+func (q *quotaAttributes) divideCeilingOfShortWindows(p *Plan) {
+	q.allowance = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
+	if q.ceilingBurstLeft(p) < 1 {
+		// A local burst that never holds a unit pays for nothing, and is lost to the customer. So leases
+		// have what they can use of it.
+		q.allowance = min(p.Burst, p.CeilingBurst/(2+leaseLifeShare))
 	}
-	if !t.smallGatewaySet && t.concurrencyLimit > 0 {
-		// Places kept by many hands are two calls a request, and stray. What they let through on
-		// average is kept as a rate instead.
-		if t.concurrencyLimit = 0; t.rate == 0 && e.latency.mean > 0 {
-			t.rate = concurrencyUtilization * float64(p.MaxConcurrent) / e.latency.mean
-			t.window = concurrencyRateWindow
-			t.allowance, t.initialAllowance = t.rate*concurrencyRateWindow, t.rate*concurrencyRateWindow
-			t.initialLease, t.localRate = 1, t.rate/n
-		}
+	q.initialAllowance = q.allowance
+	q.localBurst = q.ceilingBurstLeft(p)
+}
+
+// ceilingBurstLeft returns what leases in short windows leave to this gateway of a ceiling's burst.
+func (q *quotaAttributes) ceilingBurstLeft(p *Plan) float64 {
+	return (p.CeilingBurst - (2+leaseLifeShare)*q.allowance) / q.gatewayCount
+}
+
+// keepConcurrencyAsRate replaces a concurrency limit by the rate that it admits on average, where the plan
+// has no rate and a mean latency is known. Concurrency that many gateways share would be two calls a request,
+// and the count would drift.
+func (q *quotaAttributes) keepConcurrencyAsRate(p *Plan, meanLatency float64) {
+	q.concurrencyLimit = 0
+	if q.rate == 0 && meanLatency > 0 {
+		q.rate = concurrencyUtilization * float64(p.MaxConcurrent) / meanLatency
+		q.windowDuration = concurrencyRateWindow
+		q.allowance = q.rate * concurrencyRateWindow
+		q.initialAllowance = q.rate * concurrencyRateWindow
+		q.initialLease = 1
+		q.localRate = q.rate / q.gatewayCount
 	}
-	return t
 }
