--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -2,38 +2,38 @@
 
 import "testing"
 
-func TestBeyondQuotaIsRefusedUntilTheWindowEnds(t *testing.T) {
+func TestRequestsBeyondQuotaAreRejectedUntilTheWindowEnds(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
 	call := one[CounterAdd](t, out)
-	// Others have used the window up.
+	// Other gateways have used the window up.
 	out = d.handle(CounterReply{Name: call.Name, Total: 100})
 	if r := one[Reject](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
-		t.Errorf("advice %v, want up to the longest that is heeded", r.RetryAfter)
+		t.Errorf("Retry-After %v, want MaxRetryAfter at most", r.RetryAfter)
 	}
 	if n := len(find[CounterAdd](out)); n > 0 {
 		t.Errorf("%d more calls for a window that is used up", n)
 	}
-	asked := 0
+	calledForNext := false
 	for range 40 { // a window is a few seconds long
 		d.now += 0.1
 		d.nextID += 10
 		out = d.handle(Request{ID: d.nextID, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
 		if calls := find[CounterAdd](out); len(calls) == 1 && calls[0].Name != call.Name {
-			asked++
+			calledForNext = true
 			break
 		} else if len(calls) > 0 {
-			t.Fatal("asked again for a window that is used up")
+			t.Fatal("called again for a window that is used up")
 		}
 	}
-	if asked != 1 {
-		t.Error("does not ask for the next window")
+	if !calledForNext {
+		t.Error("no call for the next window")
 	}
 }
 
-// A total that is far too high, since another gateway has yet to take something back, must not hold a customer
-// for dry longer than it takes to fill some units.
-func TestDryIsSoonLookedAtAgain(t *testing.T) {
+// A total that is far too high, since another gateway has yet to take something back, must not make a customer's
+// store count as exhausted for longer than it takes to earn some units.
+func TestExhaustedStoreIsSoonCalledForAgain(t *testing.T) {
 	d := start(t, exactSettings(), some(2)...)
 	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
@@ -41,11 +41,11 @@
 	d.handle(CounterReply{Name: one[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
 	d.now += (maxExhaustedUnits + 0.1) / d.g.settings.Plans[1].Rate
 	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.windowRefill(1) // it has been taken back, and the store is full
+	full := d.windowRefill(1) // what was too much has been taken back, and the store is full
 	one[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
-func TestBlocksLeaveNoUnitThatNobodyComesFor(t *testing.T) {
+func TestLeaseHoldsNoUnitThatNoRequestComesFor(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
 		d.now += 10
