--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -5,75 +5,75 @@
 	"testing"
 )
 
-func TestUnansweredCallGrantsNothingAndTheLocalShareHolds(t *testing.T) {
+func TestTimedOutCallGrantsNothingBeyondLocalTokens(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	sent, refused := 0, 0
+	sent, rejected := 0, 0
 	for i := range 10 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[CounterAdd](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		for _, call := range find[CounterAdd](out) {
+			out = append(out, d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})...)
 		}
-		for _, a := range find[SendAttempt](out) {
+		for _, attempt := range find[SendAttempt](out) {
 			sent++
-			d.handle(AttemptEnded{Request: a.Request, Backend: a.Backend, Latency: 0.01, RequestOver: true})
+			d.handle(AttemptEnded{Request: attempt.Request, Backend: attempt.Backend, Latency: 0.01, RequestOver: true})
 		}
-		refused += len(find[Reject](out))
+		rejected += len(find[Reject](out))
 	}
-	if sent != 2 || refused != 0 {
-		t.Errorf("sent %d and refused %d at once, want burst/gateways = 2, the rest held for the counter", sent, refused)
+	if sent != 2 || rejected != 0 {
+		t.Errorf("sent %d and rejected %d at once, want burst/gateways = 2, the rest held for the counter", sent, rejected)
 	}
 	d.now += 0.79
 	for i := range 10 {
-		refused += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(i+1)})))
+		rejected += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(i+1)})))
 	}
-	if refused != 8 {
-		t.Errorf("sent %d and refused %d, want burst/gateways = 2 and 8", sent, refused)
+	if rejected != 8 {
+		t.Errorf("sent %d and rejected %d, want burst/gateways = 2 and 8", sent, rejected)
 	}
 }
 
-func TestCallsThinOutWhenTheCounterFails(t *testing.T) {
-	calls := func(how Outcome) int {
+func TestFailingCounterGetsFewerCalls(t *testing.T) {
+	calls := func(outcome Outcome) int {
 		d := start(t, testSettings(), some(8)...)
 		n := 0
 		for i := range 400 {
 			d.now += 0.01
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 3, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-			for _, c := range find[CounterAdd](out) {
+			for _, call := range find[CounterAdd](out) {
 				n++
-				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
+				d.handle(CounterReply{Name: call.Name, Outcome: outcome, Total: call.Amount})
 			}
 		}
 		return n
 	}
-	well, down := calls(Served), calls(TimedOut)
-	if well < 400 || down > well/2 || down == 0 {
-		t.Errorf("%d calls to a counter that answers, %d to one that does not", well, down)
+	healthy, failing := calls(Served), calls(TimedOut)
+	if healthy < 400 || failing > healthy/2 || failing == 0 {
+		t.Errorf("%d calls to a counter that replies, %d to one that does not", healthy, failing)
 	}
 }
 
-// A spoilt answer is no sign of a crowd: the customer is asked for again at once, and what was added without
-// a grant is taken back with it. Only when all answers are spoilt do calls become rare.
-func TestSpoiltAnswerIsTakenBack(t *testing.T) {
+// A malformed reply is no sign of overload: the counter is called again at once, and what was added without a grant is
+// taken back with that. Only when all replies are malformed do calls become rare.
+func TestMalformedReplyIsTakenBack(t *testing.T) {
 	d := start(t, seldomSettings(), some(2)...)
 	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
 	second := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
 	total := first.Amount + second.Amount
 	out := d.handle(CounterReply{Name: second.Name, Total: total})
 	one[SendAttempt](t, out)
-	for _, back := range find[CounterAdd](out) {
-		total += back.Amount
+	for _, correction := range find[CounterAdd](out) {
+		total += correction.Amount
 	}
-	window := d.windowRefill(1)
-	if lent := d.g.customers.byID[1].lease.units + 1; math.Abs(total-window-lent) > 1 {
-		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
+	refill := d.windowRefill(1)
+	if leased := d.g.customers.byID[1].lease.units + 1; math.Abs(total-refill-leased) > 1 {
+		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were leased", total-refill, refill, leased)
 	}
 	if d.g.counter.failureRate > 0 {
-		t.Errorf("a crowd of %v was seen", d.g.counter.failureRate)
+		t.Errorf("an overload of %v was seen", d.g.counter.failureRate)
 	}
 	calls := 0
 	for i := range 200 {
 		out := d.handle(Request{ID: RequestID(i + 2), Plan: 1, Customer: 2, Units: 2, Gateways: 2, Deadline: d.now + 2})
-		for n := 0; len(find[CounterAdd](out)) > 0; n++ {
+		for len(find[CounterAdd](out)) > 0 {
 			call := one[CounterAdd](t, out)
 			out = d.handle(CounterReply{Name: call.Name, Outcome: Failed})
 			calls++
@@ -81,134 +81,144 @@
 		d.now += 0.01
 	}
 	if calls < 3 || calls > 10 {
-		t.Errorf("%d calls in 2 s to a counter whose every answer is spoilt", calls)
+		t.Errorf("%d calls in 2 s to a counter whose every reply is malformed", calls)
 	}
 }
 
-// A call that was turned away is lost to nobody: what it told or took back goes out with a later one.
-func TestTurnedAwayCallIsToldLater(t *testing.T) {
+// What a rejected call was to report or take back goes out with a later one.
+func TestRejectedCallIsReportedLater(t *testing.T) {
 	d := start(t, exactSettings(), some(2)...)
 	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	// Another gateway has begun the window: what this one wrote off is there twice and is taken back.
-	back := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
-	if back.Amount > -1 {
-		t.Fatalf("nothing was taken back: %v", back)
+	correction := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
+	if correction.Amount > -1 {
+		t.Fatalf("nothing was taken back: %v", correction)
 	}
-	d.handle(CounterReply{Name: back.Name, Outcome: Rejected})
+	d.handle(CounterReply{Name: correction.Name, Outcome: Rejected})
 	d.now += maxCounterBackoff
 	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerMaintenance << 56}))
-	if again.Amount != back.Amount || again.Name != back.Name {
-		t.Errorf("%v was turned away, told later: %v", back, again)
+	if again.Amount != correction.Amount || again.Name != correction.Name {
+		t.Errorf("%v was rejected, reported later: %v", correction, again)
 	}
 	if more := d.handle(CounterReply{Name: again.Name}); len(find[CounterAdd](more)) > 0 {
-		t.Errorf("told again: %v", more)
+		t.Errorf("reported again: %v", more)
 	}
 }
 
-func TestRequestIsNotHeldForACrowdedCounter(t *testing.T) {
+func TestRequestOfManyGatewaysIsNotHeldForAnOverloadedCounter(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
 	for i := range 3 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[CounterAdd](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		for _, call := range find[CounterAdd](out) {
+			out = append(out, d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})...)
 		}
 		if i == 0 {
-			one[SendAttempt](t, out) // the share of this gateway
+			one[SendAttempt](t, out) // the local tokens of this gateway
 		} else {
 			one[Reject](t, out)
 		}
 	}
 }
 
-// A client refused for a used-up quota comes again at a gateway that has not heard of it; in a crowd, its
-// calls make room for those of first tries.
-func TestCrowdLeavesOutCallsForRepeatsFirst(t *testing.T) {
-	d := start(t, testSettings(), some(30)...)
-	tries, asked, calls := [2]int{}, [2]int{}, 0
+// overloadedCallShares has new customers of so many gateways make requests of two kinds in turn, while one call in ten
+// times out. It returns the share of each kind's requests that led to a call, once the gateway has learnt of the
+// overload. Only with maintenance does the gateway know how many requests of each level come.
+func overloadedCallShares(d *drive, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
+	var requests, called [2]int
+	calls := 0
 	for i := range 4000 {
 		d.now += 0.002
-		repeat := i % 2
-		out := d.handle(Request{ID: RequestID(i + 1), Customer: CustomerID(i), Units: 1, Gateways: 50,
-			Deadline: d.now + 2, IsRetry: repeat == 1})
+		if maintenance && i%20 == 0 {
+			d.handle(TimerFired{Token: timerMaintenance << 56})
+		}
+		kind := i % 2
+		request := requestOf(kind)
+		request.ID = RequestID(i + 1)
+		request.Customer = CustomerID(i)
+		request.Units = 1
+		request.Gateways = gateways
+		request.Deadline = d.now + 2
+		out := d.handle(request)
 		made := find[CounterAdd](out)
-		for _, c := range made {
-			reply := CounterReply{Name: c.Name, Total: c.Amount}
-			if calls++; calls%10 == 0 {
-				reply.Outcome = TimedOut // the counter bears nine in ten
+		for _, call := range made {
+			calls++
+			reply := CounterReply{Name: call.Name, Total: call.Amount}
+			if calls%10 == 0 {
+				reply.Outcome = TimedOut
 			}
 			out = append(out, d.handle(reply)...)
 		}
-		for _, s := range find[SendAttempt](out) {
-			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.01})
+		for _, attempt := range find[SendAttempt](out) {
+			d.handle(AttemptEnded{Request: attempt.Request, Backend: attempt.Backend, Outcome: Served, Latency: 0.01})
 		}
 		if i >= 2000 {
-			tries[repeat]++
-			asked[repeat] += min(len(made), 1)
+			requests[kind]++
+			called[kind] += min(len(made), 1)
 		}
 	}
-	first, again := float64(asked[0])/float64(tries[0]), float64(asked[1])/float64(tries[1])
-	if first < 0.9 || again > 0.5 || again == 0 {
-		t.Errorf("calls for %.2f of the first tries and %.2f of the repeats, want nearly all and a few", first, again)
+	for kind := range shares {
+		shares[kind] = float64(called[kind]) / float64(requests[kind])
 	}
+	return shares
 }
 
-func TestCrowdLeavesOutCallsForTheLowestLevelFirst(t *testing.T) {
+// A client that was rejected for an exhausted quota retries at a gateway that doesn't know of it. In an overload, calls
+// for retries are shed before those for first requests.
+func TestOverloadShedsCallsForRetriesFirst(t *testing.T) {
 	d := start(t, testSettings(), some(30)...)
-	tries, asked, calls := [2]int{}, [2]int{}, 0
-	for i := range 4000 {
-		d.now += 0.002
-		if i%20 == 0 {
-			d.handle(TimerFired{Token: timerMaintenance << 56})
-		}
-		plan := i % 2
-		out := d.handle(Request{ID: RequestID(i + 1), Plan: plan, Customer: CustomerID(i), Units: 1, Gateways: 300,
-			Deadline: d.now + 2})
-		made := find[CounterAdd](out)
-		for _, c := range made {
-			reply := CounterReply{Name: c.Name, Total: c.Amount}
-			if calls++; calls%10 == 0 {
-				reply.Outcome = TimedOut
-			}
-			out = append(out, d.handle(reply)...)
-		}
-		for _, s := range find[SendAttempt](out) {
-			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.01})
-		}
-		if i >= 2000 {
-			tries[plan]++
-			asked[plan] += min(len(made), 1)
-		}
+	shares := overloadedCallShares(d, 50, false, func(kind int) Request { return Request{IsRetry: kind == 1} })
+	first, retry := shares[0], shares[1]
+	if first < 0.9 || retry > 0.5 || retry == 0 {
+		t.Errorf("calls for %.2f of the first requests and %.2f of the retries, want nearly all and a few", first, retry)
 	}
-	low, top := float64(asked[0])/float64(tries[0]), float64(asked[1])/float64(tries[1])
+}
+
+func TestOverloadShedsCallsForTheLowestLevelFirst(t *testing.T) {
+	d := start(t, testSettings(), some(30)...)
+	shares := overloadedCallShares(d, 300, true, func(kind int) Request { return Request{Plan: kind} })
+	low, top := shares[0], shares[1]
 	if top < 0.9 || low > 0.6 || low == 0 {
-		t.Errorf("calls for %.2f of the tries of the top level and %.2f of the low one, want nearly all and a part", top, low)
+		t.Errorf("calls for %.2f of the requests of the top level and %.2f of the low one, want nearly all and a part", top, low)
 	}
 }
 
-// Of many gateways, each has less than a unit of a customer's burst for itself.
-// While the counter turns calls away they let in about the burst together, and not a
-// unit each; while it says nothing at all, a customer is not kept out for it.
-func TestTurnedAwayCallsLetInAboutTheBurst(t *testing.T) {
+// Of many gateways, each has less than a unit of a customer's burst for itself. While the counter rejects calls they
+// admit about the burst together, and not a unit each; while it does not reply at all, each admits a unit.
+func TestRejectedCallsAdmitAboutTheBurst(t *testing.T) {
 	const gateways = 300
 	set := testSettings()
 	set.FleetSize = gateways
-	for outcome, want := range map[Outcome][2]int{Rejected: {1, 12}, TimedOut: {gateways, gateways}} {
-		let := 0
-		for i := range gateways {
-			set.GatewayIndex = i
-			g, _ := New(set, splitMix64(uint64(i)), 100, nil)
-			g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
-			out := g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil)
-			let += len(find[SendAttempt](g.Handle(100, CounterReply{Name: one[CounterAdd](t, out).Name, Outcome: outcome}, nil)))
-		}
-		if let < want[0] || let > want[1] {
-			t.Errorf("outcome %d: %d gateways let one in, want %d to %d for a burst of %g", outcome, let, want[0], want[1], set.Plans[0].Burst)
-		}
-	}
-	set.Counter = false // then a gateway's own share is all there is
-	for i := range gateways {
-		g, _ := New(set, splitMix64(uint64(i)), 100, nil)
+	firstRequest := func(index int) (*Engine, []Action) {
+		set.GatewayIndex = index
+		g, _ := New(set, splitMix64(uint64(index)), 100, nil)
 		g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
-		one[SendAttempt](t, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil))
+		return g, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil)
+	}
+	for _, test := range []struct {
+		name     string
+		outcome  Outcome
+		min, max int
+	}{
+		{"rejected", Rejected, 1, 12},
+		{"timed out", TimedOut, gateways, gateways},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			admitted := 0
+			for index := range gateways {
+				g, out := firstRequest(index)
+				reply := CounterReply{Name: one[CounterAdd](t, out).Name, Outcome: test.outcome}
+				admitted += len(find[SendAttempt](g.Handle(100, reply, nil)))
+			}
+			if admitted < test.min || admitted > test.max {
+				t.Errorf("%d gateways admitted one, want %d to %d for a burst of %g", admitted, test.min, test.max, set.Plans[0].Burst)
+			}
+		})
 	}
+	t.Run("no counter", func(t *testing.T) { // then a gateway's local tokens are all there is
+		set.Counter = false
+		for index := range gateways {
+			_, out := firstRequest(index)
+			one[SendAttempt](t, out)
+		}
+	})
 }
