--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -8,33 +8,48 @@
 	"testing"
 )
 
-// quotaDay is one customer before a fleet of modules on a made-up clock: what it asks for, and what its quota is.
-type quotaDay struct {
-	gateways  int
-	plan      Plan
-	rate      float64                   // requests a second, of a unit each
-	times     func(now float64) float64 // factor on rate; nil: 1
-	shift     bool                      // uneven weights that change every 7 to 18 s
-	delay     float64                   // seconds until the counter's answer
-	warm, end float64                   // seconds; what comes before warm is not counted
-	seed      uint64
+const (
+	quotaLoadStart       = 1000.0 // when the simulated clock starts, in seconds
+	quotaLoadServiceTime = 0.05   // seconds
+)
+
+// quotaLoad is the load that one customer puts on a fleet of gateways, and its quota.
+type quotaLoad struct {
+	gateways      int
+	plan          Plan
+	rate          float64                       // requests a second, of a unit each
+	rateFactor    func(elapsed float64) float64 // factor on rate, 16 at most; nil: 1
+	unevenWeights bool                          // gateways get uneven parts of it, which change every 7 to 18 s
+	counterDelay  float64                       // seconds until the counter's reply
+	warmUp        float64                       // seconds from the start that are not counted
+	end           float64                       // seconds from the start
+	seed          uint64
+}
+
+// quotaLoadResult is what came of a load. A request is inside its quota where a store that refills at the plan's rate
+// has the units when the request is first sent or rejected.
+type quotaLoadResult struct {
+	requests       int
+	sent           int
+	sentBeyond     int // sent though beyond the quota
+	rejectedInside int // rejected though inside the quota
+	calls          int // to the counter
 }
 
-// quotaCount is what came of it. The true store is exact: it refills at the plan's rate, and a request is inside
-// where it has the units when the request is first sent on.
-type quotaCount struct {
-	tries, sent, refused, calls int
-	refusedInside               int // the true store had the units
-	refusedHalf                 int // half of the burst or more was unused
-	beyond                      int // sent on while it had not
+func (r *quotaLoadResult) callsPerRequest() float64 { return float64(r.calls) / float64(r.requests) }
+
+func (r *quotaLoadResult) rejectedInsideShare() float64 {
+	return float64(r.rejectedInside) / float64(r.requests)
 }
 
+// quotaEvent is an event that a gateway is to handle.
 type quotaEvent struct {
-	at float64
-	n  int // gateway
-	ev Event
+	at      float64
+	gateway int
+	ev      Event
 }
 
+// quotaEvents is a heap, the earliest event first.
 type quotaEvents []quotaEvent
 
 func (q quotaEvents) Len() int { return len(q) }
@@ -47,218 +62,289 @@
 
 func (q *quotaEvents) Pop() any {
 	old := *q
-	e := old[len(old)-1]
+	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return e
+	return last
+}
+
+// quotaLoadRun simulates a load on a made-up clock.
+type quotaLoadRun struct {
+	load        quotaLoad
+	rng         *rand.Rand
+	now         float64
+	pending     quotaEvents
+	gateways    []*Engine
+	weights     []float64 // part of the load that each gateway gets
+	nextWeights float64   // when the weights change
+	peakFactor  float64   // requests are thinned from so many times the rate
+	nextRequest float64
+	lastID      RequestID
+	totals      map[uint64]float64 // of the counter, by name
+	store       float64            // units that the customer has by its plan, as of storeAt
+	storeAt     float64
+	result      quotaLoadResult
 }
 
-func (d quotaDay) play(t testing.TB) (c quotaCount) {
+// run simulates a load from its start to its end.
+func (load quotaLoad) run(t testing.TB) quotaLoadResult {
 	t.Helper()
-	const start, work = 1000.0, 0.05
+	run := &quotaLoadRun{
+		load:       load,
+		rng:        rand.New(rand.NewPCG(load.seed, 1)),
+		now:        quotaLoadStart,
+		weights:    make([]float64, load.gateways),
+		peakFactor: 16,
+		totals:     map[uint64]float64{},
+		store:      load.plan.Burst,
+		storeAt:    quotaLoadStart,
+	}
+	if load.rateFactor == nil {
+		run.load.rateFactor = func(float64) float64 { return 1 }
+		run.peakFactor = 1
+	}
+	run.startGateways()
+	run.drawWeights()
+	run.nextRequest = run.now + run.untilNextRequest()
+	for run.now < quotaLoadStart+load.end {
+		if event, ok := run.nextEvent(); ok {
+			run.handle(event)
+		}
+	}
+	return run.result
+}
+
+func (run *quotaLoadRun) startGateways() {
 	set := testSettings()
 	set.Classes = []Class{{LatencyObjective: 2, Deadline: 8, PriorityWeight: 1}}
-	set.Plans = []Plan{d.plan}
-	set.FleetSize, set.CounterTimeout = d.gateways, 0.08
-	rng := rand.New(rand.NewPCG(d.seed, 1))
-	var q quotaEvents
-	var gs []*Engine
-	var take func(now float64, n int, actions []Action)
-	totals := map[uint64]float64{}
-	store, storeAt, counted := d.plan.Burst, start, false
-	take = func(now float64, n int, actions []Action) {
-		for _, a := range actions {
-			switch a := a.(type) {
-			case SetTimer:
-				heap.Push(&q, quotaEvent{now + a.Delay, n, TimerFired{Token: a.Token}})
-			case SendAttempt:
-				heap.Push(&q, quotaEvent{now + work, n, AttemptEnded{Request: a.Request, Backend: a.Backend, Latency: work, RequestOver: true}})
-				inside := store >= 1
-				if inside {
-					store--
-				}
-				if counted {
-					if c.sent++; !inside {
-						c.beyond++
-					}
-				}
-			case Reject:
-				if counted {
-					c.refused++
-					if store >= 1 {
-						c.refusedInside++
-					}
-					if store >= d.plan.Burst/2 {
-						c.refusedHalf++
-					}
-				}
-			case CounterAdd:
-				if counted {
-					c.calls++
-				}
-				totals[a.Name] += a.Amount
-				heap.Push(&q, quotaEvent{now + d.delay, n, CounterReply{Name: a.Name, Total: totals[a.Name]}})
-			}
+	set.Plans = []Plan{run.load.plan}
+	set.FleetSize = run.load.gateways
+	set.CounterTimeout = 0.08
+	list := EndpointsUpdated{Kind: CachedList, Entries: some(4 * run.load.gateways)}
+	for index := range run.load.gateways {
+		set.GatewayIndex = index
+		gateway, actions := New(set, run.load.seed<<16+uint64(index), run.now, nil)
+		run.gateways = append(run.gateways, gateway)
+		run.carryOut(index, actions)
+		run.carryOut(index, gateway.Handle(run.now, list, nil))
+	}
+}
+
+// drawWeights draws the part of the load that each gateway gets, and when they change.
+func (run *quotaLoadRun) drawWeights() {
+	sum := 0.0
+	for i := range run.weights {
+		run.weights[i] = 1
+		if run.load.unevenWeights {
+			run.weights[i] = math.Exp(run.rng.NormFloat64())
 		}
+		sum += run.weights[i]
 	}
-	for rank := range d.gateways {
-		set.GatewayIndex = rank
-		g, out := New(set, d.seed<<16+uint64(rank), start, nil)
-		gs = append(gs, g)
-		take(start, rank, out)
-		take(start, rank, g.Handle(start, EndpointsUpdated{Kind: CachedList, Entries: some(4 * d.gateways)}, nil))
+	for i := range run.weights {
+		run.weights[i] /= sum
 	}
-	weights := make([]float64, d.gateways)
-	draw := func() {
-		sum := 0.0
-		for i := range weights {
-			if weights[i] = 1; d.shift {
-				weights[i] = math.Exp(rng.NormFloat64())
-			}
-			sum += weights[i]
-		}
-		for i := range weights {
-			weights[i] /= sum
-		}
+	run.nextWeights = run.now + 7 + 11*run.rng.Float64()
+}
+
+func (run *quotaLoadRun) untilNextRequest() float64 {
+	return run.rng.ExpFloat64() / (run.load.rate * run.peakFactor)
+}
+
+// nextEvent moves the clock to the next event, or to a request that is thinned out: ok is false then.
+func (run *quotaLoadRun) nextEvent() (event quotaEvent, ok bool) {
+	if len(run.pending) > 0 && run.pending[0].at <= run.nextRequest {
+		event = heap.Pop(&run.pending).(quotaEvent)
+		run.now = event.at
+		return event, true
 	}
-	draw()
-	nextShift := start + 7 + 11*rng.Float64()
-	most := 16.0 // arrivals are thinned from so many times the rate
-	if d.times == nil {
-		d.times, most = func(float64) float64 { return 1 }, 1
+	run.now = run.nextRequest
+	run.nextRequest += run.untilNextRequest()
+	if run.rng.Float64() >= run.load.rateFactor(run.now-quotaLoadStart)/run.peakFactor {
+		return quotaEvent{}, false
 	}
-	id := RequestID(0)
-	next := start + rng.ExpFloat64()/(d.rate*most)
-	for now := start; now < start+d.end; {
-		e := quotaEvent{at: math.Inf(1)}
-		if len(q) > 0 && q[0].at <= next {
-			e = heap.Pop(&q).(quotaEvent)
-			now = e.at
-		} else {
-			now = next
-			next += rng.ExpFloat64() / (d.rate * most)
-			if rng.Float64() >= d.times(now-start)/most {
-				continue
-			}
-			x := rng.Float64()
-			for x -= weights[e.n]; x > 0 && e.n < d.gateways-1; x -= weights[e.n] {
-				e.n++
+	if run.counts() {
+		run.result.requests++
+	}
+	return quotaEvent{at: run.now, gateway: run.drawGateway(), ev: run.newRequest()}, true
+}
+
+func (run *quotaLoadRun) drawGateway() int {
+	gateway := 0
+	x := run.rng.Float64() - run.weights[gateway]
+	for x > 0 && gateway < run.load.gateways-1 {
+		gateway++
+		x -= run.weights[gateway]
+	}
+	return gateway
+}
+
+func (run *quotaLoadRun) newRequest() Request {
+	run.lastID++
+	return Request{
+		ID:       run.lastID,
+		Units:    1,
+		Gateways: run.load.gateways,
+		Customer: CustomerID(run.load.seed + 77),
+		Deadline: run.now + 8,
+	}
+}
+
+// counts reports whether what happens now counts in the result.
+func (run *quotaLoadRun) counts() bool { return run.now > quotaLoadStart+run.load.warmUp }
+
+// handle has a gateway handle an event and carries out its actions.
+func (run *quotaLoadRun) handle(event quotaEvent) {
+	if run.now > run.nextWeights {
+		run.drawWeights()
+	}
+	run.store = min(run.store+run.load.plan.Rate*(run.now-run.storeAt), run.load.plan.Burst)
+	run.storeAt = run.now
+	run.carryOut(event.gateway, run.gateways[event.gateway].Handle(run.now, event.ev, nil))
+}
+
+func (run *quotaLoadRun) carryOut(gateway int, actions []Action) {
+	counted := 0
+	if run.counts() {
+		counted = 1
+	}
+	for _, action := range actions {
+		switch action := action.(type) {
+		case SetTimer:
+			run.later(action.Delay, gateway, TimerFired{Token: action.Token})
+		case SendAttempt:
+			run.later(quotaLoadServiceTime, gateway, AttemptEnded{Request: action.Request, Backend: action.Backend,
+				Latency: quotaLoadServiceTime, RequestOver: true})
+			run.result.sent += counted
+			if run.store >= 1 {
+				run.store--
+			} else {
+				run.result.sentBeyond += counted
 			}
-			id++
-			e.ev = Request{ID: id, Units: 1, Gateways: d.gateways, Customer: CustomerID(d.seed + 77), Deadline: now + 8}
-			if now > start+d.warm {
-				c.tries++
+		case Reject:
+			if run.store >= 1 {
+				run.result.rejectedInside += counted
 			}
+		case CounterAdd:
+			run.result.calls += counted
+			run.totals[action.Name] += action.Amount
+			run.later(run.load.counterDelay, gateway, CounterReply{Name: action.Name, Total: run.totals[action.Name]})
 		}
-		if now > nextShift {
-			draw()
-			nextShift = now + 7 + 11*rng.Float64()
-		}
-		counted = now > start+d.warm
-		store = min(store+d.plan.Rate*(now-storeAt), d.plan.Burst)
-		storeAt = now
-		take(now, e.n, gs[e.n].Handle(now, e.ev, nil))
 	}
-	return c
 }
 
-func quotaPlan(rate, seconds float64) Plan {
+// later has a gateway handle an event after a delay.
+func (run *quotaLoadRun) later(delay float64, gateway int, event Event) {
+	heap.Push(&run.pending, quotaEvent{at: run.now + delay, gateway: gateway, ev: event})
+}
+
+// planOf returns a plan whose burst is its rate for some seconds, and 2 units at least.
+func planOf(rate, seconds float64) Plan {
 	return Plan{WeightFactor: 1, Rate: rate, Burst: max(rate*seconds, 2), OverQuotaCost: 1}
 }
 
-// A customer inside its quota costs few calls of the counter and is hardly ever refused, through however many
-// gateways it comes, and however it spreads over them.
+// A customer inside its quota costs few calls to the counter and is hardly ever rejected, through however many gateways
+// it comes, and however its load is spread over them.
 func TestCustomerInsideItsQuotaCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for i, gateways := range []int{2, 5, 10, 60} {
-		for _, c := range []struct{ use, calls, refused float64 }{{0.3, 0.1, 0.001}, {0.9, 0.25, 0.01}} {
-			d := quotaDay{gateways: gateways, plan: quotaPlan(6.8/c.use, 3), rate: 6.8, shift: i%2 == 1, delay: 0.003,
-				warm: 60, end: 180, seed: 1}
-			got := d.play(t)
-			calls, refused := float64(got.calls)/float64(got.tries), float64(got.refusedInside)/float64(got.tries)
-			if calls > c.calls || refused > c.refused {
-				t.Errorf("%d gateways, %g of the quota, shift %t: %.3f calls a request, %.4f refused though inside; want %g and %g",
-					gateways, c.use, d.shift, calls, refused, c.calls, c.refused)
+		for _, test := range []struct{ quotaUse, calls, rejected float64 }{{0.3, 0.1, 0.001}, {0.9, 0.25, 0.01}} {
+			load := quotaLoad{gateways: gateways, plan: planOf(6.8/test.quotaUse, 3), rate: 6.8, unevenWeights: i%2 == 1,
+				counterDelay: 0.003, warmUp: 60, end: 180, seed: 1}
+			result := load.run(t)
+			if result.callsPerRequest() > test.calls || result.rejectedInsideShare() > test.rejected {
+				t.Errorf("%d gateways, %g of the quota, uneven weights %t: "+
+					"%.3f calls a request, %.4f rejected though inside; want %g and %g",
+					gateways, test.quotaUse, load.unevenWeights,
+					result.callsPerRequest(), result.rejectedInsideShare(), test.calls, test.rejected)
 			}
 		}
 	}
 }
 
-// What sixty gateways hold ahead is not missing to the others: over some customers, few requests are refused.
-func TestUnitsHeldAheadAreNotMissingElsewhere(t *testing.T) {
+// What sixty gateways lease ahead is not missing at the others: over some customers, few requests are rejected.
+func TestUnitsLeasedAheadAreNotMissingElsewhere(t *testing.T) {
 	t.Parallel()
-	var all sync.WaitGroup
-	var got [8]quotaCount
-	for i := range got {
-		all.Go(func() {
-			d := quotaDay{gateways: 60, plan: quotaPlan(6.8/0.9, 3), rate: 6.8, delay: 0.003, warm: 60, end: 180, seed: uint64(i) + 1}
-			got[i] = d.play(t)
+	var running sync.WaitGroup
+	var results [8]quotaLoadResult
+	for i := range results {
+		running.Go(func() {
+			load := quotaLoad{gateways: 60, plan: planOf(6.8/0.9, 3), rate: 6.8, counterDelay: 0.003, warmUp: 60, end: 180,
+				seed: uint64(i) + 1}
+			results[i] = load.run(t)
 		})
 	}
-	all.Wait()
-	tries, calls, refused := 0, 0, 0
-	for _, c := range got {
-		tries, calls, refused = tries+c.tries, calls+c.calls, refused+c.refusedInside
+	running.Wait()
+	var sum quotaLoadResult
+	for _, result := range results {
+		sum.requests += result.requests
+		sum.calls += result.calls
+		sum.rejectedInside += result.rejectedInside
 	}
-	if share := float64(refused) / float64(tries); share > 0.005 || float64(calls) > 0.25*float64(tries) {
-		t.Errorf("%.4f of %d tries refused though inside, %d calls; want 0.005 and a call for four tries", share, tries, calls)
+	if sum.rejectedInsideShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
+		t.Errorf("%.4f of %d requests rejected though inside, %d calls; want 0.005 and a call for four requests",
+			sum.rejectedInsideShare(), sum.requests, sum.calls)
 	}
 }
 
-// A customer that its gateways meet for the first time, and that asks for all it can get, finds what the counter lends
-// and no second burst in own shares.
+// A customer that is new to its gateways, and that asks for all it can get, finds what the counter lends and no second
+// burst in local tokens.
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
-	const end = 2.0
-	d := quotaDay{gateways: 20, plan: quotaPlan(6.8, 3), rate: 100, delay: 0.003, end: end, seed: 6}
-	got := d.play(t)
-	if bound := largeSetOverdraft*d.plan.Burst + d.plan.Rate*end + 5; float64(got.sent) > bound {
-		t.Errorf("%d units at once, want %.0f at most", got.sent, bound)
+	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
+	result := load.run(t)
+	if maxSent := largeSetOverdraft*load.plan.Burst + load.plan.Rate*load.end + 5; float64(result.sent) > maxSent {
+		t.Errorf("%d units at once, want %.0f at most", result.sent, maxSent)
 	}
 }
 
 // A customer that its gateways see only now and then costs few calls too, and the fewer the more seldom it is.
 func TestCustomerSeenSeldomCostsFewCalls(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
-		d := quotaDay{gateways: 5, plan: Plan{WeightFactor: 1, Rate: c.rate / 0.3, Burst: 4, OverQuotaCost: 1}, rate: c.rate, shift: true,
-			delay: 0.003, end: 200 / c.rate, seed: 4}
-		got := d.play(t)
-		calls, refused := float64(got.calls)/float64(got.tries), float64(got.refusedInside)/float64(got.tries)
-		if calls > c.calls || refused > 0.01 || got.beyond > got.tries/50 {
-			t.Errorf("a request in %g s: %.2f calls a request, %.3f refused though inside, %d of %d beyond",
-				1/c.rate, calls, refused, got.beyond, got.tries)
+	for _, test := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
+		load := quotaLoad{gateways: 5, plan: Plan{WeightFactor: 1, Rate: test.rate / 0.3, Burst: 4, OverQuotaCost: 1},
+			rate: test.rate, unevenWeights: true, counterDelay: 0.003, end: 200 / test.rate, seed: 4}
+		result := load.run(t)
+		if result.callsPerRequest() > test.calls || result.rejectedInsideShare() > 0.01 ||
+			result.sentBeyond > result.requests/50 {
+			t.Errorf("a request in %g s: %.2f calls a request, %.3f rejected though inside, %d of %d beyond",
+				1/test.rate, result.callsPerRequest(), result.rejectedInsideShare(), result.sentBeyond, result.requests)
 		}
 	}
 }
 
-// One that asks for five times its quota gets the quota, no more, over many windows.
+// A customer that asks for five times its quota gets the quota, no more, over many windows.
 func TestCustomerBeyondItsQuotaGetsTheQuota(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 5, 20} {
-		d := quotaDay{gateways: gateways, plan: quotaPlan(6.8, 3), rate: 34, shift: true, delay: 0.003, warm: 60, end: 260, seed: 2}
-		got := d.play(t)
-		if share := float64(got.sent) / (d.plan.Rate * (d.end - d.warm)); share < 0.95 || share > 1.08 {
-			t.Errorf("%d gateways let in %.3f of the quota", gateways, share)
+		load := quotaLoad{gateways: gateways, plan: planOf(6.8, 3), rate: 34, unevenWeights: true, counterDelay: 0.003,
+			warmUp: 60, end: 260, seed: 2}
+		result := load.run(t)
+		share := float64(result.sent) / (load.plan.Rate * (load.end - load.warmUp))
+		if share < 0.95 || share > 1.08 {
+			t.Errorf("%d gateways admitted %.3f of the quota", gateways, share)
 		}
 	}
 }
 
-// A burst after a calm hour finds the burst of its plan and what is owed beside it, not all the refill of the hour.
-func TestBurstAfterACalmTimeIsBounded(t *testing.T) {
+// A burst after an hour of low demand finds the burst of its plan and what is unreported beside it, not all the refill
+// of the hour.
+func TestBurstAfterLowDemandIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 20} {
-		const warm, burst = 100.0, 4.0
-		d := quotaDay{gateways: gateways, plan: quotaPlan(6.8, 3), rate: 2, delay: 0.003, warm: warm, end: warm + burst, seed: 3,
-			times: func(now float64) float64 {
-				if now > warm {
+		const warmUp, burstTime = 100.0, 4.0
+		load := quotaLoad{gateways: gateways, plan: planOf(6.8, 3), rate: 2, counterDelay: 0.003,
+			warmUp: warmUp, end: warmUp + burstTime, seed: 3,
+			rateFactor: func(elapsed float64) float64 {
+				if elapsed > warmUp {
 					return 16
 				}
 				return 1
 			}}
-		got := d.play(t)
-		// The burst, the refill meanwhile, what own shares hold, and what may not have been written off.
-		bound := d.plan.Burst*(2+maxUnusedRefill+maxReportSlack) + d.plan.Rate*burst + localUnits*float64(gateways)
-		if float64(got.sent) > bound {
-			t.Errorf("%d gateways let in %d units of %d at once, want %.0f at most", gateways, got.sent, got.tries, bound)
+		result := load.run(t)
+		// The burst, the refill meanwhile, what local tokens hold, and what may not have been written off.
+		maxSent := load.plan.Burst*(2+maxUnusedRefill+maxReportSlack) + load.plan.Rate*burstTime +
+			localUnits*float64(gateways)
+		if float64(result.sent) > maxSent {
+			t.Errorf("%d gateways admitted %d units of %d at once, want %.0f at most",
+				gateways, result.sent, result.requests, maxSent)
 		}
 	}
 }
