--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -10,7 +10,7 @@
 // recordReply counts a reply in the share of calls that fail, as one that is no sign of overload.
 func (s *counterState) recordReply() { s.failureRate -= counterFailureGain * s.failureRate }
 
-// recordOverload has the reply that was recorded last count as a failure.
+// recordOverload counts the reply that was recorded last as a failure.
 func (s *counterState) recordOverload() { s.failureRate += counterFailureGain }
 
 // shedCounterCall reports whether the call for a customer's first waiting request is shed, and delays the
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -19,7 +19,7 @@
 
 	counterSeen     bool    // a total of a windowed store has been applied
 	exhaustedUntil  float64 // the store has too few units until then, as far as is known here
-	unreportedUnits float64 // units spent that the counter hasn't been told of; below 0: to be returned
+	unreportedUnits float64 // units spent and not reported to the counter; below 0: to be returned
 	window          counterWindow
 	store           reportedStore
 	calls           pendingCalls
