--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -47,7 +47,7 @@
 	if f.now < 102 || f.rng.Float64() < 0.2+0.2*math.Sin(f.now) || math.Mod(f.now, 19) < 7 {
 		actions = d.handle(Request{ID: f.lastID, Units: 1, Gateways: len(f.gateways), Customer: 5, Deadline: f.now + 2})
 	} else if step%9 == 0 {
-		actions = d.handle(TimerFired{Token: timerMaintenance << 56})
+		actions = d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if f.rng.IntN(8000) == 0 { // killed, with all it knew
 		f.gateways[n] = start(t, f.set, some(30)...)
@@ -169,7 +169,7 @@
 			}
 			inside := d.nextID
 			d.g.limiter.limit = 1000
-			sent := find[SendAttempt](d.handle(TimerFired{Token: timerMaintenance << 56}))
+			sent := find[SendAttempt](d.handle(timerFired(maintenanceTimer, 0)))
 			if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
 				t.Errorf("sent %v, want request %d of the cheaper plan, inside its quota, before %d", sent, inside, beyond)
 			}
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -24,7 +24,7 @@
 	}
 	d.now += 0.79
 	for i := range 10 {
-		rejected += len(find[Reject](d.handle(TimerFired{Token: timerAnswerDeadline<<56 | uint64(i+1)})))
+		rejected += len(find[Reject](d.handle(timerFired(answerDeadlineTimer, RequestID(i+1)))))
 	}
 	if rejected != 8 {
 		t.Errorf("sent %d and rejected %d, want burst/gateways = 2 and 8", sent, rejected)
@@ -96,7 +96,7 @@
 	}
 	d.handle(CounterReply{Name: correction.Name, Outcome: Rejected})
 	d.now += maxCounterBackoff
-	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerMaintenance << 56}))
+	again := one[CounterAdd](t, d.handle(timerFired(maintenanceTimer, 0)))
 	if again.Amount != correction.Amount || again.Name != correction.Name {
 		t.Errorf("%v was rejected, reported later: %v", correction, again)
 	}
@@ -129,7 +129,7 @@
 	for i := range 4000 {
 		d.now += 0.002
 		if maintenance && i%20 == 0 {
-			d.handle(TimerFired{Token: timerMaintenance << 56})
+			d.handle(timerFired(maintenanceTimer, 0))
 		}
 		kind := i % 2
 		request := requestOf(kind)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -126,12 +126,6 @@
 	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
 }
 
-// Kinds of timer as numbers, for tests that pack a token by hand.
-const (
-	timerMaintenance    = uint64(maintenanceTimer)
-	timerAnswerDeadline = uint64(answerDeadlineTimer)
-)
-
 // find returns the actions of one type.
 func find[A Action](actions []Action) (found []A) {
 	for _, action := range actions {
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -167,7 +167,7 @@
 				return
 			}
 			d.now += 0.2
-			if n := len(find[SendAttempt](answer(d.handle(TimerFired{Token: timerMaintenance << 56}), 0))); n != 1 {
+			if n := len(find[SendAttempt](answer(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
 				t.Errorf("%d sends once the store has units again, want the request that waited", n)
 			}
 		})
