--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -42,37 +42,12 @@
 	return float64(r.rejectedInside) / float64(r.requests)
 }
 
-// quotaEvent is an event that a gateway is to handle.
-type quotaEvent struct {
-	at      float64
-	gateway int
-	ev      Event
-}
-
-// quotaEvents is a heap, the earliest event first.
-type quotaEvents []quotaEvent
-
-func (q quotaEvents) Len() int { return len(q) }
-
-func (q quotaEvents) Less(i, j int) bool { return q[i].at < q[j].at }
-
-func (q quotaEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-func (q *quotaEvents) Push(x any) { *q = append(*q, x.(quotaEvent)) }
-
-func (q *quotaEvents) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
 // quotaLoadRun simulates a load on a made-up clock.
 type quotaLoadRun struct {
 	load        quotaLoad
 	rng         *rand.Rand
 	now         float64
-	pending     quotaEvents
+	pending     scheduledEvents
 	gateways    []*Engine
 	weights     []float64 // part of the load that each gateway gets
 	nextWeights float64   // when the weights change
@@ -150,21 +125,21 @@
 }
 
 // nextEvent moves the clock to the next event, or to a request that is thinned out: ok is false then.
-func (run *quotaLoadRun) nextEvent() (event quotaEvent, ok bool) {
+func (run *quotaLoadRun) nextEvent() (event scheduledEvent, ok bool) {
 	if len(run.pending) > 0 && run.pending[0].at <= run.nextRequest {
-		event = heap.Pop(&run.pending).(quotaEvent)
+		event = heap.Pop(&run.pending).(scheduledEvent)
 		run.now = event.at
 		return event, true
 	}
 	run.now = run.nextRequest
 	run.nextRequest += run.untilNextRequest()
 	if run.rng.Float64() >= run.load.rateFactor(run.now-quotaLoadStart)/run.peakFactor {
-		return quotaEvent{}, false
+		return scheduledEvent{}, false
 	}
 	if run.counts() {
 		run.result.requests++
 	}
-	return quotaEvent{at: run.now, gateway: run.drawGateway(), ev: run.newRequest()}, true
+	return scheduledEvent{at: run.now, gateway: run.drawGateway(), event: run.newRequest()}, true
 }
 
 func (run *quotaLoadRun) drawGateway() int {
@@ -192,13 +167,13 @@
 func (run *quotaLoadRun) counts() bool { return run.now > quotaLoadStart+run.load.warmUp }
 
 // handle has a gateway handle an event and carries out its actions.
-func (run *quotaLoadRun) handle(event quotaEvent) {
+func (run *quotaLoadRun) handle(event scheduledEvent) {
 	if run.now > run.nextWeights {
 		run.drawWeights()
 	}
 	run.store = min(run.store+run.load.plan.Rate*(run.now-run.storeAt), run.load.plan.Burst)
 	run.storeAt = run.now
-	run.carryOut(event.gateway, run.gateways[event.gateway].Handle(run.now, event.ev, nil))
+	run.carryOut(event.gateway, run.gateways[event.gateway].Handle(run.now, event.event, nil))
 }
 
 func (run *quotaLoadRun) carryOut(gateway int, actions []Action) {
@@ -233,7 +208,7 @@
 
 // later has a gateway handle an event after a delay.
 func (run *quotaLoadRun) later(delay float64, gateway int, event Event) {
-	heap.Push(&run.pending, quotaEvent{at: run.now + delay, gateway: gateway, ev: event})
+	heap.Push(&run.pending, scheduledEvent{at: run.now + delay, gateway: gateway, event: event})
 }
 
 // planOf returns a plan whose burst is its rate for some seconds, and 2 units at least.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -20,7 +20,7 @@
 	rng            *rand.Rand
 	gateways       []*Engine
 	weights        []float64 // of the traffic, by gateway
-	pending        fleetEvents
+	pending        scheduledEvents
 	backends       map[BackendID]*simulatedBackend
 	nextID         RequestID
 	arrivals       float64 // requests that are due; the fraction carries over
@@ -35,29 +35,6 @@
 	sends     []float64 // times of the attempts that it got in slow start
 }
 
-type fleetEvent struct {
-	at      float64
-	gateway int
-	event   Event
-}
-
-// fleetEvents is a heap of what is still to come, the next first.
-type fleetEvents []fleetEvent
-
-func (h fleetEvents) Len() int { return len(h) }
-
-func (h fleetEvents) Less(i, j int) bool { return h[i].at < h[j].at }
-
-func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-func (h *fleetEvents) Push(x any) { *h = append(*h, x.(fleetEvent)) }
-
-func (h *fleetEvents) Pop() any {
-	e := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return e
-}
-
 // handle has a gateway handle an event and carries out its actions.
 func (f *slowStartFleet) handle(gateway int, event Event) {
 	for _, a := range f.gateways[gateway].Handle(f.now, event, nil) {
@@ -65,7 +42,7 @@
 		case SendAttempt:
 			f.send(gateway, a)
 		case SetTimer:
-			heap.Push(&f.pending, fleetEvent{f.now + a.Delay, gateway, TimerFired{Token: a.Token}})
+			heap.Push(&f.pending, scheduledEvent{f.now + a.Delay, gateway, TimerFired{Token: a.Token}})
 		}
 	}
 }
@@ -92,7 +69,7 @@
 	}
 	end.Latency = took
 	end.RequestOver = end.Outcome == Served
-	heap.Push(&f.pending, fleetEvent{f.now + took, gateway, end})
+	heap.Push(&f.pending, scheduledEvent{f.now + took, gateway, end})
 }
 
 // capacityShare returns the share of its capacity that a backend has so many seconds after its start, above 1 once it
@@ -106,7 +83,7 @@
 	const step = 0.005
 	for ; f.now < until; f.now += step {
 		for len(f.pending) > 0 && f.pending[0].at <= f.now {
-			e := heap.Pop(&f.pending).(fleetEvent)
+			e := heap.Pop(&f.pending).(scheduledEvent)
 			f.handle(e.gateway, e.event)
 		}
 		for f.arrivals += rate * step; f.arrivals > 0; f.arrivals -= f.rng.ExpFloat64() {
