--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,19 +6,19 @@
 )
 
 func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
-	d := start(t, testSettings()) // no backend at all
-	id := d.ask(0, 1, 1)
-	if n := len(find[SendAttempt](d.last)); n != 0 {
+	d := startEngine(t, testSettings()) // no backend at all
+	id := d.sendRequest(0, 1, 1)
+	if n := len(actionsOf[SendAttempt](d.lastActions)); n != 0 {
 		t.Fatalf("sent %d with no backend", n)
 	}
 	d.now += 0.8
 	out := d.handle(timerFired(answerDeadlineTimer, id))
-	if r := one[Reject](t, out); r.Request != id {
+	if r := onlyAction[Reject](t, out); r.Request != id {
 		t.Errorf("rejected %d, want %d", r.Request, id)
 	}
 	d.now += 1
 	out = d.handle(timerFired(answerDeadlineTimer, id))
-	if len(find[Reject](out))+len(find[FailRequest](out)) > 0 {
+	if len(actionsOf[Reject](out))+len(actionsOf[FailRequest](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
@@ -26,15 +26,15 @@
 // A client that has spent its latency objective on earlier attempts can earn nothing with a retry.
 func TestRetryPastItsLatencyObjectiveIsRejected(t *testing.T) {
 	set := testSettings()
-	d := start(t, set, some(4)...)
+	d := startEngine(t, set, readyBackends(4)...)
 	sendWithTimeout := func(id RequestID, timeout float64) (attempts int) {
 		out := d.handle(Request{ID: id, Plan: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + timeout})
-		out = append(out, d.grantAll(out)...)
-		for _, s := range find[SendAttempt](out) {
+		out = append(out, d.grantCounterCalls(out)...)
+		for _, s := range actionsOf[SendAttempt](out) {
 			d.now += 0.1
 			d.handle(AttemptEnded{Request: id, Backend: s.Backend, Latency: 0.1, RequestOver: true})
 		}
-		return len(find[SendAttempt](out))
+		return len(actionsOf[SendAttempt](out))
 	}
 	if sendWithTimeout(1, 0.9) != 1 {
 		t.Error("rejected with nothing known of how long clients wait")
@@ -55,15 +55,15 @@
 
 // Immediate rejections are most answers under a burst; timers for each would wake a gateway twice a request.
 func TestImmediateRejectionSetsNoTimers(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	id := d.ask(0, 0, 1)
-	if timers := find[SetTimer](d.last); len(timers) == 0 || timers[0].Request != id {
+	d := startEngine(t, testSettings(), readyBackends(4)...)
+	id := d.sendRequest(0, 0, 1)
+	if timers := actionsOf[SetTimer](d.lastActions); len(timers) == 0 || timers[0].Request != id {
 		t.Fatalf("timers of a request that was admitted: %v", timers)
 	}
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
-	one[Reject](t, out)
-	if timers := find[SetTimer](out); len(timers) > 0 {
+	onlyAction[Reject](t, out)
+	if timers := actionsOf[SetTimer](out); len(timers) > 0 {
 		t.Errorf("timers of a rejected request: %v", timers)
 	}
 }
@@ -73,16 +73,16 @@
 func TestLatencyObjectiveCountsFromSending(t *testing.T) {
 	set := testSettings()
 	set.Plans[0].Rate = 0
-	d := start(t, set, some(4)...)
+	d := startEngine(t, set, readyBackends(4)...)
 	for i, lag := range []float64{0, 0.007, 0.1, 0.02} {
 		d.now += 1
 		d.nextID++
 		sent := d.now - lag
 		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, SentAt: sent, Deadline: sent + 1.5})
-		if s := one[SendAttempt](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
+		if s := onlyAction[SendAttempt](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
 			t.Errorf("request %d: timeout %g, want %g", i, s.Timeout, 0.8-lag)
 		}
-		for _, s := range find[SendAttempt](out) {
+		for _, s := range actionsOf[SendAttempt](out) {
 			d.handle(AttemptEnded{Request: d.nextID, Backend: s.Backend, Outcome: Served, RequestOver: true})
 		}
 	}
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -3,21 +3,21 @@
 import "testing"
 
 func TestKeyedRetryStaysInItsCellAndEndsInFailure(t *testing.T) {
-	d := start(t, testSettings(), some(6)...)
-	id := d.ask(1, 1, 1)
-	first := one[SendAttempt](t, d.last)
+	d := startEngine(t, testSettings(), readyBackends(6)...)
+	id := d.sendRequest(1, 1, 1)
+	first := onlyAction[SendAttempt](t, d.lastActions)
 	d.now += 0.05
 	out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: Failed, Latency: 0.05})
-	second := one[SendAttempt](t, out)
+	second := onlyAction[SendAttempt](t, out)
 	if first.Backend/2 != second.Backend/2 {
 		t.Errorf("the retry went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
 	out = d.handle(timerFired(answerDeadlineTimer, id))
-	if len(find[Reject](out)) > 0 {
+	if len(actionsOf[Reject](out)) > 0 {
 		t.Error("rejected a keyed request that may have run")
 	}
-	one[FailRequest](t, out)
+	onlyAction[FailRequest](t, out)
 }
 
 // A retry may have to wait for its connection: it must arrive within the dedupe window even so.
@@ -29,12 +29,12 @@
 		set := testSettings()
 		set.ConnectTimeout = 0.3
 		set.Classes[1].DedupeWindow = 0.5
-		d := start(t, set, some(6)...)
-		id := d.ask(1, 1, 1)
-		first := one[SendAttempt](t, d.last)
+		d := startEngine(t, set, readyBackends(6)...)
+		id := d.sendRequest(1, 1, 1)
+		first := onlyAction[SendAttempt](t, d.lastActions)
 		d.now += c.after
 		out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: Failed, Latency: c.after})
-		if got := len(find[SendAttempt](out)) == 1; got != c.retried {
+		if got := len(actionsOf[SendAttempt](out)) == 1; got != c.retried {
 			t.Errorf("%g s after the first attempt: retried %t", c.after, got)
 		}
 	}
@@ -48,14 +48,14 @@
 		retried bool
 	}{{Rejected, true}, {ConnectFailed, true}, {Failed, false}, {ConnectionReset, false}, {TimedOut, false}} {
 		t.Run(c.outcome.String(), func(t *testing.T) {
-			d := start(t, set, some(4)...)
-			id := d.ask(0, 1, 1)
-			first := one[SendAttempt](t, d.last)
+			d := startEngine(t, set, readyBackends(4)...)
+			id := d.sendRequest(0, 1, 1)
+			first := onlyAction[SendAttempt](t, d.lastActions)
 			out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: c.outcome, Latency: 0.01})
-			if got := len(find[SendAttempt](out)) == 1; got != c.retried {
+			if got := len(actionsOf[SendAttempt](out)) == 1; got != c.retried {
 				t.Errorf("another attempt %v, want %v", got, c.retried)
 			}
-			if !c.retried && len(find[FailRequest](out)) != 1 {
+			if !c.retried && len(actionsOf[FailRequest](out)) != 1 {
 				t.Errorf("not failed: %v", out)
 			}
 		})
@@ -65,29 +65,29 @@
 func TestAbandonedAttemptsStayCounted(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 1
-	d := start(t, set, some(1)...)
-	d.g.limiter.limit = 3.4
-	d.g.latency.mean = 0.5
+	d := startEngine(t, set, readyBackends(1)...)
+	d.engine.limiter.limit = 3.4
+	d.engine.latency.mean = 0.5
 	for i := range 3 {
-		d.ask(0, 1, CustomerID(i))
-		s := one[SendAttempt](t, d.last)
+		d.sendRequest(0, 1, CustomerID(i))
+		s := onlyAction[SendAttempt](t, d.lastActions)
 		d.now += 0.1
 		d.handle(AttemptEnded{Request: s.Request, Backend: 1, Outcome: TimedOut, Latency: 0.1})
 	}
-	d.ask(0, 1, 9)
-	if n := len(find[SendAttempt](d.last)); n > 0 {
+	d.sendRequest(0, 1, 9)
+	if n := len(actionsOf[SendAttempt](d.lastActions)); n > 0 {
 		t.Error("a timed-out attempt freed capacity although its backend may still work on it")
 	}
 }
 
 func TestRetriesCannotAmplifyAnOutage(t *testing.T) {
-	d := start(t, testSettings(), some(8)...)
-	d.g.limiter.limit = 1000
+	d := startEngine(t, testSettings(), readyBackends(8)...)
+	d.engine.limiter.limit = 1000
 	sends := 0
 	for i := range 400 {
 		d.now += 0.05
-		d.ask(0, 1, CustomerID(i))
-		d.endAttempts(d.last, func(SendAttempt) AttemptEnded {
+		d.sendRequest(0, 1, CustomerID(i))
+		d.endAttempts(d.lastActions, func(SendAttempt) AttemptEnded {
 			sends++
 			return AttemptEnded{Outcome: Failed, Latency: 0.001}
 		})
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -11,7 +11,7 @@
 type ceilingFleet struct {
 	rng      *rand.Rand
 	set      Settings
-	gateways []*drive
+	gateways []*engineDriver
 	totals   map[uint64]float64 // of the counter, by name
 	store    float64
 	now      float64
@@ -28,7 +28,7 @@
 	}
 	f.set.Plans[0] = plan
 	for range []int{3, 8, 11}[seed%3] { // an exact store, and short windows
-		f.gateways = append(f.gateways, start(t, f.set, some(30)...))
+		f.gateways = append(f.gateways, startEngine(t, f.set, readyBackends(30)...))
 	}
 	return f
 }
@@ -50,14 +50,14 @@
 		actions = d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if f.rng.IntN(8000) == 0 { // killed, with all it knew
-		f.gateways[n] = start(t, f.set, some(30)...)
+		f.gateways[n] = startEngine(t, f.set, readyBackends(30)...)
 		return
 	}
 	f.carryOut(d, actions)
 }
 
 // carryOut answers attempts and calls at once, and what comes of that.
-func (f *ceilingFleet) carryOut(d *drive, actions []Action) {
+func (f *ceilingFleet) carryOut(d *engineDriver, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
 		actions = actions[1:]
@@ -107,13 +107,13 @@
 func TestLeasesGetTheCeilingThatLocalTokensCannotUse(t *testing.T) {
 	set := testSettings()
 	set.Plans[0] = Plan{WeightFactor: 1, Rate: 1.6, Burst: 9, OverQuotaCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
-	d := start(t, set, some(8)...)
-	d.g.limiter.limit = 1000
+	d := startEngine(t, set, readyBackends(8)...)
+	d.engine.limiter.limit = 1000
 	sent, total := 0, 0.0
 	for range 9 {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Customer: 5, Units: 1, Gateways: 11, Deadline: d.now + 2})
-		sent += len(find[SendAttempt](d.answerAll(out, func(call CounterAdd) float64 {
+		sent += len(actionsOf[SendAttempt](d.answerAll(out, func(call CounterAdd) float64 {
 			total += call.Amount
 			return total
 		})))
@@ -140,9 +140,9 @@
 			set := testSettings()
 			set.Plans[1] = Plan{WeightFactor: 1.5, Rate: 2, Burst: 4, OverQuotaWeight: 0.3, OverQuotaCost: test.overQuotaCost,
 				CeilingRate: 4, CeilingBurst: 14, CeilingSlack: 1}
-			d := start(t, set, some(4)...)
+			d := startEngine(t, set, readyBackends(4)...)
 			d.now += 30 // its local tokens are earned
-			d.g.limiter.limit = 0
+			d.engine.limiter.limit = 0
 			request := func(plan int) []Action {
 				d.nextID++
 				out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 2, Deadline: d.now + 2})
@@ -156,7 +156,7 @@
 			beyond := d.nextID + 1
 			rejected := 0
 			for range 10 {
-				rejected += len(find[Reject](request(1)))
+				rejected += len(actionsOf[Reject](request(1)))
 			}
 			if rejected != test.rejected {
 				t.Errorf("%d of 10 rejected beyond the quota, want %d", rejected, test.rejected)
@@ -164,12 +164,12 @@
 			if !test.admits {
 				return
 			}
-			if out := request(0); len(find[Reject](out)) > 0 {
+			if out := request(0); len(actionsOf[Reject](out)) > 0 {
 				t.Fatalf("a request inside its quota was rejected: %v", out)
 			}
 			inside := d.nextID
-			d.g.limiter.limit = 1000
-			sent := find[SendAttempt](d.handle(timerFired(maintenanceTimer, 0)))
+			d.engine.limiter.limit = 1000
+			sent := actionsOf[SendAttempt](d.handle(timerFired(maintenanceTimer, 0)))
 			if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
 				t.Errorf("sent %v, want request %d of the cheaper plan, inside its quota, before %d", sent, inside, beyond)
 			}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -8,21 +8,21 @@
 	set := testSettings()
 	set.FleetSize = 80
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 3}
-	var gateways []*drive
+	var gateways []*engineDriver
 	for index := range 4 {
 		set.GatewayIndex = (78 + index) % 80 // the customer's set is 78, 79, 0, 1
-		gateways = append(gateways, start(t, set, some(60)...))
+		gateways = append(gateways, startEngine(t, set, readyBackends(60)...))
 	}
 	sent, rejected, id := []SendAttempt{}, 0, RequestID(0)
 	for round := range 3 {
 		for _, d := range gateways {
 			id++
 			out := d.handle(Request{ID: id, Units: 1, FirstGateway: 78, Gateways: 4, Customer: 5, Deadline: d.now + 2})
-			if calls := find[CounterAdd](out); len(calls) > 0 {
+			if calls := actionsOf[CounterAdd](out); len(calls) > 0 {
 				t.Fatalf("calls for concurrency: %v", calls)
 			}
-			sent = append(sent, find[SendAttempt](out)...)
-			for _, reject := range find[Reject](out) {
+			sent = append(sent, actionsOf[SendAttempt](out)...)
+			for _, reject := range actionsOf[Reject](out) {
 				rejected++
 				if reject.RetryAfter <= 0 && round > 0 {
 					t.Errorf("rejected without a Retry-After: %+v", reject)
@@ -30,7 +30,7 @@
 			}
 		}
 		for _, d := range gateways {
-			d.g.latency.mean = 0.1
+			d.engine.latency.mean = 0.1
 		}
 	}
 	if len(sent) != 3 || rejected != 3 {
@@ -40,7 +40,7 @@
 	for i, d := range gateways[:3] {
 		d.now += 0.1
 		out := d.handle(AttemptEnded{Request: sent[i].Request, Backend: sent[i].Backend, Outcome: Served, Latency: 0.1})
-		one[SendAttempt](t, out) // of a request that was held
+		onlyAction[SendAttempt](t, out) // of a request that was held
 	}
 }
 
@@ -51,10 +51,10 @@
 	sent := 0
 	for index := range 3 {
 		set.GatewayIndex = (4 + index) % 5 // the customer's set is 4, 0, 1
-		d := start(t, set, some(8)...)
+		d := startEngine(t, set, readyBackends(8)...)
 		for i := range 3 {
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstGateway: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
-			sent += len(find[SendAttempt](out))
+			sent += len(actionsOf[SendAttempt](out))
 		}
 	}
 	if sent != 2 {
@@ -66,19 +66,19 @@
 	set := testSettings()
 	set.FleetSize = 100
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
-	d := start(t, set, some(40)...)
-	d.g.latency.mean, d.g.limiter.limit = 0.1, 100
+	d := startEngine(t, set, readyBackends(40)...)
+	d.engine.latency.mean, d.engine.limiter.limit = 0.1, 100
 	total, sent := 0.0, 0
 	names := map[uint64]bool{}
 	for i := range 60 { // 60 requests within one window
 		d.now += 0.001
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 50, Customer: 5, Deadline: d.now + 2})
-		for _, call := range find[CounterAdd](out) {
+		for _, call := range actionsOf[CounterAdd](out) {
 			names[call.Name] = true
 			total += call.Amount
 			out = append(out, d.handle(CounterReply{Name: call.Name, Total: total})...)
 		}
-		sent += len(find[SendAttempt](out))
+		sent += len(actionsOf[SendAttempt](out))
 	}
 	// Two attempts at a time, a tenth of a second each: 20 a second at most, in two windows at most.
 	if sent < 10 || sent > 20*len(names) {
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -6,25 +6,25 @@
 )
 
 func TestTimedOutCallGrantsNothingBeyondLocalTokens(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
+	d := startEngine(t, testSettings(), readyBackends(2)...)
 	sent, rejected := 0, 0
 	for i := range 10 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
-		for _, call := range find[CounterAdd](out) {
+		for _, call := range actionsOf[CounterAdd](out) {
 			out = append(out, d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})...)
 		}
-		for _, attempt := range find[SendAttempt](out) {
+		for _, attempt := range actionsOf[SendAttempt](out) {
 			sent++
 			d.handle(AttemptEnded{Request: attempt.Request, Backend: attempt.Backend, Latency: 0.01, RequestOver: true})
 		}
-		rejected += len(find[Reject](out))
+		rejected += len(actionsOf[Reject](out))
 	}
 	if sent != 2 || rejected != 0 {
 		t.Errorf("sent %d and rejected %d at once, want burst/gateways = 2, the rest held for the counter", sent, rejected)
 	}
 	d.now += 0.79
 	for i := range 10 {
-		rejected += len(find[Reject](d.handle(timerFired(answerDeadlineTimer, RequestID(i+1)))))
+		rejected += len(actionsOf[Reject](d.handle(timerFired(answerDeadlineTimer, RequestID(i+1)))))
 	}
 	if rejected != 8 {
 		t.Errorf("sent %d and rejected %d, want burst/gateways = 2 and 8", sent, rejected)
@@ -33,12 +33,12 @@
 
 func TestFailingCounterGetsFewerCalls(t *testing.T) {
 	calls := func(outcome Outcome) int {
-		d := start(t, testSettings(), some(8)...)
+		d := startEngine(t, testSettings(), readyBackends(8)...)
 		n := 0
 		for i := range 400 {
 			d.now += 0.01
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 3, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-			for _, call := range find[CounterAdd](out) {
+			for _, call := range actionsOf[CounterAdd](out) {
 				n++
 				d.handle(CounterReply{Name: call.Name, Outcome: outcome, Total: call.Amount})
 			}
@@ -54,27 +54,27 @@
 // A malformed reply is no sign of overload: the counter is called again at once, and what was added without a grant is
 // taken back with that. Only when all replies are malformed do calls become rare.
 func TestMalformedReplyIsTakenBack(t *testing.T) {
-	d := start(t, seldomSettings(), some(2)...)
-	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
-	second := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
+	d := startEngine(t, seldomSettings(), readyBackends(2)...)
+	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
+	second := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
 	total := first.Amount + second.Amount
 	out := d.handle(CounterReply{Name: second.Name, Total: total})
-	one[SendAttempt](t, out)
-	for _, correction := range find[CounterAdd](out) {
+	onlyAction[SendAttempt](t, out)
+	for _, correction := range actionsOf[CounterAdd](out) {
 		total += correction.Amount
 	}
 	refill := d.windowRefill(1)
-	if leased := d.g.customers.byID[1].lease.units + 1; math.Abs(total-refill-leased) > 1 {
+	if leased := d.engine.customers.byID[1].lease.units + 1; math.Abs(total-refill-leased) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were leased", total-refill, refill, leased)
 	}
-	if d.g.counter.failureRate > 0 {
-		t.Errorf("an overload of %v was seen", d.g.counter.failureRate)
+	if d.engine.counter.failureRate > 0 {
+		t.Errorf("an overload of %v was seen", d.engine.counter.failureRate)
 	}
 	calls := 0
 	for i := range 200 {
 		out := d.handle(Request{ID: RequestID(i + 2), Plan: 1, Customer: 2, Units: 2, Gateways: 2, Deadline: d.now + 2})
-		for len(find[CounterAdd](out)) > 0 {
-			call := one[CounterAdd](t, out)
+		for len(actionsOf[CounterAdd](out)) > 0 {
+			call := onlyAction[CounterAdd](t, out)
 			out = d.handle(CounterReply{Name: call.Name, Outcome: Failed})
 			calls++
 		}
@@ -87,35 +87,35 @@
 
 // What a rejected call was to report or take back goes out with a later one.
 func TestRejectedCallIsReportedLater(t *testing.T) {
-	d := start(t, exactSettings(), some(2)...)
-	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	d := startEngine(t, exactSettings(), readyBackends(2)...)
+	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	// Another gateway has begun the window: what this one wrote off is there twice and is taken back.
-	correction := one[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
+	correction := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
 	if correction.Amount > -1 {
 		t.Fatalf("nothing was taken back: %v", correction)
 	}
 	d.handle(CounterReply{Name: correction.Name, Outcome: Rejected})
 	d.now += maxCounterBackoff
-	again := one[CounterAdd](t, d.handle(timerFired(maintenanceTimer, 0)))
+	again := onlyAction[CounterAdd](t, d.handle(timerFired(maintenanceTimer, 0)))
 	if again.Amount != correction.Amount || again.Name != correction.Name {
 		t.Errorf("%v was rejected, reported later: %v", correction, again)
 	}
-	if more := d.handle(CounterReply{Name: again.Name}); len(find[CounterAdd](more)) > 0 {
+	if more := d.handle(CounterReply{Name: again.Name}); len(actionsOf[CounterAdd](more)) > 0 {
 		t.Errorf("reported again: %v", more)
 	}
 }
 
 func TestRequestOfManyGatewaysIsNotHeldForAnOverloadedCounter(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
+	d := startEngine(t, testSettings(), readyBackends(4)...)
 	for i := range 3 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
-		for _, call := range find[CounterAdd](out) {
+		for _, call := range actionsOf[CounterAdd](out) {
 			out = append(out, d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})...)
 		}
 		if i == 0 {
-			one[SendAttempt](t, out) // the local tokens of this gateway
+			onlyAction[SendAttempt](t, out) // the local tokens of this gateway
 		} else {
-			one[Reject](t, out)
+			onlyAction[Reject](t, out)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 // overloadedCallShares has new customers of so many gateways make requests of two kinds in turn, while one call in ten
 // times out. It returns the share of each kind's requests that led to a call, once the gateway has learnt of the
 // overload. Only with maintenance does the gateway know how many requests of each level come.
-func overloadedCallShares(d *drive, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
+func overloadedCallShares(d *engineDriver, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
 	var requests, called [2]int
 	calls := 0
 	for i := range 4000 {
@@ -139,7 +139,7 @@
 		request.Gateways = gateways
 		request.Deadline = d.now + 2
 		out := d.handle(request)
-		made := find[CounterAdd](out)
+		made := actionsOf[CounterAdd](out)
 		for _, call := range made {
 			calls++
 			reply := CounterReply{Name: call.Name, Total: call.Amount}
@@ -148,7 +148,7 @@
 			}
 			out = append(out, d.handle(reply)...)
 		}
-		for _, attempt := range find[SendAttempt](out) {
+		for _, attempt := range actionsOf[SendAttempt](out) {
 			d.handle(AttemptEnded{Request: attempt.Request, Backend: attempt.Backend, Outcome: Served, Latency: 0.01})
 		}
 		if i >= 2000 {
@@ -165,7 +165,7 @@
 // A client that was rejected for an exhausted quota retries at a gateway that doesn't know of it. In an overload, calls
 // for retries are shed before those for first requests.
 func TestOverloadShedsCallsForRetriesFirst(t *testing.T) {
-	d := start(t, testSettings(), some(30)...)
+	d := startEngine(t, testSettings(), readyBackends(30)...)
 	shares := overloadedCallShares(d, 50, false, func(kind int) Request { return Request{IsRetry: kind == 1} })
 	first, retry := shares[0], shares[1]
 	if first < 0.9 || retry > 0.5 || retry == 0 {
@@ -174,7 +174,7 @@
 }
 
 func TestOverloadShedsCallsForTheLowestLevelFirst(t *testing.T) {
-	d := start(t, testSettings(), some(30)...)
+	d := startEngine(t, testSettings(), readyBackends(30)...)
 	shares := overloadedCallShares(d, 300, true, func(kind int) Request { return Request{Plan: kind} })
 	low, top := shares[0], shares[1]
 	if top < 0.9 || low > 0.6 || low == 0 {
@@ -191,7 +191,7 @@
 	firstRequest := func(index int) (*Engine, []Action) {
 		set.GatewayIndex = index
 		g, _ := New(set, splitMix64(uint64(index)), 100, nil)
-		g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: some(4)}, nil)
+		g.Handle(100, EndpointsUpdated{Kind: CachedList, Entries: readyBackends(4)}, nil)
 		return g, g.Handle(100, Request{ID: 1, Units: 1, Gateways: gateways, Customer: 5, Deadline: 102}, nil)
 	}
 	for _, test := range []struct {
@@ -206,8 +206,8 @@
 			admitted := 0
 			for index := range gateways {
 				g, out := firstRequest(index)
-				reply := CounterReply{Name: one[CounterAdd](t, out).Name, Outcome: test.outcome}
-				admitted += len(find[SendAttempt](g.Handle(100, reply, nil)))
+				reply := CounterReply{Name: onlyAction[CounterAdd](t, out).Name, Outcome: test.outcome}
+				admitted += len(actionsOf[SendAttempt](g.Handle(100, reply, nil)))
 			}
 			if admitted < test.min || admitted > test.max {
 				t.Errorf("%d gateways admitted one, want %d to %d for a burst of %g", admitted, test.min, test.max, set.Plans[0].Burst)
@@ -218,7 +218,7 @@
 		set.Counter = false
 		for index := range gateways {
 			_, out := firstRequest(index)
-			one[SendAttempt](t, out)
+			onlyAction[SendAttempt](t, out)
 		}
 	})
 }
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -32,25 +32,25 @@
 			return []Event{timerFired(sendDeadlineTimer, id), timerFired(answerDeadlineTimer, id)}
 		},
 		"backend removed": func(RequestID, BackendID) []Event {
-			return []Event{EndpointsUpdated{Kind: FullList, Entries: some(3)}, timerFired(maintenanceTimer, 0)}
+			return []Event{EndpointsUpdated{Kind: FullList, Entries: readyBackends(3)}, timerFired(maintenanceTimer, 0)}
 		},
 	} {
 		for _, canCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %t", name, canCancel), func(t *testing.T) {
 				set := testSettings()
 				set.CanCancel = canCancel
-				d := start(t, set, some(6)...)
-				served := d.ask(0, 1, 1) // so that a usual latency is known
-				backend := one[SendAttempt](t, d.last).Backend
+				d := startEngine(t, set, readyBackends(6)...)
+				served := d.sendRequest(0, 1, 1) // so that a usual latency is known
+				backend := onlyAction[SendAttempt](t, d.lastActions).Backend
 				d.now += 0.02
 				d.handle(AttemptEnded{Request: served, Backend: backend, Latency: 0.02, RequestOver: true})
-				id := d.ask(0, 1, 1)
-				first := one[SendAttempt](t, d.last)
+				id := d.sendRequest(0, 1, 1)
+				first := onlyAction[SendAttempt](t, d.lastActions)
 				d.now += 0.1
 				d.handle(ClientDisconnected{Request: id})
 				for _, event := range events(id, first.Backend) {
 					d.now += 0.1
-					if sends := find[SendAttempt](d.handle(event)); len(sends) > 0 {
+					if sends := actionsOf[SendAttempt](d.handle(event)); len(sends) > 0 {
 						t.Errorf("%v after the client had disconnected", sends)
 					}
 				}
@@ -61,30 +61,30 @@
 
 // The same holds for a request that waits for its units.
 func TestNothingIsSentForWaitingRequestAfterClientDisconnects(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
+	d := startEngine(t, testSettings(), readyBackends(2)...)
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 30, Gateways: 2, Deadline: d.now + 2})
-	lease := one[CounterAdd](t, out)
+	lease := onlyAction[CounterAdd](t, out)
 	d.handle(ClientDisconnected{Request: d.nextID})
-	if sends := find[SendAttempt](d.handle(CounterReply{Name: lease.Name, Total: lease.Amount})); len(sends) > 0 {
+	if sends := actionsOf[SendAttempt](d.handle(CounterReply{Name: lease.Name, Total: lease.Amount})); len(sends) > 0 {
 		t.Errorf("%v for a client that disconnected before its units came", sends)
 	}
 }
 
 // The same holds for a request that is queued at the concurrency limit.
 func TestNothingIsSentForQueuedRequestAfterClientDisconnects(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
-	d.g.limiter.limit = 3
+	d := startEngine(t, testSettings(), readyBackends(2)...)
+	d.engine.limiter.limit = 3
 	var inFlight []SendAttempt
 	var queued RequestID
 	for customer := CustomerID(1); queued == 0; customer++ {
-		id := d.ask(0, 1, customer)
-		if sends := find[SendAttempt](d.last); len(sends) > 0 {
+		id := d.sendRequest(0, 1, customer)
+		if sends := actionsOf[SendAttempt](d.lastActions); len(sends) > 0 {
 			inFlight = append(inFlight, sends...)
 			continue
 		}
 		queued = id
-		if d.g.openRequest(id) == nil {
+		if d.engine.openRequest(id) == nil {
 			t.Fatal("rejected, not queued")
 		}
 	}
@@ -92,7 +92,7 @@
 	d.handle(ClientDisconnected{Request: queued})
 	for _, s := range inFlight {
 		out := d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.05, RequestOver: true})
-		if sends := find[SendAttempt](out); len(sends) > 0 {
+		if sends := actionsOf[SendAttempt](out); len(sends) > 0 {
 			t.Errorf("%v for a client that disconnected while its request was queued", sends)
 		}
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -54,66 +54,68 @@
 	return set
 }
 
-// drive drives the engine of one gateway by hand and keeps the actions of the last event.
-type drive struct {
-	t      *testing.T
-	g      *Engine
-	now    float64
-	last   []Action
-	nextID RequestID
+// engineDriver drives the engine of one gateway by hand and keeps the actions of the last event.
+type engineDriver struct {
+	t           *testing.T
+	engine      *Engine
+	now         float64
+	lastActions []Action
+	nextID      RequestID
 }
 
-// start returns the drive of a new engine at clock time 100 that knows the backends.
-func start(t *testing.T, set Settings, backends ...Backend) *drive {
+// startEngine returns the drive of a new engine at clock time 100 that knows the backends.
+func startEngine(t *testing.T, set Settings, backends ...Backend) *engineDriver {
 	t.Helper()
-	d := &drive{t: t, now: 100}
-	d.g, d.last = New(set, 7, d.now, nil)
+	d := &engineDriver{t: t, now: 100}
+	d.engine, d.lastActions = New(set, 7, d.now, nil)
 	d.handle(EndpointsUpdated{Kind: CachedList, Entries: backends})
 	return d
 }
 
-// ready returns a ready backend, two to a cell.
-func ready(id BackendID) Backend { return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1} }
+// readyBackend returns a ready backend, two to a cell.
+func readyBackend(id BackendID) Backend {
+	return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1}
+}
 
-// some returns n ready backends with ids from 1.
-func some(n int) (backends []Backend) {
+// readyBackends returns n ready backends with ids from 1.
+func readyBackends(n int) (backends []Backend) {
 	for i := range n {
-		backends = append(backends, ready(BackendID(i+1)))
+		backends = append(backends, readyBackend(BackendID(i+1)))
 	}
 	return backends
 }
 
 // handle has the engine handle an event now and returns its actions.
-func (d *drive) handle(event Event) []Action {
-	d.last = d.g.Handle(d.now, event, nil)
-	return d.last
+func (d *engineDriver) handle(event Event) []Action {
+	d.lastActions = d.engine.Handle(d.now, event, nil)
+	return d.lastActions
 }
 
-// ask sends a request of the class and plan and answers its counter calls in full. The actions of both are the last.
-func (d *drive) ask(class, plan int, id CustomerID) RequestID {
+// sendRequest sends a request of the class and plan and answers its counter calls in full. The actions of both are the last.
+func (d *engineDriver) sendRequest(class, plan int, id CustomerID) RequestID {
 	d.nextID++
 	actions := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: id, Units: 1, Gateways: 2,
-		Deadline: d.now + d.g.settings.Classes[class].Deadline})
-	d.last = append(actions, d.grantAll(actions)...)
+		Deadline: d.now + d.engine.settings.Classes[class].Deadline})
+	d.lastActions = append(actions, d.grantCounterCalls(actions)...)
 	return d.nextID
 }
 
-// grantAll answers the counter calls among the actions as the first of their names, and returns what follows.
-func (d *drive) grantAll(actions []Action) (all []Action) {
-	for _, c := range find[CounterAdd](actions) {
-		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+// grantCounterCalls answers the counter calls among the actions as the first of their names, and returns what follows.
+func (d *engineDriver) grantCounterCalls(actions []Action) (all []Action) {
+	for _, c := range actionsOf[CounterAdd](actions) {
+		all = append(all, d.engine.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
 	}
 	return all
 }
 
 // endAttempts ends each attempt that the actions send, and those that follow from that, as end says. Request, attempt
 // and backend are filled in.
-func (d *drive) endAttempts(actions []Action, end func(SendAttempt) AttemptEnded) {
+func (d *engineDriver) endAttempts(actions []Action, end func(SendAttempt) AttemptEnded) {
 	for len(actions) > 0 {
-		for _, s := range find[SendAttempt](actions[:1]) {
+		for _, s := range actionsOf[SendAttempt](actions[:1]) {
 			event := end(s)
 			event.Request = s.Request
-			event.Attempt = len(d.g.requests[s.Request].attempts) - 1
+			event.Attempt = len(d.engine.requests[s.Request].attempts) - 1
 			event.Backend = s.Backend
 			actions = append(actions, d.handle(event)...)
 		}
@@ -126,8 +128,8 @@
 	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
 }
 
-// find returns the actions of one type.
-func find[A Action](actions []Action) (found []A) {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (found []A) {
 	for _, action := range actions {
 		if a, ok := action.(A); ok {
 			found = append(found, a)
@@ -136,10 +138,10 @@
 	return found
 }
 
-// one returns the only action of a type, and fails the test where there are none or more.
-func one[A Action](t *testing.T, actions []Action) A {
+// onlyAction returns the only action of a type, and fails the test where there are none or more.
+func onlyAction[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
-	found := find[A](actions)
+	found := actionsOf[A](actions)
 	if len(found) != 1 {
 		var none A
 		t.Fatalf("want one %T, got %v", none, actions)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 func TestFastFailuresDoNotAttractTraffic(t *testing.T) {
-	d := start(t, testSettings(), some(6)...)
+	d := startEngine(t, testSettings(), readyBackends(6)...)
 	toFailing := 0
 	for i := range 300 {
 		d.now += 0.01
-		d.ask(0, 1, CustomerID(i%5))
-		d.endAttempts(d.last, func(s SendAttempt) AttemptEnded {
+		d.sendRequest(0, 1, CustomerID(i%5))
+		d.endAttempts(d.lastActions, func(s SendAttempt) AttemptEnded {
 			if s.Backend == 3 {
 				toFailing++
 				return AttemptEnded{Outcome: Failed, Latency: 0.002}
@@ -24,13 +24,13 @@
 // A backend that failed once or was slow once is used again in time, though nothing is sent there that could
 // put it right; an ejected one waits for its trials.
 func TestBackendHealthDecays(t *testing.T) {
-	d := start(t, testSettings(), some(3)...)
-	d.g.latency.mean = 0.1
-	failedOnce := d.g.backends.byID[1]
+	d := startEngine(t, testSettings(), readyBackends(3)...)
+	d.engine.latency.mean = 0.1
+	failedOnce := d.engine.backends.byID[1]
 	failedOnce.failureRate = failureGain
-	slow := d.g.backends.byID[2]
+	slow := d.engine.backends.byID[2]
 	slow.latency = 0.4
-	ejected := d.g.backends.byID[3]
+	ejected := d.engine.backends.byID[3]
 	ejected.failureRate = 0.9
 	for range int(2 * healthDecayTime / maintenanceInterval) {
 		d.now += maintenanceInterval
@@ -46,20 +46,20 @@
 func TestTrialsWhenMostBackendsAreEjected(t *testing.T) {
 	set := testSettings()
 	set.Plans[1].Rate = 0
-	d := start(t, set, some(4)...)
-	for _, b := range d.g.backends.ordered {
+	d := startEngine(t, set, readyBackends(4)...)
+	for _, b := range d.engine.backends.ordered {
 		if b.ID != 1 {
 			b.failureRate = 0.9
 		}
 	}
 	for range 600 {
 		d.now += 0.05
-		d.ask(0, 1, 1)
-		for _, s := range find[SendAttempt](d.last) {
+		d.sendRequest(0, 1, 1)
+		for _, s := range actionsOf[SendAttempt](d.lastActions) {
 			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Outcome: Served, Latency: 0.05})
 		}
 	}
-	for _, b := range d.g.backends.ordered {
+	for _, b := range d.engine.backends.ordered {
 		if b.ejected() {
 			t.Errorf("backend %d is ejected, failure rate %.2f", b.ID, b.failureRate)
 		}
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -3,38 +3,38 @@
 import "testing"
 
 func TestQueuedRequestsAreSentHighestLevelFirst(t *testing.T) {
-	d := start(t, testSettings(), some(2)...)
-	d.g.limiter.limit = 4
+	d := startEngine(t, testSettings(), readyBackends(2)...)
+	d.engine.limiter.limit = 4
 	var last RequestID
 	var sent SendAttempt
 	for i := range 4 {
-		last = d.ask(0, 1, CustomerID(10+i))
-		sent = one[SendAttempt](t, d.last)
+		last = d.sendRequest(0, 1, CustomerID(10+i))
+		sent = onlyAction[SendAttempt](t, d.lastActions)
 	}
-	low := d.ask(0, 0, 2)
-	high := d.ask(1, 1, 3)
-	if n := len(find[SendAttempt](d.last)); n > 0 {
+	low := d.sendRequest(0, 0, 2)
+	high := d.sendRequest(1, 1, 3)
+	if n := len(actionsOf[SendAttempt](d.lastActions)); n > 0 {
 		t.Fatal("the concurrency limit does not hold")
 	}
 	out := d.handle(AttemptEnded{Request: last, Backend: sent.Backend, Latency: 0.01, RequestOver: true})
-	if s := one[SendAttempt](t, out); s.Request != high {
+	if s := onlyAction[SendAttempt](t, out); s.Request != high {
 		t.Errorf("sent %d first, want the higher level %d before %d", s.Request, high, low)
 	}
 }
 
 func TestReserveIsForTopLevels(t *testing.T) {
-	d := start(t, testSettings(), some(4)...)
-	d.g.limiter.limit = 10
+	d := startEngine(t, testSettings(), readyBackends(4)...)
+	d.engine.limiter.limit = 10
 	sent := 0
 	for i := range 30 {
-		d.ask(0, 0, CustomerID(i))
-		sent += len(find[SendAttempt](d.last))
+		d.sendRequest(0, 0, CustomerID(i))
+		sent += len(actionsOf[SendAttempt](d.lastActions))
 	}
 	if sent != 9 {
 		t.Errorf("%d of the lowest level in flight, want 9 of a limit of 10", sent)
 	}
-	d.ask(1, 1, 99)
-	if n := len(find[SendAttempt](d.last)); n != 1 {
+	d.sendRequest(1, 1, 99)
+	if n := len(actionsOf[SendAttempt](d.lastActions)); n != 1 {
 		t.Error("the top level cannot use the reserve")
 	}
 }
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -94,7 +94,7 @@
 	set.Plans = []Plan{run.load.plan}
 	set.FleetSize = run.load.gateways
 	set.CounterTimeout = 0.08
-	list := EndpointsUpdated{Kind: CachedList, Entries: some(4 * run.load.gateways)}
+	list := EndpointsUpdated{Kind: CachedList, Entries: readyBackends(4 * run.load.gateways)}
 	for index := range run.load.gateways {
 		set.GatewayIndex = index
 		gateway, actions := New(set, run.load.seed<<16+uint64(index), run.now, nil)
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -21,7 +21,7 @@
 			FleetSize: 3, Counter: true, Tick: 0.002},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := start(t, set, some(2)...)
+			d := startEngine(t, set, readyBackends(2)...)
 			answered := 0
 			for i, gateways := range []int{0, 1, 3, 1000} {
 				answered += answersUnderUnusualEvents(d, RequestID(i+1), gateways)
@@ -35,9 +35,9 @@
 
 // answersUnderUnusualEvents sends one request among events that are unknown, repeated or out of place, and returns
 // how many answers it got.
-func answersUnderUnusualEvents(d *drive, id RequestID, gateways int) (answered int) {
+func answersUnderUnusualEvents(d *engineDriver, id RequestID, gateways int) (answered int) {
 	out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
-	for _, c := range find[CounterAdd](out) {
+	for _, c := range actionsOf[CounterAdd](out) {
 		out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
 		out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Rejected})...) // twice
 	}
@@ -45,17 +45,17 @@
 	d.handle(AttemptEnded{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
 	d.handle(AttemptEnded{Request: 12345, Backend: 1, Outcome: NotSent})
 	d.handle(EndpointsUpdated{Kind: FullList})
-	d.handle(EndpointsUpdated{Kind: Delta, Entries: some(1)})
+	d.handle(EndpointsUpdated{Kind: Delta, Entries: readyBackends(1)})
 	out = append(out, d.handle(timerFired(maintenanceTimer, 0))...)
-	for _, s := range find[SendAttempt](out) {
+	for _, s := range actionsOf[SendAttempt](out) {
 		end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true}
 		d.handle(end)
 		d.handle(end) // repeated
 		answered++
 	}
-	answered += len(find[Reject](out)) + len(find[FailRequest](out))
+	answered += len(actionsOf[Reject](out)) + len(actionsOf[FailRequest](out))
 	d.now += 2
-	return answered + len(find[Reject](d.handle(timerFired(answerDeadlineTimer, id))))
+	return answered + len(actionsOf[Reject](d.handle(timerFired(answerDeadlineTimer, id))))
 }
 
 // TestRandomEvents checks the rules on the engine's actions under random orders of events, and that the same events
@@ -88,7 +88,7 @@
 	seed     uint64
 	rng      *rand.Rand
 	set      Settings
-	drive    *drive
+	drive    *engineDriver
 	requests map[RequestID]*trackedRequest
 	order    []RequestID // by arrival
 	timers   []pendingTimer
@@ -122,7 +122,7 @@
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 2)),
 		set:      set,
-		drive:    start(t, set, some(5)...),
+		drive:    startEngine(t, set, readyBackends(5)...),
 		requests: map[RequestID]*trackedRequest{},
 		timers:   []pendingTimer{{100.05, timerToken{kind: maintenanceTimer}.pack()}},
 		notReady: map[BackendID]bool{},
@@ -258,7 +258,7 @@
 
 func (w *randomWorld) backendChanges() {
 	w.t.Helper()
-	b := ready(BackendID(1 + w.rng.IntN(5)))
+	b := readyBackend(BackendID(1 + w.rng.IntN(5)))
 	b.State = BackendState(w.rng.IntN(3))
 	w.notReady[b.ID] = b.State != Ready
 	w.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{b}})
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -7,39 +7,39 @@
 
 // startReportedPair starts two gateways of one customer with a reported store, whose calls a test answers by hand. It
 // returns the counter's totals too.
-func startReportedPair(t *testing.T) (gateways [2]*drive, totals map[uint64]float64) {
+func startReportedPair(t *testing.T) (gateways [2]*engineDriver, totals map[uint64]float64) {
 	t.Helper()
 	set := testSettings()
 	for index := range gateways {
 		set.GatewayIndex = index
-		gateways[index] = start(t, set, some(4)...)
+		gateways[index] = startEngine(t, set, readyBackends(4)...)
 	}
 	return gateways, map[uint64]float64{}
 }
 
 // spend has a gateway serve requests of a unit and returns the calls that these led to.
-func (d *drive) spend(units int) (calls []CounterAdd) {
+func (d *engineDriver) spend(units int) (calls []CounterAdd) {
 	for range units {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
-		for _, attempt := range find[SendAttempt](out) {
+		for _, attempt := range actionsOf[SendAttempt](out) {
 			end := AttemptEnded{Request: attempt.Request, Backend: attempt.Backend, Latency: 0.01, RequestOver: true}
 			out = append(out, d.handle(end)...)
 		}
-		calls = append(calls, find[CounterAdd](out)...)
+		calls = append(calls, actionsOf[CounterAdd](out)...)
 	}
 	return calls
 }
 
 // answer adds a call to the counter's totals, replies to it and returns the calls that the reply led to.
-func (d *drive) answer(totals map[uint64]float64, call CounterAdd) []CounterAdd {
+func (d *engineDriver) answer(totals map[uint64]float64, call CounterAdd) []CounterAdd {
 	totals[call.Name] += call.Amount
-	return find[CounterAdd](d.handle(CounterReply{Name: call.Name, Total: totals[call.Name]}))
+	return actionsOf[CounterAdd](d.handle(CounterReply{Name: call.Name, Total: totals[call.Name]}))
 }
 
 // answerAll replies to the calls among actions, and to those that come of it, and returns all actions. It ends after a
 // thousand, should one call always lead to another.
-func (d *drive) answerAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
+func (d *engineDriver) answerAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
 	for n := 0; n < 1000 && len(actions) > 0; n++ {
 		action := actions[0]
 		actions = actions[1:]
@@ -52,10 +52,10 @@
 }
 
 // windowRefill returns the refill of a customer's present window, as of the last event.
-func (d *drive) windowRefill(id CustomerID) float64 {
-	c := d.g.customers.byID[id]
-	c.enterWindow(d.g.now)
-	return c.windowRefill(d.g.now)
+func (d *engineDriver) windowRefill(id CustomerID) float64 {
+	c := d.engine.customers.byID[id]
+	c.enterWindow(d.engine.now)
+	return c.windowRefill(d.engine.now)
 }
 
 func asActions(calls []CounterAdd) (actions []Action) {
@@ -74,8 +74,8 @@
 	}
 	var writeOffs [2]CounterAdd
 	for i, d := range gateways {
-		report := one[CounterAdd](t, asActions(d.spend(20))) // its local tokens, reported at once
-		writeOffs[i] = one[CounterAdd](t, asActions(d.answer(totals, report)))
+		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // its local tokens, reported at once
+		writeOffs[i] = onlyAction[CounterAdd](t, asActions(d.answer(totals, report)))
 		if writeOffs[i].Amount <= 0 {
 			t.Fatalf("nothing is written off: %v", writeOffs[i])
 		}
@@ -100,7 +100,7 @@
 func TestUnreportedUnitsAreReportedInTheNextWindow(t *testing.T) {
 	gateways, _ := startReportedPair(t)
 	d := gateways[0]
-	report := one[CounterAdd](t, asActions(d.spend(20)))
+	report := onlyAction[CounterAdd](t, asActions(d.spend(20)))
 	d.handle(CounterReply{Name: report.Name, Outcome: Rejected}) // nothing was added
 	d.now += longWindow
 	calls := d.spend(1)
@@ -110,7 +110,7 @@
 		}
 		calls = d.spend(1)
 	}
-	if next := one[CounterAdd](t, asActions(calls)); next.Name == report.Name || next.Amount < 20 {
+	if next := onlyAction[CounterAdd](t, asActions(calls)); next.Name == report.Name || next.Amount < 20 {
 		t.Errorf("the next window's first call is %v, after %v was rejected", next, report)
 	}
 }
@@ -119,13 +119,13 @@
 func TestUnsentRequestIsTakenOutOfTheNextReport(t *testing.T) {
 	gateways, _ := startReportedPair(t)
 	d := gateways[0]
-	d.g.limiter.limit = 0 // nothing is sent
+	d.engine.limiter.limit = 0 // nothing is sent
 	for range 5 {
 		d.nextID++
 		d.handle(Request{ID: d.nextID, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
 		d.handle(ClientDisconnected{Request: d.nextID})
 	}
-	if units := d.g.customers.byID[1].unreportedUnits; units != 0 {
+	if units := d.engine.customers.byID[1].unreportedUnits; units != 0 {
 		t.Errorf("%g units would be reported", units)
 	}
 }
@@ -143,15 +143,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := testSettings()
-			d := start(t, set, some(4)...)
-			d.g.limiter.limit = 1000
+			d := startEngine(t, set, readyBackends(4)...)
+			d.engine.limiter.limit = 1000
 			request := func() []Action {
 				d.nextID++
 				return d.handle(Request{ID: d.nextID, Plan: test.plan, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
 			}
 			var out []Action
-			for sent := -1; sent < len(find[SendAttempt](out)); out = append(out, request()...) { // local tokens pay
-				sent = len(find[SendAttempt](out))
+			for sent := -1; sent < len(actionsOf[SendAttempt](out)); out = append(out, request()...) { // local tokens pay
+				sent = len(actionsOf[SendAttempt](out))
 			}
 			// answer replies with the total at which so much of the burst is used.
 			answer := func(out []Action, used float64) []Action {
@@ -160,14 +160,14 @@
 				})
 			}
 			// What was spent is reported, and the request needs a lease; others have used up all there is.
-			if rejected := len(find[Reject](answer(out, 1))) > 0; rejected == test.waits {
+			if rejected := len(actionsOf[Reject](answer(out, 1))) > 0; rejected == test.waits {
 				t.Errorf("rejected %t while the store is exhausted", rejected)
 			}
 			if !test.waits {
 				return
 			}
 			d.now += 0.2
-			if n := len(find[SendAttempt](answer(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
+			if n := len(actionsOf[SendAttempt](answer(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
 				t.Errorf("%d sends once the store has units again, want the request that waited", n)
 			}
 		})
@@ -178,7 +178,7 @@
 func TestLocalTokensWithoutACounterMakeNoCalls(t *testing.T) {
 	set := testSettings()
 	set.Counter = false
-	d := start(t, set, some(4)...)
+	d := startEngine(t, set, readyBackends(4)...)
 	if calls := d.spend(60); len(calls) > 0 {
 		t.Errorf("calls without a counter: %v", calls)
 	}
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -14,7 +14,7 @@
 		backends []Backend
 	}{
 		"queued":      {true, nil},
-		"in flight":   {true, some(6)},
+		"in flight":   {true, readyBackends(6)},
 		"no shutdown": {false, nil},
 	} {
 		t.Run(name, func(t *testing.T) { testShutdown(t, test.shutdown, test.backends) })
@@ -27,7 +27,7 @@
 	set.Classes = []Class{{LatencyObjective: 60, Deadline: 60, PriorityWeight: 1, LateWeightShare: 0.5}}
 	set.Plans = []Plan{{WeightFactor: 1}}
 	set.CanHedge = false
-	d := start(t, set, backends...)
+	d := startEngine(t, set, backends...)
 	began := d.now
 	answeredAfter := map[RequestID]float64{} // seconds since the shutdown
 	var timers []pendingTimer
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -184,13 +184,13 @@
 		engine, _ := New(set, seed*1000+uint64(i), f.now, nil)
 		f.gateways = append(f.gateways, engine)
 		f.weights = append(f.weights, math.Pow(float64(i+1), -load.zipf))
-		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: some(warmAtFirst)})
+		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: readyBackends(warmAtFirst)})
 		f.handle(i, timerFired(maintenanceTimer, 0))
 	}
 	f.run(106, load.use*float64(warmAtFirst)*cores/meanWork)
-	list := some(warm)
+	list := readyBackends(warm)
 	for i := range starting {
-		b := ready(BackendID(warmAtFirst + i + 1))
+		b := readyBackend(BackendID(warmAtFirst + i + 1))
 		b.StartedAt = f.now
 		f.backends[b.ID].startedAt = f.now
 		list = append(list, b)
@@ -211,13 +211,13 @@
 
 func TestBackendInSlowStartGetsNoBurst(t *testing.T) {
 	starting := Backend{ID: 9, State: Ready, StartedAt: 99.9}
-	d := start(t, testSettings(), append(some(1), starting)...)
+	d := startEngine(t, testSettings(), append(readyBackends(1), starting)...)
 	sends := 0 // at the one in slow start
 	var inFlight []SendAttempt
 	for i := range 200 {
 		d.now = 100 + float64(i)*0.01
-		d.ask(0, 1, CustomerID(i))
-		for _, s := range find[SendAttempt](d.last) {
+		d.sendRequest(0, 1, CustomerID(i))
+		for _, s := range actionsOf[SendAttempt](d.lastActions) {
 			if s.Backend == 9 {
 				sends++
 			}
@@ -256,7 +256,7 @@
 	var engines []*Engine
 	for i := range gateways {
 		engine, _ := New(set, uint64(i+1), now, nil)
-		engine.Handle(now, EndpointsUpdated{Kind: CachedList, Entries: some(warm)}, nil)
+		engine.Handle(now, EndpointsUpdated{Kind: CachedList, Entries: readyBackends(warm)}, nil)
 		engines = append(engines, engine)
 	}
 	type pendingEnd struct {
@@ -269,7 +269,7 @@
 	startedAt := 0.0                     // of the backends in slow start; 0: not yet
 	var sendsStarting, sendsWarm [20]int // by second since then
 	handle := func(i int, event Event) {
-		for _, s := range find[SendAttempt](engines[i].Handle(now, event, nil)) {
+		for _, s := range actionsOf[SendAttempt](engines[i].Handle(now, event, nil)) {
 			end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: work}
 			inFlight[i] = append(inFlight[i], pendingEnd{now + work, end})
 			if second := int(now - startedAt); startedAt > 0 && second < len(sendsStarting) {
@@ -285,7 +285,7 @@
 		startedAt = now
 		var started []Backend
 		for i := range starting {
-			b := ready(BackendID(warm + 1 + i))
+			b := readyBackend(BackendID(warm + 1 + i))
 			b.StartedAt = startedAt
 			started = append(started, b)
 		}
