--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -6,20 +6,27 @@
 	"amberlb/policy"
 )
 
-// endpoint is one life of a backend at one address. All of its connections end
-// with it.
+// endpoint is one incarnation of a backend at one address. All of its connections end with it.
 type endpoint struct {
 	address   string
-	startedAt float64
-	ctx       context.Context // ends with the target; dials hang on it
-	cancel    context.CancelFunc
-	conns     map[*backendConn]struct{}
-	idleConns []*backendConn // the most recently used last
-	retired   bool
+	startedAt float64 // when the backend's process started, in seconds of Unix time
+
+	ctx    context.Context // ends as the endpoint is retired; dials depend on it
+	cancel context.CancelFunc
+
+	// The mutex of connectionPools guards what follows.
+	conns     map[*backendConn]struct{} // the open ones, idle and in use
+	idleConns []*backendConn            // the idle ones among them, the most recently used last
+	retired   bool                      // no connection is added or put back any more
+}
+
+func newEndpoint(address string, startedAt float64) *endpoint {
+	e := &endpoint{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
+	e.ctx, e.cancel = context.WithCancel(context.Background())
+	return e
 }
 
-// updateEndpoint tells where a ready backend is. A new start or address retires the
-// connections of the old.
+// updateEndpoint tells where a ready backend is. A new start or address retires the connections of the old one.
 func (p *connectionPools) updateEndpoint(id policy.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,35 +35,35 @@
 		return
 	}
 	if old != nil {
-		// What is out at an earlier life will never be answered.
-		p.retire(old, old.startedAt < startedAt)
+		restarted := old.startedAt < startedAt // what an earlier incarnation has in flight will never be answered
+		p.retire(old, restarted)
 	}
-	t := &endpoint{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
-	t.ctx, t.cancel = context.WithCancel(context.Background())
-	p.endpoints[id] = t
+	p.endpoints[id] = newEndpoint(address, startedAt)
 }
 
-// removeEndpoint ends all new sending to a backend that drains or is gone, dials that
-// wait among it. What is out there may still be answered.
+// removeEndpoint ends all new sending to a backend that drains or is gone, and the dials to it. What is in flight
+// there may still be answered.
 func (p *connectionPools) removeEndpoint(id policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t := p.endpoints[id]; t != nil {
-		p.retire(t, false)
+	if removed := p.endpoints[id]; removed != nil {
+		p.retire(removed, false)
 		delete(p.endpoints, id)
 	}
 }
 
-func (p *connectionPools) retire(t *endpoint, closeInUse bool) {
-	t.retired = true
-	t.cancel()
-	for c := range t.conns {
-		if closeInUse || !c.idleSince.IsZero() {
-			c.Close()
+// retire ends an endpoint's dials and its idle connections, and closes those in use if closeInUse is set. Those in use
+// stay in the table until their attempts discard them. The caller holds mu.
+func (p *connectionPools) retire(e *endpoint, closeInUse bool) {
+	e.retired = true
+	e.cancel()
+	for conn := range e.conns {
+		if closeInUse || conn.isIdle() {
+			conn.Close()
 		}
 	}
-	for _, c := range t.idleConns {
-		p.forget(c)
+	for _, conn := range e.idleConns {
+		p.untrack(conn)
 	}
-	t.idleConns = nil
+	e.idleConns = nil
 }
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -43,6 +43,9 @@
 	return &backendConn{Conn: conn, responseLimit: responseLimit, reader: bufio.NewReader(responseLimit), writer: bufio.NewWriter(conn), endpoint: endpoint}
 }
 
+// isIdle reports whether no attempt uses the connection. The caller holds the mutex of connectionPools.
+func (c *backendConn) isIdle() bool { return !c.idleSince.IsZero() }
+
 // startAttempt runs an attempt on a goroutine of its own.
 func (p *connectionPools) startAttempt(a *attempt, onDone func(attemptResult)) {
 	go func() { onDone(p.roundTrip(a)) }()
