--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -11,10 +11,12 @@
 	maxPreallocatedBody = 4 << 10  // bytes of a stated length for which memory is taken at once
 )
 
+// errBodyTooLong is returned for a body of more than maxBodyBytes.
 var errBodyTooLong = errors.New("the body is too long")
 
-// readBody reads a whole body, of known length or not. A length is a
-// claim; memory for a long one is taken only as the bytes come.
+// readBody reads a complete body of the stated length, or to its end where the length is negative. It returns
+// errBodyTooLong for one over the limit, and io.ErrUnexpectedEOF for one that is shorter than stated. A length is but
+// a claim: memory for a long body is taken only as the bytes come.
 func readBody(r io.Reader, length int64) ([]byte, error) {
 	if length > maxBodyBytes {
 		return nil, errBodyTooLong
@@ -34,8 +36,8 @@
 	return body, err
 }
 
-// hasDelimitedBody tells whether the end of a body is told by a length or by chunks.
-// One that ends with its connection looks whole when it was cut.
+// hasDelimitedBody reports whether a length or chunks mark the end of a body. One that ends with its connection looks
+// complete when it was cut off.
 func hasDelimitedBody(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
--- a/internal/gateway/socket.go
+++ b/internal/gateway/socket.go
@@ -6,45 +6,44 @@
 	"syscall"
 )
 
-// isQuiet looks, without waiting, whether an idle connection still stands and has
-// nothing to say. What is written to one that the other side has closed
-// ends as a reset, which is no proof that it had no effect.
+// isQuiet reports, without waiting, whether an idle connection is still open and has nothing to read. What is written
+// to one that the peer has closed ends as a reset, which does not prove that it had no effect.
 func isQuiet(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peerClosed looks, without waiting, whether the other side has closed a connection or
-// its sending. It is not seen behind bytes that nobody has read.
+// peerClosed reports, without waiting, whether the peer has closed a connection or its sending. It can't see that
+// behind bytes that nobody has read.
 func peerClosed(conn net.Conn) bool {
 	n, err := peek(conn)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 }
 
-// peek tells how many bytes, at most one, wait on a connection: 0 at its end, and
-// EAGAIN where nothing has come.
+// peek returns how many bytes, at most one, wait on a connection: 0 without an error at its end, and EAGAIN where
+// nothing has come.
 func peek(conn net.Conn) (n int, err error) {
-	var b [1]byte
-	return receive(conn, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var first [1]byte
+	return receive(conn, first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
 
-// receive reads from the socket of a connection, whatever its deadline is. The flags must keep it from waiting. n is 0
-// with no error at the connection's end; a connection without a socket has nothing.
-func receive(conn net.Conn, p []byte, flags int) (n int, err error) {
-	s, ok := conn.(syscall.Conn)
+// receive reads from the socket of a connection into buffer, whatever the connection's deadline is. The flags must
+// keep it from waiting. It returns 0 without an error at the connection's end, and EAGAIN where nothing has come or the
+// connection has no socket.
+func receive(conn net.Conn, buffer []byte, flags int) (n int, err error) {
+	withSocket, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, syscall.EAGAIN
 	}
-	raw, err := s.SyscallConn()
+	raw, err := withSocket.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	// Control and not Read, which would fail for a time-out that passed since the
-	// last use, and would wait for a reader.
-	closed := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), p, flags) })
-	n = max(n, 0) // -1 beside an error
-	if closed != nil {
-		return 0, closed
+	// Control and not Read, which would fail for a deadline that has passed since the last use, and would wait for a
+	// reader.
+	closedErr := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), buffer, flags) })
+	if closedErr != nil {
+		return 0, closedErr
 	}
-	return n, err
+	return max(n, 0), err // -1 beside an error
 }
