--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -40,12 +40,12 @@
 	openConns int // connections and dials, those of retired endpoints among them
 }
 
-// newConnectionPools returns pools without endpoints. keepAlive is the time after which a backend closes an idle
-// connection.
-func newConnectionPools(connectTimeout, keepAlive time.Duration, maxConns int) *connectionPools {
+// newConnectionPools returns pools without endpoints. backendIdleTimeout is the time after which a backend closes an
+// idle connection.
+func newConnectionPools(connectTimeout, backendIdleTimeout time.Duration, maxConns int) *connectionPools {
 	return &connectionPools{
 		connectTimeout: connectTimeout,
-		idleLimit:      max(keepAlive-idleTimeoutMargin, keepAlive/2),
+		idleLimit:      max(backendIdleTimeout-idleTimeoutMargin, backendIdleTimeout/2),
 		maxConns:       maxConns,
 		endpoints:      map[policy.BackendID]*endpoint{},
 	}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -70,7 +70,8 @@
 // by the deployment's limit, and time.
 func (l *eventLoop) mayBegin(a *attempt) bool {
 	req := a.request
-	return req.unanswered && !req.disconnected.Load() && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
+	clientWaits := req.unanswered && !req.disconnected.Load()
+	return clientWaits && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
 }
 
 // finishAttempt handles the one end of an attempt. What is reported of it afterwards is dropped.
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -30,7 +30,9 @@
 }
 
 // shutdownStarted reports that the gateway has been asked to stop.
-type shutdownStarted struct{ answerBy float64 } // the clock's time, in seconds, by which all requests are to be answered
+type shutdownStarted struct {
+	answerBy float64 // seconds of the loop's clock: by then all requests are to be answered
+}
 
 // listingReceived carries a response of discovery.
 type listingReceived struct {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -9,8 +9,8 @@
 // timer is something that the loop does at a set time. The types of this file are all that there are. Their methods
 // are called on the loop.
 type timer interface {
-	// isStale reports whether nobody waits for the timer any more. Such timers are the most of all, and the
-	// process is not woken for them.
+	// isStale reports whether nobody waits for the timer any more. Most timers become stale before their time, and
+	// the process is not woken for them.
 	isStale(l *eventLoop) bool
 	// fire does what the timer was set for.
 	fire(l *eventLoop)
