--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -99,14 +98,3 @@
 		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
-
-// freeAddress is one on loopback that nobody uses, for a client whose connection is to be known beforehand.
-func freeAddress(t *testing.T) *net.TCPAddr {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().(*net.TCPAddr)
-}
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -8,43 +8,52 @@
 	"time"
 )
 
-// gatedListener is a way to the gateway on which a test stands between the gateway and
-// the kernel: it sees each read before and after it happens.
+// gatedListener is a listener for clients on which a test stands between the gateway and the kernel: it sees each read
+// before and after it happens. Functions that are nil are not called.
 type gatedListener struct {
 	net.Listener
-	onAccept              func()       // before the gateway has the connection
-	acceptError           func() error // fails an accept, unless it returns nil
-	beforeRead, afterRead func(*gatedConn)
-	beforeReadDeadline    func(*gatedConn, time.Time) // before a deadline for reading is set
-	conns                 sync.Map                    // *gatedConn by the client's address
+	onAccept           func()       // before the gateway has the connection
+	acceptError        func() error // fails an accept, unless it returns nil
+	beforeRead         func(*gatedConn)
+	afterRead          func(*gatedConn)            // unless nothing was read
+	beforeReadDeadline func(*gatedConn, time.Time) // before a deadline for reading is set
+	conns              sync.Map                    // *gatedConn by the client's address
 }
 
+// gatedConn is a connection that a gatedListener has accepted.
 type gatedConn struct {
 	*net.TCPConn
 	listener   *gatedListener
-	readsBegun atomic.Int32 // for a request or more of it, so far
+	readsBegun atomic.Int32 // for a request or a part of one
 	armed      atomic.Bool
-	readEnded  chan struct{} // its wait for a request was ended, once armed
+	readEnded  chan struct{} // closed as the wait for a request is ended by a deadline, once armed
 }
 
+// Accept waits for a client.
 func (g *gatedListener) Accept() (net.Conn, error) {
 	if g.acceptError != nil {
 		if err := g.acceptError(); err != nil {
 			return nil, err
 		}
 	}
-	c, err := g.Listener.Accept()
+	conn, err := g.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if g.onAccept != nil {
 		g.onAccept()
 	}
-	at := &gatedConn{TCPConn: c.(*net.TCPConn), listener: g, readEnded: make(chan struct{})}
-	g.conns.Store(c.RemoteAddr().String(), at)
-	return at, nil
+	gated := &gatedConn{TCPConn: conn.(*net.TCPConn), listener: g, readEnded: make(chan struct{})}
+	g.conns.Store(conn.RemoteAddr().String(), gated)
+	return gated, nil
 }
 
+// SetDeadline bounds the wait for a connection.
+func (g *gatedListener) SetDeadline(deadline time.Time) error {
+	return g.Listener.(*net.TCPListener).SetDeadline(deadline)
+}
+
+// Read reads what the client has sent.
 func (c *gatedConn) Read(p []byte) (int, error) {
 	if len(p) > 1 { // else the server watches for a client that leaves
 		c.readsBegun.Add(1)
@@ -59,50 +68,54 @@
 	return n, err
 }
 
-func (c *gatedConn) SetReadDeadline(at time.Time) error {
+// SetReadDeadline ends the current read too, if the deadline has passed.
+func (c *gatedConn) SetReadDeadline(deadline time.Time) error {
 	if c.listener.beforeReadDeadline != nil {
-		c.listener.beforeReadDeadline(c, at)
+		c.listener.beforeReadDeadline(c, deadline)
 	}
-	err := c.TCPConn.SetReadDeadline(at)
-	if !at.IsZero() && at.Before(time.Now()) && c.armed.CompareAndSwap(true, false) {
+	err := c.TCPConn.SetReadDeadline(deadline)
+	if !deadline.IsZero() && deadline.Before(time.Now()) && c.armed.CompareAndSwap(true, false) {
 		close(c.readEnded)
 	}
 	return err
 }
 
-// SetDeadline bounds the wait for a connection.
-func (g *gatedListener) SetDeadline(at time.Time) error {
-	return g.Listener.(*net.TCPListener).SetDeadline(at)
-}
-
-// holdAccept is a way on which the next accept, once shut is set, says so on waiting and is held until gate is closed.
-func holdAccept() (way *gatedListener, shut *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
+// holdAccept returns a listener on which the next accept, once shut is set, says so on waiting and is held until gate
+// is closed.
+func holdAccept() (listener *gatedListener, shut *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
 	shut = &atomic.Bool{}
-	held, closed := make(chan struct{}, 1), make(chan struct{})
-	way = &gatedListener{onAccept: func() {
+	held := make(chan struct{}, 1)
+	opened := make(chan struct{})
+	listener = &gatedListener{onAccept: func() {
 		if shut.CompareAndSwap(true, false) {
 			held <- struct{}{}
-			<-closed
+			<-opened
 		}
 	}}
-	return way, shut, held, closed
+	return listener, shut, held, opened
 }
 
-// startRace is a gateway with a connection on which a request has been read, but not
-// yet begun on, when something else happens to that connection.
-func startRace(t *testing.T, newConnection bool, changeConfig func(string) string, backend *peer, onRead func(*testGateway, *gatedConn)) (*testGateway, net.Conn) {
+// startRace starts a gateway and opens a connection on which onRead is called once the gateway has read the next
+// request, and before it begins on that. Unless newConnection is set, a request has been answered on the connection
+// before.
+func startRace(t *testing.T, newConnection bool, changeConfig func(string) string, backend *peer,
+	onRead func(*testGateway, *gatedConn)) (*testGateway, net.Conn) {
 	t.Helper()
-	var r *testGateway
-	var target atomic.Pointer[net.TCPAddr]
-	way := &gatedListener{}
-	way.afterRead = func(c *gatedConn) {
-		if at := target.Load(); at != nil && c.RemoteAddr().String() == at.String() {
-			target.Store(nil)
-			onRead(r, c)
+	var g *testGateway
+	var client atomic.Pointer[net.TCPAddr] // whose next read is the one
+	listener := &gatedListener{}
+	listener.afterRead = func(c *gatedConn) {
+		if address := client.Load(); address != nil && c.RemoteAddr().String() == address.String() {
+			client.Store(nil)
+			onRead(g, c)
 		}
 	}
-	r = startTestGatewayBehind(t, func(l net.Listener) net.Listener { way.Listener = l; return way }, changeConfig, backend)
-	conn, err := net.Dial("tcp", r.address)
+	wrapListener := func(l net.Listener) net.Listener {
+		listener.Listener = l
+		return listener
+	}
+	g = startTestGatewayBehind(t, wrapListener, changeConfig, backend)
+	conn, err := net.Dial("tcp", g.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,13 +125,10 @@
 		if _, err := roundTripOn(t, conn, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		at, _ := way.conns.Load(conn.LocalAddr().String())
-		for end := time.Now().Add(testTimeout); at.(*gatedConn).readsBegun.Load() < 2; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("the gateway never waits for another request")
-			}
-		}
+		gated, _ := listener.conns.Load(conn.LocalAddr().String())
+		awaitCondition(t, "the gateway never waits for another request",
+			func() bool { return gated.(*gatedConn).readsBegun.Load() >= 2 })
 	}
-	target.Store(conn.LocalAddr().(*net.TCPAddr))
-	return r, conn
+	client.Store(conn.LocalAddr().(*net.TCPAddr))
+	return g, conn
 }
