--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -1,16 +1,36 @@
 package gateway
 
 import (
-	"fmt"
-	"io"
-	"net/http"
 	"testing"
 	"time"
 
 	"amberlb/policy"
 )
 
-func TestNeverConnected(t *testing.T) {
+// newPoolsFor returns pools with backend 1 at an address.
+func newPoolsFor(t *testing.T, address string) *connectionPools {
+	p := newConnectionPools(testTimeout, time.Minute, 8)
+	p.updateEndpoint(1, address, 0)
+	t.Cleanup(func() { p.removeEndpoint(1) })
+	return p
+}
+
+// startRoundTrip runs an attempt on a goroutine of its own.
+func startRoundTrip(p *connectionPools, a *attempt) <-chan attemptResult {
+	results := make(chan attemptResult, 1)
+	go func() { results <- p.roundTrip(a) }()
+	return results
+}
+
+// delayReuse makes the first idle connection to backend 1 one that has been used just now, so that the next attempt
+// surely comes within its reuseDelay.
+func delayReuse(p *connectionPools) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay)
+}
+
+func TestNoConnectionIsConnectFailed(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	backend.listener.Close()
@@ -23,94 +43,81 @@
 	}
 }
 
-// A backend may close an idle connection. A request written to it would end as
-// a reset and could not be sent again; so the socket is looked at first.
-func TestClosedIdleConnection(t *testing.T) {
+// A backend may close an idle connection. A request written to it would end as a reset and could not be retried; so the
+// socket is examined first.
+func TestIdleConnectionClosedByBackendIsNotReused(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
-	done := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	await(t, done, "result")
+	results := startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ := backend.acceptRequest(t)
+	respondOK(conn, "")
+	await(t, results, "result")
 	conn.Close()
-	until := time.Now().Add(testTimeout)
-	for idle := p.endpoints[1].idleConns[0]; isQuiet(idle.Conn) && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
-	}
-	done = startRoundTrip(p, newAttempt(testTimeout))
-	conn, r = backend.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := await(t, done, "result"); got.outcome != policy.Served {
+	idle := p.endpoints[1].idleConns[0]
+	// The end of the connection is on its way through the kernel.
+	awaitCondition(t, "the idle connection never ends", func() bool { return !isQuiet(idle.Conn) })
+	results = startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ = backend.acceptRequest(t)
+	respondOK(conn, "")
+	if got := await(t, results, "result"); got.outcome != policy.Served {
 		t.Errorf("outcome %d", got.outcome)
 	}
 }
 
-// A second copy of an answer may follow the first a little later: no other
-// request may be sent there meanwhile, lest the copy be taken for its answer.
-func TestLateCopy(t *testing.T) {
+// A duplicate of a response may follow a little later: no other request may be sent on the connection meanwhile, lest
+// the duplicate be read as its response.
+func TestDuplicateResponseIsNotReadAsTheNext(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
-	done := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	await(t, done, "result")
-	p.mu.Lock()
-	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
-	p.mu.Unlock()
-	done = startRoundTrip(p, newAttempt(testTimeout))
-	other, r := backend.accept(t)
-	readRequest(t, r)
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	io.WriteString(other, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-	if got := await(t, done, "result"); string(got.body) != "second" {
+	results := startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ := backend.acceptRequest(t)
+	respondOK(conn, "first")
+	await(t, results, "result")
+	delayReuse(p)
+	results = startRoundTrip(p, newAttempt(testTimeout))
+	other, _ := backend.acceptRequest(t)
+	respondOK(conn, "first")
+	respondOK(other, "second")
+	if got := await(t, results, "result"); string(got.body) != "second" {
 		t.Errorf("body %q", got.body)
 	}
 }
 
-// Where no more connections may be had, one that has not settled gives way to a
-// new one; it is not used all the same.
-func TestLateCopyWithoutRoom(t *testing.T) {
+// At the limit of connections, one that may not be reused yet is evicted for a new one; it is not reused all the same.
+func TestDuplicateResponseAtConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	p.maxConns = 1
-	done := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
-	readRequest(t, r)
-	total(conn, http.StatusOK, "first")
-	await(t, done, "result")
-	p.mu.Lock()
-	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
-	p.mu.Unlock()
-	done = startRoundTrip(p, newAttempt(testTimeout))
-	other, r := backend.accept(t)
-	readRequest(t, r)
-	total(conn, http.StatusOK, "first")
-	total(other, http.StatusOK, "second")
-	if got := await(t, done, "result"); string(got.body) != "second" || p.openConns != 1 {
+	results := startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ := backend.acceptRequest(t)
+	respondOK(conn, "first")
+	await(t, results, "result")
+	delayReuse(p)
+	results = startRoundTrip(p, newAttempt(testTimeout))
+	other, _ := backend.acceptRequest(t)
+	respondOK(conn, "first")
+	respondOK(other, "second")
+	if got := await(t, results, "result"); string(got.body) != "second" || p.openConns != 1 {
 		t.Errorf("body %q, %d open", got.body, p.openConns)
 	}
 }
 
-// An idle connection outlives the time-outs of the attempts it carried: a new one
-// costs its backend work.
-func TestReuseAfterOldDeadline(t *testing.T) {
+// An idle connection outlives the deadlines of the attempts that it carried: a new one costs its backend work.
+func TestReuseAfterPastDeadline(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
-	done := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
+	results := startRoundTrip(p, newAttempt(testTimeout))
+	conn, reader := backend.accept(t)
 	for i := range 2 {
-		readRequest(t, r)
-		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := await(t, done, "result"); got.outcome != policy.Served {
+		readRequest(t, reader)
+		respondOK(conn, "")
+		if got := await(t, results, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
 		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
-			done = startRoundTrip(p, newAttempt(testTimeout))
+			results = startRoundTrip(p, newAttempt(testTimeout))
 		}
 	}
 	if len(backend.conns) != 0 || p.openConns != 1 {
@@ -118,50 +125,37 @@
 	}
 }
 
-func TestIdleLimitAndMostOpen(t *testing.T) {
+func TestIdleTimeoutAndConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	p.maxConns = 1
-	first := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
-	readRequest(t, r)
+	results := startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ := backend.acceptRequest(t)
 	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
-		t.Errorf("past the most connections: outcome %d", got.outcome)
+		t.Errorf("over the connection limit: outcome %d", got.outcome)
 	}
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	await(t, first, "result")
-	// An idle connection elsewhere gives way to one that is needed.
+	respondOK(conn, "")
+	await(t, results, "result")
+	// An idle connection to another backend is evicted for one that is needed.
 	other := newPeer(t)
 	p.updateEndpoint(2, other.address(), 0)
 	a := newAttempt(testTimeout)
 	a.backend = 2
-	first = startRoundTrip(p, a)
-	conn, r = other.accept(t)
-	readRequest(t, r)
+	results = startRoundTrip(p, a)
+	conn, _ = other.acceptRequest(t)
 	if len(p.endpoints[1].idleConns) != 0 || p.openConns != 1 {
 		t.Errorf("%d idle, %d open", len(p.endpoints[1].idleConns), p.openConns)
 	}
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	await(t, first, "result")
+	respondOK(conn, "")
+	await(t, results, "result")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour)); p.openConns != 1 {
+	p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour))
+	if p.openConns != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour)); p.openConns != 0 || len(p.endpoints[2].idleConns) != 0 {
-		t.Errorf("%d open after the idle limit", p.openConns)
+	p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour))
+	if p.openConns != 0 || len(p.endpoints[2].idleConns) != 0 {
+		t.Errorf("%d open after the idle timeout", p.openConns)
 	}
 }
-
-func newPoolsFor(t *testing.T, address string) *connectionPools {
-	p := newConnectionPools(testTimeout, time.Minute, 8)
-	p.updateEndpoint(1, address, 0)
-	t.Cleanup(func() { p.removeEndpoint(1) })
-	return p
-}
-
-func startRoundTrip(p *connectionPools, a *attempt) <-chan attemptResult {
-	done := make(chan attemptResult, 1)
-	go func() { done <- p.roundTrip(a) }()
-	return done
-}
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -5,52 +5,50 @@
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"amberlb/policy"
 )
 
-func TestRefusedBackendAndDrain(t *testing.T) {
+// A connection that a backend refuses costs no request; a backend that drains gets none.
+func TestRefusedConnectionAndDrainingBackendGetNoRequest(t *testing.T) {
 	t.Parallel()
 	dead, backend := newPeer(t), newPeer(t)
-	r := startTestGateway(t, dead, backend)
+	g := startTestGateway(t, dead, backend)
 	dead.listener.Close()
 	for range 4 { // none is lost, whichever is picked first
-		_, answers := r.sendRequest(t, requestText("POST", "payment", "x"))
-		conn, br := backend.accept(t)
-		readRequest(t, br)
+		_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
+		conn, _ := backend.acceptRequest(t)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
+		if resp := await(t, responses, "response"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	// The call after the one that told of the drain shows that it was heard.
-	await(t, r.discovery.calls, "first list")
-	await(t, r.discovery.calls, "watch")
-	r.discovery.answers <- listingOf(false, "Terminating", backend)
-	await(t, r.discovery.calls, "next watch")
-	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
-	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	// The poll after the one that told of the drain shows that it was taken in.
+	await(t, g.discovery.calls, "first list")
+	await(t, g.discovery.calls, "watch")
+	g.discovery.answers <- listingOf(false, "Terminating", backend)
+	await(t, g.discovery.calls, "next watch")
+	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, responses, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
 }
 
-// A drain ends the dials to its backend: what waits for one goes elsewhere, or is
-// refused, and nothing is sent when the connection comes up.
-func TestDrainRacesDial(t *testing.T) {
+// A drain ends the dials to its backend: an attempt that waits for one goes elsewhere, or its request is rejected, and
+// nothing is sent when the connection is made.
+func TestDrainEndsDial(t *testing.T) {
 	t.Parallel()
 	backend, other := newCrowded(t), newPeer(t)
-	r := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
-	r.publishBackends(t, backend.address)
-	_, answers := r.sendRequest(t, requestText("POST", "payment", "x"))
-	for end := time.Now().Add(testTimeout); !dialling(t, backend.address) && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
-	}
-	told := listingOf(true, "Ready", other)
-	told.Instances = append(told.Instances, Instance{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
-	r.discovery.answers <- told
+	g := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
+	g.publishBackends(t, backend.address)
+	_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
+	awaitCondition(t, "the backend is never dialled", func() bool { return dialling(t, backend.address) })
+	listing := listingOf(true, "Ready", other)
+	listing.Instances = append(listing.Instances,
+		Instance{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
+	g.discovery.answers <- listing
 	serveOne(t, other, "ok")
-	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if dialling(t, backend.address) {
@@ -58,43 +56,40 @@
 	}
 }
 
-// The process behind an old connection is gone once its backend has started
-// anew; a request written there is lost or in doubt.
-func TestNewLife(t *testing.T) {
+// The process behind an old connection is gone once its backend has started anew; a request written there is lost or in
+// doubt.
+func TestNewIncarnationOrAddressGetsNewConnections(t *testing.T) {
 	backend, moved := newPeer(t), newPeer(t)
 	p := newPoolsFor(t, backend.address())
-	out := startRoundTrip(p, newAttempt(testTimeout))
-	_, r := backend.accept(t)
-	readRequest(t, r)
+	inFlight := startRoundTrip(p, newAttempt(testTimeout))
+	backend.acceptRequest(t)
 	p.updateEndpoint(1, backend.address(), 5)
-	if got := await(t, out, "result"); got.outcome != policy.ConnectionReset {
-		t.Errorf("out at the old life: outcome %d", got.outcome)
+	if got := await(t, inFlight, "result"); got.outcome != policy.ConnectionReset {
+		t.Errorf("in flight at the old incarnation: outcome %d", got.outcome)
 	}
-	for n, address := range []string{backend.address(), moved.address()} {
-		p.updateEndpoint(1, address, 5)
-		done := startRoundTrip(p, newAttempt(testTimeout))
-		conn, r := []*peer{backend, moved}[n].accept(t)
-		readRequest(t, r)
-		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := await(t, done, "result"); got.outcome != policy.Served || p.openConns != 1 {
-			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.openConns)
+	for n, current := range []*peer{backend, moved} {
+		p.updateEndpoint(1, current.address(), 5)
+		results := startRoundTrip(p, newAttempt(testTimeout))
+		conn, _ := current.acceptRequest(t)
+		respondOK(conn, "")
+		if got := await(t, results, "result"); got.outcome != policy.Served || p.openConns != 1 {
+			t.Errorf("new endpoint %d: outcome %d, %d open", n, got.outcome, p.openConns)
 		}
 	}
 }
 
-// A draining backend gets nothing new, but what it has it may finish.
-func TestDrain(t *testing.T) {
+// A draining backend gets nothing new, but may finish what it has in flight.
+func TestDrainingBackendFinishesAttemptsInFlight(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
-	out := startRoundTrip(p, newAttempt(testTimeout))
-	conn, r := backend.accept(t)
-	readRequest(t, r)
+	inFlight := startRoundTrip(p, newAttempt(testTimeout))
+	conn, _ := backend.acceptRequest(t)
 	p.removeEndpoint(1)
 	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
-		t.Errorf("new work: outcome %d", got.outcome)
+		t.Errorf("new attempt: outcome %d", got.outcome)
 	}
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := await(t, out, "result"); got.outcome != policy.Served || p.openConns != 0 {
-		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
+	respondOK(conn, "")
+	if got := await(t, inFlight, "result"); got.outcome != policy.Served || p.openConns != 0 {
+		t.Errorf("in flight: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
