--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -18,9 +18,8 @@
 
 // Errors of an answer after which its connection can't be used any more.
 var (
-	errTotalTooLong    = errors.New("counter: the body is too long for a total")
-	errUndelimitedBody = errors.New("counter: the body ends with its connection alone")
-	errMalformedTotal  = errors.New("counter: the body is no finite number")
+	errTotalTooLong   = errors.New("counter: the body is too long for a total")
+	errMalformedTotal = errors.New("counter: the body is no finite number")
 )
 
 // counterStatusError reports a status that proves nothing: the amount may have been added or not.
