--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -17,9 +17,6 @@
 	maxInterimResponses = 8         // responses read for a request, until the first that is not of 1xx
 )
 
-// unprocessedHeader is "1" in a response which states that nothing of the request was executed.
-const unprocessedHeader = "X-Unprocessed"
-
 // errTooManyInterimResponses is returned where none of the first maxInterimResponses is final.
 var errTooManyInterimResponses = errors.New("no final response among as many as are read")
 
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -23,3 +23,6 @@
 func (c clock) toTime(t float64) time.Time {
 	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
+
+// seconds converts a span as the settings and the decision module state it.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,7 +12,6 @@
 	"os"
 	"slices"
 	"strconv"
-	"time"
 
 	"amberlb/internal/wire"
 	"amberlb/policy"
@@ -51,14 +50,14 @@
 
 // configFile mirrors the JSON of a configuration file; unknown keys are ignored.
 type configFile struct {
-	Name          string          `json:"name"`
-	Listen        string          `json:"listen"`
-	Discovery     string          `json:"discovery"`
-	Counter       string          `json:"counter"`
-	Seed          string          `json:"seed"` // hex digits
-	Limits        limitsSection   `json:"limits"`
-	CachedListing EndpointList    `json:"known"`
-	Settings      json.RawMessage `json:"settings"`
+	Name            string          `json:"name"`
+	Listen          string          `json:"listen"`
+	Discovery       string          `json:"discovery"`
+	Counter         string          `json:"counter"`
+	Seed            string          `json:"seed"` // hex digits
+	Limits          limitsSection   `json:"limits"`
+	CachedEndpoints EndpointList    `json:"known"`
+	Settings        json.RawMessage `json:"settings"`
 }
 
 // limitsSection is what the process may use.
@@ -113,7 +112,7 @@
 		Cores:           file.Limits.Cores,
 		MemoryMB:        file.Limits.MemoryMB,
 		Sockets:         file.Limits.Sockets,
-		CachedEndpoints: file.CachedListing,
+		CachedEndpoints: file.CachedEndpoints,
 		Deployment:      deployment,
 	}
 	return c, c.validate()
@@ -261,6 +260,3 @@
 	}
 	return nil
 }
-
-// seconds converts a span as the settings state it.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -6,6 +6,12 @@
 	"amberlb/policy"
 )
 
+// Bounds of a call's TTL on the counter, which is given in whole milliseconds.
+const (
+	minCounterTTL = time.Millisecond
+	maxCounterTTL = 60 * time.Second // the counter takes longer ones for this
+)
+
 // callCounter makes a call to the counter. A call that can't be queued, or that the deployment has no counter for, is
 // rejected at once.
 func (l *eventLoop) callCounter(action policy.CounterAdd) {
@@ -14,7 +20,7 @@
 		key:    action.Name,
 		amount: action.Amount,
 		sentAt: l.clock.now(),
-		ttl:    min(max(time.Duration(action.TTL*float64(time.Second)), minCounterTTL), maxCounterTTL),
+		ttl:    min(max(seconds(action.TTL), minCounterTTL), maxCounterTTL),
 		report: func(call *counterCall, outcome policy.Outcome, total float64) {
 			l.post(counterCallDone{call, outcome, total})
 		},
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -14,12 +14,6 @@
 	maxQueuedCalls = 512 // calls that wait for one stream, and calls in flight on one connection
 )
 
-// Bounds of a call's TTL on the counter, which is given in whole milliseconds.
-const (
-	minCounterTTL = time.Millisecond
-	maxCounterTTL = 60 * time.Second // the counter takes longer ones for this
-)
-
 // counterCall is one addition on the counter. The event loop makes it. Once queued, it is owned by the
 // stream's goroutine until it is written, and then by its connection's reader; the owner at its end calls
 // report. Meanwhile the loop uses the atomic fields, its own ones, and those that don't change.
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -16,6 +16,13 @@
 	idempotencyKeyHeader = "Idempotency-Key"  // by which a backend recognises a retry
 	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways of its customer
 	retryHeader          = "X-Repeat"         // "1" for a retry by the client
+	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds left for the request; to a backend as well
+)
+
+// The headers of a backend's response that are read.
+const (
+	loadHeader        = "X-Backend-Load" // the backend's own account of its load
+	unprocessedHeader = "X-Unprocessed"  // "1": nothing of the request was executed
 )
 
 // The keys of the pairs in quotaHeader.
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -13,11 +13,6 @@
 	"amberlb/policy"
 )
 
-const (
-	timeLeftHeader = "X-Time-Left-Ms" // of a request, from a client or to a backend: milliseconds left for it
-	loadHeader     = "X-Backend-Load" // of a backend's response: its own account of its load
-)
-
 var errAttemptCancelled = errors.New("the attempt was cancelled, or its client has left")
 
 // startAttempt runs an attempt on a goroutine of its own, which calls onDone as its last act.
