--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// behind puts way between the gateway and its listener.
-func behind(way *gatedListener) func(net.Listener) net.Listener {
+// wrapIn puts way between the gateway and its listener.
+func wrapIn(way *gatedListener) func(net.Listener) net.Listener {
 	return func(listener net.Listener) net.Listener {
 		way.Listener = listener
 		return way
@@ -72,7 +72,7 @@
 				}
 				return nil
 			}}
-			r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
+			r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
 			_, openAnswers := r.sendRequest(t, requestText("POST", "payment", "held"))
 			openConn, reader := backend.accept(t)
 			readRequest(t, reader)
@@ -97,7 +97,7 @@
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("accepted %v after %d failures", took, failures)
 			}
-			total(openConn, http.StatusOK, "paid")
+			writeResponse(openConn, http.StatusOK, "paid")
 			if resp := await(t, openAnswers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the open request: status %d", resp.StatusCode)
 			}
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -110,10 +110,10 @@
 // Nor does an attempt begin on a connection that is established meanwhile.
 func TestNoAttemptForDisconnectedClientWhileDialingAndLoopIsStalled(t *testing.T) {
 	t.Parallel()
-	backend := newCrowded(t)
+	backend := newFullBacklogBackend(t)
 	g := newStallableGateway(t, backend.address, sameListener)
 	conn := dial(t, g.address, requestText("POST", "payment", "x", quotaHeader, singleGatewayQuota))
-	awaitDialling(t, backend.address)
+	awaitDialing(t, backend.address)
 	g.stall(t)
 	conn.Close()
 	g.awaitInbox(t, 1)
@@ -195,13 +195,13 @@
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
 				t.Errorf("the disconnected one: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			total(counterConn, http.StatusOK, call.URL.Query().Get("add"))
+			writeResponse(counterConn, http.StatusOK, call.URL.Query().Get("add"))
 			_, answers = r.sendRequest(t, requestText("GET", "lookup", ""))
 			backendConn, backendReader := backend.accept(t)
 			if req, _ := readRequest(t, backendReader); req.Header.Get(correlationIDHeader) == id {
 				t.Error("the request of the disconnected client was forwarded")
 			}
-			total(backendConn, http.StatusOK, "ok")
+			writeResponse(backendConn, http.StatusOK, "ok")
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
@@ -216,17 +216,17 @@
 	for _, canCancel := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancel %t", canCancel), func(t *testing.T) {
 			t.Parallel()
-			backend := newCrowded(t)
+			backend := newFullBacklogBackend(t)
 			r := startTestGatewayWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 			r.publishBackends(t, backend.address)
 			conn, answers := r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "disconnected"))
-			awaitDialling(t, backend.address)
+			awaitDialing(t, backend.address)
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("the disconnected one: status %d", resp.StatusCode)
 			}
-			for end := time.Now().Add(5 * time.Second); dialling(t, backend.address); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(5 * time.Second); isDialing(t, backend.address); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("its dial goes on")
 				}
@@ -236,7 +236,7 @@
 			if req, _ := readRequest(t, reader); req.Header.Get(correlationIDHeader) != stayingID {
 				t.Errorf("request %q was forwarded", req.Header.Get(correlationIDHeader))
 			}
-			total(backendConn, http.StatusOK, "ok")
+			writeResponse(backendConn, http.StatusOK, "ok")
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("the next: status %d", resp.StatusCode)
 			}
@@ -254,7 +254,7 @@
 	}
 	pools := newConnectionPools(testTimeout, time.Minute, 8)
 	l := newEventLoop(&config, pools, newCounterClient(counter.address(), testTimeout), func() {})
-	l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
+	l.applyEndpointList(endpointListOf(true, "Ready", backend), policy.FullList)
 	now := l.clock.now()
 	req := &clientRequest{
 		correlationID: "one",
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -46,8 +46,8 @@
 	return c, add, replies
 }
 
-// total writes an answer with a length.
-func total(conn net.Conn, status int, body string) {
+// writeResponse writes an answer with a length.
+func writeResponse(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
@@ -70,10 +70,10 @@
 	// The loop abandons the first call. Its late answer keeps its place, lest each later call get the total of
 	// the one before.
 	abandoned.abandoned.Store(true)
-	total(conn, 200, "1")
-	total(conn, 200, "-1.5\n")
-	total(conn, 503, "")
-	total(conn, 404, "")
+	writeResponse(conn, 200, "1")
+	writeResponse(conn, 200, "-1.5\n")
+	writeResponse(conn, 503, "")
+	writeResponse(conn, 404, "")
 	for _, want := range []reply{
 		{1, policy.Served, 1},
 		{-2.5, policy.Served, -1.5},
@@ -149,7 +149,7 @@
 	conn, r := far.accept(t)
 	readRequest(t, r)
 	time.Sleep(counterIOTimeout + 200*time.Millisecond) // the moment that is to be crossed
-	total(conn, 200, "5")
+	writeResponse(conn, 200, "5")
 	if got := await(t, replies, "reply"); got != (reply{1, policy.Served, 5}) {
 		t.Errorf("reply %v", got)
 	}
@@ -171,7 +171,7 @@
 	add(2)
 	conn, r = far.accept(t)
 	readRequest(t, r)
-	total(conn, 200, "3")
+	writeResponse(conn, 200, "3")
 	for got := await(t, replies, "reply"); got != (reply{2, policy.Served, 3}); got = await(t, replies, "reply") {
 		if got.amount != 1 { // the blocked connection ends at its time-out, and its call with it
 			t.Fatalf("reply on the new connection: %v", got)
@@ -255,7 +255,7 @@
 		add(1)
 		conn, r := far.accept(t)
 		readRequest(t, r)
-		total(conn, 200, "1")
+		writeResponse(conn, 200, "1")
 		await(t, replies, "reply")
 		time.Sleep(10 * minIdleBucket) // the idle time itself is what is tested
 	}
@@ -272,7 +272,7 @@
 		add(1)
 		conn, r := far.accept(t)
 		readRequest(t, r)
-		total(conn, 200, "1")
+		writeResponse(conn, 200, "1")
 		await(t, replies, "reply")
 		time.Sleep(2 * minIdleBucket)
 		add(2)
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -51,7 +51,7 @@
 		}
 		added += n
 	}
-	total(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
+	writeResponse(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
 	serveOne(t, backend, "ok")
 	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
@@ -70,7 +70,7 @@
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
 	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
-	total(conn, http.StatusOK, first.URL.Query().Get("add"))
+	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // and no other call is answered
 	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
@@ -85,7 +85,7 @@
 		failAnswer func(net.Conn)
 		lost       float64
 	}{
-		"malformed": {func(c net.Conn) { total(c, http.StatusOK, "no number") }, 0},
+		"malformed": {func(c net.Conn) { writeResponse(c, http.StatusOK, "no number") }, 0},
 		"cut off":   {func(c net.Conn) { c.Close() }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 			if sameWindow != window {
 				t.Skip("the window has just ended")
 			}
-			total(conn, http.StatusOK, strconv.FormatFloat(first+otherGateway+second, 'f', -1, 64))
+			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGateway+second, 'f', -1, 64))
 			_, third := nextCall() // returns what was requested and not granted
 			if kept := first + second + third; first != 2 || math.Abs(kept-c.lost) > 0.1 {
 				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, kept, c.lost)
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -37,7 +37,7 @@
 func TestChangeAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	answer := func(status int, text string) func(net.Conn) {
-		return func(c net.Conn) { total(c, status, text) }
+		return func(c net.Conn) { writeResponse(c, status, text) }
 	}
 	for name, failPoll := range map[string]func(net.Conn){
 		"silent":          func(net.Conn) {},
@@ -70,7 +70,7 @@
 			runWatcher(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, false, func(l EndpointList) { received <- l }))
 			conn, r := far.accept(t)
 			readRequest(t, r)
-			total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
+			writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 			await(t, received, "list")
 			var sentAt time.Time
 			for range 4 { // the first is a watch; after a malformed answer the next poll asks for the full list
@@ -80,7 +80,7 @@
 				conn, r = far.accept(t)
 			}
 			readRequest(t, r)
-			total(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
+			writeResponse(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
 			if l := await(t, received, "change"); l.Generation != 45 {
 				t.Errorf("received version %d", l.Generation)
 			}
@@ -96,15 +96,15 @@
 	t.Parallel()
 	received := make(chan EndpointList, 8)
 	onList := func(l EndpointList) { received <- l }
-	far := newCrowded(t)
+	far := newFullBacklogBackend(t)
 	runWatcher(t, newDiscoveryWatcher(far.address, 800*time.Millisecond, true, onList))
-	for deadline := time.Now().Add(testTimeout); !dialling(t, far.address) && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); !isDialing(t, far.address) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	sentAt := time.Now()
 	conn, r := far.accept(t)
 	readRequest(t, r)
-	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
+	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > knownWithin {
 		t.Errorf("after a dial that hung, received after %v", elapsed)
@@ -140,7 +140,7 @@
 	}
 	defer conn.Close()
 	readRequest(t, bufio.NewReader(conn))
-	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
+	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > knownWithin {
 		t.Errorf("after refused dials, received after %v", elapsed)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -13,15 +13,15 @@
 	"amberlb/policy"
 )
 
-// registry is a discovery whose answers a test gives one by one.
-type registry struct {
+// fakeDiscovery is a discovery whose answers a test gives one by one.
+type fakeDiscovery struct {
 	*httptest.Server
 	calls   chan string // the query of each poll
 	answers chan any    // an EndpointList, a body, a status, or nil to break the connection
 }
 
-func newRegistry(t *testing.T) *registry {
-	r := &registry{calls: make(chan string, 64), answers: make(chan any, 64)}
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	r := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.calls <- q.URL.RawQuery
 		select {
@@ -43,7 +43,7 @@
 	return r
 }
 
-func (r *registry) address() string { return r.Listener.Addr().String() }
+func (r *fakeDiscovery) address() string { return r.Listener.Addr().String() }
 
 // runWatcher runs a watcher until the test ends.
 func runWatcher(t *testing.T, w *discoveryWatcher) {
@@ -65,7 +65,7 @@
 	runWatcher(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(EndpointList) {}))
 	conn, r := far.accept(t)
 	readRequest(t, r)
-	total(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
+	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	for range 3 { // none is answered
 		if req, _ := readRequest(t, r); req.URL.RawQuery != "since=41&timeout_ms=400" {
 			t.Errorf("watch %q", req.URL.RawQuery)
@@ -81,9 +81,9 @@
 	r := startTestGateway(t, backend, other)
 	await(t, r.discovery.calls, "first list")
 	await(t, r.discovery.calls, "watch")
-	unknownZone := listingOf(false, "Terminating", backend)
+	unknownZone := endpointListOf(false, "Terminating", backend)
 	unknownZone.Entries[0].Zone = "nowhere"
-	unknownLifecycle := listingOf(false, "Leaving", other)
+	unknownLifecycle := endpointListOf(false, "Leaving", other)
 	r.discovery.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
 	await(t, r.discovery.calls, "next watch")
 	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
@@ -95,7 +95,7 @@
 // A watch resumes from its last version. After an answer that is no usable list the watcher starts over
 // from the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
-	r := newRegistry(t)
+	r := newFakeDiscovery(t)
 	received := make(chan EndpointList, 64)
 	runWatcher(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -26,7 +26,7 @@
 	// The poll after the one that told of the drain shows that it was taken in.
 	await(t, g.discovery.calls, "first list")
 	await(t, g.discovery.calls, "watch")
-	g.discovery.answers <- listingOf(false, "Terminating", backend)
+	g.discovery.answers <- endpointListOf(false, "Terminating", backend)
 	await(t, g.discovery.calls, "next watch")
 	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
 	if resp := await(t, responses, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
@@ -38,12 +38,12 @@
 // nothing is sent when the connection is made.
 func TestDrainEndsDial(t *testing.T) {
 	t.Parallel()
-	backend, other := newCrowded(t), newPeer(t)
+	backend, other := newFullBacklogBackend(t), newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 	g.publishBackends(t, backend.address)
 	_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
-	awaitCondition(t, "the backend is never dialled", func() bool { return dialling(t, backend.address) })
-	listing := listingOf(true, "Ready", other)
+	awaitCondition(t, "the backend is never dialled", func() bool { return isDialing(t, backend.address) })
+	listing := endpointListOf(true, "Ready", other)
 	listing.Entries = append(listing.Entries,
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
 	g.discovery.answers <- listing
@@ -51,7 +51,7 @@
 	if resp := await(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if dialling(t, backend.address) {
+	if isDialing(t, backend.address) {
 		t.Error("the dial to the draining backend goes on")
 	}
 }
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -22,14 +22,14 @@
 // whoever starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use metrics,
 // attempts and the two counts of counter calls.
 type eventLoop struct {
-	clock      clock
-	log        *slog.Logger
-	metrics    metrics
-	deployment *wire.Deployment
-	engine     *policy.Engine
-	transport  transport
-	counter    *counterClient // nil where the deployment has none
-	onListing  func()         // called after each listing that has come from discovery
+	clock          clock
+	log            *slog.Logger
+	metrics        metrics
+	deployment     *wire.Deployment
+	engine         *policy.Engine
+	transport      transport
+	counter        *counterClient // nil where the deployment has none
+	onEndpointList func()         // called after each list that has come from discovery
 
 	inbox    chan message
 	stopped  chan struct{}  // closed when run ends
@@ -42,7 +42,7 @@
 	openCorrelationIDs map[string]struct{}                 // the clients' ids of requests
 	recentIDs          recentIDs                           // the clients' ids of requests that came lately
 	lastRequestID      policy.RequestID                    // the one given last
-	instanceNames      map[policy.BackendID]string         // discovery's name of each ready backend
+	backendNames       map[policy.BackendID]string         // discovery's name of each ready backend
 	pendingCalls       map[uint64][]*counterCall           // by key, in order, until their replies are handed on
 	timers             timerQueue
 
@@ -52,19 +52,19 @@
 
 // newEventLoop returns a loop that has handed the module its settings and carried out its first actions. counter is
 // nil where the deployment has none.
-func newEventLoop(config *Config, transport transport, counter *counterClient, onListing func()) *eventLoop {
+func newEventLoop(config *Config, transport transport, counter *counterClient, onEndpointList func()) *eventLoop {
 	l := &eventLoop{
 		clock:              newClock(),
 		log:                config.logger(),
 		deployment:         &config.Deployment,
 		transport:          transport,
 		counter:            counter,
-		onListing:          onListing,
+		onEndpointList:     onEndpointList,
 		inbox:              make(chan message, inboxSize),
 		stopped:            make(chan struct{}),
 		requests:           map[policy.RequestID]*clientRequest{},
 		openCorrelationIDs: map[string]struct{}{},
-		instanceNames:      map[policy.BackendID]string{},
+		backendNames:       map[policy.BackendID]string{},
 		pendingCalls:       map[uint64][]*counterCall{},
 	}
 	l.engine, l.actions = policy.New(config.Settings, config.Seed, l.clock.now(), nil)
@@ -83,12 +83,12 @@
 }
 
 // endpointsUpdated posts a response of discovery.
-func (l *eventLoop) endpointsUpdated(listing EndpointList) {
+func (l *eventLoop) endpointsUpdated(list EndpointList) {
 	kind := policy.Delta
-	if listing.Reset {
+	if list.Reset {
 		kind = policy.FullList
 	}
-	l.post(listingReceived{listing, kind})
+	l.post(endpointListReceived{list, kind})
 }
 
 // run handles messages and timers until ctx ends.
@@ -133,9 +133,9 @@
 		l.finishCall(m.call, m.outcome, m.total)
 	case shutdownStarted:
 		l.handleEvent(policy.Shutdown{AnswerBy: m.answerBy})
-	case listingReceived:
+	case endpointListReceived:
 		l.metrics.add(listsReceived)
-		l.applyEndpointList(m.listing, m.kind)
+		l.applyEndpointList(m.list, m.kind)
 	}
 }
 
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -201,7 +201,7 @@
 	backend := newPeer(t)
 	way := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
 	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
-	r := startTestGatewayBehind(t, behind(way), shortDeadlines, backend)
+	r := startTestGatewayBehind(t, wrapIn(way), shortDeadlines, backend)
 	dialer := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes)
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// crowded is a backend whose accept backlog is full, so that dials to it hang until a connection is accepted.
-type crowded struct {
+// fullBacklogBackend is a backend whose accept backlog is full, so that dials to it hang until a connection is accepted.
+type fullBacklogBackend struct {
 	fd      int
 	address string
 	fillers []net.Conn
 }
 
-// newCrowded listens with the smallest backlog and fills it.
-func newCrowded(t *testing.T) *crowded {
+// newFullBacklogBackend listens with the smallest backlog and fills it.
+func newFullBacklogBackend(t *testing.T) *fullBacklogBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crowded{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
+	c := &fullBacklogBackend{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
 	for {
 		conn, err := net.DialTimeout("tcp", c.address, 200*time.Millisecond)
 		if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // accept returns the next connection that is none of those that filled the backlog.
-func (c *crowded) accept(t *testing.T) (net.Conn, *bufio.Reader) {
+func (c *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
 		conn := c.acceptAny(t)
@@ -62,7 +62,7 @@
 }
 
 // acceptAny returns the next connection of the backlog.
-func (c *crowded) acceptAny(t *testing.T) net.Conn {
+func (c *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
 	t.Helper()
 	fd, _, err := syscall.Accept(c.fd)
 	if err != nil {
@@ -79,14 +79,14 @@
 }
 
 // isFiller tells whether an accepted connection is one of those that filled the backlog.
-func (c *crowded) isFiller(conn net.Conn) bool {
+func (c *fullBacklogBackend) isFiller(conn net.Conn) bool {
 	return slices.ContainsFunc(c.fillers, func(filler net.Conn) bool {
 		return filler.LocalAddr().String() == conn.RemoteAddr().String()
 	})
 }
 
-// dialling tells whether this process waits for a connection to an address.
-func dialling(t *testing.T, address string) bool {
+// isDialing tells whether this process waits for a connection to an address.
+func isDialing(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
 	n, _ := strconv.Atoi(port)
@@ -97,10 +97,10 @@
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// awaitDialling waits until this process waits for a connection to an address, or for patience.
-func awaitDialling(t *testing.T, address string) {
+// awaitDialing waits until this process waits for a connection to an address, or for patience.
+func awaitDialing(t *testing.T, address string) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !dialling(t, address) && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !isDialing(t, address) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -17,7 +17,7 @@
 // testGateway is a whole gateway between loopback sockets.
 type testGateway struct {
 	address      string // for clients
-	discovery    *registry
+	discovery    *fakeDiscovery
 	stop         context.CancelFunc
 	serveErr     chan error // what serve has returned
 	reloadSignal chan os.Signal
@@ -41,7 +41,7 @@
 func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener, changeConfig func(config string) string,
 	backends ...*peer) *testGateway {
 	t.Helper()
-	g := &testGateway{discovery: newRegistry(t), serveErr: make(chan error, 1), reloadSignal: make(chan os.Signal)}
+	g := &testGateway{discovery: newFakeDiscovery(t), serveErr: make(chan error, 1), reloadSignal: make(chan os.Signal)}
 	text := changeConfig(configText(g.discovery.address(), testSettings))
 	config, err := parseConfig([]byte(text))
 	if err != nil {
@@ -64,7 +64,7 @@
 	if got := g.readinessStatus(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the list is had: %d", got)
 	}
-	g.discovery.answers <- listingOf(true, "Ready", backends...)
+	g.discovery.answers <- endpointListOf(true, "Ready", backends...)
 	g.awaitReadiness(t, http.StatusOK)
 	return g
 }
@@ -188,8 +188,8 @@
 	return text + "\r\n" + body
 }
 
-// listingOf returns a response of discovery in which all these backends are in one lifecycle.
-func listingOf(reset bool, lifecycle string, backends ...*peer) EndpointList {
+// endpointListOf returns a response of discovery in which all these backends are in one lifecycle.
+func endpointListOf(reset bool, lifecycle string, backends ...*peer) EndpointList {
 	listing := EndpointList{Generation: 1, Reset: reset, Entries: []EndpointEntry{}}
 	for _, backend := range backends {
 		listing.Entries = append(listing.Entries, EndpointEntry{
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -127,7 +127,7 @@
 // startAttempt runs an attempt on a timer. The end of the attempt is reported by the timer or by the end of
 // the attempt's context, whichever stops the other.
 func (t *hollowTransport) startAttempt(a *attempt, onDone func(attemptResult)) {
-	if _, listed := t.loop.instanceNames[a.backend]; !listed {
+	if _, listed := t.loop.backendNames[a.backend]; !listed {
 		go onDone(attemptResult{outcome: policy.ConnectFailed}) // onDone posts to the loop, which is the caller
 		return
 	}
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -24,7 +24,7 @@
 // runHollow runs a hollow gateway with one backend until the end of the test or a call of end.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
 	t.Helper()
-	discovery := newRegistry(t)
+	discovery := newFakeDiscovery(t)
 	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{
 		{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -34,15 +34,15 @@
 	answerBy float64 // seconds of the loop's clock: by then all requests are to be answered
 }
 
-// listingReceived carries a response of discovery.
-type listingReceived struct {
-	listing EndpointList
-	kind    policy.ListKind
+// endpointListReceived carries a response of discovery.
+type endpointListReceived struct {
+	list EndpointList
+	kind policy.ListKind
 }
 
-func (requestArrived) isMessage()     {}
-func (clientDisconnected) isMessage() {}
-func (attemptDone) isMessage()        {}
-func (counterCallDone) isMessage()    {}
-func (shutdownStarted) isMessage()    {}
-func (listingReceived) isMessage()    {}
+func (requestArrived) isMessage()       {}
+func (clientDisconnected) isMessage()   {}
+func (attemptDone) isMessage()          {}
+func (counterCallDone) isMessage()      {}
+func (shutdownStarted) isMessage()      {}
+func (endpointListReceived) isMessage() {}
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -201,7 +201,7 @@
 			backend := newPeer(t)
 			p := newConnectionPools(testTimeout, time.Minute, 8)
 			l := newEventLoop(&config, p, nil, func() {})
-			l.applyEndpointList(listingOf(true, "Ready", backend), policy.FullList)
+			l.applyEndpointList(endpointListOf(true, "Ready", backend), policy.FullList)
 			now := l.clock.now()
 			req := &clientRequest{
 				correlationID: "one",
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -26,7 +26,7 @@
 	invalid := valid[:len(valid)/2]
 	r.config.Store(&invalid)
 	r.reloadSignal <- syscall.SIGHUP
-	newDiscovery := newRegistry(t)
+	newDiscovery := newFakeDiscovery(t)
 	next := strings.NewReplacer(r.discovery.address(), newDiscovery.address(),
 		counter.address(), newCounter.address()).Replace(valid)
 	r.config.Store(&next)
@@ -34,12 +34,12 @@
 	if query := await(t, newDiscovery.calls, "call of the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	total(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
+	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	newDiscovery.answers <- listingOf(true, "Ready", newBackend)
+	newDiscovery.answers <- endpointListOf(true, "Ready", newBackend)
 	if query := await(t, newDiscovery.calls, "watch"); query != "since=1&timeout_ms=2800" {
 		t.Errorf("watch %q", query)
 	}
@@ -49,7 +49,7 @@
 	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
 	counterConn, counterReader = newCounter.accept(t)
 	call, _ = readRequest(t, counterReader)
-	total(counterConn, 200, call.URL.Query().Get("add"))
+	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
 	serveOne(t, newBackend, "ok")
 	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -67,7 +67,7 @@
 					<-gate
 				}
 			}}
-			r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
+			r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
 			gateClosed.Store(!idle)
 			conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 			if err != nil {
@@ -81,7 +81,7 @@
 				backendConn, reader := backend.accept(t)
 				readRequest(t, reader)
 				gateClosed.Store(true)
-				total(backendConn, http.StatusOK, "ok")
+				writeResponse(backendConn, http.StatusOK, "ok")
 				if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 					t.Fatal(resp, err)
 				}
@@ -128,7 +128,7 @@
 			close(shutdownBegun)
 		}
 	}}
-	r = startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
+	r = startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
 	armed.Store(true)
 	conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
 	if err != nil {
@@ -152,7 +152,7 @@
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
 	way, gateClosed, waiting, gate := holdAccept()
-	r := startTestGatewayBehind(t, behind(way), unchangedConfig, newPeer(t))
+	r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, newPeer(t))
 	gateClosed.Store(true)
 	var allAnswers []<-chan *http.Response
 	for range 20 {
@@ -197,7 +197,7 @@
 	t.Parallel()
 	backend := newPeer(t)
 	way, gateClosed, waiting, gate := holdAccept()
-	r := startTestGatewayBehind(t, behind(way), unchangedConfig, backend)
+	r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
 	gateClosed.Store(true)
 	_, answers := r.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
 	await(t, waiting, "connection")
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -15,12 +15,12 @@
 // maxReadyTime is what nine in ten restarted gateways have to keep.
 const maxReadyTime = 10 * time.Second
 
-// emptyListing is a full list of discovery without backends.
-const emptyListing = `{"generation": 41, "reset": true, "instances": []}`
+// emptyEndpointList is a full list of discovery without backends.
+const emptyEndpointList = `{"generation": 41, "reset": true, "instances": []}`
 
 // How a discovery answers a call.
 
-func answerList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyListing) }
+func answerList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
 
 func answerNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
