--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -38,8 +38,8 @@
 }
 
 // startTestGatewayBehind is startTestGatewayWith with a wrapper of the listener for clients.
-func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener, changeConfig func(config string) string,
-	backends ...*peer) *testGateway {
+func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener,
+	changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
 	g := &testGateway{discovery: newRegistry(t), serveErr: make(chan error, 1), reloadSignal: make(chan os.Signal)}
 	text := changeConfig(configText(g.discovery.address(), testSettings))
@@ -208,7 +208,8 @@
 func unchangedConfig(config string) string { return config }
 
 // withCounter returns a change of a configuration that gives the test's customers a quota, in units per second and
-// units of burst, kept on a counter, which has so long to answer. With a small burst their first request has to call it.
+// units of burst, kept on a counter, which has so long to answer. With a small burst their first request has to call
+// it.
 func withCounter(counter *peer, rate, burst float64, timeout time.Duration) func(string) string {
 	return strings.NewReplacer(
 		`"127.0.0.1:1"`, `"`+counter.address()+`"`,
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -130,7 +130,8 @@
 	results := startRoundTrip(p, a)
 	conn, reader := backend.accept(t)
 	got, body := readRequest(t, reader)
-	if got.Method != "POST" || got.RequestURI != a.request.uri || got.Host != "origin.svc" || !bytes.Equal(body, a.request.body) ||
+	if got.Method != "POST" || got.RequestURI != a.request.uri || got.Host != "origin.svc" ||
+		!bytes.Equal(body, a.request.body) ||
 		got.Header.Get(correlationIDHeader) != "id-1" || got.Header.Get(idempotencyKeyHeader) != "key-1" ||
 		got.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", got.Method, got.RequestURI, len(body), got.Header)
