--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// knows tells whether the settings have the class and the plan of a request.
+// knows reports whether the settings have the class and the plan of a request.
 func (inst *instance) knows(request policy.Request) bool {
 	return request.Class < len(inst.settings.Classes) && request.Plan < len(inst.settings.Plans)
 }
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -19,8 +19,8 @@
 	return req
 }
 
-// mayExecuteTwice tells whether an attempt at backend b could have a second effect. Without a backend it
-// tells whether the claim of a rejection, that a retry is harmless, could be wrong.
+// mayExecuteTwice reports whether an attempt at backend b could have a second effect. Without a backend it
+// reports whether the claim of a rejection, that a retry is harmless, could be wrong.
 func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -28,7 +28,7 @@
 	answered        bool   // it was ended by a final answer of the instance
 }
 
-// instanceRuns tells whether the incarnation that got the request still runs.
+// instanceRuns reports whether the incarnation that got the request still runs.
 func (req *simRequest) instanceRuns() bool { return req.instance.runs(req.incarnation) }
 
 // end notes that the request has ended in a batch.
@@ -37,12 +37,12 @@
 	req.endedInBatch = batchSeq
 }
 
-// endedBefore tells whether the request ended in a batch before the given one.
+// endedBefore reports whether the request ended in a batch before the given one.
 func (req *simRequest) endedBefore(batchSeq uint32) bool {
 	return req.ended && req.endedInBatch < batchSeq
 }
 
-// streamedBefore tells whether a response started in a batch before the given one.
+// streamedBefore reports whether a response started in a batch before the given one.
 func (req *simRequest) streamedBefore(batchSeq uint32) bool {
 	return req.streamedAttempt > 0 && req.streamedInBatch < batchSeq
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// mayReach tells whether a customer's request may be sent to an instance: some are sent outside of the
+// mayReach reports whether a customer's request may be sent to an instance: some are sent outside of the
 // customer's set.
 func (s *simulation) mayReach(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -26,7 +26,7 @@
 	events         recordWriter          // its part of the batch that is being put together
 }
 
-// runs tells whether the given incarnation runs.
+// runs reports whether the given incarnation runs.
 func (inst *simInstance) runs(incarnation int) bool {
 	return inst.running && inst.incarnation == incarnation
 }
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -69,7 +69,7 @@
 	replyLengthSize   = 4  // bytes of a reply's length, which it does not count
 )
 
-// provesNotExecuted tells whether a status proves that an attempt had no effect.
+// provesNotExecuted reports whether a status proves that an attempt had no effect.
 func provesNotExecuted(status uint8) bool {
 	return status == statusRejected || status == statusConnectFailed || status == statusNotSent
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -19,7 +19,7 @@
 // attempt is one sending of a request to a backend.
 //
 // On the loop it is in flight until ended is set, by whichever comes first: the transport's result, its deadline, a
-// cancel by the module or its client's leaving.
+// cancel by the engine or its client's leaving.
 //
 // On the transport's goroutine it waits for a connection, is attached to one, has been fully written, and is detached
 // again. The loop may cancel it in each of these states. mu makes that exact: a cancel comes before attach, which
@@ -73,7 +73,7 @@
 }
 
 // attach ties a connection to the attempt, and reports whether the request may be written to it. It may not once the
-// attempt is cancelled or the client has left.
+// attempt is cancelled or the client has disconnected.
 func (a *attempt) attach(conn *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -89,7 +89,7 @@
 }
 
 // evict ends a connection without an open request to make capacity, unless it is ending already or bytes have come that
-// the server has not read. It tells whether it did.
+// the server has not read. It reports whether it did.
 func (c *clientConnections) evict(conn *clientConn) bool {
 	if conn.closing || !isQuiet(conn.Conn) {
 		return false
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// isTimeout tells whether err is that of a deadline.
+// isTimeout reports whether err is that of a deadline.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
@@ -106,7 +106,7 @@
 	return conn
 }
 
-// addNewcomer tries to enter one more connection, for long enough if it is expected to be. It tells whether it was
+// addNewcomer tries to enter one more connection, for long enough if it is expected to be. It reports whether it was
 // entered, and takes it out again.
 func (e *evictionTable) addNewcomer(t *testing.T, expected bool) bool {
 	t.Helper()
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -21,7 +21,7 @@
 	response chan clientResponse
 	// onSent is called by a hollow gateway when the first of the attempts reaches a backend; else nil.
 	onSent func()
-	// disconnected tells that the client has disconnected: no attempt may begin.
+	// disconnected says that the client has disconnected: no attempt may begin.
 	disconnected atomic.Bool
 
 	// Owned by the loop:
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// clock is the module's time: Unix time in seconds, read once at the start and advanced by the monotonic
+// clock is the engine's time: Unix time in seconds, read once at the start and advanced by the monotonic
 // clock, so that a step of the system's clock moves no deadline. All gateways must share its origin, since
 // their lease windows are cut from it. The zero value is not usable; newClock makes a clock.
 type clock struct {
@@ -16,10 +16,10 @@
 	return clock{start: start, startUnix: float64(start.UnixNano()) / 1e9}
 }
 
-// now returns the module's time in seconds.
+// now returns the engine's time in seconds.
 func (c clock) now() float64 { return c.startUnix + time.Since(c.start).Seconds() }
 
-// toTime returns the moment t of the module's time, for deadlines of sockets.
+// toTime returns the moment t of the engine's time, for deadlines of sockets.
 func (c clock) toTime(t float64) time.Time {
 	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,4 +1,4 @@
-// Package gateway is the real gateway round the decision module: it turns what happens on sockets into the module's
+// Package gateway is the real gateway round the decision module: it turns what happens on sockets into the engine's
 // events and carries out its actions. Which request goes where, and when it is rejected, is decided in package policy
 // alone.
 package gateway
@@ -23,7 +23,7 @@
 	minSockets  = 128
 )
 
-// Config is what a gateway is told at its start.
+// Config is the configuration that a gateway starts with.
 type Config struct {
 	Name            string
 	Listen          string // host:port for clients
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -35,7 +35,7 @@
 	l.timers.schedule(call.sentAt+l.deployment.CounterTimeout, counterCallDeadline{call})
 }
 
-// finishCall handles the one end of a call. What becomes of a call that had timed out before is handed to the module
+// finishCall handles the one end of a call. What becomes of a call that had timed out before is handed to the engine
 // all the same, since its amount may have been added.
 func (l *eventLoop) finishCall(call *counterCall, outcome policy.Outcome, total float64) {
 	if call.ended {
@@ -54,12 +54,12 @@
 	l.deliverReplies(call.key)
 }
 
-// deliverReplies hands the module the replies for a key, up to the first call that has not ended. The module takes
+// deliverReplies hands the engine the replies for a key, up to the first call that has not ended. The engine takes
 // them in the order of the calls, but a call that is rejected here, or goes out on a new connection, may end before
 // an earlier one.
 func (l *eventLoop) deliverReplies(key uint64) {
 	for {
-		pending := l.pendingCalls[key] // read each time: the module may call the counter for the key meanwhile
+		pending := l.pendingCalls[key] // read each time: the engine may call the counter for the key meanwhile
 		if len(pending) == 0 || !pending[0].ended {
 			return
 		}
@@ -79,7 +79,7 @@
 }
 
 // timeOutCall ends a call whose time is over. A response that has begun, and may never end, says as much as one that
-// can't be read: the amount was added. Handed to the module as silence, it would count as an overloaded counter, and
+// can't be read: the amount was added. Handed to the engine as silence, it would count as an overloaded counter, and
 // what it added would be lost. A rejection that is cut to pieces on its way counts as added too; the amount that is
 // then taken back in error is that of one call.
 func (l *eventLoop) timeOutCall(call *counterCall) {
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -18,7 +18,7 @@
 // stream's goroutine until it is written, and then by its connection's reader; the owner at its end calls
 // report. Meanwhile the loop uses the atomic fields, its own ones, and those that don't change.
 type counterCall struct {
-	id      uint64 // the module's
+	id      uint64 // the engine's
 	key     uint64 // the counter's name
 	amount  float64
 	ttl     time.Duration // how long the counter keeps the name
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -78,7 +78,7 @@
 	return c.Conn.Close()
 }
 
-// reusable tells whether another call may be written after an idle time. The counter may close an idle
+// reusable reports whether another call may be written after an idle time. The counter may close an idle
 // connection sooner than agreed, and it would be in doubt whether a call written then has been added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
 	if c.failed.Load() || idleFor > counterIdleTimeout {
@@ -90,7 +90,7 @@
 	return idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn)
 }
 
-// headOfLineBlocked tells whether the stream should leave a connection, since the call whose answer is next
+// headOfLineBlocked reports whether the stream should leave a connection, since the call whose answer is next
 // has been abandoned and another connection may be opened. An answer that never ends blocks all answers
 // behind it, and so calls that the counter has served would time out, for many customers, as if it were
 // overloaded. This covers a lost or silent connection as well. It could do harm with a counter that is slow
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// addressChanged tells whether the connection leads to an old address of the counter.
+// addressChanged reports whether the connection leads to an old address of the counter.
 func (s *counterStream) addressChanged() bool { return s.conn.host != *s.client.address.Load() }
 
 // retire leaves the connection; the next call dials.
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -243,7 +243,7 @@
 	return nil
 }
 
-// quotaInRange tells whether the units of a request and the gateways of its customer are possible in this deployment.
+// quotaInRange reports whether the units of a request and the gateways of its customer are possible in this deployment.
 func (f *frontend) quotaInRange(decoded *policy.Request) bool {
 	maxUnits := f.deployment.MaxUnits
 	if maxUnits <= 0 {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -50,7 +50,7 @@
 }
 
 // newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending
-// to a draining backend for drainGrace. listInUse tells that requests are routed by an older list
+// to a draining backend for drainGrace. listInUse says that requests are routed by an older list
 // meanwhile. onList is called on the goroutine of run.
 func newDiscoveryWatcher(
 	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -32,7 +32,7 @@
 	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds; 0: long ago
 }
 
-// backendStates maps discovery's lifecycles to the module's states.
+// backendStates maps discovery's lifecycles to the engine's states.
 var backendStates = map[string]policy.BackendState{
 	"Ready":       policy.Ready,
 	"Terminating": policy.Draining,
@@ -42,7 +42,7 @@
 // errNoEntries reports an answer without a list. Taken for an empty list, it would end all service.
 var errNoEntries = errors.New("no instances in it")
 
-// decodeEndpointList decodes the body of an answer. fullList tells that the poll asked for the full list:
+// decodeEndpointList decodes the body of an answer. fullList says that the poll asked for the full list:
 // such an answer holds all entries, whether it says so or not.
 func decodeEndpointList(body []byte, fullList bool) (EndpointList, error) {
 	var list EndpointList
@@ -58,7 +58,7 @@
 	return list, nil
 }
 
-// backendID derives the module's id from the name alone, so that all gateways agree on it in whatever order
+// backendID derives the engine's id from the name alone, so that all gateways agree on it in whatever order
 // they learn of the backends.
 func backendID(name string) policy.BackendID {
 	h := fnv.New32a()
@@ -66,7 +66,7 @@
 	return policy.BackendID(h.Sum32())
 }
 
-// toBackend translates an entry to the module's form. The module's clock is Unix time (see clock), so the
+// toBackend translates an entry to the engine's form. The engine's clock is Unix time (see clock), so the
 // start needs a change of its unit only. It returns an error where the entry can't be understood, since a
 // wrong reading could route requests to a draining backend or repeat one in a zone that does not know of
 // the first attempt.
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -21,7 +21,7 @@
 	startAttempt(a *attempt, onDone func(attemptResult))
 }
 
-// startAttempt starts an attempt that the module has decided on. It ends at once, unsent, where none may begin.
+// startAttempt starts an attempt that the engine has decided on. It ends at once, unsent, where none may begin.
 func (l *eventLoop) startAttempt(action policy.SendAttempt) {
 	req := l.requests[action.Request]
 	if req == nil {
@@ -105,7 +105,7 @@
 	l.respond(req.decoded.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
 }
 
-// cancelAttempt ends an attempt by the module's decision.
+// cancelAttempt ends an attempt by the engine's decision.
 func (l *eventLoop) cancelAttempt(action policy.CancelAttempt) {
 	req := l.requests[action.Request]
 	if req == nil || action.Attempt >= len(req.attempts) || req.attempts[action.Attempt].ended {
@@ -115,12 +115,12 @@
 	a.cancel()
 	outcome := policy.Cancelled
 	if l.clock.now() >= a.deadline-timeoutTolerance {
-		outcome = policy.TimedOut // the module learns from it
+		outcome = policy.TimedOut // the engine learns from it
 	}
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsent ends the attempts of a request whose client has left, as far as they have not been fully written.
+// cancelUnsent ends the attempts of a request whose client has disconnected, as far as they have not been fully written.
 // Where a deployment lets no attempt be cancelled, one that waits for its connection would be forwarded for nobody.
 func (l *eventLoop) cancelUnsent(req *clientRequest) {
 	for _, a := range req.attempts {
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -2,7 +2,7 @@
 
 import "amberlb/policy"
 
-// applyEndpointList takes in a list of backends, or changes to it. The transport follows it before the module hears of it,
+// applyEndpointList takes in a list of backends, or changes to it. The transport follows it before the engine does,
 // so that nothing is sent to a backend that drains.
 func (l *eventLoop) applyEndpointList(list EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
@@ -34,7 +34,7 @@
 		backend = policy.Backend{ID: backendID(entry.ID), State: policy.Draining}
 		return backend, l.backendNames[backend.ID] == entry.ID
 	}
-	// The module's id is a hash of the instance's.
+	// The engine's id is a hash of the instance's.
 	if name, known := l.backendNames[backend.ID]; known && name != entry.ID {
 		l.log.Warn("discovery: two instances have one id; the second is left out", "first", name, "second", entry.ID)
 		return backend, false
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -16,7 +16,7 @@
 const inboxSize = 1024
 
 // eventLoop is the one owner of the decision module. All that happens comes to it as messages and timers, one at a
-// time and in order. It runs the module's actions and waits for no socket.
+// time and in order. It runs the engine's actions and waits for no socket.
 //
 // Its methods and fields belong to the goroutine of run. Before run has begun and after it has ended, they belong to
 // whoever starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use metrics,
@@ -50,7 +50,7 @@
 	pendingEvents []policy.Event  // the event being handled, and those that its actions brought about
 }
 
-// newEventLoop returns a loop that has handed the module its settings and carried out its first actions. counter is
+// newEventLoop returns a loop that has handed the engine its settings and carried out its first actions. counter is
 // nil where the deployment has none.
 func newEventLoop(config *Config, transport transport, counter *counterClient, onEndpointList func()) *eventLoop {
 	l := &eventLoop{
@@ -139,8 +139,8 @@
 	}
 }
 
-// handleEvent gives the module an event and runs its actions. What these bring about follows as further events, in
-// order; a call from within an action only queues its event, since the module takes one at a time.
+// handleEvent gives the engine an event and runs its actions. What these bring about follows as further events, in
+// order; a call from within an action only queues its event, since the engine takes one at a time.
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
@@ -154,7 +154,7 @@
 	l.pendingEvents = l.pendingEvents[:0]
 }
 
-// runActions carries out what the module has decided.
+// runActions carries out what the engine has decided.
 func (l *eventLoop) runActions(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -9,7 +9,7 @@
 	"amberlb/policy"
 )
 
-// The module takes replies for one key in the order of the calls, so a later call that ends first waits for the
+// The engine takes replies for one key in the order of the calls, so a later call that ends first waits for the
 // earlier one.
 func TestCounterRepliesInCallOrder(t *testing.T) {
 	l := &eventLoop{pendingCalls: map[uint64][]*counterCall{}, engine: &policy.Engine{}}
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -78,14 +78,14 @@
 	return conn
 }
 
-// isFiller tells whether an accepted connection is one of those that filled the backlog.
+// isFiller reports whether an accepted connection is one of those that filled the backlog.
 func (c *fullBacklogBackend) isFiller(conn net.Conn) bool {
 	return slices.ContainsFunc(c.fillers, func(filler net.Conn) bool {
 		return filler.LocalAddr().String() == conn.RemoteAddr().String()
 	})
 }
 
-// isDialing tells whether this process waits for a connection to an address.
+// isDialing reports whether this process waits for a connection to an address.
 func isDialing(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -2,7 +2,7 @@
 
 import "amberlb/policy"
 
-// message is what other goroutines tell the event loop. The types of this file are all that there are;
+// message is what other goroutines send to the event loop. The types of this file are all that there are;
 // eventLoop.handleMessage names what each leads to.
 type message interface {
 	isMessage()
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -5,7 +5,7 @@
 	"reflect"
 )
 
-// Reload tells a running gateway that its configuration has been replaced. The zero value never does.
+// Reload notifies a running gateway of a new configuration. The zero value never does.
 type Reload struct {
 	Signal <-chan os.Signal
 	Read   func() (Config, error) // returns the new configuration
@@ -31,7 +31,7 @@
 		"counter", next.Counter, "rest_needs_restart", s.config.needsRestart(&next))
 }
 
-// needsRestart tells whether next differs from the running configuration in what a reload does not take up.
+// needsRestart reports whether next differs from the running configuration in what a reload does not take up.
 func (c *Config) needsRestart(next *Config) bool {
 	return next.Listen != c.Listen ||
 		next.Sockets != c.Sockets ||
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -10,7 +10,7 @@
 // client.
 const responseMargin = 0.005
 
-// startRequest gives a request an id of its own and hands it to the module. A request over the deployment's limit,
+// startRequest gives a request an id of its own and hands it to the engine. A request over the deployment's limit,
 // or under a correlation id that is in use, is answered at once; nothing has been sent for it.
 func (l *eventLoop) startRequest(req *clientRequest) {
 	if l.deployment.MaxOpenRequests > 0 && len(l.requests) >= l.deployment.MaxOpenRequests {
@@ -55,7 +55,7 @@
 }
 
 // dropDisconnected ends a request whose client has closed its connection or its sending, unless it has been answered.
-// Attempts that are fully written may still be executed; the module decides whether they are cancelled.
+// Attempts that are fully written may still be executed; the engine decides whether they are cancelled.
 func (l *eventLoop) dropDisconnected(req *clientRequest) {
 	if !req.unanswered {
 		return
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -156,7 +156,7 @@
 }
 
 // A rejection promises that nothing was executed. A request that is not idempotent fails instead if it may have been,
-// and nothing below the module retries it either.
+// and nothing below the engine retries it either.
 func TestConnectionResetAfterLastByteIsNoProof(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// watchDiscovery follows discovery at an address. listInUse tells that requests are forwarded by an older list meanwhile.
+// watchDiscovery follows discovery at an address. listInUse says that requests are forwarded by an older list meanwhile.
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.partsContext)
 	ended := make(chan struct{})
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -58,7 +58,7 @@
 	return seconds(policy.LongestDeadline(c.Classes))
 }
 
-// errClientsRemaining tells that a graceful shutdown ended while clients had not read their answers.
+// errClientsRemaining says that a graceful shutdown ended while clients had not read their answers.
 var errClientsRemaining = errors.New("clients were still open at the end")
 
 // shutdown ends the gateway gracefully: it admits what still comes for a while, answers every open request, and closes.
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -18,7 +18,7 @@
 
 // engineTimer hands the decision module a timer that it has set.
 type engineTimer struct {
-	token   uint64           // the module's
+	token   uint64           // the engine's
 	request policy.RequestID // without which the timer is stale; 0: it belongs to none
 }
 
