--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,6 +1,3 @@
-// Package gateway is the real gateway round the decision module: it turns what happens on sockets into the engine's
-// events and carries out its actions. Which request goes where, and when it is rejected, is decided in package policy
-// alone.
 package gateway
 
 import (
