--- /dev/null
+++ b/cmd/fleetlab/hollow.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"amberlb/internal/lab/hollow"
+)
+
+// runHollow runs the job of hollow gateways that it reads from stdin, as JSON, and
+// writes the result to stdout, as JSON. The lab starts this command as a child process.
+func runHollow(ctx context.Context, stdin io.Reader, stdout io.Writer) error {
+	var job hollow.Job
+	if err := json.NewDecoder(stdin).Decode(&job); err != nil {
+		return usageError{fmt.Errorf("job: %w", err)}
+	}
+	result, err := hollow.Run(ctx, job)
+	if err != nil {
+		return err
+	}
+	return json.NewEncoder(stdout).Encode(result)
+}
--- /dev/null
+++ b/cmd/fleetlab/version.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/exec"
+	"path/filepath"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"amberlb/internal/lab/experiment"
+	"amberlb/internal/lab/gatewayprocess"
+)
+
+// moduleRoot is the root directory of the module that the working directory is in.
+func moduleRoot() (string, error) {
+	dir, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
+	for ; ; dir = filepath.Dir(dir) {
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir, nil
+		}
+		if dir == filepath.Dir(dir) {
+			return "", errors.New("this is no directory of the repository")
+		}
+	}
+}
+
+// buildVersions builds the versions to be measured, in the order in which they are
+// measured: the baseline that is checked out in the directory baseline, unless that is
+// "", then the version that this program belongs to. A baseline that can't be built is
+// a usageError.
+func buildVersions(ctx context.Context, root, baseline string, log *slog.Logger) ([]experiment.Version, error) {
+	var versions []experiment.Version
+	if baseline != "" {
+		version, err := baselineVersion(ctx, baseline, log)
+		if err != nil {
+			return nil, usageError{err}
+		}
+		versions = append(versions, version)
+	}
+	version, err := candidateVersion(ctx, root, log)
+	if err != nil {
+		return nil, err
+	}
+	return append(versions, version), nil
+}
+
+// candidateVersion builds the version that this program belongs to.
+func candidateVersion(ctx context.Context, root string, log *slog.Logger) (experiment.Version, error) {
+	program, err := buildGateway(ctx, root, log)
+	if err != nil {
+		return experiment.Version{}, err
+	}
+	executable, err := os.Executable()
+	return experiment.Version{Name: experiment.Candidate, Gateway: program, Fleetlab: executable}, err
+}
+
+// baselineVersion builds the earlier version that is checked out in the directory dir. Its gateway is started as its own
+// deploy file says; its hollow gateways are started by the fleetlab that its build leaves in bin.
+func baselineVersion(ctx context.Context, dir string, log *slog.Logger) (experiment.Version, error) {
+	dir, err := filepath.Abs(dir)
+	if err != nil {
+		return experiment.Version{}, err
+	}
+	program, err := buildGateway(ctx, dir, log)
+	if err != nil {
+		return experiment.Version{}, fmt.Errorf("baseline: %w", err)
+	}
+	executable, err := exec.LookPath(filepath.Join(dir, "bin", "fleetlab"))
+	if err != nil {
+		return experiment.Version{}, fmt.Errorf("baseline: %w", err)
+	}
+	return experiment.Version{Name: experiment.Baseline, Gateway: program, Fleetlab: executable}, nil
+}
+
+// buildGateway builds the version in the directory root as its deploy file says, and returns its gateway.
+func buildGateway(ctx context.Context, root string, log *slog.Logger) (gatewayprocess.Program, error) {
+	deploy, err := readDeployFile(root)
+	if err != nil {
+		return gatewayprocess.Program{}, err
+	}
+	log.Info("build", "command", deploy.Build)
+	command := exec.CommandContext(ctx, "/bin/sh", "-c", deploy.Build)
+	command.Dir = root
+	if output, err := command.CombinedOutput(); err != nil {
+		return gatewayprocess.Program{}, fmt.Errorf("build: %w: %s", err, output)
+	}
+	return gatewayprocess.Program{Command: deploy.Run, Dir: root}, nil
+}
+
+// deployFile holds the two entries of a version's deploy file that the lab needs. Both are shell commands.
+type deployFile struct {
+	Build string // builds the programs, in the version's root directory
+	Run   string // starts one gateway
+}
+
+// readDeployFile reads the deploy file of the version in the directory root.
+func readDeployFile(root string) (deployFile, error) {
+	var deploy deployFile
+	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
+	if err == nil {
+		err = toml.Unmarshal(text, &deploy)
+	}
+	if err != nil {
+		return deployFile{}, fmt.Errorf("deploy file: %w", err)
+	}
+	return deploy, nil
+}
