--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -16,19 +16,20 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// asCommand makes the test binary stand in for the command, also as the child
-// that holds hollow gateways.
-const asCommand = "FLEETLAB_AS_COMMAND"
+// runAsCommand is the environment variable that makes the test binary run as the
+// command, also as the child process that holds hollow gateways.
+const runAsCommand = "FLEETLAB_AS_COMMAND"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(runAsCommand) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const small = `
+// smallExperiment takes a few seconds.
+const smallExperiment = `
 shows = "a test"
 seed = 7
 seconds = 2
@@ -67,7 +68,8 @@
 most = 0
 `
 
-func write(t *testing.T, text string) string {
+// writeExperiment writes an experiment to a file and returns its path.
+func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -76,85 +78,96 @@
 	return path
 }
 
-// lab returns one whose gateway is built of this checkout and whose hollow
-// gateways live in this test binary.
-func lab(t *testing.T, log *bytes.Buffer, watch func(line string)) *experiment.Lab {
+// newLab returns a lab whose gateway is built from this checkout and whose hollow
+// gateways run in this test binary. It logs to log; onLine is called with each line.
+func newLab(t *testing.T, log *bytes.Buffer, onLine func(line string)) *experiment.Lab {
 	t.Helper()
 	dir := t.TempDir()
-	if said, err := exec.Command("go", "build", "-o", dir, "../amberlb").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, said)
+	if output, err := exec.Command("go", "build", "-o", dir, "../amberlb").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	t.Setenv(runAsCommand, "1")
+	return &experiment.Lab{
+		Root: ".",
+		Log:  slog.New(slog.NewTextHandler(lineObserver{log, onLine}, nil)),
+		Versions: []experiment.Version{{
+			Name:     experiment.Candidate,
+			Gateway:  gatewayprocess.Program{Command: "exec ./amberlb", Dir: dir},
+			Fleetlab: os.Args[0],
+		}},
 	}
-	t.Setenv(asCommand, "1")
-	return &experiment.Lab{Root: ".", Log: slog.New(slog.NewTextHandler(watcher{log, watch}, nil)),
-		Versions: []experiment.Version{{Name: experiment.Candidate, Gateway: gatewayprocess.Program{Command: "exec ./amberlb", Dir: dir},
-			Fleetlab: os.Args[0]}}}
 }
 
-// watcher keeps the log and shows each line.
-type watcher struct {
-	kept  *bytes.Buffer
-	watch func(line string)
+// lineObserver calls a function with each line of a log, then writes the line to a buffer.
+type lineObserver struct {
+	log    *bytes.Buffer
+	onLine func(line string)
 }
 
-func (w watcher) Write(p []byte) (int, error) {
-	w.watch(string(p))
-	return w.kept.Write(p)
+func (o lineObserver) Write(line []byte) (int, error) {
+	o.onLine(string(line))
+	return o.log.Write(line)
 }
 
-// A small experiment with a real gateway and hollow ones: what is counted at both
-// ends agrees, and nothing goes beyond a quota that is hardly used.
-func TestSmallExperiment(t *testing.T) {
+// A small experiment with a gateway process and hollow gateways: the counts of both
+// ends agree, and no request exceeds a quota that is hardly used.
+func TestCountsOfBothEndsAgree(t *testing.T) {
 	var log bytes.Buffer
-	l := lab(t, &log, func(string) {})
-	e, err := experiment.Read(write(t, small), "")
+	lab := newLab(t, &log, func(string) {})
+	parsed, err := experiment.Read(writeExperiment(t, smallExperiment), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := l.Run(t.Context(), "small.toml", e)
+	report, err := lab.Run(t.Context(), "small.toml", parsed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Partial || !r.Passed || len(r.Runs) != 1 || r.Seed != 7 {
-		t.Fatalf("%+v\n%s", r, log.String())
+	if report.Partial || !report.Passed || len(report.Runs) != 1 || report.Seed != 7 {
+		t.Fatalf("%+v\n%s", report, log.String())
 	}
-	f := r.Runs[0].Metrics
-	if sum := f["served_share"] + f["refused_share"] + f["failed_share"] + f["dropped"]/f["requests"]; sum < 0.9999 || sum > 1.0001 {
+	metrics := report.Runs[0].Metrics
+	sum := metrics["served_share"] + metrics["refused_share"] + metrics["failed_share"] + metrics["dropped"]/metrics["requests"]
+	if sum < 0.9999 || sum > 1.0001 {
 		t.Errorf("shares of the requests sum up to %g", sum)
 	}
 	for _, name := range []string{"requests", "served_share", "list_bytes", "memory_peak_mb", "counter_calls_per_request",
 		"control_bytes_per_s", "backends_reached", "hollow_memory_mb"} {
-		if f[name] <= 0 {
-			t.Errorf("%s: %g", name, f[name])
+		if metrics[name] <= 0 {
+			t.Errorf("%s: %g", name, metrics[name])
 		}
 	}
-	if f["hollow_ready"] != 4 {
-		t.Errorf("%g hollow gateways were ready", f["hollow_ready"])
+	if metrics["hollow_ready"] != 4 {
+		t.Errorf("%g hollow gateways were ready", metrics["hollow_ready"])
 	}
-	made, unanswered := 0.0, 0.0
-	for name, g := range r.Runs[0].Groups {
-		calls := g["calls_per_request"] * g["tries"]
-		made, unanswered = made+calls, unanswered+calls*g["calls_unanswered_share"]
-		if g["tries"] == 0 || g["beyond_share"] != 0 {
-			t.Errorf("group %s: %v", name, g)
+	made := 0.0
+	unanswered := 0.0
+	for name, group := range report.Runs[0].Groups {
+		calls := group["calls_per_request"] * group["tries"]
+		made += calls
+		unanswered += calls * group["calls_unanswered_share"]
+		if group["tries"] == 0 || group["beyond_share"] != 0 {
+			t.Errorf("group %s: %v", name, group)
 		}
 	}
-	if had := f["hollow_counter_calls"]; len(r.Runs[0].Groups) != 2 || made == 0 || had > made+0.001 || had < made-unanswered-0.001 {
-		t.Errorf("%g calls made, %g of them unanswered; the counter had %g", made, unanswered, had)
+	received := metrics["hollow_counter_calls"]
+	if len(report.Runs[0].Groups) != 2 || made == 0 || received > made+0.001 || received < made-unanswered-0.001 {
+		t.Errorf("%g calls made, %g of them unanswered; the counter received %g", made, unanswered, received)
 	}
 	path := filepath.Join(t.TempDir(), "new", "report.json")
-	if err := r.Write(path); err != nil {
+	if err := report.Write(path); err != nil {
 		t.Fatal(err)
 	}
-	var back experiment.Report
+	var decoded experiment.Report
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, &back)
+		err = json.Unmarshal(text, &decoded)
 	}
-	if err != nil || back.Commit == "" || len(back.Experiment.Groups) != 2 || len(back.Runs[0].Metrics) != len(f) || len(back.Verdicts) != 1 {
-		t.Errorf("%v: %+v", err, back)
+	if err != nil || decoded.Commit == "" || len(decoded.Experiment.Groups) != 2 ||
+		len(decoded.Runs[0].Metrics) != len(metrics) || len(decoded.Verdicts) != 1 {
+		t.Errorf("%v: %+v", err, decoded)
 	}
 	var table bytes.Buffer
-	r.Print(&table)
+	report.Print(&table)
 	for _, want := range []string{"quiet_control", "ready_s ", "calm ", "all-at-one ", "bounds: 1 kept, 0 broken"} {
 		if has := strings.Contains(table.String(), want); has != (want != "quiet_control") {
 			t.Errorf("%q in the table: %t\n%s", want, has, table.String())
@@ -162,39 +175,40 @@
 	}
 }
 
-// An interrupted run ends what it started and says what is partial; the bounds on
-// what it did not measure are not kept.
-func TestInterrupted(t *testing.T) {
+// An interrupted run ends the processes that it started and reports what is partial;
+// the bounds on metrics that it did not measure are broken.
+func TestInterruptedRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var log bytes.Buffer
-	l := lab(t, &log, func(line string) {
+	lab := newLab(t, &log, func(line string) {
 		if strings.Contains(line, "msg=load") {
 			cancel()
 		}
 	})
-	long := strings.Replace(small, "seconds = 2", "seconds = 3600", 1) + "[[bound]]\nfigure = \"tries\"\ngroup = \"calm\"\nleast = 1\n"
-	e, err := experiment.Read(write(t, long), "")
+	long := strings.Replace(smallExperiment, "seconds = 2", "seconds = 3600", 1) +
+		"[[bound]]\nfigure = \"tries\"\ngroup = \"calm\"\nleast = 1\n"
+	parsed, err := experiment.Read(writeExperiment(t, long), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := l.Run(ctx, "long.toml", e)
+	report, err := lab.Run(ctx, "long.toml", parsed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	said := fmt.Sprint(r.Runs[0].Partial)
-	if !r.Partial || r.Passed || !strings.Contains(said, "real: ") || !strings.Contains(said, "hollow: not begun") {
-		t.Errorf("partial %t, kept %t: %s", r.Partial, r.Passed, said)
+	reasons := fmt.Sprint(report.Runs[0].Partial)
+	if !report.Partial || report.Passed || !strings.Contains(reasons, "real: ") || !strings.Contains(reasons, "hollow: not begun") {
+		t.Errorf("partial %t, kept %t: %s", report.Partial, report.Passed, reasons)
 	}
-	if r.Runs[0].Metrics["list_bytes"] == 0 {
+	if report.Runs[0].Metrics["list_bytes"] == 0 {
 		t.Error("what was measured before is gone")
 	}
-	if left := children(t); len(left) > 0 {
-		t.Errorf("processes are left: %q", left)
+	if remaining := childProcesses(t); len(remaining) > 0 {
+		t.Errorf("processes remain: %q", remaining)
 	}
 }
 
-// children are the commands of this process's children.
-func children(t *testing.T) []string {
+// childProcesses returns the process ids of this process's children.
+func childProcesses(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("/proc/self/task/*/children")
 	if err != nil {
@@ -208,33 +222,34 @@
 	return all
 }
 
-// A bad file or argument is one plain line and status 2, before anything starts.
-func TestBadUse(t *testing.T) {
-	good := write(t, small)
+// An invalid file or argument gives one line and status 2, before anything is started.
+func TestUsageErrors(t *testing.T) {
+	valid := writeExperiment(t, smallExperiment)
 	for _, c := range []struct {
 		args  []string
 		named string
 	}{
-		{[]string{"run", write(t, small+"colour = 1\n")}, `"bound.colour"`},
-		{[]string{"run", write(t, small+"[[bound]]\nfigure = \"speed\"\nmost = 1\n")}, `"speed"`},
+		{[]string{"run", writeExperiment(t, smallExperiment+"colour = 1\n")}, `"bound.colour"`},
+		{[]string{"run", writeExperiment(t, smallExperiment+"[[bound]]\nfigure = \"speed\"\nmost = 1\n")}, `"speed"`},
 		{[]string{"run", filepath.Join(t.TempDir(), "none.toml")}, "none.toml"},
 		{[]string{"run"}, "file"},
-		{[]string{"run", good, "--colour"}, "--colour"},
-		{[]string{"run", good, "--baseline", t.TempDir()}, "balancer.toml"},
-		{[]string{"sweep", good}, "--over"},
-		{[]string{"sweep", good, "--over", "colour=1"}, `"colour"`},
+		{[]string{"run", valid, "--colour"}, "--colour"},
+		{[]string{"run", valid, "--baseline", t.TempDir()}, "balancer.toml"},
+		{[]string{"sweep", valid}, "--over"},
+		{[]string{"sweep", valid, "--over", "colour=1"}, `"colour"`},
 		{[]string{"walk"}, "walk"},
 	} {
-		var out, errs bytes.Buffer
-		status := run(t.Context(), c.args, strings.NewReader(""), &out, &errs)
-		if said := errs.String(); status != 2 || out.Len() > 0 || strings.Count(said, "\n") != 1 || !strings.Contains(said, c.named) {
-			t.Errorf("%q: status %d, said %q", c.args, status, said)
+		var stdout, stderr bytes.Buffer
+		status := run(t.Context(), c.args, strings.NewReader(""), &stdout, &stderr)
+		message := stderr.String()
+		if status != 2 || stdout.Len() > 0 || strings.Count(message, "\n") != 1 || !strings.Contains(message, c.named) {
+			t.Errorf("%q: status %d, message %q", c.args, status, message)
 		}
 	}
 }
 
 // An earlier version is built and started as its own deploy file says, whatever its programs are called.
-func TestBaselineGoesByItsDeployFile(t *testing.T) {
+func TestBaselineIsBuiltAsItsDeployFileSays(t *testing.T) {
 	dir := t.TempDir()
 	deploy := "build = \"mkdir -p bin && echo old > bin/fleetlab && chmod +x bin/fleetlab\"\nrun = \"exec bin/earlier-name\"\n"
 	if err := os.Mkdir(filepath.Join(dir, "deploy"), 0o755); err != nil {
@@ -247,8 +262,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := experiment.Version{Name: experiment.Baseline, Gateway: gatewayprocess.Program{Command: "exec bin/earlier-name", Dir: dir},
-		Fleetlab: filepath.Join(dir, "bin", "fleetlab")}
+	want := experiment.Version{
+		Name:     experiment.Baseline,
+		Gateway:  gatewayprocess.Program{Command: "exec bin/earlier-name", Dir: dir},
+		Fleetlab: filepath.Join(dir, "bin", "fleetlab"),
+	}
 	if version != want {
 		t.Errorf("got %+v, want %+v", version, want)
 	}
