--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -15,141 +15,145 @@
 // Behavior is what a backend does with a request.
 type Behavior struct {
 	ServiceTime time.Duration // before the answer
-	Hang        bool          // there is no answer
+	Hang        bool          // the request is never answered
 }
 
-// BackendAttempt is what a backend saw of one request.
+// BackendAttempt is what a backend saw of one request. Times are of the run's clock.
 type BackendAttempt struct {
-	ID, Backend string
-	FirstByteAt time.Duration // its first byte came
-	ReceivedAt  time.Duration // it was whole
-	EndedAt     time.Duration // it was answered, or its connection ended; 0: neither until the run's end
-	Timeout     time.Duration // the time that the gateway said it would wait
+	ID          string // of the request
+	Backend     string
+	FirstByteAt time.Duration // when its first byte was read
+	ReceivedAt  time.Duration // when it was complete
+	EndedAt     time.Duration // when it was answered, or its connection ended; 0: neither until the run's end
+	Timeout     time.Duration // how long the gateway said that it would wait
 	Answered    bool
 }
 
 // Backend is a stand-in for one backend. Its methods may be called from many goroutines.
 type Backend struct {
+	acceptor
 	Name     string
 	clock    Clock
 	behavior func(now time.Duration) Behavior
-	listener net.Listener
-	serving  sync.WaitGroup
-
-	conns connSet
 
 	mu       sync.Mutex
 	attempts []*BackendAttempt
 }
 
-// StartBackend starts a backend on a port of loopback that the system chooses. behavior is asked once for each request;
-// it may be called from many goroutines.
+// StartBackend starts a backend on a port of loopback that the system chooses. behavior is called once for each
+// request, from many goroutines.
 func StartBackend(name string, clock Clock, behavior func(now time.Duration) Behavior) (*Backend, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
+	b := &Backend{Name: name, clock: clock, behavior: behavior}
+	if err := b.listen(); err != nil {
 		return nil, err
 	}
-	b := &Backend{Name: name, clock: clock, behavior: behavior, listener: l}
-	b.serving.Go(b.accept)
+	b.start(b.serveConn)
 	return b, nil
 }
 
-// Address is where the backend listens.
-func (b *Backend) Address() string { return b.listener.Addr().String() }
-
-// Close ends all connections and waits for their goroutines.
-func (b *Backend) Close() {
-	b.listener.Close()
-	b.conns.close()
-	b.serving.Wait()
-}
-
 // Attempts returns what the backend has seen so far.
 func (b *Backend) Attempts() []BackendAttempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make([]BackendAttempt, len(b.attempts))
-	for i, a := range b.attempts {
-		all[i] = *a
+	attempts := make([]BackendAttempt, len(b.attempts))
+	for i, attempt := range b.attempts {
+		attempts[i] = *attempt
 	}
-	return all
+	return attempts
 }
 
-func (b *Backend) accept() {
-	for {
-		conn, err := b.listener.Accept()
-		if err != nil {
-			return
-		}
-		if !b.conns.add(conn) {
-			return
-		}
-		b.serving.Go(func() {
-			defer b.conns.remove(conn)
-			r := bufio.NewReader(conn)
-			for b.serveOne(conn, r) {
-			}
-		})
+// serveConn serves the requests of one connection, one at a time.
+func (b *Backend) serveConn(conn net.Conn) {
+	if !b.conns.add(conn) {
+		return
+	}
+	defer b.conns.remove(conn)
+	reader := bufio.NewReader(conn)
+	for reusable := true; reusable; {
+		reusable = b.serveRequest(conn, reader)
 	}
 }
 
-// serveOne serves the next request of a connection. It returns false once the connection has no further use.
-func (b *Backend) serveOne(conn net.Conn, r *bufio.Reader) bool {
-	if _, err := r.Peek(1); err != nil {
+// serveRequest serves the next request of a connection. It returns false once the connection is of no further use.
+func (b *Backend) serveRequest(conn net.Conn, reader *bufio.Reader) (reusable bool) {
+	attempt, err := b.receive(reader)
+	if err != nil {
 		return false
 	}
-	first := b.clock.Now()
-	req, err := http.ReadRequest(r)
+	answered := answer(conn, reader, attempt.ID, b.behavior(attempt.ReceivedAt))
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	attempt.EndedAt = b.clock.Now()
+	attempt.Answered = answered
+	return answered
+}
+
+// receive reads the next request and records it. The error is one of the connection or of a malformed request, which
+// is not recorded.
+func (b *Backend) receive(reader *bufio.Reader) (*BackendAttempt, error) {
+	if _, err := reader.Peek(1); err != nil {
+		return nil, err
+	}
+	firstByteAt := b.clock.Now()
+	request, err := http.ReadRequest(reader)
 	if err != nil {
-		return false
+		return nil, err
 	}
-	if _, err := io.Copy(io.Discard, req.Body); err != nil {
-		return false
+	if _, err := io.Copy(io.Discard, request.Body); err != nil {
+		return nil, err
 	}
-	ms, _ := strconv.Atoi(req.Header.Get(timeHeader))
-	a := &BackendAttempt{ID: req.Header.Get(idHeader), Backend: b.Name, FirstByteAt: first, ReceivedAt: b.clock.Now(),
-		Timeout: time.Duration(ms) * time.Millisecond}
-	b.mu.Lock()
-	b.attempts = append(b.attempts, a)
-	b.mu.Unlock()
-	planned := b.behavior(a.ReceivedAt)
-	answered := false
-	switch {
-	case planned.Hang:
-		r.ReadByte() // returns as the connection ends: no further request is due on it
-	default:
-		ended, stop := watchClose(conn, r)
-		select {
-		case <-time.After(planned.ServiceTime):
-			stop()
-			_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(a.ID), a.ID)
-			answered = err == nil
-		case <-ended:
-		}
+	timeoutMillis, _ := strconv.Atoi(request.Header.Get(timeoutHeader)) // 0 if it can't be read
+	attempt := &BackendAttempt{
+		ID:          request.Header.Get(idHeader),
+		Backend:     b.Name,
+		FirstByteAt: firstByteAt,
+		ReceivedAt:  b.clock.Now(),
+		Timeout:     time.Duration(timeoutMillis) * time.Millisecond,
 	}
 	b.mu.Lock()
-	a.EndedAt, a.Answered = b.clock.Now(), answered
-	b.mu.Unlock()
-	return answered
+	defer b.mu.Unlock()
+	b.attempts = append(b.attempts, attempt)
+	return attempt, nil
+}
+
+// answer answers a request with its id once it is served. It returns false if the connection ended before, as it does
+// in any case where the behavior is to hang.
+func answer(conn net.Conn, reader *bufio.Reader, id string, behavior Behavior) bool {
+	if behavior.Hang {
+		reader.ReadByte() // returns as the connection ends: no further request is due on it
+		return false
+	}
+	peerClosed, stopWatch := watchClose(conn, reader)
+	select {
+	case <-time.After(behavior.ServiceTime):
+		stopWatch()
+		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+		return err == nil
+	case <-peerClosed:
+		return false
+	}
 }
 
-// watchClose reports the end of a connection on which nothing is due. stop ends the watch, and waits for its end.
-func watchClose(conn net.Conn, r *bufio.Reader) (peerClosed <-chan struct{}, stop func()) {
-	done, closed := make(chan struct{}), make(chan struct{})
+// watchClose reports the end of a connection on which no bytes are due. stop ends the watch and waits for its
+// goroutine, after which the connection may be read again.
+func watchClose(conn net.Conn, reader *bufio.Reader) (peerClosed <-chan struct{}, stop func()) {
+	done := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		defer close(done)
-		if _, err := r.Peek(1); err != nil && !isTimeout(err) {
+		if _, err := reader.Peek(1); err != nil && !isTimeout(err) {
 			close(closed)
 		}
 	}()
 	return closed, func() {
-		conn.SetReadDeadline(time.Unix(1, 0))
+		conn.SetReadDeadline(time.Unix(1, 0)) // in the past: the watch returns at once
 		<-done
 		conn.SetReadDeadline(time.Time{})
 	}
 }
 
+// isTimeout tells whether an error is that of a deadline that has passed.
 func isTimeout(err error) bool {
-	var timeout net.Error
-	return errors.As(err, &timeout) && timeout.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -3,268 +3,242 @@
 import (
 	"cmp"
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 )
 
-// Invariant names what a gateway broke.
-type Invariant string
-
-// The rules that are checked.
-const (
-	LostRequest         Invariant = "lost"       // a request that was taken got no whole answer in time
-	DuplicateExecution  Invariant = "duplicate"  // a request of class Once ran twice, or two attempts were out at once
-	TimeoutTooLong      Invariant = "overtime"   // a backend was told more time than the client had left
-	SentAfterDisconnect Invariant = "after left" // an attempt began after the client had left
-	SentToDrained       Invariant = "drained"    // an attempt began at a backend whose drain had been told long before
-	UnexpectedExit      Invariant = "crash"      // a process ended in another way than it was told to
-	NotReady            Invariant = "not ready"  // a process took too long to be ready
-)
-
+// Limits of time that gateways are held to. timingMargin is added to those that are measured over sockets.
 const (
-	closeRaceWindow      = 300 * time.Millisecond // a request may cross the close of its connection so far, stalls and proxy included
-	disconnectGrace      = 100 * time.Millisecond // attempts may begin so long after the client's close
-	timeoutSlack         = 150 * time.Millisecond // over what the client has left
-	readyTimeout         = 10 * time.Second
-	drainGrace           = 2 * time.Second        // the settings' for drains
-	watchDelay           = 300 * time.Millisecond // a watch has told a change by then
-	maxNotifyDelay       = 6 * time.Second        // or by then, after a silence of discovery
-	overlapTolerance     = 150 * time.Millisecond // two attempts count as out at once from here: the end of one is seen late
-	killObservationSlack = 50 * time.Millisecond  // between a kill and what its connections show
-)
-
-// Process is one process of a gateway, from its start to its end.
-type Process struct {
-	Gateway, Number            int
-	StartedAt, ReadyAt         time.Duration
-	SigtermAt                  time.Duration // SIGTERM; 0: none
-	SigkillAt                  time.Duration // SIGKILL; 0: none
-	EndedAt                    time.Duration // 0: it never was
-	Err                        error         // of the end, unless it was killed
-	Log                        string        // the end of it
-	signals                    []signalRecord
-	killedUnwarned, neverReady bool
-}
+	// closeRaceWindow is how long after it was sent a request may cross the close of its connection, pauses and the
+	// proxy's delays included.
+	closeRaceWindow = 300 * time.Millisecond
 
-// signalRecord is one that a process got.
-type signalRecord struct {
-	At   time.Duration
-	Name string
-}
+	// disconnectGrace is how long after its client's close an attempt may still begin.
+	disconnectGrace = 100 * time.Millisecond
 
-// History is all that was recorded in a run.
-type History struct {
-	ClientAttempts  []ClientAttempt
-	BackendAttempts []BackendAttempt
-	Processes       []Process
-	ListChanges     []ListChange
-	Outages         []Outage
-}
+	// timeoutSlack is by how much a timeout sent to a backend may exceed what the client has left.
+	timeoutSlack = 150 * time.Millisecond
 
-// ListChange is one of the list of backends.
-type ListChange struct {
-	Backend string
-	At      time.Duration
-	Ready   bool // else it drains, or is gone
-}
+	// readyTimeout is how long after its start a process must be ready.
+	readyTimeout = 10 * time.Second
 
-// removalNotifiedAt is when the last change of a backend before a moment counts as told, if that took it out of service.
-func (h *History) removalNotifiedAt(backend string, moment time.Duration) (at time.Duration, removed bool) {
-	for _, c := range h.ListChanges {
-		if c.Backend != backend || c.At > moment {
-			continue
-		}
-		if !c.Ready && removed {
-			continue // it was out already
-		}
-		at, removed = c.At+watchDelay, !c.Ready
-		for _, o := range h.Outages {
-			// A watch that fell silent then is opened anew only after a while.
-			if c.At > o.From-watchDelay && c.At < o.To+maxNotifyDelay {
-				at = max(c.At, o.To) + maxNotifyDelay
-			}
-		}
-	}
-	return at, removed
-}
+	// drainGrace is how long after the notification of a drain an attempt may still begin. The settings of the gateways
+	// state it too.
+	drainGrace = 2 * time.Second
 
-// Violation is a broken rule with what is known of it.
-type Violation struct {
-	Invariant       Invariant
-	Detail          string
-	ClientAttempt   *ClientAttempt // nil where the fault is a process's
-	BackendAttempts []BackendAttempt
-	Process         *Process
-}
+	// overlapTolerance is by how much two attempts may overlap, since the end of one is seen late.
+	overlapTolerance = 150 * time.Millisecond
 
-// String tells the whole story of a fault, a line an observation.
-func (f Violation) String() string {
-	text := fmt.Sprintf("%s: %s", f.Invariant, f.Detail)
-	if s := f.ClientAttempt; s != nil {
-		text += fmt.Sprintf("\n  client: %s %s to gateway %d: bytes %.3f to %.3f, would wait %.3f until %.3f, ended %.3f: status %d, left %t, resent %t, %v",
-			s.ID, s.Class, s.Gateway, s.FirstByteAt.Seconds(), s.SentAt.Seconds(), s.Timeout.Seconds(), s.Deadline().Seconds(), s.EndedAt.Seconds(),
-			s.Status, s.Disconnected, s.Resent, s.Err)
-	}
-	for _, a := range f.BackendAttempts {
-		text += fmt.Sprintf("\n  backend %s: bytes %.3f to %.3f, told %.3f, ended %.3f, answered %t",
-			a.Backend, a.FirstByteAt.Seconds(), a.ReceivedAt.Seconds(), a.Timeout.Seconds(), a.EndedAt.Seconds(), a.Answered)
-	}
-	if l := f.Process; l != nil {
-		text += fmt.Sprintf("\n  process %d of gateway %d: started %.3f, ready %.3f, SIGTERM %.3f, SIGKILL %.3f, ended %.3f: %v",
-			l.Number, l.Gateway, l.StartedAt.Seconds(), l.ReadyAt.Seconds(), l.SigtermAt.Seconds(), l.SigkillAt.Seconds(), l.EndedAt.Seconds(), l.Err)
-		for _, s := range l.signals {
-			text += fmt.Sprintf("\n    %.3f %s", s.At.Seconds(), s.Name)
-		}
-		if f.ClientAttempt == nil {
-			text += "\n  log: " + l.Log
-		}
-	}
-	return text
-}
+	// killObservationSlack is how long before the recorded SIGKILL its connections may be seen to end.
+	killObservationSlack = 50 * time.Millisecond
+)
 
-// Verdict is what Check found.
+// Verdict is what Check found. Each request that was sent completely and reached a gateway counts in one of the numbers
+// or has a violation.
 type Verdict struct {
 	Violations     []Violation
-	ExcusedByKill  int // requests that a stop's SIGKILL found unanswered, and that had come early enough to be excused
-	KilledUnwarned int // requests that ended with a process that was killed with no warning
+	ExcusedByKill  int // requests without an answer at a stop's SIGKILL, sent early enough to be excused
+	KilledUnwarned int // requests that ended with a process that got SIGKILL with no SIGTERM before
 	CloseRaces     int // requests that crossed the close of their connection unread
-	Served         int
+	Served         int // answered 200
 	Rejected       int // answered 429 or 503
 	Failed         int // answered otherwise
-	Disconnected   int
+	Disconnected   int // the client disconnected
+}
+
+// processID identifies a process among all gateways'.
+type processID struct {
+	gateway int
+	number  int
 }
 
 // checker joins the records of a run.
 type checker struct {
 	history         History
-	backendAttempts map[string][]BackendAttempt // by request
-	processes       map[[2]int]*Process         // by gateway and number
+	backendAttempts map[string][]BackendAttempt // by request id
+	processes       map[processID]*Process
 	verdict         Verdict
 }
 
-// Check finds what broke a rule.
-func Check(h History) Verdict {
-	c := &checker{history: h, backendAttempts: map[string][]BackendAttempt{}, processes: map[[2]int]*Process{}}
-	for _, a := range h.BackendAttempts {
-		c.backendAttempts[a.ID] = append(c.backendAttempts[a.ID], a)
-	}
-	for i := range h.Processes {
-		c.processes[[2]int{h.Processes[i].Gateway, h.Processes[i].Number}] = &h.Processes[i]
-	}
-	checked := map[string]bool{}
-	for i := range h.ClientAttempts {
-		s := &h.ClientAttempts[i]
-		c.checkAnswer(s)
-		c.checkAttempts(s)
-		if !checked[s.ID] {
-			checked[s.ID] = true
-			c.checkDuplicates(s)
+// Check finds the violations in what was recorded of a run.
+func Check(history History) Verdict {
+	c := newChecker(history)
+	duplicatesChecked := map[string]bool{}
+	for i := range history.ClientAttempts {
+		attempt := &history.ClientAttempts[i]
+		c.checkAnswer(attempt)
+		c.checkBackendAttempts(attempt)
+		if !duplicatesChecked[attempt.ID] {
+			duplicatesChecked[attempt.ID] = true
+			c.checkDuplicates(attempt)
 		}
 	}
-	for i := range h.Processes {
-		c.checkProcess(&h.Processes[i])
+	for i := range history.Processes {
+		c.checkProcess(&history.Processes[i])
 	}
 	return c.verdict
 }
 
-func (c *checker) violation(invariant Invariant, s *ClientAttempt, format string, args ...any) {
-	v := Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...), ClientAttempt: s}
-	if s != nil {
-		v.BackendAttempts = c.backendAttempts[s.ID]
-		v.Process = c.processes[[2]int{s.Gateway, s.ProcessNumber}]
+func newChecker(history History) *checker {
+	c := &checker{
+		history:         history,
+		backendAttempts: map[string][]BackendAttempt{},
+		processes:       map[processID]*Process{},
 	}
-	c.verdict.Violations = append(c.verdict.Violations, v)
+	for _, attempt := range history.BackendAttempts {
+		c.backendAttempts[attempt.ID] = append(c.backendAttempts[attempt.ID], attempt)
+	}
+	for i := range history.Processes {
+		process := &history.Processes[i]
+		c.processes[processID{process.Gateway, process.Number}] = process
+	}
+	return c
+}
+
+// processOf returns the process that a client was connected to, nil if it is not known.
+func (c *checker) processOf(attempt *ClientAttempt) *Process {
+	return c.processes[processID{attempt.Gateway, attempt.ProcessNumber}]
 }
 
-// attemptsOf returns the attempts that a sending can have brought about.
-func (c *checker) attemptsOf(s *ClientAttempt) []BackendAttempt {
-	var list []BackendAttempt
-	for _, a := range c.backendAttempts[s.ID] {
-		if a.FirstByteAt >= s.FirstByteAt && (s.EndedAt == 0 || s.Disconnected || a.FirstByteAt <= s.EndedAt) {
-			list = append(list, a)
+// backendAttemptsOf returns the backends' attempts that a client's attempt can have caused.
+func (c *checker) backendAttemptsOf(attempt *ClientAttempt) []BackendAttempt {
+	var caused []BackendAttempt
+	for _, b := range c.backendAttempts[attempt.ID] {
+		beforeEnd := attempt.EndedAt == 0 || attempt.Disconnected || b.FirstByteAt <= attempt.EndedAt
+		if b.FirstByteAt >= attempt.FirstByteAt && beforeEnd {
+			caused = append(caused, b)
 		}
 	}
-	return list
+	return caused
+}
+
+// addViolation adds a violation that a client's attempt shows.
+func (c *checker) addViolation(invariant Invariant, attempt *ClientAttempt, format string, args ...any) {
+	c.verdict.Violations = append(c.verdict.Violations, Violation{
+		Invariant:       invariant,
+		Detail:          fmt.Sprintf(format, args...),
+		ClientAttempt:   attempt,
+		BackendAttempts: c.backendAttempts[attempt.ID],
+		Process:         c.processOf(attempt),
+	})
 }
 
-// checkAnswer checks the one final answer.
-func (c *checker) checkAnswer(s *ClientAttempt) {
-	process := c.processes[[2]int{s.Gateway, s.ProcessNumber}]
+// addProcessViolation adds a violation that a process shows.
+func (c *checker) addProcessViolation(invariant Invariant, process *Process, detail string) {
+	violation := Violation{Invariant: invariant, Detail: detail, Process: process}
+	c.verdict.Violations = append(c.verdict.Violations, violation)
+}
+
+// checkAnswer checks that an attempt got its one final answer in time, and counts what became of it.
+func (c *checker) checkAnswer(attempt *ClientAttempt) {
 	switch {
-	case s.Disconnected:
+	case attempt.Disconnected:
 		c.verdict.Disconnected++
-	case s.SentAt == 0, s.Unreached: // it never was whole, or never reached a gateway
-	case s.Status == 200:
+	case attempt.SentAt == 0 || attempt.Unreached:
+		// The request never was complete, or never reached a gateway: no answer is due.
+	case attempt.Status != 0:
+		c.countAnswer(attempt.Status)
+		c.checkAnswerTime(attempt)
+	default:
+		c.checkMissingAnswer(attempt)
+	}
+}
+
+func (c *checker) countAnswer(status int) {
+	switch status {
+	case http.StatusOK:
 		c.verdict.Served++
-		c.checkDeadline(s)
-	case s.Status == 429, s.Status == 503:
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		c.verdict.Rejected++
-		c.checkDeadline(s)
-	case s.Status != 0:
+	default:
 		c.verdict.Failed++
-		c.checkDeadline(s)
-	case process != nil && process.killedUnwarned && s.EndedAt >= process.SigkillAt-killObservationSlack: // it owes nothing
+	}
+}
+
+// checkAnswerTime checks that a complete answer came in time.
+func (c *checker) checkAnswerTime(attempt *ClientAttempt) {
+	if late := attempt.EndedAt - attempt.Deadline(); late > lateAnswerLimit+timingMargin {
+		c.addViolation(LostRequest, attempt, "the answer came %.3f s after the client's time", late.Seconds())
+	}
+}
+
+// checkMissingAnswer judges an attempt without a complete answer. What a SIGKILL or the close of an idle connection
+// excuses is counted; all else is a lost request.
+func (c *checker) checkMissingAnswer(attempt *ClientAttempt) {
+	process := c.processOf(attempt)
+	switch {
+	case endedByKill(attempt, process) && process.killedUnwarned: // such a process owes no answer
 		c.verdict.KilledUnwarned++
-	case process != nil && process.SigkillAt > 0 && s.EndedAt >= process.SigkillAt-killObservationSlack && s.SentAt <= process.SigtermAt+KillDelay:
+	case endedByKill(attempt, process) && attempt.SentAt <= process.SigtermAt+KillDelay:
 		c.verdict.ExcusedByKill++
-	case len(c.attemptsOf(s)) > 0:
-		c.violation(LostRequest, s, "a request that had been sent to a backend got no whole answer")
-	case s.AnswerStarted:
-		c.violation(LostRequest, s, "an answer was cut")
-	case isTimeout(s.Err):
-		c.violation(LostRequest, s, "no answer came by %s after the client's time", lateAnswerLimit)
-	case s.EndedAt-s.SentAt > closeRaceWindow:
-		c.violation(LostRequest, s, "the connection ended %.3f s after the request was whole", (s.EndedAt - s.SentAt).Seconds())
-	case s.Resent:
-		c.violation(LostRequest, s, "the second connection ended with no answer as well")
+	case len(c.backendAttemptsOf(attempt)) > 0:
+		c.addViolation(LostRequest, attempt, "a request that had been sent to a backend got no whole answer")
+	case attempt.AnswerStarted:
+		c.addViolation(LostRequest, attempt, "an answer was cut")
+	case isTimeout(attempt.Err):
+		c.addViolation(LostRequest, attempt, "no answer came by %s after the client's time", lateAnswerLimit)
+	case attempt.EndedAt-attempt.SentAt > closeRaceWindow:
+		c.addViolation(LostRequest, attempt, "the connection ended %.3f s after the request was whole",
+			(attempt.EndedAt - attempt.SentAt).Seconds())
+	case attempt.Resent:
+		c.addViolation(LostRequest, attempt, "the second connection ended with no answer as well")
 	default:
 		c.verdict.CloseRaces++
 	}
 }
 
-func (c *checker) checkDeadline(s *ClientAttempt) {
-	if late := s.EndedAt - s.Deadline(); late > lateAnswerLimit+timingMargin {
-		c.violation(LostRequest, s, "the answer came %.3f s after the client's time", late.Seconds())
-	}
+// endedByKill tells whether the attempt's connection ended with the SIGKILL of its process.
+func endedByKill(attempt *ClientAttempt, process *Process) bool {
+	return process != nil && process.SigkillAt > 0 && attempt.EndedAt >= process.SigkillAt-killObservationSlack
 }
 
-// checkAttempts checks when attempts began, and what time they told.
-func (c *checker) checkAttempts(s *ClientAttempt) {
-	for _, a := range c.attemptsOf(s) {
-		if s.Disconnected && a.FirstByteAt > s.EndedAt+disconnectGrace+timingMargin {
-			c.violation(SentAfterDisconnect, s, "an attempt began %.3f s after the client had left", (a.FirstByteAt - s.EndedAt).Seconds())
+// checkBackendAttempts checks when the backends' attempts began, and which timeout they were sent with.
+func (c *checker) checkBackendAttempts(attempt *ClientAttempt) {
+	for _, b := range c.backendAttemptsOf(attempt) {
+		if attempt.Disconnected && b.FirstByteAt > attempt.EndedAt+disconnectGrace+timingMargin {
+			c.addViolation(SentAfterDisconnect, attempt, "an attempt began %.3f s after the client had left",
+				(b.FirstByteAt - attempt.EndedAt).Seconds())
 		}
-		if notifiedAt, removed := c.history.removalNotifiedAt(a.Backend, a.FirstByteAt); removed && a.FirstByteAt > notifiedAt+drainGrace+timingMargin {
-			c.violation(SentToDrained, s, "an attempt began %.3f s after the drain of %s was told", (a.FirstByteAt - notifiedAt).Seconds(), a.Backend)
+		notifiedAt, removed := c.history.removalNotifiedAt(b.Backend, b.FirstByteAt)
+		if removed && b.FirstByteAt > notifiedAt+drainGrace+timingMargin {
+			c.addViolation(SentToDrained, attempt, "an attempt began %.3f s after the drain of %s was told",
+				(b.FirstByteAt - notifiedAt).Seconds(), b.Backend)
 		}
-		if remaining := s.Deadline() - a.FirstByteAt; s.SentAt > 0 && a.Timeout > remaining+timeoutSlack+timingMargin {
-			c.violation(TimeoutTooLong, s, "a backend was told %.3f s when %.3f were left", a.Timeout.Seconds(), remaining.Seconds())
+		remaining := attempt.Deadline() - b.FirstByteAt
+		if attempt.SentAt > 0 && b.Timeout > remaining+timeoutSlack+timingMargin {
+			c.addViolation(TimeoutTooLong, attempt, "a backend was told %.3f s when %.3f were left",
+				b.Timeout.Seconds(), remaining.Seconds())
 		}
 	}
 }
 
-// checkDuplicates checks that a request of class Once ran once, and none had two attempts out.
-func (c *checker) checkDuplicates(s *ClientAttempt) {
-	list := slices.Clone(c.backendAttempts[s.ID])
-	slices.SortFunc(list, func(a, b BackendAttempt) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
-	if s.Class == string(NonIdempotent) && len(list) > 1 {
-		c.violation(DuplicateExecution, s, "it ran %d times", len(list))
+// checkDuplicates checks that a non-idempotent request ran at most once, and that no request had two attempts in flight
+// at once.
+func (c *checker) checkDuplicates(attempt *ClientAttempt) {
+	executions := slices.Clone(c.backendAttempts[attempt.ID])
+	slices.SortFunc(executions, func(a, b BackendAttempt) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
+	if attempt.Class == string(NonIdempotent) && len(executions) > 1 {
+		c.addViolation(DuplicateExecution, attempt, "it ran %d times", len(executions))
 	}
-	for i := 1; i < len(list); i++ {
-		if before := list[i-1]; before.EndedAt == 0 || before.EndedAt > list[i].ReceivedAt+overlapTolerance {
-			c.violation(DuplicateExecution, s, "two attempts were out at once")
+	for i := 1; i < len(executions); i++ {
+		previous := executions[i-1]
+		if previous.EndedAt == 0 || previous.EndedAt > executions[i].ReceivedAt+overlapTolerance {
+			c.addViolation(DuplicateExecution, attempt, "two attempts were out at once")
 		}
 	}
 }
 
-func (c *checker) checkProcess(p *Process) {
+// checkProcess checks the start and the end of a process.
+func (c *checker) checkProcess(process *Process) {
+	startup := process.ReadyAt - process.StartedAt
 	switch {
-	case p.neverReady:
-		c.verdict.Violations = append(c.verdict.Violations, Violation{Invariant: NotReady, Detail: "the process did not become ready", Process: p})
-	case p.ReadyAt-p.StartedAt > readyTimeout:
-		c.verdict.Violations = append(c.verdict.Violations, Violation{Invariant: NotReady, Detail: fmt.Sprintf("ready after %.1f s", (p.ReadyAt - p.StartedAt).Seconds()), Process: p})
+	case process.neverReady:
+		c.addProcessViolation(NotReady, process, "the process did not become ready")
+	case startup > readyTimeout:
+		c.addProcessViolation(NotReady, process, fmt.Sprintf("ready after %.1f s", startup.Seconds()))
 	}
-	if p.SigkillAt == 0 && p.Err != nil {
-		c.verdict.Violations = append(c.verdict.Violations, Violation{Invariant: UnexpectedExit, Detail: "the process ended by itself with an error", Process: p})
+	if process.SigkillAt == 0 && process.Err != nil {
+		c.addProcessViolation(UnexpectedExit, process, "the process ended by itself with an error")
 	}
 }
--- /dev/null
+++ b/internal/lab/soak/discoveryfaults.go
@@ -0,0 +1,55 @@
+package soak
+
+import (
+	"context"
+
+	"amberlb/internal/gateway"
+)
+
+// Lifecycles of an entry in the list of backends.
+const (
+	lifecycleReady    = "Ready"
+	lifecycleDraining = "Terminating"
+	lifecycleRemoved  = "Gone"
+)
+
+// playDrains plays the drains: each backend drains, is removed from the list and comes back.
+func (r *runner) playDrains(ctx context.Context) {
+	for _, drain := range r.plan.Drains {
+		if !r.sleepUntil(ctx, drain.DrainAt) {
+			return
+		}
+		r.setLifecycle(drain.Backend, lifecycleDraining)
+		if !r.sleepUntil(ctx, drain.GoneAt) {
+			return
+		}
+		r.setLifecycle(drain.Backend, lifecycleRemoved)
+		if !r.sleepUntil(ctx, drain.ReadyAt) {
+			return
+		}
+		r.setLifecycle(drain.Backend, lifecycleReady)
+	}
+}
+
+// setLifecycle changes a backend's entry in the list, and records the change.
+func (r *runner) setLifecycle(backend int, lifecycle string) {
+	entry := r.standins.entries[backend]
+	entry.Lifecycle = lifecycle
+	r.standins.discovery.ApplyDelta([]gateway.EndpointEntry{entry})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	change := ListChange{Backend: entry.ID, At: r.clock.Now(), Ready: lifecycle == lifecycleReady}
+	r.listChanges = append(r.listChanges, change)
+}
+
+// playOutages plays the outages of discovery.
+func (r *runner) playOutages(ctx context.Context) {
+	for _, outage := range r.plan.Outages {
+		if !r.sleepUntil(ctx, outage.From) {
+			return
+		}
+		r.standins.discoveryProxy.SetBlackhole(true)
+		r.sleepUntil(ctx, outage.To)
+		r.standins.discoveryProxy.SetBlackhole(false)
+	}
+}
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,34 +1,10 @@
-// Package soak plays seeded trouble on real gateways, each a process of its own, and checks what became of every
-// request: signals in series, restarts, backends that hang, stalled processes, clients that keep using open connections
-// until the kill, write slowly, leave, or crowd the descriptors, and a proxy before each gateway that delays and
-// splits bytes.
+// Package soak runs gateways, each a process of its own, under faults that a seed draws, and checks what became of
+// every request. The faults are series of signals, restarts, backends that hang, paused processes, clients that keep
+// using open connections until the SIGKILL, write slowly, disconnect, or use up the file descriptors, and a proxy in
+// front of each gateway that delays and splits bytes.
 //
-// Clients and backends each keep a record with times of one monotonic clock. Check joins the records and names each
-// request that was lost, answered late, run twice, sent with too much time, or sent after its client had left. The
-// rules are those of the protocol page; what they excuse is counted apart.
+// NewPlan draws a plan, Run plays it and Check judges what was recorded. Clients and backends each keep records with
+// times of one monotonic clock. Check joins the records and names each request that was lost, answered late, executed
+// twice, sent with too long a timeout, or sent after its client had disconnected. The invariants are those of the
+// protocol's description; requests that it excuses are counted separately.
 package soak
-
-import "time"
-
-// Clock tells the time since the start of a run. All records of a run share one.
-type Clock struct{ start time.Time }
-
-// NewClock starts a clock.
-func NewClock() Clock { return Clock{start: time.Now()} }
-
-// Now is the time since the start.
-func (c Clock) Now() time.Duration { return time.Since(c.start) }
-
-// At is a moment of the clock as the time package has it, for timers and deadlines.
-func (c Clock) At(moment time.Duration) time.Time { return c.start.Add(moment) }
-
-// The protocol's headers that the stand-ins read or write.
-const (
-	idHeader     = "X-Correlation-Id"
-	timeHeader   = "X-Time-Left-Ms"
-	classHeader  = "X-Service-Class"
-	planHeader   = "X-Tier"
-	clientHeader = "X-Api-Key"
-	keyHeader    = "Idempotency-Key"
-	termsHeader  = "X-Call-Terms"
-)
--- a/internal/lab/soak/gatewayoptions.go
+++ b/internal/lab/soak/gatewayoptions.go
@@ -2,76 +2,130 @@
 
 import (
 	"encoding/json"
-	"time"
 
 	"amberlb/internal/lab/gatewayprocess"
 )
 
 const (
-	planName           = "standard"
-	memoryMB           = 192                    // limit of a gateway
-	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this where a kill is due
-	KillDelay          = 700 * time.Millisecond // from SIGTERM and the longest deadline to the earliest SIGKILL
+	planName        = "standard" // the settings' only plan
+	gatewayMemoryMB = 192        // limit of a gateway, MiB
 )
 
-// Class is one class of requests in a gateway's settings.
-type Class struct {
-	Name        string
-	Idempotency Idempotency
-	Deadline    time.Duration
+// GatewayOptions are the configuration of a gateway.
+type GatewayOptions struct {
+	Name            string
+	Listen          string // address for clients
+	Discovery       string // address
+	DescriptorLimit int    // file descriptors that it may use
+	Classes         []Class
+	Env             []string // environment variables for its program
 }
 
-// Idempotency says how often a request may take effect, in the settings' words.
-type Idempotency string
+// ProcessOptions are the options as those of a gateway process.
+func (o GatewayOptions) ProcessOptions() (gatewayprocess.Options, error) {
+	settings, err := json.Marshal(newSettings(o.Classes))
+	return gatewayprocess.Options{
+		Name:            o.Name,
+		Discovery:       o.Discovery,
+		Seed:            1,
+		Cores:           1,
+		MemoryMB:        gatewayMemoryMB,
+		Settings:        settings,
+		Listen:          o.Listen,
+		DescriptorLimit: o.DescriptorLimit,
+		Env:             o.Env,
+	}, err
+}
 
-// The effects.
-const (
-	Idempotent      Idempotency = "repeatable"
-	IdempotentByKey Idempotency = "by_key"
-	NonIdempotent   Idempotency = "once"
-)
+// settings are the deployment settings that a soak needs, by the settings' keys. Times are in seconds.
+type settings struct {
+	FleetSize   int                `json:"fleetSize"`
+	TickS       float64            `json:"tickS"`
+	Localities  []string           `json:"localities"`
+	Kinds       []string           `json:"kinds"`
+	Allowed     allowedSettings    `json:"allowed"`
+	Obligations obligationSettings `json:"obligations"`
+	Classes     []classSettings    `json:"classes"`
+	Packages    []planSettings     `json:"packages"`
+	FamilyInfo  familyInfoSettings `json:"familyInfo"`
+}
 
-// GatewayOptions is what a gateway is told.
-type GatewayOptions struct {
-	Name, Listen, Discovery string
-	DescriptorLimit         int // limit of descriptors
-	Classes                 []Class
-	Env                     []string // for its program
+// allowedSettings are what the gateway is allowed to do.
+type allowedSettings struct {
+	Cancel          bool    `json:"cancel"`
+	ConnectTimeoutS float64 `json:"connectTimeoutS"`
+	KeepaliveS      float64 `json:"keepaliveS"`
+	MostTries       int     `json:"mostTries"`
+	RetryAfter      bool    `json:"retryAfter"`
+	MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
+}
+
+// obligationSettings are the limits of time that the gateway has to keep.
+type obligationSettings struct {
+	AnswerSlackS float64 `json:"answerSlackS"`
+	DrainGraceS  float64 `json:"drainGraceS"`
+}
+
+// classSettings are those of one class. The last two are left out unless it is idempotent by key.
+type classSettings struct {
+	Name       string      `json:"name"`
+	Effect     Idempotency `json:"effect"`
+	Points     float64     `json:"points"`
+	LateWorth  float64     `json:"lateWorth"`
+	ObjectiveS float64     `json:"objectiveS"`
+	DeadlineS  float64     `json:"deadlineS"`
+	KeyScope   string      `json:"keyScope,omitempty"`
+	WindowS    float64     `json:"windowS,omitempty"`
 }
 
-// ProcessOptions are the setup as a real gateway's.
-func (s GatewayOptions) ProcessOptions() (gatewayprocess.Options, error) {
-	settings, err := s.settings()
-	return gatewayprocess.Options{Name: s.Name, Discovery: s.Discovery, Seed: 1, Cores: 1, MemoryMB: memoryMB, Settings: settings,
-		Listen: s.Listen, DescriptorLimit: s.DescriptorLimit, Env: s.Env}, err
+// planSettings are those of one plan.
+type planSettings struct {
+	Name string  `json:"name"`
+	Pays float64 `json:"pays"`
 }
 
-func (s GatewayOptions) settings() (json.RawMessage, error) {
-	var classes []map[string]any
-	for _, c := range s.Classes {
-		class := map[string]any{"name": c.Name, "effect": c.Idempotency, "points": 1, "lateWorth": 0.5,
-			"objectiveS": c.Deadline.Seconds() / 2, "deadlineS": c.Deadline.Seconds()}
-		if c.Idempotency == IdempotentByKey {
-			class["keyScope"], class["windowS"] = "all", 8
-		}
-		classes = append(classes, class)
+// familyInfoSettings are those that depend on the kind of deployment.
+type familyInfoSettings struct {
+	MostUnits float64 `json:"mostUnits"`
+}
+
+// newSettings returns the settings of a gateway that serves these classes.
+func newSettings(classes []Class) settings {
+	s := settings{
+		FleetSize:  1,
+		TickS:      0.004,
+		Localities: []string{"a"},
+		Kinds:      []string{"m"},
+		Allowed: allowedSettings{
+			Cancel:          true,
+			ConnectTimeoutS: 0.25,
+			KeepaliveS:      30,
+			MostTries:       3,
+			RetryAfter:      true,
+			MaxRetryAfterS:  0.5,
+		},
+		Obligations: obligationSettings{AnswerSlackS: 0.016, DrainGraceS: drainGrace.Seconds()},
+		Packages:    []planSettings{{Name: planName, Pays: 1}},
+		FamilyInfo:  familyInfoSettings{MostUnits: 4},
+	}
+	for _, class := range classes {
+		s.Classes = append(s.Classes, newClassSettings(class))
 	}
-	return json.Marshal(map[string]any{
-		"fleetSize": 1, "tickS": 0.004, "localities": []string{"a"}, "kinds": []string{"m"},
-		"allowed": map[string]any{"cancel": true, "connectTimeoutS": 0.25, "keepaliveS": 30, "mostTries": 3,
-			"retryAfter": true, "maxRetryAfterS": 0.5},
-		"obligations": map[string]any{"answerSlackS": 0.016, "drainGraceS": 2},
-		"classes":     classes,
-		"packages":    []map[string]any{{"name": planName, "pays": 1}},
-		"familyInfo":  map[string]any{"mostUnits": 4},
-	})
+	return s
 }
 
-// KillAfter is the earliest moment of a SIGKILL, counted from SIGTERM.
-func KillAfter(classes []Class) time.Duration {
-	longest := time.Duration(0)
-	for _, c := range classes {
-		longest = max(longest, c.Deadline)
+func newClassSettings(class Class) classSettings {
+	s := classSettings{
+		Name:       class.Name,
+		Effect:     class.Idempotency,
+		Points:     1,
+		LateWorth:  0.5,
+		ObjectiveS: class.Deadline.Seconds() / 2,
+		DeadlineS:  class.Deadline.Seconds(),
+	}
+	if class.Idempotency == IdempotentByKey {
+		s.KeyScope = "all"
+		s.WindowS = 8
 	}
-	return min(longest, maxCountedDeadline) + KillDelay
+	return s
 }
--- /dev/null
+++ b/internal/lab/soak/request.go
@@ -0,0 +1,43 @@
+package soak
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Request is what a client sends.
+type Request struct {
+	ID              string
+	Class           string // name of its class
+	Method          string
+	Key             string        // idempotency key; "": none
+	BodyBytes       int           // bytes
+	Timeout         time.Duration // how long the client waits for the answer, from the last byte sent
+	Pieces          int           // number of pieces that it is written in; 0 stands for 1
+	PieceGap        time.Duration // between two pieces
+	DisconnectAfter time.Duration // from the last byte sent until the client closes the connection; 0: it does not
+}
+
+// encode is the request as HTTP.
+func (q Request) encode() string {
+	const clientID = 7
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s /%s/do HTTP/1.1\r\nHost: origin.svc\r\n", q.Method, q.Class)
+	writeHeader := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
+	writeHeader(idHeader, q.ID)
+	writeHeader(classHeader, q.Class)
+	writeHeader(planHeader, planName)
+	writeHeader(clientHeader, fmt.Sprintf("%016x", clientID))
+	writeHeader(timeoutHeader, q.Timeout.Milliseconds())
+	writeHeader(termsHeader, "units=1,spread=1,first=0")
+	if q.Key != "" {
+		writeHeader(keyHeader, q.Key)
+	}
+	if q.BodyBytes > 0 {
+		writeHeader("Content-Length", q.BodyBytes)
+	}
+	text.WriteString("\r\n")
+	text.WriteString(strings.Repeat("b", q.BodyBytes))
+	return text.String()
+}
--- /dev/null
+++ b/internal/lab/soak/stops.go
@@ -0,0 +1,130 @@
+package soak
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"amberlb/internal/lab/ctxtime"
+)
+
+// stopLead is how long before a stop's SIGTERM the stop begins, since some of its signals may come before.
+const stopLead = time.Second
+
+// playStops plays the stops of one gateway, each with the restart after it.
+func (r *runner) playStops(ctx context.Context, n *gatewayNode) {
+	for _, stop := range r.plan.Stops {
+		if stop.Gateway != n.number {
+			continue
+		}
+		if !r.sleepUntil(ctx, stop.At-stopLead) {
+			return
+		}
+		r.stopProcess(n, stop)
+		if !ctxtime.Sleep(ctx, stop.RestartDelay) {
+			return
+		}
+		if err := r.startProcess(ctx, n); err != nil && ctx.Err() == nil {
+			r.options.Log.Error("a gateway does not start", "gateway", n.number, "error", err)
+		}
+		if n.process == nil {
+			return
+		}
+	}
+}
+
+// stopProcess ends a process as a planned restart does, with the other signals of the stop.
+func (r *runner) stopProcess(n *gatewayNode, stop Stop) {
+	if stop.KillOnly {
+		r.killProcess(n, stop)
+		return
+	}
+	frontTimer := time.AfterFunc(time.Until(r.clock.At(stop.At+stop.FrontDelay)), func() { n.setInRotation(false) })
+	defer frontTimer.Stop()
+	killAt := r.sendSignals(n, stop)
+	if r.waitUntil(n, killAt) {
+		n.current.SigkillAt = r.clock.Now()
+		n.process.Signal(syscall.SIGKILL)
+	}
+	n.setInRotation(false)
+	r.recordEnd(n)
+}
+
+// timedSignal is a signal with the time at which it is due.
+type timedSignal struct {
+	at     time.Duration
+	signal syscall.Signal
+}
+
+// timedSignals are the signals of a stop by time, its SIGTERM among them.
+func (s Stop) timedSignals() []timedSignal {
+	signals := []timedSignal{{s.At, syscall.SIGTERM}}
+	for _, planned := range s.Signals {
+		signals = append(signals, timedSignal{s.At + planned.Offset, planned.Signal})
+	}
+	slices.SortStableFunc(signals, func(a, b timedSignal) int { return cmp.Compare(a.at, b.at) })
+	return signals
+}
+
+// sendSignals sends the signals of a stop that are due before its SIGKILL, until the process ends. It returns when the
+// SIGKILL is due, which counts from the first SIGTERM as it was sent.
+func (r *runner) sendSignals(n *gatewayNode, stop Stop) (killAt time.Duration) {
+	killAfter := KillAfter(r.plan.Classes)
+	killAt = stop.At + killAfter
+	for _, timed := range stop.timedSignals() {
+		if timed.at >= killAt {
+			continue
+		}
+		if !r.waitUntil(n, timed.at) {
+			break
+		}
+		if timed.signal == syscall.SIGTERM && n.current.SigtermAt == 0 {
+			n.current.SigtermAt = r.clock.Now()
+			killAt = n.current.SigtermAt + killAfter
+		}
+		n.current.signals = append(n.current.signals, signalRecord{At: r.clock.Now(), Name: timed.signal.String()})
+		n.process.Signal(timed.signal)
+	}
+	return killAt
+}
+
+// killProcess ends a process by SIGKILL alone. Clients go on connecting to it for the stop's front delay.
+func (r *runner) killProcess(n *gatewayNode, stop Stop) {
+	r.waitUntil(n, stop.At)
+	n.setKilledUnwarned()
+	n.current.killedUnwarned = true
+	n.current.SigkillAt = r.clock.Now()
+	n.process.Signal(syscall.SIGKILL)
+	time.Sleep(stop.FrontDelay)
+	n.setInRotation(false)
+	r.recordEnd(n)
+}
+
+// stopRemaining stops the processes that still run, at the end of the run.
+func (r *runner) stopRemaining() {
+	var stopping sync.WaitGroup
+	for _, n := range r.gateways {
+		if n.process != nil {
+			stopping.Go(func() { r.stopProcess(n, Stop{At: r.clock.Now()}) })
+		}
+	}
+	stopping.Wait()
+}
+
+// waitUntil waits for a time of the run's clock. It returns false if the gateway's process ends before.
+func (r *runner) waitUntil(n *gatewayNode, at time.Duration) bool {
+	select {
+	case <-n.process.Done():
+		return false
+	case <-time.After(time.Until(r.clock.At(at))):
+		return true
+	}
+}
+
+// sleepUntil waits for a time of the run's clock. It returns false if ctx ends before.
+func (r *runner) sleepUntil(ctx context.Context, at time.Duration) bool {
+	return ctxtime.Sleep(ctx, time.Until(r.clock.At(at)))
+}
--- /dev/null
+++ b/internal/lab/soak/violation.go
@@ -0,0 +1,74 @@
+package soak
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Invariant names what a gateway must keep.
+type Invariant string
+
+// The invariants that are checked, each by what a violation of it is.
+const (
+	LostRequest         Invariant = "lost"       // a request that was accepted got no complete answer in time
+	DuplicateExecution  Invariant = "duplicate"  // a non-idempotent request ran twice, or two attempts overlapped
+	TimeoutTooLong      Invariant = "overtime"   // the timeout sent to a backend was longer than the client had left
+	SentAfterDisconnect Invariant = "after left" // an attempt began after the client had disconnected
+	SentToDrained       Invariant = "drained"    // an attempt began at a backend that had been draining for long
+	UnexpectedExit      Invariant = "crash"      // a process ended by itself with an error
+	NotReady            Invariant = "not ready"  // a process took too long to be ready
+)
+
+// Violation is a broken invariant with the records that show it.
+type Violation struct {
+	Invariant       Invariant
+	Detail          string
+	ClientAttempt   *ClientAttempt // nil where the violation is a process's
+	BackendAttempts []BackendAttempt
+	Process         *Process // nil where none is known
+}
+
+// String tells all that is known of a violation, a line for each record.
+func (v Violation) String() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s: %s", v.Invariant, v.Detail)
+	if v.ClientAttempt != nil {
+		text.WriteString(describeClientAttempt(v.ClientAttempt))
+	}
+	for i := range v.BackendAttempts {
+		text.WriteString(describeBackendAttempt(&v.BackendAttempts[i]))
+	}
+	if v.Process != nil {
+		text.WriteString(describeProcess(v.Process))
+		if v.ClientAttempt == nil {
+			fmt.Fprintf(&text, "\n  log: %s", v.Process.Log)
+		}
+	}
+	return text.String()
+}
+
+func describeClientAttempt(a *ClientAttempt) string {
+	return fmt.Sprintf("\n  client: %s %s to gateway %d: bytes %.3f to %.3f, would wait %.3f until %.3f, ended %.3f: "+
+		"status %d, left %t, resent %t, %v",
+		a.ID, a.Class, a.Gateway, a.FirstByteAt.Seconds(), a.SentAt.Seconds(), a.Timeout.Seconds(),
+		a.Deadline().Seconds(), a.EndedAt.Seconds(), a.Status, a.Disconnected, a.Resent, a.Err)
+}
+
+func describeBackendAttempt(a *BackendAttempt) string {
+	return fmt.Sprintf("\n  backend %s: bytes %.3f to %.3f, told %.3f, ended %.3f, answered %t",
+		a.Backend, a.FirstByteAt.Seconds(), a.ReceivedAt.Seconds(), a.Timeout.Seconds(), a.EndedAt.Seconds(),
+		a.Answered)
+}
+
+// describeProcess describes a process and its signals.
+func describeProcess(p *Process) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "\n  process %d of gateway %d: started %.3f, ready %.3f, ",
+		p.Number, p.Gateway, p.StartedAt.Seconds(), p.ReadyAt.Seconds())
+	fmt.Fprintf(&text, "SIGTERM %.3f, SIGKILL %.3f, ended %.3f: %v",
+		p.SigtermAt.Seconds(), p.SigkillAt.Seconds(), p.EndedAt.Seconds(), p.Err)
+	for _, signal := range p.signals {
+		fmt.Fprintf(&text, "\n    %.3f %s", signal.At.Seconds(), signal.Name)
+	}
+	return text.String()
+}
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -11,45 +11,53 @@
 )
 
 const (
-	maxFirstRequestDelay = 1200 * time.Millisecond // of a new connection before its first request; the server waits 2.5 s
-	maxThinkTime         = 150 * time.Millisecond  // between two requests
-	redialInterval       = 20 * time.Millisecond   // until a client looks for one again
-	idleConnInterval     = 5 * time.Millisecond    // between two connections of the crowd
-	maxBodyBytes         = 2000                    // bytes
+	maxFirstRequestDelay = 1200 * time.Millisecond // from connecting to the first request; gateways wait for 2.5 s
+	maxThinkTime         = 150 * time.Millisecond  // between two requests of a client
+	redialInterval       = 20 * time.Millisecond   // between two attempts of a client to connect
+	idleConnInterval     = 5 * time.Millisecond    // between two idle connections
+	maxPieceGap          = 150 * time.Millisecond  // between two pieces of a slow request
+	maxBodyBytes         = 2000
+	minResendTimeout     = time.Millisecond // a request with less of its timeout left is not sent again
 )
 
-// runClient is one client: it takes a connection after another, and uses each for as long as it stays open.
+// anyGateway stands for no gateway that dialGateway leaves out.
+const anyGateway = -1
+
+// runClient is one client: it opens one connection after another, and uses each for as long as it stays open.
 func (r *runner) runClient(ctx context.Context, number uint64) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 10_000+number))
 	for ctx.Err() == nil {
-		conn := r.dialGateway(rng, -1)
+		conn := r.dialGateway(rng, anyGateway)
 		if conn == nil {
 			ctxtime.Sleep(ctx, redialInterval)
 			continue
 		}
-		if rng.IntN(3) == 0 {
-			ctxtime.Sleep(ctx, randomDuration(rng, 0, maxFirstRequestDelay))
-		}
-		for reusable := true; reusable && ctx.Err() == nil && !conn.PeerClosed(); {
-			reusable = r.sendWithResend(rng, conn)
-			ctxtime.Sleep(ctx, randomDuration(rng, 0, maxThinkTime))
-		}
-		conn.Close()
+		r.useConn(ctx, rng, conn)
 	}
 }
 
-// dialGateway takes a new connection to a gateway that the front brings clients to, but not the one with the number
-// other. It returns nil if there is none.
+// useConn sends requests on a connection for as long as it stays open, and closes it.
+func (r *runner) useConn(ctx context.Context, rng *rand.Rand, conn *Conn) {
+	defer conn.Close()
+	if rng.IntN(3) == 0 {
+		ctxtime.Sleep(ctx, randomDuration(rng, 0, maxFirstRequestDelay))
+	}
+	for reusable := true; reusable && ctx.Err() == nil && !conn.PeerClosed(); {
+		reusable = r.sendWithResend(rng, conn)
+		ctxtime.Sleep(ctx, randomDuration(rng, 0, maxThinkTime))
+	}
+}
+
+// dialGateway opens a connection to a random gateway in rotation other than the excluded one. It returns nil if there
+// is none that accepts it.
 func (r *runner) dialGateway(rng *rand.Rand, excluded int) *Conn {
-	for _, i := range rng.Perm(len(r.gateways)) {
-		n := r.gateways[i]
-		n.mu.Lock()
-		processNumber, inRotation := n.processNumber, n.inRotation
-		n.mu.Unlock()
-		if !inRotation || i == excluded {
+	for _, number := range rng.Perm(len(r.gateways)) {
+		n := r.gateways[number]
+		processNumber, inRotation := n.rotation()
+		if !inRotation || number == excluded {
 			continue
 		}
-		if conn, err := Dial(r.clock, n.proxy.Address(), i, processNumber); err == nil {
+		if conn, err := Dial(r.clock, n.proxy.Address(), number, processNumber); err == nil {
 			conn.proxy = n.proxy
 			return conn
 		}
@@ -57,68 +65,79 @@
 	return nil
 }
 
-// sendWithResend sends a request and, if its connection ends with no byte of an answer, sends it once more on a new one.
+// sendWithResend sends a request and, if its connection ends with no byte of an answer, sends it once more on a new
+// connection. reusable tells whether another request may follow on conn.
 func (r *runner) sendWithResend(rng *rand.Rand, conn *Conn) (reusable bool) {
-	req := r.nextRequest(rng)
-	attempt, reusable := conn.Do(req)
+	request := r.nextRequest(rng)
+	attempt, reusable := conn.Do(request)
 	r.recordAttempt(attempt)
-	if attempt.Status != 0 || attempt.AnswerStarted || attempt.Disconnected || attempt.SentAt == 0 || isTimeout(attempt.Err) || r.killedUnwarned(conn) {
+	if !r.mayResend(attempt) {
 		return reusable
 	}
-	second := r.dialGateway(rng, conn.gateway)
-	if second == nil {
+	secondConn := r.dialGateway(rng, conn.gateway)
+	if secondConn == nil {
 		return false
 	}
-	defer second.Close()
-	req.DisconnectAfter = 0
-	if req.Timeout -= attempt.EndedAt - attempt.SentAt; req.Timeout < time.Millisecond {
+	defer secondConn.Close()
+	request.DisconnectAfter = 0
+	request.Timeout -= attempt.EndedAt - attempt.SentAt
+	if request.Timeout < minResendTimeout {
 		return false
 	}
-	attempt, _ = second.Do(req)
-	attempt.Resent = true
-	r.recordAttempt(attempt)
+	resend, _ := secondConn.Do(request)
+	resend.Resent = true
+	r.recordAttempt(resend)
 	return false
 }
 
-// killedUnwarned tells whether the process behind a connection was killed with no warning: what it had taken may have run, and is
-// not sent again.
-func (r *runner) killedUnwarned(conn *Conn) bool {
-	n := r.gateways[conn.gateway]
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.lastKilledUnwarned == conn.processNumber
+// mayResend tells whether a client sends a request again: its connection ended with no byte of an answer. The requests
+// of a process that got SIGKILL with no SIGTERM before may have been executed, and are not sent again.
+func (r *runner) mayResend(attempt ClientAttempt) bool {
+	answered := attempt.Status != 0 || attempt.AnswerStarted
+	sent := attempt.SentAt != 0
+	if answered || !sent || attempt.Disconnected || isTimeout(attempt.Err) {
+		return false
+	}
+	return !r.gateways[attempt.Gateway].wasKilledUnwarned(attempt.ProcessNumber)
 }
 
-func (r *runner) recordAttempt(s ClientAttempt) {
+// recordAttempt adds an attempt to the records of the run.
+func (r *runner) recordAttempt(attempt ClientAttempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.clientAttempts = append(r.clientAttempts, s)
+	r.clientAttempts = append(r.clientAttempts, attempt)
 }
 
 // nextRequest draws the next request.
 func (r *runner) nextRequest(rng *rand.Rand) Request {
-	r.mu.Lock()
-	r.requestCount++
-	id := r.requestCount
-	r.mu.Unlock()
 	class := r.plan.Classes[rng.IntN(len(r.plan.Classes))]
-	req := Request{ID: fmt.Sprintf("%016x", id), Class: class.Name, Method: "GET", Timeout: class.Deadline}
+	request := Request{ID: r.nextRequestID(), Class: class.Name, Method: "GET", Timeout: class.Deadline}
 	if class.Idempotency != Idempotent {
-		req.Method, req.BodyBytes = "POST", 1+rng.IntN(maxBodyBytes)
+		request.Method = "POST"
+		request.BodyBytes = 1 + rng.IntN(maxBodyBytes)
 	}
 	if class.Idempotency == IdempotentByKey {
-		req.Key = req.ID
+		request.Key = request.ID
 	}
 	switch rng.IntN(12) {
-	case 0, 1: // slow
-		req.Pieces, req.PieceGap = 2+rng.IntN(4), randomDuration(rng, 0, 150*time.Millisecond)
-	case 2: // gone
-		req.DisconnectAfter = randomDuration(rng, time.Millisecond, class.Deadline)
+	case 0, 1: // a slow client
+		request.Pieces = 2 + rng.IntN(4)
+		request.PieceGap = randomDuration(rng, 0, maxPieceGap)
+	case 2: // a client that disconnects
+		request.DisconnectAfter = randomDuration(rng, time.Millisecond, class.Deadline)
 	}
-	return req
+	return request
+}
+
+// nextRequestID returns an id that no other request of the run has.
+func (r *runner) nextRequestID() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requestCount++
+	return fmt.Sprintf("%016x", r.requestCount)
 }
 
-// holdIdleConns keeps idle connections at a gateway, as many as the plan says.
+// holdIdleConns keeps idle connections open at a gateway, as many as the plan says.
 func (r *runner) holdIdleConns(ctx context.Context, n *gatewayNode) {
 	if r.plan.IdleConns == 0 {
 		return
@@ -133,7 +152,7 @@
 	}()
 	for next := 0; ctxtime.Sleep(ctx, idleConnInterval); next = (next + 1) % len(conns) {
 		if conns[next] != nil {
-			conns[next].Close() // the gateway has most likely ended it
+			conns[next].Close() // the gateway has most likely closed it
 		}
 		conns[next], _ = net.DialTimeout("tcp", n.options.Listen, dialTimeout) // an error leaves nil
 	}
