--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -10,97 +10,213 @@
 
 const ms = time.Millisecond
 
-// took is an attempt of the request "a" at a backend.
-func took(first, ended, told time.Duration) BackendAttempt {
-	return BackendAttempt{ID: "a", Backend: "b", FirstByteAt: first, ReceivedAt: first, EndedAt: ended, Timeout: told}
+// attemptAt is an attempt of the request "a" at the backend "b".
+func attemptAt(firstByteAt, endedAt, timeout time.Duration) BackendAttempt {
+	return BackendAttempt{
+		ID:          "a",
+		Backend:     "b",
+		FirstByteAt: firstByteAt,
+		ReceivedAt:  firstByteAt,
+		EndedAt:     endedAt,
+		Timeout:     timeout,
+	}
 }
 
-// Each rule is found broken where it is, and only there.
-func TestCheck(t *testing.T) {
-	sending := ClientAttempt{ID: "a", Class: string(NonIdempotent), Gateway: 1, ProcessNumber: 1, FirstByteAt: 100 * ms, SentAt: 100 * ms, Timeout: time.Second, EndedAt: 150 * ms}
-	served := sending
-	served.Status = 200
-	ended := sending
-	ended.Err = io.EOF
-	later := func(s *ClientAttempt) { s.FirstByteAt, s.SentAt, s.EndedAt = 9*time.Second, 9*time.Second, 9050*ms }
-	for name, c := range map[string]struct {
-		rule     Invariant // "": none
-		change   func(*ClientAttempt)
-		sending  ClientAttempt
-		attempts []BackendAttempt
-		life     Process
-		changes  []ListChange
-		outages  []Outage
-	}{
-		"served":                    {sending: served, attempts: []BackendAttempt{took(110*ms, 140*ms, 900*ms)}},
-		"ended after an attempt":    {rule: LostRequest, sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)}},
-		"ended unread":              {sending: ended},
-		"ended long after it":       {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.EndedAt = 500 * ms }},
-		"ended twice":               {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.Resent = true }},
-		"never reached the gateway": {sending: ended, change: func(s *ClientAttempt) { s.Resent, s.Unreached = true, true }},
-		"never whole":               {sending: ended, change: func(s *ClientAttempt) { s.SentAt = 0 }},
-		"an answer cut":             {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.AnswerStarted = true }},
-		"no answer":                 {rule: LostRequest, sending: ended, change: func(s *ClientAttempt) { s.Err = os.ErrDeadlineExceeded }},
-		"a late answer":             {rule: LostRequest, sending: served, change: func(s *ClientAttempt) { s.EndedAt = 1700 * ms }},
-		"killed, early in the stop": {sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)},
-			life: Process{SigtermAt: 50 * ms, SigkillAt: 150 * ms}},
-		"killed, late in the stop": {rule: LostRequest, sending: ended, attempts: []BackendAttempt{took(900*ms, 950*ms, 100*ms)},
-			change: func(s *ClientAttempt) { s.FirstByteAt, s.SentAt, s.EndedAt = 900*ms, 900*ms, 950*ms },
-			life:   Process{SigtermAt: 50 * ms, SigkillAt: 950 * ms}},
-		"run twice": {rule: DuplicateExecution, sending: served,
-			attempts: []BackendAttempt{took(110*ms, 120*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
-		"two out at once": {rule: DuplicateExecution, sending: served, change: func(s *ClientAttempt) { s.Class, s.EndedAt = string(Idempotent), 600*ms },
-			attempts: []BackendAttempt{took(110*ms, 500*ms, 900*ms), took(130*ms, 140*ms, 900*ms)}},
-		"too much time":  {rule: TimeoutTooLong, sending: served, attempts: []BackendAttempt{took(110*ms, 140*ms, 1300*ms)}},
-		"begun too late": {rule: SentAfterDisconnect, sending: sending, change: func(s *ClientAttempt) { s.Disconnected = true }, attempts: []BackendAttempt{took(400*ms, 500*ms, 500*ms)}},
-		"gone":           {sending: sending, change: func(s *ClientAttempt) { s.Disconnected = true }, attempts: []BackendAttempt{took(200*ms, 500*ms, 500*ms)}},
-		"drained long ago": {rule: SentToDrained, sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}}},
-		"drained just now": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []ListChange{{Backend: "b", At: 7 * time.Second}}},
-		"drained, and back": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}}},
-		"drained unseen": {sending: served, change: later, attempts: []BackendAttempt{took(9*time.Second, 9*time.Second, 900*ms)},
-			changes: []ListChange{{Backend: "b", At: time.Second}}, outages: []Outage{{0, 2 * time.Second}}},
-		"killed with no warning": {sending: ended, attempts: []BackendAttempt{took(110*ms, 150*ms, 900*ms)},
-			life: Process{SigkillAt: 150 * ms, killedUnwarned: true}},
-		"ended badly":   {rule: UnexpectedExit, sending: served, life: Process{Err: errors.New("exit status 1")}},
-		"slow to start": {rule: NotReady, sending: served, life: Process{ReadyAt: 11 * time.Second}},
-		"never started": {rule: NotReady, sending: served, life: Process{neverReady: true}},
-	} {
-		if c.change != nil {
-			c.change(&c.sending)
-		}
-		c.life.Gateway, c.life.Number = 1, 1
-		v := Check(History{ClientAttempts: []ClientAttempt{c.sending}, BackendAttempts: c.attempts, Processes: []Process{c.life}, ListChanges: c.changes,
-			Outages: c.outages})
-		switch {
-		case c.rule == "" && len(v.Violations) > 0, c.rule != "" && len(v.Violations) != 1:
-			t.Errorf("%s: %v", name, v.Violations)
-		case c.rule != "" && v.Violations[0].Invariant != c.rule:
-			t.Errorf("%s: found %s", name, v.Violations[0].Invariant)
-		}
+// Attempts of a client, for the cases of TestCheck to change.
+var (
+	sentAttempt = ClientAttempt{
+		ID:            "a",
+		Class:         string(NonIdempotent),
+		Gateway:       1,
+		ProcessNumber: 1,
+		FirstByteAt:   100 * ms,
+		SentAt:        100 * ms,
+		Timeout:       time.Second,
+		EndedAt:       150 * ms,
 	}
+	servedAttempt     = withChange(sentAttempt, func(a *ClientAttempt) { a.Status = 200 })
+	unansweredAttempt = withChange(sentAttempt, func(a *ClientAttempt) { a.Err = io.EOF })
+)
+
+// withChange returns a changed copy of an attempt.
+func withChange(attempt ClientAttempt, change func(*ClientAttempt)) ClientAttempt {
+	change(&attempt)
+	return attempt
 }
 
-// A seed says it all: the same one gives the same plan, another one another.
-func TestPlan(t *testing.T) {
-	one, same, other := NewPlan(7, time.Minute), NewPlan(7, time.Minute), NewPlan(8, time.Minute)
-	if len(one.Stops) == 0 || len(one.Stops) != len(same.Stops) || one.Stops[0].At != same.Stops[0].At || one.Backends != same.Backends {
-		t.Errorf("%+v\n%+v", one, same)
-	}
-	if one.Stops[0].RestartDelay == other.Stops[0].RestartDelay {
-		t.Error("two seeds give one plan")
-	}
-	for seed := range uint64(200) {
-		p := NewPlan(seed, 10*time.Second)
-		if len(p.Stops) == 0 || p.HangingBackends < 1 || p.HangingBackends >= p.Backends {
-			t.Errorf("seed %d: %d stops, %d of %d backends hang", seed, len(p.Stops), p.HangingBackends, p.Backends)
-		}
-		for _, s := range p.Stops {
-			if s.FrontDelay < 200*ms || s.FrontDelay > 400*ms || s.At+KillAfter(p.Classes) > p.Duration {
-				t.Errorf("seed %d: %+v", seed, s)
+// nineSecondsIn moves an attempt to nine seconds after the start of the run.
+func nineSecondsIn(attempt *ClientAttempt) {
+	attempt.FirstByteAt = 9 * time.Second
+	attempt.SentAt = 9 * time.Second
+	attempt.EndedAt = 9050 * ms
+}
+
+// checkCase is what was recorded of one request, and the invariant that it breaks.
+type checkCase struct {
+	violated        Invariant // "": none
+	change          func(*ClientAttempt)
+	clientAttempt   ClientAttempt
+	backendAttempts []BackendAttempt
+	process         Process // its gateway and number are filled in
+	changes         []ListChange
+	outages         []Outage
+}
+
+var checkCases = map[string]checkCase{
+	"served": {
+		clientAttempt:   servedAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 140*ms, 900*ms)},
+	},
+	"connection ended after an attempt": {
+		violated:        LostRequest,
+		clientAttempt:   unansweredAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
+	},
+	"connection ended unread": {
+		clientAttempt: unansweredAttempt,
+	},
+	"connection ended long after the request": {
+		violated:      LostRequest,
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.EndedAt = 500 * ms },
+	},
+	"connection ended again after a resend": {
+		violated:      LostRequest,
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.Resent = true },
+	},
+	"gateway never reached": {
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.Resent, a.Unreached = true, true },
+	},
+	"request never complete": {
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.SentAt = 0 },
+	},
+	"answer truncated": {
+		violated:      LostRequest,
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.AnswerStarted = true },
+	},
+	"no answer": {
+		violated:      LostRequest,
+		clientAttempt: unansweredAttempt,
+		change:        func(a *ClientAttempt) { a.Err = os.ErrDeadlineExceeded },
+	},
+	"late answer": {
+		violated:      LostRequest,
+		clientAttempt: servedAttempt,
+		change:        func(a *ClientAttempt) { a.EndedAt = 1700 * ms },
+	},
+	"SIGKILL after a request early in the stop": {
+		clientAttempt:   unansweredAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
+		process:         Process{SigtermAt: 50 * ms, SigkillAt: 150 * ms},
+	},
+	"SIGKILL after a request late in the stop": {
+		violated:        LostRequest,
+		clientAttempt:   unansweredAttempt,
+		change:          func(a *ClientAttempt) { a.FirstByteAt, a.SentAt, a.EndedAt = 900*ms, 900*ms, 950*ms },
+		backendAttempts: []BackendAttempt{attemptAt(900*ms, 950*ms, 100*ms)},
+		process:         Process{SigtermAt: 50 * ms, SigkillAt: 950 * ms},
+	},
+	"executed twice": {
+		violated:        DuplicateExecution,
+		clientAttempt:   servedAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 120*ms, 900*ms), attemptAt(130*ms, 140*ms, 900*ms)},
+	},
+	"two attempts in flight at once": {
+		violated:        DuplicateExecution,
+		clientAttempt:   servedAttempt,
+		change:          func(a *ClientAttempt) { a.Class, a.EndedAt = string(Idempotent), 600*ms },
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 500*ms, 900*ms), attemptAt(130*ms, 140*ms, 900*ms)},
+	},
+	"timeout too long": {
+		violated:        TimeoutTooLong,
+		clientAttempt:   servedAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 140*ms, 1300*ms)},
+	},
+	"attempt begun long after the disconnect": {
+		violated:        SentAfterDisconnect,
+		clientAttempt:   sentAttempt,
+		change:          func(a *ClientAttempt) { a.Disconnected = true },
+		backendAttempts: []BackendAttempt{attemptAt(400*ms, 500*ms, 500*ms)},
+	},
+	"attempt begun just after the disconnect": {
+		clientAttempt:   sentAttempt,
+		change:          func(a *ClientAttempt) { a.Disconnected = true },
+		backendAttempts: []BackendAttempt{attemptAt(200*ms, 500*ms, 500*ms)},
+	},
+	"drained long ago": {
+		violated:        SentToDrained,
+		clientAttempt:   servedAttempt,
+		change:          nineSecondsIn,
+		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
+		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}},
+	},
+	"drained just now": {
+		clientAttempt:   servedAttempt,
+		change:          nineSecondsIn,
+		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
+		changes:         []ListChange{{Backend: "b", At: 7 * time.Second}},
+	},
+	"drained and ready again": {
+		clientAttempt:   servedAttempt,
+		change:          nineSecondsIn,
+		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
+		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}},
+	},
+	"drained during an outage of discovery": {
+		clientAttempt:   servedAttempt,
+		change:          nineSecondsIn,
+		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
+		changes:         []ListChange{{Backend: "b", At: time.Second}},
+		outages:         []Outage{{0, 2 * time.Second}},
+	},
+	"SIGKILL with no SIGTERM before": {
+		clientAttempt:   unansweredAttempt,
+		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
+		process:         Process{SigkillAt: 150 * ms, killedUnwarned: true},
+	},
+	"process ended with an error": {
+		violated:      UnexpectedExit,
+		clientAttempt: servedAttempt,
+		process:       Process{Err: errors.New("exit status 1")},
+	},
+	"slow to be ready": {
+		violated:      NotReady,
+		clientAttempt: servedAttempt,
+		process:       Process{ReadyAt: 11 * time.Second},
+	},
+	"never ready": {
+		violated:      NotReady,
+		clientAttempt: servedAttempt,
+		process:       Process{neverReady: true},
+	},
+}
+
+// Check reports each invariant where it is broken, and only there.
+func TestCheckFindsEachViolation(t *testing.T) {
+	for name, c := range checkCases {
+		t.Run(name, func(t *testing.T) {
+			if c.change != nil {
+				c.change(&c.clientAttempt)
+			}
+			c.process.Gateway = 1
+			c.process.Number = 1
+			verdict := Check(History{
+				ClientAttempts:  []ClientAttempt{c.clientAttempt},
+				BackendAttempts: c.backendAttempts,
+				Processes:       []Process{c.process},
+				ListChanges:     c.changes,
+				Outages:         c.outages,
+			})
+			switch {
+			case c.violated == "" && len(verdict.Violations) > 0, c.violated != "" && len(verdict.Violations) != 1:
+				t.Errorf("%v", verdict.Violations)
+			case c.violated != "" && verdict.Violations[0].Invariant != c.violated:
+				t.Errorf("found %s", verdict.Violations[0].Invariant)
 			}
-		}
+		})
 	}
 }
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -7,45 +7,80 @@
 	"time"
 )
 
-// A client that leaves is told from one whose connection was ended under its answer, wherever in the answer that is.
-func TestLeavingClient(t *testing.T) {
+// A client that disconnects is told apart from one whose connection the gateway closed during an answer, wherever in
+// the answer that is.
+func TestDisconnectIsToldFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		leave  time.Duration
-		ends   bool // the gateway ends the connection
-		left   bool
-		status int
+		answer          string
+		disconnectAfter time.Duration // 0: the client stays
+		gatewayCloses   bool
+		disconnected    bool
+		status          int
 	}{
-		"before the answer":            {leave: 50 * ms, left: true},
-		"in its first line":            {answer: "HTTP/1.1 20", leave: 50 * ms, left: true},
-		"in its body":                  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", leave: 50 * ms, left: true},
-		"after it":                     {answer: "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", leave: time.Minute, status: 200},
-		"ended before it could leave":  {answer: "HTTP/1.1 20", leave: time.Minute, ends: true},
-		"ended and would not leave":    {ends: true},
-		"a refusal, and it would stay": {answer: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", status: 503},
+		"disconnect before the answer": {
+			disconnectAfter: 50 * ms,
+			disconnected:    true,
+		},
+		"disconnect in the status line": {
+			answer:          "HTTP/1.1 20",
+			disconnectAfter: 50 * ms,
+			disconnected:    true,
+		},
+		"disconnect in the body": {
+			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na",
+			disconnectAfter: 50 * ms,
+			disconnected:    true,
+		},
+		"disconnect due after the answer": {
+			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
+			disconnectAfter: time.Minute,
+			status:          200,
+		},
+		"closed before the disconnect was due": {
+			answer:          "HTTP/1.1 20",
+			disconnectAfter: time.Minute,
+			gatewayCloses:   true,
+		},
+		"closed and no disconnect due": {
+			gatewayCloses: true,
+		},
+		"rejected and no disconnect due": {
+			answer: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
+			status: 503,
+		},
 	} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn, err := Dial(NewClock(), l.Addr().String(), 1, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		far, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.WriteString(far, c.answer)
-		if c.ends {
-			far.(*net.TCPConn).CloseWrite()
-		}
-		s, _ := conn.Do(Request{ID: "a", Class: "c", Method: "GET", Timeout: time.Second, DisconnectAfter: c.leave})
-		if s.Disconnected != c.left || s.Status != c.status {
-			t.Errorf("%s: left %t, status %d, %v", name, s.Disconnected, s.Status, s.Err)
-		}
-		conn.Close()
-		far.Close()
-		l.Close()
+		t.Run(name, func(t *testing.T) {
+			client, gateway := connectedPair(t)
+			io.WriteString(gateway, c.answer)
+			if c.gatewayCloses {
+				gateway.CloseWrite()
+			}
+			request := Request{ID: "a", Class: "c", Method: "GET", Timeout: time.Second, DisconnectAfter: c.disconnectAfter}
+			attempt, _ := client.Do(request)
+			if attempt.Disconnected != c.disconnected || attempt.Status != c.status {
+				t.Errorf("disconnected %t, status %d, %v", attempt.Disconnected, attempt.Status, attempt.Err)
+			}
+		})
 	}
 }
+
+// connectedPair returns both ends of a connection over loopback, which the test's end closes.
+func connectedPair(t *testing.T) (client *Conn, gateway *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	client, err = Dial(NewClock(), listener.Addr().String(), 1, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return client, accepted.(*net.TCPConn)
+}
