--- /dev/null
+++ b/internal/lab/experiment/capacity.go
@@ -0,0 +1,73 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"os"
+)
+
+// maxMemoryShare is the share of the machine's memory that an experiment may need.
+const maxMemoryShare = 0.5
+
+// Estimates of what the parts of an experiment need in memory, MB.
+const (
+	labMB           = 256.0  // this process, without the list
+	backendMB       = 0.002  // a backend: its entry, and the copies of it that are being sent
+	hollowProcessMB = 64.0   // a process of hollow gateways, without them
+	hollowMB        = 0.3    // a hollow gateway, without its list
+	hollowBackendMB = 0.0012 // a backend in the list of a hollow gateway
+	customerMB      = 0.002  // a customer at one hollow gateway of its subset
+)
+
+// validateCapacity finds an experiment that is too large for this machine, or has nothing to measure.
+func (e *Experiment) validateCapacity() error {
+	if e.Fleet.GatewayProcesses == 0 && e.hollowGateways() == 0 {
+		return errors.New("fleet: there is no gateway, real or hollow")
+	}
+	processes := 1 + e.Fleet.GatewayProcesses + len(e.hollowJobs())
+	if processes > maxProcesses {
+		return fmt.Errorf("fleet.processes: %d processes are more than %d", processes, maxProcesses)
+	}
+	availableMB, err := machineMB()
+	if err != nil {
+		return err
+	}
+	if neededMB := e.memoryMB(); neededMB > maxMemoryShare*availableMB {
+		return fmt.Errorf("fleet: about %.0f MB are needed, more than half of the machine's %.0f MB",
+			neededMB, availableMB)
+	}
+	return nil
+}
+
+// memoryMB estimates the memory of all processes together. Gateway processes and hollow gateways don't run at the same
+// time.
+func (e *Experiment) memoryMB() float64 {
+	allHollowMB := 0.0
+	for _, job := range e.hollowJobs() {
+		allHollowMB += float64(e.jobMB(job))
+	}
+	gatewaysMB := float64(e.Fleet.GatewayProcesses * e.Fleet.MemoryMB)
+	return labMB + backendMB*float64(e.Backends.Count+e.spareBackends()) + max(gatewaysMB, allHollowMB)
+}
+
+// jobMB estimates the memory of one process of hollow gateways.
+func (e *Experiment) jobMB(job hollowJob) int {
+	needed := hollowProcessMB + float64(job.gateways)*(hollowMB+hollowBackendMB*float64(e.Backends.Count))
+	for _, g := range e.groupsOf(job) {
+		needed += customerMB * float64(g.Customers*g.SubsetSize)
+	}
+	return int(needed)
+}
+
+// machineMB is the memory of this machine.
+func machineMB() (float64, error) {
+	text, err := os.ReadFile("/proc/meminfo")
+	if err != nil {
+		return 0, err
+	}
+	var kib float64
+	if _, err := fmt.Sscanf(string(text), "MemTotal: %f kB", &kib); err != nil {
+		return 0, fmt.Errorf("/proc/meminfo: %w", err)
+	}
+	return kib / 1024, nil
+}
--- /dev/null
+++ b/internal/lab/experiment/defaults.go
@@ -0,0 +1,46 @@
+package experiment
+
+import "fmt"
+
+// applyDefaults expands the groups that stand for several, and sets what the file
+// leaves out.
+func (e *Experiment) applyDefaults() {
+	e.Groups = expandGroups(e.Groups)
+	for i := range e.Groups {
+		g := &e.Groups[i]
+		setDefault(&g.Gateways, g.SubsetSize)
+		setDefault(&g.UnitsPerRequest, 1)
+	}
+	setDefault(&e.Tenants.SubsetSize, 1)
+	fleet := &e.Fleet
+	setDefault(&fleet.HollowProcesses, 1)
+	setDefault(&fleet.MemoryMB, 256)
+	setDefault(&fleet.Cores, 1)
+	setDefault(&fleet.ReadyTimeoutS, 10)
+	setDefault(&fleet.Gateways, e.neededGateways())
+}
+
+// expandGroups replaces each group of several subset sizes by a group of each size, whose name tells the size.
+func expandGroups(groups []Group) []Group {
+	var expanded []Group
+	for _, g := range groups {
+		if len(g.SubsetSizes) == 0 {
+			expanded = append(expanded, g)
+		}
+		for _, size := range g.SubsetSizes {
+			ofSize := g
+			ofSize.Name = fmt.Sprintf("%s-%d", g.Name, size)
+			ofSize.SubsetSize = size
+			ofSize.SubsetSizes = nil
+			expanded = append(expanded, ofSize)
+		}
+	}
+	return expanded
+}
+
+// setDefault sets a value that is 0.
+func setDefault[T int | float64](value *T, defaultValue T) {
+	if *value == 0 {
+		*value = defaultValue
+	}
+}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,26 +1,27 @@
-// Package experiment reads an experiment of the fleet lab, runs it between the
-// stand-ins, and reports what was measured against the bounds that it states.
+// Package experiment reads an experiment of the fleet lab, runs gateways between
+// stand-ins of all services that they talk to, and reports what was measured
+// against the bounds that the experiment states.
 package experiment
 
-import (
-	"bytes"
-	"errors"
-	"fmt"
-	"os"
-	"strings"
-
-	"github.com/pelletier/go-toml/v2"
-)
-
 // Experiment is what an experiment's file states. Times are in seconds where the
-// name ends in _s or _seconds and in milliseconds where it ends in _ms.
+// key ends in _s or _seconds and in milliseconds where it ends in _ms. A key that the
+// file leaves out is 0, for which a field may state a default.
 type Experiment struct {
-	Purpose       string  `toml:"shows" json:"shows"` // a few words on what it shows
-	Seed          uint64  `toml:"seed" json:"seed"`
-	Seconds       float64 `toml:"seconds" json:"seconds"`             // of load that are measured
-	WarmupSeconds float64 `toml:"warm_seconds" json:"warm_seconds"`   // of load before, which count for nothing
-	IdleSeconds   float64 `toml:"quiet_seconds" json:"quiet_seconds"` // of real gateways without requests, before the load
-	Sweep         string  `toml:"over" json:"over,omitempty"`         // what is swept: KEY=VALUE,VALUE,...; "": nothing
+	Purpose string `toml:"shows" json:"shows"` // a few words on what the experiment shows
+	Seed    uint64 `toml:"seed" json:"seed"`   // of all that is drawn at random
+
+	// Seconds is the length of the load that is measured, WarmupSeconds that of the
+	// load before it, which is not.
+	Seconds       float64 `toml:"seconds" json:"seconds"`
+	WarmupSeconds float64 `toml:"warm_seconds" json:"warm_seconds"`
+
+	// IdleSeconds is how long gateway processes are measured without requests,
+	// before the load.
+	IdleSeconds float64 `toml:"quiet_seconds" json:"quiet_seconds"`
+
+	// Sweep is a key with the values that it takes, KEY=VALUE,VALUE and so on; "":
+	// there is no sweep.
+	Sweep string `toml:"over" json:"over,omitempty"`
 
 	Fleet     Fleet     `toml:"fleet" json:"fleet"`
 	Backends  Backends  `toml:"backends" json:"backends"`
@@ -33,60 +34,104 @@
 	Bounds    []Bound   `toml:"bound" json:"bound,omitempty"`
 }
 
-// Fleet says which gateways there are. The real ones have the first ranks, the
-// groups' follow, then the hollow ones that no group uses.
+// Fleet says which gateways there are. The gateway processes have the first ranks, the
+// groups' hollow gateways follow, then the hollow ones that no group uses.
 type Fleet struct {
-	Gateways         int     `toml:"gateways" json:"gateways"`             // that the fleet counts, started here or not; 0: as many as are needed
-	GatewayProcesses int     `toml:"real" json:"real"`                     // processes of the program itself
-	HollowGateways   int     `toml:"hollow" json:"hollow"`                 // beside the groups', which are counted from these
-	HollowProcesses  int     `toml:"processes" json:"processes"`           // that share the hollow ones; 0: 1
-	MemoryMB         int     `toml:"memory_mb" json:"memory_mb"`           // limit of a real gateway; 0: 256
-	Cores            float64 `toml:"cores" json:"cores"`                   // limit of a real gateway; 0: 1
-	ReadyTimeoutS    float64 `toml:"ready_within_s" json:"ready_within_s"` // how long is waited for a gateway; 0: 10
+	// Gateways is the size of the fleet, of which some may not be started here.
+	// Default: as many as are needed.
+	Gateways int `toml:"gateways" json:"gateways"`
+
+	// GatewayProcesses is the number of gateways that are started as processes.
+	GatewayProcesses int `toml:"real" json:"real"`
+
+	// HollowGateways is the number of hollow gateways, of which the groups' are the
+	// first. Default: the groups' alone.
+	HollowGateways int `toml:"hollow" json:"hollow"`
+
+	// HollowProcesses is the number of processes that the hollow gateways are
+	// distributed over. Default: 1.
+	HollowProcesses int `toml:"processes" json:"processes"`
+
+	// MemoryMB and Cores are the limits of a gateway process. Default: 256 and 1.
+	MemoryMB int     `toml:"memory_mb" json:"memory_mb"`
+	Cores    float64 `toml:"cores" json:"cores"`
+
+	// ReadyTimeoutS is how long is waited for a gateway to be ready. Default: 10.
+	ReadyTimeoutS float64 `toml:"ready_within_s" json:"ready_within_s"`
 }
 
-// Backends are the ones behind all gateways.
+// Backends are the backends behind all gateways.
 type Backends struct {
 	Count         int     `toml:"count" json:"count"`
 	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"`
 }
 
-// Counter is the counter's size; without parts there is none.
+// Counter is the size of the counter service.
 type Counter struct {
-	Shards        int     `toml:"parts" json:"parts"`
-	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"`
-	MaxQueued     int     `toml:"waiting" json:"waiting"` // calls that wait at a part at most
+	Shards        int     `toml:"parts" json:"parts"`           // 0: there is no counter
+	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"` // of a call
+	MaxQueued     int     `toml:"waiting" json:"waiting"`       // calls that wait at a shard at most
 }
 
-// Discovery is how fast lists are handed out.
+// Discovery is how fast lists are sent.
 type Discovery struct {
-	FullListsPerSecond float64 `toml:"whole_per_second" json:"whole_per_second"` // 0: without a bound
+	FullListsPerSecond float64 `toml:"whole_per_second" json:"whole_per_second"` // 0: no limit
 }
 
-// Group is a set of customers who share one run of hollow gateways.
+// Group is a set of customers who share hollow gateways of consecutive ranks, which no
+// other group uses.
 type Group struct {
-	Name              string  `toml:"name" json:"name"`
-	Gateways          int     `toml:"gateways" json:"gateways"` // of the group; 0: as many as the spread
-	SubsetSize        int     `toml:"spread" json:"spread"`     // gateways of each customer
-	SubsetSizes       []int   `toml:"spreads" json:"spreads,omitempty"`
-	Customers         int     `toml:"customers" json:"customers"`
-	RequestsPerSecond float64 `toml:"per_second" json:"per_second"` // requests of a customer, in the mean
-	ZipfExponent      float64 `toml:"zipf" json:"zipf"`             // exponent over the customers; 0: all alike
-	UnitsPerRequest   float64 `toml:"units" json:"units"`           // of a request; 0: 1
-	Utilization       float64 `toml:"use" json:"use"`               // share of the quota that a customer of mean rate asks for
-	BurstS            float64 `toml:"burst_s" json:"burst_s"`       // the quota's burst, in seconds of its rate
-	ShiftingWeights   bool    `toml:"shift" json:"shift"`           // the weights of a customer's gateways are uneven and shift
+	Name string `toml:"name" json:"name"`
+
+	// Gateways is the number of gateways that the customers share. Default: the
+	// subset size.
+	Gateways int `toml:"gateways" json:"gateways"`
+
+	// SubsetSize is the number of gateways that each customer reaches.
+	SubsetSize int `toml:"spread" json:"spread"`
+
+	// SubsetSizes, if there are any, make the group stand for one of each size.
+	SubsetSizes []int `toml:"spreads" json:"spreads,omitempty"`
+
+	Customers int `toml:"customers" json:"customers"`
+
+	// RequestsPerSecond is the rate of a customer, in the mean over the group.
+	RequestsPerSecond float64 `toml:"per_second" json:"per_second"`
+
+	// ZipfExponent is that of the rates over the customers; 0: all are alike.
+	ZipfExponent float64 `toml:"zipf" json:"zipf"`
+
+	// UnitsPerRequest is the cost of a request. Default: 1.
+	UnitsPerRequest float64 `toml:"units" json:"units"`
+
+	// Utilization is the share of its quota that a customer of mean rate uses.
+	Utilization float64 `toml:"use" json:"use"`
+
+	// BurstS is the quota's burst, in seconds of its rate.
+	BurstS float64 `toml:"burst_s" json:"burst_s"`
+
+	// ShiftingWeights makes the shares of a customer's gateways uneven and change.
+	ShiftingWeights bool `toml:"shift" json:"shift"`
 }
 
-// Tenants are the customers of the real gateways. Their quotas come in steps of
-// two: each asks for more than half of Use of its own, and for Use at most.
+// Tenants are the customers of the gateway processes. Their quotas come in steps of
+// two: each uses at most Utilization of its own, and more than half of that.
 type Tenants struct {
-	Count              int     `toml:"count" json:"count"`
-	ZipfExponent       float64 `toml:"zipf" json:"zipf"`
-	RequestsPerGateway float64 `toml:"per_gateway" json:"per_gateway"` // requests a second
-	SubsetSize         int     `toml:"spread" json:"spread"`           // gateways of a tenant; 0: 1
-	Utilization        float64 `toml:"use" json:"use"`
-	BurstS             float64 `toml:"burst_s" json:"burst_s"`
+	Count int `toml:"count" json:"count"`
+
+	// ZipfExponent is that of the rates over the tenants; 0: all are alike.
+	ZipfExponent float64 `toml:"zipf" json:"zipf"`
+
+	// RequestsPerGateway is the rate at each gateway process, in requests a second.
+	RequestsPerGateway float64 `toml:"per_gateway" json:"per_gateway"`
+
+	// SubsetSize is the number of gateways that each tenant reaches. Default: 1.
+	SubsetSize int `toml:"spread" json:"spread"`
+
+	Utilization float64 `toml:"use" json:"use"`
+
+	// BurstS is the quota's burst, in seconds of its rate.
+	BurstS float64 `toml:"burst_s" json:"burst_s"`
 }
 
 // Churn is how many backends are replaced a second, from when the gateways are ready.
@@ -94,95 +139,30 @@
 	ReplacementsPerSecond float64 `toml:"per_second" json:"per_second"`
 }
 
-// Restart starts the hollow gateways spread over so many seconds instead of at once.
+// Restart starts the hollow gateways over a while instead of at once.
 type Restart struct {
-	StaggerS float64 `toml:"within_s" json:"within_s"`
+	StaggerS float64 `toml:"within_s" json:"within_s"` // from the first start to the last
 }
 
-// Bound is what a figure must keep to. One of a group holds for all groups whose
-// name matches the pattern (see path.Match).
+// Bound is a limit of a metric. It holds for the runs, or for all groups whose name
+// matches a pattern (see path.Match). One that states neither limit is invalid.
 type Bound struct {
 	Metric string   `toml:"figure" json:"figure"`
-	Group  string   `toml:"group" json:"group,omitempty"`
+	Group  string   `toml:"group" json:"group,omitempty"` // pattern; "": the bound is one of the runs
 	Max    *float64 `toml:"most" json:"most,omitempty"`
 	Min    *float64 `toml:"least" json:"least,omitempty"`
 }
 
-// Read reads and checks the experiment at path, and leaves it as the file states
-// it, but for what over says is to be swept instead, if it says anything. Its
-// errors are one line, which names the key.
-func Read(path, sweep string) (Experiment, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return Experiment{}, err
-	}
-	e, err := parseExperiment(text)
-	if err != nil {
-		return Experiment{}, fmt.Errorf("%s: %w", path, err)
-	}
-	if sweep != "" {
-		e.Sweep = sweep
-	}
-	if _, _, err := e.sweepPoints(); err != nil {
-		return Experiment{}, fmt.Errorf("%s: %w", path, err)
-	}
-	return e, nil
-}
-
-func parseExperiment(text []byte) (Experiment, error) {
-	var e Experiment
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&e)
-	if unknown := (*toml.StrictMissingError)(nil); errors.As(err, &unknown) {
-		first := &unknown.Errors[0]
-		line, _ := first.Position()
-		return e, fmt.Errorf("line %d: unknown key %q", line, strings.Join(first.Key(), "."))
-	} else if bad := (*toml.DecodeError)(nil); errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return e, fmt.Errorf("line %d: key %q: %v", line, strings.Join(bad.Key(), "."), bad)
-	}
-	return e, err
-}
-
-// applyDefaults expands the groups that stand for several, and puts in what the file
-// leaves out.
-func (e *Experiment) applyDefaults() {
-	var groups []Group
-	for _, g := range e.Groups {
-		if len(g.SubsetSizes) == 0 {
-			groups = append(groups, g)
-		}
-		for _, spread := range g.SubsetSizes {
-			one := g
-			one.Name, one.SubsetSize, one.SubsetSizes = fmt.Sprintf("%s-%d", g.Name, spread), spread, nil
-			groups = append(groups, one)
-		}
-	}
-	e.Groups = groups
-	for i := range e.Groups {
-		g := &e.Groups[i]
-		setDefault(&g.Gateways, g.SubsetSize)
-		setDefault(&g.UnitsPerRequest, 1)
-	}
-	f := &e.Fleet
-	setDefault(&f.HollowProcesses, 1)
-	setDefault(&f.MemoryMB, 256)
-	setDefault(&f.Cores, 1)
-	setDefault(&f.ReadyTimeoutS, 10)
-	setDefault(&e.Tenants.SubsetSize, 1)
-	setDefault(&f.Gateways, max(f.GatewayProcesses+e.hollowGateways(), e.Tenants.SubsetSize))
-}
-
-func setDefault[T int | float64](value *T, otherwise T) {
-	if *value == 0 {
-		*value = otherwise
-	}
-}
-
 // hollowGateways is the number of hollow gateways.
 func (e *Experiment) hollowGateways() int {
-	n := 0
+	ofGroups := 0
 	for _, g := range e.Groups {
-		n += g.Gateways
+		ofGroups += g.Gateways
 	}
-	return max(n, e.Fleet.HollowGateways)
+	return max(ofGroups, e.Fleet.HollowGateways)
+}
+
+// neededGateways is the smallest size of the fleet that the experiment can be run with.
+func (e *Experiment) neededGateways() int {
+	return max(e.Fleet.GatewayProcesses+e.hollowGateways(), e.Tenants.SubsetSize)
 }
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -1,40 +1,43 @@
 package experiment
 
-// Metrics are what one run measured, by name. One that could not be measured is
-// not among them.
+import "slices"
+
+// Metrics are what one run measured, by name. A metric that could not be measured
+// is not among them.
 type Metrics map[string]float64
 
-// metric is a figure that a bound may name.
+// metric is a value that a bound may name.
 type metric struct {
 	name     string // ends in its unit; a share or a count has none
 	perGroup bool   // of a group of customers, not of the whole run
-	primary  bool   // stands in the table and gets a slope
+	primary  bool   // printed in the table
 }
 
+// metrics are all that may be measured, in the order of the table.
 var metrics = []metric{
-	// Real gateways.
+	// Gateway processes.
 	{name: "ready_s", primary: true},                   // from the start of the slowest gateway until it is ready
-	{name: "never_ready", primary: true},               // gateways that were not in time
-	{name: "list_bytes", primary: true},                // of a whole list
+	{name: "never_ready", primary: true},               // gateways that were not ready in time
+	{name: "list_bytes", primary: true},                // of a full list
 	{name: "quiet_core_share", primary: true},          // of a core, by a gateway without requests
 	{name: "quiet_control_bytes_per_s", primary: true}, // of a gateway without requests, on the wire
-	{name: "requests"},                                 // that were due
+	{name: "requests"},                                 // that were scheduled
 	{name: "requests_per_s", primary: true},            // at a gateway
 	{name: "served_share", primary: true},
 	{name: "refused_share", primary: true},
 	{name: "failed_share", primary: true},
-	{name: "dropped"}, // requests that the load did not send, being too many
+	{name: "dropped"}, // requests that were not sent, since too many were in flight
 	{name: "cpu_ms_per_request", primary: true},
 	{name: "added_p50_ms", primary: true}, // latency beyond the backend's service
 	{name: "added_p90_ms"},
 	{name: "added_p99_ms", primary: true},
 	{name: "added_p999_ms", primary: true},
 	{name: "added_max_ms"},
-	{name: "late_p99_ms", primary: true},                // of that, what this process was late with the load: the machine's noise
+	{name: "late_p99_ms", primary: true},                // of that, how late the request was sent: noise
 	{name: "memory_peak_mb", primary: true},             // of the largest gateway
 	{name: "control_bytes_per_s", primary: true},        // of a gateway on the wire: counter and discovery
 	{name: "counter_bytes_per_s", primary: true},        // of that, the counter's
-	{name: "counter_calls_per_request", primary: true},  // as the counter had them
+	{name: "counter_calls_per_request", primary: true},  // as the counter received them
 	{name: "counter_turned_away_share"},                 // of the calls
 	{name: "counter_names"},                             // alive at the end
 	{name: "backend_connections"},                       // most open at one time
@@ -48,44 +51,52 @@
 	{name: "hollow_ready_p99_s", primary: true},
 	{name: "hollow_ready_max_s", primary: true},
 	{name: "hollow_ready", primary: true},               // gateways that had their list at the end
-	{name: "hollow_lists", primary: true},               // whole ones handed out in all
+	{name: "hollow_lists", primary: true},               // full lists sent in all
 	{name: "hollow_lists_per_s", primary: true},         // until there were as many as gateways
 	{name: "hollow_list_bytes", primary: true},          // on the wire until then
 	{name: "hollow_control_bytes_per_s", primary: true}, // of a gateway on the wire, after the warm time
-	{name: "hollow_counter_calls"},                      // as the counter had them, from the start
-	{name: "hollow_counter_calls_per_s", primary: true}, // of all gateways, after the warm time
+	{name: "hollow_counter_calls"},                      // as the counter received them, from the start
+	{name: "hollow_counter_calls_per_s", primary: true}, // of all gateways, after the warm-up
 	{name: "hollow_counter_turned_away_share", primary: true},
-	{name: "hollow_cpu_share", primary: true}, // of a core, by a gateway, after the warm time
+	{name: "hollow_cpu_share", primary: true}, // of a core, by a gateway, after the warm-up
 	{name: "hollow_memory_mb", primary: true}, // peak of all their processes together
 
-	// Groups of customers, after the warm time.
+	// Groups of customers, after the warm-up.
 	{name: "tries", perGroup: true},
 	{name: "calls_per_request", perGroup: true, primary: true},
 	{name: "calls_unanswered_share", perGroup: true}, // of the calls
 	{name: "refused_share", perGroup: true, primary: true},
-	{name: "refused_inside_share", perGroup: true, primary: true},    // refused though the quota had the units, of the tries
-	{name: "refused_half_full_share", perGroup: true, primary: true}, // refused with half of the burst or more unused, of the tries
-	{name: "beyond_share", perGroup: true, primary: true},            // sent on beyond the quota, of the tries
+	{name: "refused_inside_share", perGroup: true, primary: true},    // rejected though the quota had the units, of the attempts
+	{name: "refused_half_full_share", perGroup: true, primary: true}, // rejected with half of the burst or more unused, of the attempts
+	{name: "beyond_share", perGroup: true, primary: true},            // forwarded beyond the quota, of the attempts
 	{name: "failed_share", perGroup: true},
 	{name: "dropped", perGroup: true},
 	{name: "p50_ms", perGroup: true},
 	{name: "p99_ms", perGroup: true, primary: true},
 }
 
-// metricExists finds a figure; where the run and its groups both have one of that
-// name, that of the scope wanted.
+// metricExists tells whether a run has a metric of this name, or its groups have if ofGroup.
 func metricExists(name string, ofGroup bool) bool {
-	for _, f := range metrics {
-		if f.name == name && f.perGroup == ofGroup {
-			return true
+	return slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name && m.perGroup == ofGroup })
+}
+
+// primaryMetrics are those of a run, or of its groups if perGroup, that are printed in the table.
+func primaryMetrics(perGroup bool) []metric {
+	var primary []metric
+	for _, m := range metrics {
+		if m.primary && m.perGroup == perGroup {
+			primary = append(primary, m)
 		}
 	}
-	return false
+	return primary
 }
 
-// setRatio is part of whole; there is none of nothing.
-func (f Metrics) setRatio(name string, part, whole float64) {
-	if whole > 0 {
-		f[name] = part / whole
+// setRatio sets a metric to the ratio of part to total. It is not measured where total is 0.
+func (m Metrics) setRatio(name string, part, total float64) {
+	if total > 0 {
+		m[name] = part / total
 	}
 }
+
+// raise sets a metric to a value that is above what it has.
+func (m Metrics) raise(name string, value float64) { m[name] = max(m[name], value) }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// sweepSetters are the keys that a sweep may set, and how.
+// sweepSetters set the keys that a sweep may take through values.
 var sweepSetters = map[string]func(*Experiment, float64){
 	"backends":    func(e *Experiment, v float64) { e.Backends.Count = int(v) },
 	"churn":       func(e *Experiment, v float64) { e.Churn.ReplacementsPerSecond = v },
@@ -25,15 +25,17 @@
 	"whole_per_second": func(e *Experiment, v float64) { e.Discovery.FullListsPerSecond = v },
 }
 
-// setSubsetSize gives all customers as many gateways, and a group no fewer.
+// setSubsetSize gives each customer a subset of this size, and a group as many gateways at least.
 func setSubsetSize(e *Experiment, v float64) {
-	e.Tenants.SubsetSize = int(v)
+	size := int(v)
+	e.Tenants.SubsetSize = size
 	e.updateGroups(func(g *Group) {
-		if g.SubsetSize = int(v); len(g.SubsetSizes) > 0 {
-			g.SubsetSizes = []int{int(v)} // the name tells it, as bounds expect
+		g.SubsetSize = size
+		if len(g.SubsetSizes) > 0 {
+			g.SubsetSizes = []int{size} // so that the size stays in the group's name, as bounds expect
 		}
 		if g.Gateways > 0 {
-			g.Gateways = max(g.Gateways, int(v))
+			g.Gateways = max(g.Gateways, size)
 		}
 	})
 }
@@ -46,14 +48,13 @@
 	}
 }
 
-// sweep is a key with the values that it takes, one after another. Without a key
-// the experiment is run once, as it stands.
+// sweep is a key with the values that it takes, one after another.
 type sweep struct {
-	key    string
-	values []float64
+	key    string    // "": the experiment is run once, as the file states it
+	values []float64 // a single 0 without a key
 }
 
-// parseSweep reads KEY=VALUE,VALUE and so on.
+// parseSweep parses KEY=VALUE,VALUE and so on. "" is no sweep.
 func parseSweep(text string) (sweep, error) {
 	if text == "" {
 		return sweep{values: []float64{0}}, nil
@@ -65,37 +66,38 @@
 	if sweepSetters[key] == nil {
 		return sweep{}, fmt.Errorf("over: no key %q can be swept", key)
 	}
-	o := sweep{key: key}
+	parsed := sweep{key: key}
 	for word := range strings.SplitSeq(list, ",") {
-		v, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
+		value, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
 		if err != nil {
 			return sweep{}, fmt.Errorf("over: %q is not a number", word)
 		}
-		o.values = append(o.values, v)
+		parsed.values = append(parsed.values, value)
 	}
-	return o, nil
+	return parsed, nil
 }
 
-// sweepPoints are the experiments of a sweep, checked, with all that the file left
-// out put in.
+// sweepPoints are the experiments at the points of the sweep, valid and with the defaults applied.
 func (e Experiment) sweepPoints() (sweep, []Experiment, error) {
-	o, err := parseSweep(e.Sweep)
+	parsed, err := parseSweep(e.Sweep)
 	if err != nil {
-		return o, nil, err
+		return sweep{}, nil, err
 	}
-	var all []Experiment
-	for _, v := range o.values {
-		p := e
-		if set := sweepSetters[o.key]; set != nil {
-			set(&p, v)
+	var points []Experiment
+	for _, value := range parsed.values {
+		point := e
+		if set := sweepSetters[parsed.key]; set != nil {
+			set(&point, value)
 		}
-		p.applyDefaults()
-		if err := p.validate(); err != nil && o.key != "" {
-			return o, nil, fmt.Errorf("at %s=%g: %w", o.key, v, err)
-		} else if err != nil {
-			return o, nil, err
+		point.applyDefaults()
+		err := point.validate()
+		if err != nil && parsed.key != "" {
+			err = fmt.Errorf("at %s=%g: %w", parsed.key, value, err)
 		}
-		all = append(all, p)
+		if err != nil {
+			return sweep{}, nil, err
+		}
+		points = append(points, point)
 	}
-	return o, all, nil
+	return parsed, points, nil
 }
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -10,113 +10,128 @@
 	"text/tabwriter"
 )
 
-// Print prints the main figures, a column for each run, then the groups, the
+// table writes rows of cells, whose columns are aligned once it is flushed.
+type table struct{ writer *tabwriter.Writer }
+
+// row writes a row. One without cells is an empty line.
+func (t table) row(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
+
+// Print prints the primary metrics, a column for each run, then the groups, the
 // slopes of a sweep, and the bounds.
 func (r *Report) Print(out io.Writer) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	defer w.Flush()
-	row := func(cells ...string) { fmt.Fprintln(w, strings.Join(cells, "\t")) }
+	t := table{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
+	defer t.writer.Flush()
+	r.printRunMetrics(t)
+	for i := range r.Runs {
+		r.printGroupMetrics(t, &r.Runs[i])
+	}
+	r.printSlopes(t)
+	r.printBounds(t)
+	r.printPartial(t)
+}
 
-	heads := []string{"figure"}
-	for _, run := range r.Runs {
-		heads = append(heads, run.label(r))
+// printRunMetrics prints the metrics of the runs, a row for each that any run measured.
+func (r *Report) printRunMetrics(t table) {
+	header := []string{"figure"}
+	for i := range r.Runs {
+		header = append(header, r.label(&r.Runs[i]))
 	}
-	row(heads...)
-	for _, f := range metrics {
-		if !f.primary || f.perGroup {
-			continue
-		}
-		cells, any := []string{f.name}, false
+	t.row(header...)
+	for _, m := range primaryMetrics(false) {
+		cells := []string{m.name}
+		measuredAtAll := false
 		for _, run := range r.Runs {
-			value, measured := run.Metrics[f.name]
-			any = any || measured
-			cells = append(cells, formatNumber(value, measured))
+			value, measured := run.Metrics[m.name]
+			measuredAtAll = measuredAtAll || measured
+			cells = append(cells, formatMetric(value, measured))
 		}
-		if any {
-			row(cells...)
+		if measuredAtAll {
+			t.row(cells...)
 		}
 	}
-	for _, run := range r.Runs {
-		if len(run.Groups) == 0 {
-			continue
-		}
-		row()
-		heads := []string{"group, " + run.label(r)}
-		for _, f := range metrics {
-			if f.perGroup && f.primary {
-				heads = append(heads, f.name)
-			}
-		}
-		row(heads...)
-		for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
-			cells := []string{name}
-			for _, f := range metrics {
-				if f.perGroup && f.primary {
-					value, measured := run.Groups[name][f.name]
-					cells = append(cells, formatNumber(value, measured))
-				}
-			}
-			row(cells...)
+}
+
+// printGroupMetrics prints the metrics of a run's groups, a row for each group.
+func (r *Report) printGroupMetrics(t table, run *Run) {
+	if len(run.Groups) == 0 {
+		return
+	}
+	t.row()
+	header := []string{"group, " + r.label(run)}
+	for _, m := range primaryMetrics(true) {
+		header = append(header, m.name)
+	}
+	t.row(header...)
+	for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
+		cells := []string{name}
+		for _, m := range primaryMetrics(true) {
+			value, measured := run.Groups[name][m.name]
+			cells = append(cells, formatMetric(value, measured))
 		}
+		t.row(cells...)
 	}
-	r.printSlopes(row)
-	r.printBounds(row)
 }
 
-func (r *Report) printSlopes(row func(...string)) {
+// printSlopes prints the slopes of the primary metrics.
+func (r *Report) printSlopes(t table) {
 	if len(r.Slopes) == 0 {
 		return
 	}
-	row()
-	row("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
-	for _, s := range r.Slopes {
-		if slices.ContainsFunc(metrics, func(f metric) bool { return f.name == s.Metric && f.perGroup == (s.Group != "") && f.primary }) {
-			row(s.Metric, s.Version, s.Group, formatNumber(s.Slope, true), formatNumber(s.Intercept, true), formatNumber(s.R2, true))
+	t.row()
+	t.row("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
+	for i := range r.Slopes {
+		s := &r.Slopes[i]
+		if s.isPrimary() {
+			t.row(s.Metric, s.Version, s.Group, formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.R2))
 		}
 	}
 }
 
-// printBounds prints the bounds that were broken, how many were kept, and what is
-// partial.
-func (r *Report) printBounds(row func(...string)) {
-	limit := func(b *float64) string {
-		if b == nil {
-			return ""
-		}
-		return formatNumber(*b, true)
-	}
+// printBounds prints the bounds that were broken, and how many were kept.
+func (r *Report) printBounds(t table) {
 	broken := 0
-	for _, v := range r.Verdicts {
-		if v.Passed {
+	for i := range r.Verdicts {
+		if r.Verdicts[i].Passed {
 			continue
 		}
-		if broken++; broken == 1 {
-			row()
-			row("broken bound", "group", "at", "most", "least", "got")
-		}
-		got, at := "not measured", ""
-		if v.Measured != nil {
-			got = formatNumber(*v.Measured, true)
+		broken++
+		if broken == 1 {
+			t.row()
+			t.row("broken bound", "group", "at", "most", "least", "got")
 		}
-		if r.Experiment.Sweep != "" {
-			at = formatNumber(v.Value, true)
-		}
-		row(v.Metric, v.Group, at, limit(v.Max), limit(v.Min), got)
+		r.printBroken(t, &r.Verdicts[i])
+	}
+	t.row()
+	t.row(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
+}
+
+// printBroken prints a bound that was broken.
+func (r *Report) printBroken(t table, v *Verdict) {
+	measured := "not measured"
+	if v.Measured != nil {
+		measured = formatNumber(*v.Measured)
+	}
+	at := ""
+	if r.Experiment.Sweep != "" {
+		at = formatNumber(v.Value)
 	}
-	row()
-	row(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
-	for _, run := range r.Runs {
-		for _, why := range run.Partial {
-			row("PARTIAL: " + run.label(r) + ": " + why)
+	t.row(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
+}
+
+// printPartial prints what was not measured to its end.
+func (r *Report) printPartial(t table) {
+	for i := range r.Runs {
+		for _, reason := range r.Runs[i].Partial {
+			t.row("PARTIAL: " + r.label(&r.Runs[i]) + ": " + reason)
 		}
 	}
 }
 
-// label names a run among those of its report.
-func (run *Run) label(r *Report) string {
+// label names a run among those of the report.
+func (r *Report) label(run *Run) string {
 	var words []string
 	if run.Key != "" {
-		words = append(words, run.Key+"="+formatNumber(run.Value, true))
+		words = append(words, run.Key+"="+formatNumber(run.Value))
 	}
 	if r.Baseline != "" || len(words) == 0 {
 		words = append(words, run.Version)
@@ -124,13 +139,26 @@
 	return strings.Join(words, " ")
 }
 
-// formatNumber prints three figures, more only of what is above 999.
-func formatNumber(v float64, measured bool) string {
+// formatMetric is "-" for a metric that was not measured.
+func formatMetric(value float64, measured bool) string {
 	if !measured {
 		return "-"
 	}
-	if v >= 1000 || v <= -1000 {
-		return strconv.FormatFloat(v, 'f', 0, 64)
+	return formatNumber(value)
+}
+
+// formatLimit is "" for a limit that is not stated.
+func formatLimit(limit *float64) string {
+	if limit == nil {
+		return ""
+	}
+	return formatNumber(*limit)
+}
+
+// formatNumber prints three significant digits, and all of the integer part from 1000 on.
+func formatNumber(value float64) string {
+	if value >= 1000 || value <= -1000 {
+		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
-	return strconv.FormatFloat(v, 'g', 3, 64)
+	return strconv.FormatFloat(value, 'g', 3, 64)
 }
--- /dev/null
+++ b/internal/lab/experiment/verdict.go
@@ -0,0 +1,58 @@
+package experiment
+
+import (
+	"maps"
+	"slices"
+)
+
+// Verdict says whether a bound was kept at one run.
+type Verdict struct {
+	Bound
+	Value    float64  `json:"value"`         // of the swept key
+	Measured *float64 `json:"got,omitempty"` // nil: the metric was not measured, and the bound not kept
+	Passed   bool     `json:"kept"`
+}
+
+// evaluateBounds evaluates the bounds at each run of the candidate.
+func evaluateBounds(bounds []Bound, runs []Run) []Verdict {
+	var verdicts []Verdict
+	for i := range runs {
+		if runs[i].Version != Candidate {
+			continue
+		}
+		for _, b := range bounds {
+			verdicts = append(verdicts, b.evaluateRun(&runs[i])...)
+		}
+	}
+	return verdicts
+}
+
+// evaluateRun evaluates the bound at a run, with a verdict for each group if it is one of groups. Where no group was
+// measured, the bound is not kept.
+func (b Bound) evaluateRun(run *Run) []Verdict {
+	if b.Group == "" {
+		return []Verdict{b.evaluate(run.Value, run.Metrics)}
+	}
+	var verdicts []Verdict
+	for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
+		if b.matches(name) {
+			ofGroup := b
+			ofGroup.Group = name
+			verdicts = append(verdicts, ofGroup.evaluate(run.Value, run.Groups[name]))
+		}
+	}
+	if len(verdicts) == 0 {
+		verdicts = append(verdicts, b.evaluate(run.Value, nil))
+	}
+	return verdicts
+}
+
+// evaluate evaluates the bound on the metrics of a run or of a group.
+func (b Bound) evaluate(value float64, metrics Metrics) Verdict {
+	verdict := Verdict{Bound: b, Value: value}
+	if measured, ok := metrics[b.Metric]; ok {
+		verdict.Measured = &measured
+		verdict.Passed = (b.Max == nil || measured <= *b.Max) && (b.Min == nil || measured >= *b.Min)
+	}
+	return verdict
+}
