--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,8 +11,8 @@
 	"amberlb/internal/wire"
 )
 
-// sound is an experiment that could be run.
-const sound = `
+// validExperiment is an experiment that could be run.
+const validExperiment = `
 shows = "a test"
 seconds = 1
 [fleet]
@@ -39,7 +39,8 @@
 most = 0.1
 `
 
-func write(t *testing.T, text string) string {
+// writeExperiment writes an experiment to a file and returns its path.
+func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "test.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -48,12 +49,17 @@
 	return path
 }
 
-// Whoever writes an experiment is told in one line which key is wrong.
-func TestReadNamesTheKey(t *testing.T) {
-	if _, err := Read(write(t, sound), ""); err != nil {
+// An error in an experiment is one line that names the key.
+func TestReadErrorNamesTheKey(t *testing.T) {
+	if _, err := Read(writeExperiment(t, validExperiment), ""); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ old, new, over, named string }{
+	for _, c := range []struct {
+		old   string // text of validExperiment
+		new   string // in its place
+		sweep string
+		named string // what the error names
+	}{
 		{"real = 2", "real = 2\nhelow = 3", "", `line 6: unknown key "fleet.helow"`},
 		{"use = 0.5\nburst_s = 3\n[[bound]]", "used = 1\n[[bound]]", "", `unknown key "group.used"`},
 		{"real = 2", `real = "two"`, "", `"fleet.real"`},
@@ -75,15 +81,15 @@
 		{"", "", "backends", `"backends"`},
 		{"", "", "backends=10,0", "backends=0"},
 	} {
-		_, err := Read(write(t, strings.Replace(sound, c.old, c.new, 1)), c.over)
+		_, err := Read(writeExperiment(t, strings.Replace(validExperiment, c.old, c.new, 1)), c.sweep)
 		if err == nil || !strings.Contains(err.Error(), c.named) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q, over %q: %v; %s should be named in one line", c.new, c.old, c.over, err, c.named)
+			t.Errorf("%q for %q, over %q: %v; %s should be named in one line", c.new, c.old, c.sweep, err, c.named)
 		}
 	}
 }
 
-// Those that are handed out can be run.
-func TestExperimentsOfTheLab(t *testing.T) {
+// The experiments in the lab directory are valid.
+func TestExperimentsOfTheLabAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 6 {
 		t.Fatalf("%v, %v", files, err)
@@ -95,9 +101,10 @@
 	}
 }
 
-func read(t *testing.T, text, over string) []Experiment {
+// readPoints reads an experiment and returns those at the points of its sweep.
+func readPoints(t *testing.T, text, sweep string) []Experiment {
 	t.Helper()
-	e, err := Read(write(t, text), over)
+	e, err := Read(writeExperiment(t, text), sweep)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,105 +115,125 @@
 	return points
 }
 
-// A sweep changes its key alone, and each point without a trace of the last.
-func TestSweepPoints(t *testing.T) {
-	points := read(t, sound, "spread=1,4")
+// A point of a sweep changes the swept key alone, and nothing of the other points.
+func TestSweepChangesItsKeyAlone(t *testing.T) {
+	points := readPoints(t, validExperiment, "spread=1,4")
 	if len(points) != 2 {
 		t.Fatalf("%d points", len(points))
 	}
-	for i, spread := range []int{1, 4} {
+	for i, size := range []int{1, 4} {
 		e := &points[i]
-		if len(e.Groups) != 1 || e.Groups[0].SubsetSize != spread || e.Groups[0].Name != fmt.Sprint("calm-", spread) || e.Groups[0].Gateways != spread || e.Tenants.SubsetSize != spread ||
-			e.Backends.Count != 10 || e.Fleet.Gateways != 2+spread {
-			t.Errorf("at %d: %+v", spread, e)
+		if len(e.Groups) != 1 {
+			t.Errorf("at %d: %+v", size, e)
+			continue
+		}
+		group := &e.Groups[0]
+		if group.SubsetSize != size || group.Name != fmt.Sprint("calm-", size) || group.Gateways != size ||
+			e.Tenants.SubsetSize != size || e.Backends.Count != 10 || e.Fleet.Gateways != 2+size {
+			t.Errorf("at %d: %+v", size, e)
 		}
 	}
 }
 
-// Gateways can read the settings, and the plans in them are the quotas that the
+// Gateways can parse the settings, and the plans in them are the quotas that the
 // experiment states.
-func TestSettings(t *testing.T) {
-	e := read(t, sound, "")[0]
+func TestSettingsStateTheQuotas(t *testing.T) {
+	e := readPoints(t, validExperiment, "")[0]
 	text, err := e.settings(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := wire.ParseDeployment(text)
+	deployment, err := wire.ParseDeployment(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.GatewayIndex != 1 || d.FleetSize != 9 || d.Counter || d.MaxUnits != 2 {
-		t.Errorf("%+v", d.Settings)
+	if deployment.GatewayIndex != 1 || deployment.FleetSize != 9 || deployment.Counter || deployment.MaxUnits != 2 {
+		t.Errorf("%+v", deployment.Settings)
 	}
-	if p := d.Plans[0]; d.PlanNames[0] != "calm-2" || p.Rate != 8 || p.Burst != 24 {
-		t.Errorf("plan of the first group: %s, %+v", d.PlanNames[0], p)
+	plan := deployment.Plans[0]
+	if deployment.PlanNames[0] != "calm-2" || plan.Rate != 8 || plan.Burst != 24 {
+		t.Errorf("plan of the first group: %s, %+v", deployment.PlanNames[0], plan)
 	}
-	tenants, _ := e.tenants()
-	rates, asked := map[string]float64{}, 0.0
-	for i, name := range d.PlanNames {
-		rates[name] = d.Plans[i].Rate
+	quotas := map[string]float64{}
+	for i, name := range deployment.PlanNames {
+		quotas[name] = deployment.Plans[i].Rate
 	}
-	sum := 0.0
+	tenants, _ := e.tenants()
+	zipfSum := 0.0
 	for i := range tenants {
-		sum += 1 / float64(i+1)
+		zipfSum += 1 / float64(i+1)
 	}
+	total := 0.0
 	for i, tenant := range tenants {
-		rate := 20 / sum / float64(i+1)
-		asked += rate
-		if use := rate / rates[tenant.Plan]; use > 0.5+1e-9 || use <= 0.25 {
-			t.Errorf("tenant %d asks for %g of its quota", i, use)
+		rate := 20 / zipfSum / float64(i+1)
+		total += rate
+		if utilization := rate / quotas[tenant.Plan]; utilization > 0.5+1e-9 || utilization <= 0.25 {
+			t.Errorf("tenant %d uses %g of its quota", i, utilization)
 		}
 		if tenant.FirstGateway+tenant.SubsetSize > 2 || tenant.ID >= 1<<33 {
 			t.Errorf("tenant %+v", tenant)
 		}
 	}
-	if math.Abs(asked-20) > 1e-6 {
-		t.Errorf("%g requests a second in all", asked)
+	if math.Abs(total-20) > 1e-6 {
+		t.Errorf("%g requests a second in all", total)
 	}
 }
 
-// Every hollow gateway is in one process, and a group in one as a whole.
-func TestJobs(t *testing.T) {
+// Every hollow gateway is in one process, and all gateways of a group are in the same.
+func TestGroupsAreNotSplitOverProcesses(t *testing.T) {
 	for _, processes := range []int{1, 2, 7} {
-		e := read(t, strings.Replace(sound, "real = 2", fmt.Sprintf("real = 2\nhollow = 12\nprocesses = %d", processes), 1), "")[0]
-		next, groups := 2, 0
-		for _, j := range e.hollowJobs() {
-			in := 0
-			for _, g := range e.Groups[j.firstGroup : j.firstGroup+j.groupCount] {
-				in += g.Gateways
+		fleet := fmt.Sprintf("real = 2\nhollow = 12\nprocesses = %d", processes)
+		e := readPoints(t, strings.Replace(validExperiment, "real = 2", fleet, 1), "")[0]
+		nextRank := 2
+		nextGroup := 0
+		for _, job := range e.hollowJobs() {
+			ofGroups := 0
+			for _, g := range e.Groups[job.firstGroup : job.firstGroup+job.groupCount] {
+				ofGroups += g.Gateways
 			}
-			if j.firstRank != next || j.gateways < 1 || j.groupCount > 0 && (j.firstGroup != groups || in != j.gateways) {
-				t.Errorf("%d processes: %+v after %d", processes, j, next)
+			if job.firstRank != nextRank || job.gateways < 1 ||
+				job.groupCount > 0 && (job.firstGroup != nextGroup || ofGroups != job.gateways) {
+				t.Errorf("%d processes: %+v after %d", processes, job, nextRank)
 			}
-			next, groups = j.firstRank+j.gateways, groups+j.groupCount
+			nextRank = job.firstRank + job.gateways
+			nextGroup += job.groupCount
 		}
-		if next != 14 || groups != 2 || len(e.hollowJobs()) > 2*processes {
-			t.Errorf("%d processes: up to %d, %d groups", processes, next, groups)
+		if nextRank != 14 || nextGroup != 2 || len(e.hollowJobs()) > 2*processes {
+			t.Errorf("%d processes: up to %d, %d groups", processes, nextRank, nextGroup)
 		}
 	}
 }
 
-func TestFit(t *testing.T) {
-	s, ok := leastSquares([]float64{1, 2, 4}, []float64{5, 7, 11})
-	if !ok || math.Abs(s.Slope-2) > 1e-9 || math.Abs(s.Intercept-3) > 1e-9 || math.Abs(s.R2-1) > 1e-9 || s.Points != 3 {
-		t.Errorf("%+v", s)
+// The line of least squares and its R2 are exact, and there is none through a single value of x.
+func TestLeastSquares(t *testing.T) {
+	line, ok := leastSquares([]float64{1, 2, 4}, []float64{5, 7, 11})
+	if !ok || math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9 || math.Abs(line.R2-1) > 1e-9 ||
+		line.Points != 3 {
+		t.Errorf("%+v", line)
 	}
-	if s, _ = leastSquares([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}); math.Abs(s.Slope-0.8) > 1e-9 || math.Abs(s.R2-0.64) > 1e-9 {
-		t.Errorf("%+v", s)
+	line, _ = leastSquares([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3})
+	if math.Abs(line.Slope-0.8) > 1e-9 || math.Abs(line.R2-0.64) > 1e-9 {
+		t.Errorf("%+v", line)
 	}
-	if s, ok = leastSquares([]float64{3, 3}, []float64{1, 2}); ok {
-		t.Errorf("through one value: %+v", s)
+	line, ok = leastSquares([]float64{3, 3}, []float64{1, 2})
+	if ok {
+		t.Errorf("through one value: %+v", line)
 	}
 }
 
-// A bound binds this version at every point and in every group that it names, and
-// what was not measured keeps none.
-func TestVerdicts(t *testing.T) {
+// A bound applies to the candidate at every point and in every group that it matches,
+// and is broken where its metric was not measured.
+func TestBoundsApplyToTheCandidate(t *testing.T) {
 	limit := 1.0
 	bounds := []Bound{{Metric: "ready_s", Max: &limit}, {Metric: "tries", Group: "a*", Min: &limit}}
 	runs := []Run{
 		{Version: Baseline, Metrics: Metrics{"ready_s": 9}, Groups: map[string]Metrics{"a1": {}}},
-		{Version: Candidate, Value: 1, Metrics: Metrics{"ready_s": 1}, Groups: map[string]Metrics{"a1": {"tries": 1}, "a2": {"tries": 0}, "b": {}}},
+		{
+			Version: Candidate,
+			Value:   1,
+			Metrics: Metrics{"ready_s": 1},
+			Groups:  map[string]Metrics{"a1": {"tries": 1}, "a2": {"tries": 0}, "b": {}},
+		},
 		{Version: Candidate, Value: 2, Metrics: Metrics{}},
 	}
 	var got []string
