--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -1,12 +1,13 @@
-// Package counter stands in for the counter service of the protocol: named
-// totals with a life, calls pipelined on HTTP/1.1, and a service time that bounds
-// what it bears. The bound on connections of one gateway is left out, since on
-// loopback all callers look alike.
+// Package counter stands in for the counter service of the protocol: named totals
+// with a lifetime, calls pipelined on HTTP/1.1, and a service time that limits the
+// rate of calls. The protocol's limit on the connections of one gateway is left out,
+// since on loopback all callers look alike.
 package counter
 
 import (
 	"context"
 	"net"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,28 +17,21 @@
 	"amberlb/internal/lab/netstats"
 )
 
-// Options say what the counter bears: Parts / Service calls a second, if names
+// Options are the counter's capacity: Shards / ServiceTime calls a second, if names
 // are spread evenly.
 type Options struct {
 	Shards      int           // names are spread over so many by xxhash; each serves one call at a time
-	ServiceTime time.Duration // a call's turn at its part
-	MaxQueued   int           // calls that wait at a part at most; more are turned away with 503
-}
-
-// Fault is how the counter ails. The zero value is well.
-type Fault struct {
-	// Silent: it reads calls, adds nothing and answers nothing, as if cut off. Its
-	// connections are reset when the silence ends.
-	Blackhole  bool
-	Rejecting  bool    // it turns every call away with 503
-	SlowFactor float64 // turns take so many times as long, those under way too; 0: 1
+	ServiceTime time.Duration // length of a call's turn at its shard
+	MaxQueued   int           // calls that wait at a shard at most; further ones are rejected with 503
 }
 
 // Stats is what the counter has done since its start.
 type Stats struct {
-	Calls, Rejected  uint64 // calls read whole, and those of them that got 503
-	Names, PeakNames int    // alive now, and at most at once
-	Traffic          netstats.Traffic
+	Calls     uint64 // calls read completely
+	Rejected  uint64 // of these, answered 503
+	Names     int    // alive now
+	PeakNames int    // alive at one time, at most
+	Traffic   netstats.Traffic
 }
 
 // Counter is the stand-in. Its methods may be called from many goroutines.
@@ -45,33 +39,24 @@
 	options   Options
 	startedAt time.Time
 	shards    []*shard
-	state     atomic.Pointer[faultState]
-	stateMu   sync.Mutex // changes of state
 
-	callCount, rejectedCount atomic.Uint64
-	nameCount, peakNames     atomic.Int64
-	closed                   atomic.Bool // no answer is written any more
+	state   atomic.Pointer[faultState]
+	stateMu sync.Mutex // held while state is replaced
+
+	callCount     atomic.Uint64
+	rejectedCount atomic.Uint64
+	nameCount     atomic.Int64
+	peakNames     atomic.Int64
 
 	listener *netstats.Listener
 	serving  sync.WaitGroup
+	closed   atomic.Bool // no response is written any more
 }
 
-// faultState is a fault with the clock of service, which a slow counter's parts go by:
-// it stood at served when the fault began at since, and runs slowed from there.
-type faultState struct {
-	Fault
-	faultStart, serviceClockAtFault time.Duration
-}
-
-// serviceClock returns what the clock of service shows.
-func (s *faultState) serviceClock(now time.Duration) time.Duration {
-	return s.serviceClockAtFault + time.Duration(float64(now-s.faultStart)/s.SlowFactor)
-}
-
-// New makes a counter that is well. Parts under 1 count as 1.
-func New(o Options) *Counter {
-	o.Shards = max(o.Shards, 1)
-	c := &Counter{options: o, startedAt: time.Now(), shards: make([]*shard, o.Shards)}
+// New makes a counter without a fault. Shards under 1 count as 1.
+func New(options Options) *Counter {
+	options.Shards = max(options.Shards, 1)
+	c := &Counter{options: options, startedAt: time.Now(), shards: make([]*shard, options.Shards)}
 	for i := range c.shards {
 		c.shards[i] = &shard{names: make(map[string]*entry)}
 	}
@@ -82,14 +67,14 @@
 // Start listens on a port of loopback that the system chooses, and serves until
 // ctx ends or Close.
 func (c *Counter) Start(ctx context.Context) (address string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	c.listener = netstats.Listen(l)
+	c.listener = netstats.Listen(listener)
 	context.AfterFunc(ctx, func() { c.closeListener() })
 	c.serving.Go(func() { c.listener.Serve(&c.serving, c.serve) })
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
 // Close resets all connections and waits for their goroutines.
@@ -102,75 +87,71 @@
 	return err
 }
 
+// closeListener resets all connections and ends the service.
 func (c *Counter) closeListener() error {
 	c.closed.Store(true)
 	return c.listener.CloseAll()
 }
 
-// Stats returns the counts so far. It needs a Start before.
+// Stats returns the counts so far. Start must have been called.
 func (c *Counter) Stats() Stats {
-	s := Stats{Calls: c.callCount.Load(), Rejected: c.rejectedCount.Load(), Traffic: c.listener.Traffic()}
-	for _, p := range c.shards {
-		p.mu.Lock()
-		c.nameCount.Add(-int64(p.evictExpired(c.now())))
-		p.mu.Unlock()
+	stats := Stats{Calls: c.callCount.Load(), Rejected: c.rejectedCount.Load(), Traffic: c.listener.Traffic()}
+	for _, s := range c.shards {
+		s.mu.Lock()
+		c.nameCount.Add(-int64(s.evictExpired(c.now())))
+		s.mu.Unlock()
 	}
-	s.Names, s.PeakNames = int(c.nameCount.Load()), int(c.peakNames.Load())
-	return s
+	stats.Names = int(c.nameCount.Load())
+	stats.PeakNames = int(c.peakNames.Load())
+	return stats
 }
 
-// SetFault makes the counter ail in this way from now on.
-func (c *Counter) SetFault(f Fault) {
-	c.stateMu.Lock()
-	defer c.stateMu.Unlock()
-	if f.SlowFactor <= 0 {
-		f.SlowFactor = 1
-	}
-	now, old := c.now(), c.state.Load()
-	c.state.Store(&faultState{Fault: f, faultStart: now, serviceClockAtFault: old.serviceClock(now)})
-	if old.Blackhole && !f.Blackhole {
-		// A connection that swallowed a call stays mute until then, so no later call
-		// gets the answer in its place.
-		c.listener.ResetConns()
-	}
-}
-
-// Reset loses all names, as a counter that starts anew.
+// Reset removes all names, as a restart of the counter does.
 func (c *Counter) Reset() {
-	for _, p := range c.shards {
-		p.mu.Lock()
-		c.nameCount.Add(-int64(p.removeAll()))
-		p.mu.Unlock()
+	for _, s := range c.shards {
+		s.mu.Lock()
+		c.nameCount.Add(-int64(s.removeAll()))
+		s.mu.Unlock()
 	}
 }
 
+// now is the time since the counter was made.
 func (c *Counter) now() time.Duration { return time.Since(c.startedAt) }
 
-// handleCall serves one call and returns its answer.
-func (c *Counter) handleCall(fault *faultState, name []byte, amount float64, lifetime time.Duration) response {
-	p := c.shards[xxhash.Sum64(name)%uint64(len(c.shards))]
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// handleCall takes a call's turn at its shard and returns the response.
+func (c *Counter) handleCall(fault *faultState, parsed call) response {
+	s := c.shards[xxhash.Sum64(parsed.name)%uint64(len(c.shards))]
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := c.now()
 	if fault.Rejecting {
 		return c.reject()
 	}
-	due, ok := p.reserveTurn(fault.serviceClock(now), c.options.ServiceTime, c.options.MaxQueued)
+	due, ok := s.reserveTurn(fault.serviceClock(now), c.options.ServiceTime, c.options.MaxQueued)
 	if !ok {
 		return c.reject()
 	}
-	total, created, expired := p.add(now, name, amount, lifetime)
+	total, created, expired := s.add(now, parsed.name, parsed.amount, parsed.lifetime)
+	c.countNames(created, expired)
+	return response{status: http.StatusOK, total: total, due: due}
+}
+
+// countNames counts a name that was created, if one was, and those that expired before.
+func (c *Counter) countNames(created bool, expired int) {
 	alive := c.nameCount.Add(-int64(expired))
 	if created {
 		alive = c.nameCount.Add(1)
 	}
-	for peak := c.peakNames.Load(); alive > peak && !c.peakNames.CompareAndSwap(peak, alive); {
-		peak = c.peakNames.Load()
+	for {
+		peak := c.peakNames.Load()
+		if alive <= peak || c.peakNames.CompareAndSwap(peak, alive) {
+			return
+		}
 	}
-	return response{status: statusOK, total: total, due: due}
 }
 
+// reject counts a call that is rejected and returns its response.
 func (c *Counter) reject() response {
 	c.rejectedCount.Add(1)
-	return response{status: statusOverloaded}
+	return response{status: http.StatusServiceUnavailable}
 }
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -6,84 +6,91 @@
 	"time"
 )
 
-// shard serves the calls for its names, one at a time in the order they came. It
-// knows no clock; see Counter.
+// shard serves the calls for its names, one at a time in the order of their arrival.
+// It reads no clock; times are passed to it. Its methods need mu to be held.
 type shard struct {
 	mu          sync.Mutex
-	finishTimes []time.Duration // ends of the turns not yet over, in order
+	finishTimes []time.Duration // ends of the turns that are not over, in order, on the service clock
 	names       map[string]*entry
-	byExpiry    expiryHeap // the same names, the one that ends first on top
+	byExpiry    expiryHeap // the same names
 }
 
-// entry is one total with its end, which calls after the first don't move.
+// entry is the total of a name.
 type entry struct {
-	key       string
+	name      string
 	total     float64
-	expiresAt time.Duration
+	expiresAt time.Duration // set by the first call, and not moved by later ones
 }
 
-// reserveTurn gives a call a turn of the length of service, which ends at due. Both due
-// and served, the time now, are on the clock of service. ok is false if so many
-// calls wait already.
-func (p *shard) reserveTurn(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
+// reserveTurn gives a call a turn of the length serviceTime after those already reserved. due is its end; it and
+// serviceNow are on the service clock. ok is false if maxQueued calls wait already.
+func (s *shard) reserveTurn(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
 	finished := 0
-	for finished < len(p.finishTimes) && p.finishTimes[finished] <= serviceNow {
+	for finished < len(s.finishTimes) && s.finishTimes[finished] <= serviceNow {
 		finished++
 	}
-	p.finishTimes = p.finishTimes[finished:]
-	if len(p.finishTimes) > maxQueued { // one has its turn, the rest wait
+	s.finishTimes = s.finishTimes[finished:]
+	if len(s.finishTimes) > maxQueued { // one has its turn, the others wait
 		return 0, false
 	}
-	due = serviceNow + serviceTime
-	if n := len(p.finishTimes); n > 0 {
-		due = p.finishTimes[n-1] + serviceTime
+	turnStart := serviceNow
+	if n := len(s.finishTimes); n > 0 {
+		turnStart = s.finishTimes[n-1]
 	}
-	p.finishTimes = append(p.finishTimes, due)
+	due = turnStart + serviceTime
+	s.finishTimes = append(s.finishTimes, due)
 	return due, true
 }
 
-// add adds to a name that lives for so long from its first call on. made tells
-// that it is new, ended how many names ended before.
-func (p *shard) add(now time.Duration, key []byte, amount float64, lifetime time.Duration) (total float64, created bool, expired int) {
-	expired = p.evictExpired(now)
-	e := p.names[string(key)]
+// add adds to a name, which it creates if there is none, with a lifetime from now. expired is how many names expired
+// before.
+func (s *shard) add(
+	now time.Duration, name []byte, amount float64, lifetime time.Duration,
+) (total float64, created bool, expired int) {
+	expired = s.evictExpired(now)
+	e := s.names[string(name)]
 	if e == nil {
 		created = true
-		e = &entry{key: string(key), expiresAt: now + lifetime}
-		p.names[e.key] = e
-		heap.Push(&p.byExpiry, e)
+		e = &entry{name: string(name), expiresAt: now + lifetime}
+		s.names[e.name] = e
+		heap.Push(&s.byExpiry, e)
 	}
 	e.total += amount
 	return e.total, created, expired
 }
 
-// evictExpired forgets the names that have ended and returns how many.
-func (p *shard) evictExpired(now time.Duration) (expired int) {
-	for len(p.byExpiry) > 0 && p.byExpiry[0].expiresAt <= now {
-		delete(p.names, heap.Pop(&p.byExpiry).(*entry).key)
+// evictExpired removes the names that have expired and returns how many.
+func (s *shard) evictExpired(now time.Duration) (expired int) {
+	for len(s.byExpiry) > 0 && s.byExpiry[0].expiresAt <= now {
+		delete(s.names, heap.Pop(&s.byExpiry).(*entry).name)
 		expired++
 	}
 	return expired
 }
 
-// removeAll forgets all names and returns how many there were.
-func (p *shard) removeAll() (removed int) {
-	removed = len(p.names)
-	p.names, p.byExpiry = make(map[string]*entry), nil
+// removeAll removes all names and returns how many there were.
+func (s *shard) removeAll() (removed int) {
+	removed = len(s.names)
+	s.names = make(map[string]*entry)
+	s.byExpiry = nil
 	return removed
 }
 
-// expiryHeap is a heap of names by their ends.
+// expiryHeap is a heap of names, that which expires first on top. See container/heap.
 type expiryHeap []*entry
 
-func (l expiryHeap) Len() int           { return len(l) }
-func (l expiryHeap) Less(i, j int) bool { return l[i].expiresAt < l[j].expiresAt }
-func (l expiryHeap) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
-func (l *expiryHeap) Push(x any)        { *l = append(*l, x.(*entry)) }
-func (l *expiryHeap) Pop() any {
-	last := len(*l) - 1
-	n := (*l)[last]
-	(*l)[last] = nil
-	*l = (*l)[:last]
-	return n
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push appends an entry.
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*entry)) }
+
+// Pop removes the last entry.
+func (h *expiryHeap) Pop() any {
+	last := len(*h) - 1
+	e := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return e
 }
