--- /dev/null
+++ b/internal/lab/discovery/handler.go
@@ -0,0 +1,106 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+)
+
+const (
+	listPath        = "/registry/instances"
+	maxWatchTimeout = 60 * time.Second
+)
+
+// handleList handles a call.
+func (s *Server) handleList(w http.ResponseWriter, request *http.Request) {
+	s.callCount.Add(1)
+	query := request.URL.Query()
+	since, sinceErr := queryInt(query, "since")
+	timeoutMillis, timeoutErr := queryInt(query, "timeout_ms")
+	if err := errors.Join(sinceErr, timeoutErr); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	timeout := time.Duration(min(timeoutMillis, maxWatchTimeout.Milliseconds())) * time.Millisecond
+	encoded, err := s.awaitList(request.Context(), since, timeout)
+	if err != nil {
+		return // the caller has left, or the server ends
+	}
+	s.countList(encoded)
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.body)))
+	w.Write(encoded.body)
+}
+
+// queryInt returns an integer of a query that is not below 0; it is 0 if the query does not state it.
+func queryInt(query url.Values, key string) (int64, error) {
+	if !query.Has(key) {
+		return 0, nil
+	}
+	value, err := strconv.ParseUint(query.Get(key), 10, 63)
+	return int64(value), err
+}
+
+// awaitList returns the list for a caller that has the generation since (0: none), once
+// there is a newer generation or the timeout is over. The error is ctx's.
+func (s *Server) awaitList(ctx context.Context, since int64, timeout time.Duration) (*encodedList, error) {
+	if err := s.awaitChange(ctx, since, timeout); err != nil {
+		return nil, err
+	}
+	if s.fullListLimiter != nil && s.needsFullList(since) {
+		if err := s.fullListLimiter.wait(ctx); err != nil {
+			return nil, err
+		}
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.since(since), nil
+}
+
+// awaitChange waits while a generation is the current one, for the timeout at most.
+func (s *Server) awaitChange(ctx context.Context, generation int64, timeout time.Duration) error {
+	if timeout <= 0 {
+		return nil
+	}
+	changed, current := s.watch()
+	if generation != current {
+		return nil
+	}
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-changed:
+		return nil
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// watch returns the current generation, and a channel that is closed at the next one.
+func (s *Server) watch() (changed <-chan struct{}, generation int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changed, s.list.generation
+}
+
+// needsFullList tells whether a caller that has a generation gets the full list.
+func (s *Server) needsFullList(since int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.list.hasChangesSince(since)
+}
+
+// countList counts a list that is sent.
+func (s *Server) countList(encoded *encodedList) {
+	if encoded.full {
+		s.fullListCount.Add(1)
+	} else {
+		s.deltaListCount.Add(1)
+	}
+	s.entryCount.Add(uint64(encoded.entries))
+}
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// maxCatchUp is how late a turn may come and still not delay those after it: the
+// maxCatchUp is how late a turn may come without delaying those after it: the
 // system's timers are that coarse.
 const maxCatchUp = 10 * time.Millisecond
 
-// rateLimiter gives turns at a bounded rate, first come first served. Who leaves gives up
-// the place in the line and costs no turn.
+// rateLimiter grants turns at a limited rate, in the order of the calls of wait. A call
+// whose context ends leaves the queue and uses no turn.
 type rateLimiter struct {
-	interval time.Duration
-	tokens   chan struct{}
+	interval time.Duration // between two turns
+	turns    chan struct{} // unbuffered, so that a turn goes to the call that has waited longest
 }
 
 func newRateLimiter(perSecond float64) *rateLimiter {
-	return &rateLimiter{interval: time.Duration(float64(time.Second) / perSecond), tokens: make(chan struct{})}
+	return &rateLimiter{
+		interval: time.Duration(float64(time.Second) / perSecond),
+		turns:    make(chan struct{}),
+	}
 }
 
-// run gives turns until ctx ends.
+// run grants turns until ctx ends. A turn that no call waits for is kept for the next one.
 func (l *rateLimiter) run(ctx context.Context) {
 	next := time.Now()
 	for {
@@ -32,21 +35,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case l.tokens <- struct{}{}: // waiting callers get it in their order
+		case l.turns <- struct{}{}:
 		}
-		if earliest := time.Now().Add(-maxCatchUp); next.Before(earliest) {
+		earliest := time.Now().Add(-maxCatchUp)
+		if next.Before(earliest) {
 			next = earliest
 		}
 		next = next.Add(l.interval)
 	}
 }
 
-// wait waits for one. It returns false if ctx ends first.
-func (l *rateLimiter) wait(ctx context.Context) bool {
+// wait waits for a turn. The error is ctx's, if it ends first.
+func (l *rateLimiter) wait(ctx context.Context) error {
 	select {
-	case <-l.tokens:
-		return true
+	case <-l.turns:
+		return nil
 	case <-ctx.Done():
-		return false
+		return ctx.Err()
 	}
 }
