--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -6,7 +6,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -67,11 +66,11 @@
 // Start listens on a port of loopback that the system chooses, and serves until
 // ctx ends or Close.
 func (c *Counter) Start(ctx context.Context) (address string, err error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := netstats.ListenLoopback()
 	if err != nil {
 		return "", err
 	}
-	c.listener = netstats.Listen(listener)
+	c.listener = listener
 	context.AfterFunc(ctx, func() { c.closeListener() })
 	c.serving.Go(func() { c.listener.Serve(&c.serving, c.serve) })
 	return listener.Addr().String(), nil
--- a/internal/lab/discovery/server.go
+++ b/internal/lab/discovery/server.go
@@ -58,11 +58,11 @@
 // Start listens on a port of loopback that the system chooses, and serves until
 // ctx ends or Close.
 func (s *Server) Start(ctx context.Context) (address string, err error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := netstats.ListenLoopback()
 	if err != nil {
 		return "", err
 	}
-	s.listener = netstats.Listen(listener)
+	s.listener = listener
 	ctx, cancel := context.WithCancel(ctx)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listPath, s.handleList)
--- a/internal/lab/netstats/listener.go
+++ b/internal/lab/netstats/listener.go
@@ -6,29 +6,11 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
-// segmentHeaderBytes is what a segment has beside its payload: IPv4 20, TCP 20,
-// timestamps 12.
-const segmentHeaderBytes = 52
-
-const acceptRetryDelay = 10 * time.Millisecond // after an accept that failed
-
-// Traffic is what passed over the connections of a listener, both ways.
-type Traffic struct {
-	BytesIn, BytesOut uint64 // payload bytes read and written by the listener's side
-	Segments          uint64 // TCP segments both ways by TCP_INFO, pure acknowledgements among them
-	Conns             uint64 // connections accepted
-}
-
-// Bytes returns the bytes on the wire, headers included. What follows a
-// connection's close (its FIN and the acknowledgement) is not in it.
-func (t Traffic) Bytes() uint64 { return t.BytesIn + t.BytesOut + segmentHeaderBytes*t.Segments }
+// acceptRetryDelay is waited after an accept that failed.
+const acceptRetryDelay = 10 * time.Millisecond
 
 // Listener counts the traffic of the connections that it accepts. Its methods
 // may be called from many goroutines.
@@ -37,26 +19,35 @@
 
 	mu            sync.Mutex
 	openConns     map[*conn]struct{}
-	closedTraffic Traffic // of closed connections, and Conns of all
+	closedTraffic Traffic // of closed connections, but Conns of all
 	closed        bool
 }
 
-// Listen wraps l. Segments stay 0 for connections that are not TCP.
-func Listen(l net.Listener) *Listener {
-	return &Listener{Listener: l, openConns: make(map[*conn]struct{})}
+// Listen wraps a listener. Segments stay 0 for connections that are not TCP.
+func Listen(listener net.Listener) *Listener {
+	return &Listener{Listener: listener, openConns: make(map[*conn]struct{})}
+}
+
+// ListenLoopback listens on a port of loopback that the system chooses.
+func ListenLoopback() (*Listener, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	return Listen(listener), nil
 }
 
-// Accept waits for the next connection, which counts until it is closed.
+// Accept waits for the next connection, whose traffic counts until it is closed.
 func (l *Listener) Accept() (net.Conn, error) {
-	nc, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, listener: l}
+	c := &conn{Conn: accepted, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		nc.Close()
+		accepted.Close()
 		return nil, net.ErrClosed
 	}
 	l.openConns[c] = struct{}{}
@@ -64,50 +55,56 @@
 	return c, nil
 }
 
-// Serve hands every connection to handle, on a goroutine of its own that serving
-// waits for, until the listener is closed.
+// Serve accepts connections until the listener is closed, and handles each on a
+// goroutine of its own, for which serving waits. handle closes its connection.
 func (l *Listener) Serve(serving *sync.WaitGroup, handle func(net.Conn)) {
 	for {
-		nc, err := l.Accept()
+		accepted, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // out of descriptors, most likely
+			time.Sleep(acceptRetryDelay) // the process is out of file descriptors, most likely
 			continue
 		}
-		serving.Go(func() { handle(nc) })
+		serving.Go(func() { handle(accepted) })
 	}
 }
 
-// Traffic sums live and ended connections.
+// Traffic is the traffic of all connections so far, open or closed.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.closedTraffic
+	total := l.closedTraffic
 	for c := range l.openConns {
-		t.addConn(c)
+		total = total.Plus(c.traffic())
 	}
-	return t
+	return total
 }
 
-// ResetConns ends all live connections with a reset; the listener goes on.
+// ResetConns closes all open connections with a reset. The listener goes on.
 func (l *Listener) ResetConns() {
+	for _, c := range l.open() {
+		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
+			tcpConn.SetLinger(0)
+		}
+		c.Close()
+	}
+}
+
+// open returns the open connections.
+func (l *Listener) open() []*conn {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	conns := make([]*conn, 0, len(l.openConns))
 	for c := range l.openConns {
 		conns = append(conns, c)
 	}
-	l.mu.Unlock()
-	for _, c := range conns {
-		if tc, ok := c.Conn.(*net.TCPConn); ok {
-			tc.SetLinger(0)
-		}
-		c.Close()
-	}
+	return conns
 }
 
-// CloseAll closes the listener and resets all its connections.
+// CloseAll closes the listener and resets all its connections. It returns nil if the
+// listener is closed already.
 func (l *Listener) CloseAll() error {
 	l.mu.Lock()
 	l.closed = true
@@ -120,62 +117,12 @@
 	return err
 }
 
-// Plus is the traffic of both.
-func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{BytesIn: t.BytesIn + o.BytesIn, BytesOut: t.BytesOut + o.BytesOut, Segments: t.Segments + o.Segments, Conns: t.Conns + o.Conns}
-}
-
-func (t *Traffic) addConn(c *conn) {
-	*t = t.Plus(Traffic{BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(), Segments: segments(c.Conn)})
-}
-
-// conn counts its payload. Its segments are read from the kernel when asked for,
-// and for the last time as it closes.
-type conn struct {
-	net.Conn
-	listener          *Listener
-	bytesIn, bytesOut atomic.Uint64
-}
-
-func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.bytesIn.Add(uint64(n))
-	return n, err
-}
-
-func (c *conn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.bytesOut.Add(uint64(n))
-	return n, err
-}
-
-// Close moves the connection's counts to those of the ended ones, once.
-func (c *conn) Close() error {
-	l := c.listener
+// connClosed moves a connection's traffic to that of the closed ones, once.
+func (l *Listener) connClosed(c *conn) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	if _, open := l.openConns[c]; open {
 		delete(l.openConns, c)
-		l.closedTraffic.addConn(c)
+		l.closedTraffic = l.closedTraffic.Plus(c.traffic())
 	}
-	l.mu.Unlock()
-	return c.Conn.Close()
-}
-
-// segments returns the TCP segments of a connection both ways, 0 if the kernel
-// doesn't tell.
-func segments(c net.Conn) (n uint64) {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return 0
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return 0
-	}
-	raw.Control(func(fd uintptr) {
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			n = uint64(info.Segs_in) + uint64(info.Segs_out)
-		}
-	})
-	return n
 }
--- a/internal/lab/netstats/listener_test.go
+++ b/internal/lab/netstats/listener_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
+// The traffic counts all payload, segments and connections, also of connections that are closed.
 func TestTrafficIsWhatWasSent(t *testing.T) {
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := ListenLoopback()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := Listen(inner)
 	const conns, in, out = 3, 100_000, 7
 	for range conns {
-		client, err := net.Dial("tcp", inner.Addr().String())
+		client, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
-		server, err := l.Accept()
+		server, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 	}
 	check := func() Traffic {
 		t.Helper()
-		got := l.Traffic()
+		got := listener.Traffic()
 		if got.BytesIn != conns*in || got.BytesOut != conns*out || got.Conns != conns {
 			t.Errorf("got %+v", got)
 		}
@@ -47,11 +47,11 @@
 		}
 		return got
 	}
-	live := check()
-	if err := l.CloseAll(); err != nil {
+	open := check()
+	if err := listener.CloseAll(); err != nil {
 		t.Fatal(err)
 	}
-	if ended := check(); ended.Segments < live.Segments {
-		t.Errorf("segments fell from %d to %d as connections ended", live.Segments, ended.Segments)
+	if closed := check(); closed.Segments < open.Segments {
+		t.Errorf("segments fell from %d to %d as connections were closed", open.Segments, closed.Segments)
 	}
 }
