--- a/internal/lab/backend/pool_test.go
+++ b/internal/lab/backend/pool_test.go
@@ -10,64 +10,77 @@
 	"time"
 )
 
-func TestBackendsAreToldApart(t *testing.T) {
-	o := New(Options{ServiceTime: time.Millisecond, Listeners: 2})
-	if err := o.Start(t.Context()); err != nil {
+// Each backend of a pool has an address of its own, and connections and requests are counted at each.
+func TestBackendsAreCountedSeparately(t *testing.T) {
+	pool := New(Options{ServiceTime: time.Millisecond, Listeners: 2})
+	if err := pool.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	defer o.Close()
-	list := o.Instances(300, []string{"a", "b"}, []string{"m1", "m2"})
+	defer pool.Close()
+	entries := pool.Instances(300, []string{"a", "b"}, []string{"m1", "m2"})
 	addresses := make(map[string]bool)
-	kinds := make(map[string]int)
-	for _, i := range list {
-		addresses[i.HostPort] = true
-		kinds[i.Zone+i.MachineType]++
+	placements := make(map[string]int) // by zone and machine type
+	for _, entry := range entries {
+		addresses[entry.HostPort] = true
+		placements[entry.Zone+entry.MachineType]++
 	}
-	if len(addresses) != 300 || kinds["am1"] != 75 || kinds["bm2"] != 75 || list[299].ID != "b-00300" {
-		t.Fatalf("%d addresses, %v", len(addresses), kinds)
+	if len(addresses) != 300 || placements["am1"] != 75 || placements["bm2"] != 75 || entries[299].ID != "b-00300" {
+		t.Fatalf("%d addresses, %v", len(addresses), placements)
 	}
 
-	// Three connections at the last backend, one at each of two others; all but one ask.
+	// Three connections to the last backend, one to each of two others; all but the last one send requests.
 	var conns []net.Conn
 	for n, i := range []int{299, 299, 299, 0, 1} {
-		nc, err := net.Dial("tcp", list[i].HostPort)
+		conn, err := net.Dial("tcp", entries[i].HostPort)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(time.Minute))
-		conns = append(conns, nc)
-		if n == 4 {
-			continue
-		}
-		r := bufio.NewReader(nc)
-		for _, text := range []string{"POST /checkout HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /", "GET /search HTTP/1.1\r\nHost: x\r\n\r\n",
-			"GET /health/live HTTP/1.1\r\n\r\n"} {
-			fmt.Fprint(nc, text)
-			resp, err := http.ReadResponse(r, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || len(body) == 0 {
-				t.Fatalf("%s: %q, %v", resp.Status, body, err)
-			}
-		}
-	}
-	eventually := func(what string, done func(Stats) bool) {
-		t.Helper()
-		for over := time.Now().Add(30 * time.Second); !done(o.Stats()); time.Sleep(time.Millisecond) {
-			if time.Now().After(over) {
-				t.Fatalf("%s: %+v", what, o.Stats())
-			}
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(time.Minute))
+		conns = append(conns, conn)
+		if n != 4 {
+			sendRequests(t, conn)
 		}
 	}
-	eventually("all open", func(s Stats) bool { return s.OpenConns == 5 })
-	s := o.Stats()
-	if s.Requests != 8 || s.Probes != 4 || s.Handshakes != 5 || s.PeakConns != 5 || s.PeakConnsPerBackend != 3 || s.BackendsReached != 2 || s.Traffic.Conns != 5 {
+	awaitStats(t, pool, "all open", func(s Stats) bool { return s.OpenConns == 5 })
+	s := pool.Stats()
+	if s.Requests != 8 || s.Probes != 4 || s.Handshakes != 5 || s.PeakConns != 5 || s.PeakConnsPerBackend != 3 ||
+		s.BackendsReached != 2 || s.Traffic.Conns != 5 {
 		t.Errorf("%+v", s)
 	}
-	for _, nc := range conns {
-		nc.Close()
+	for _, conn := range conns {
+		conn.Close()
+	}
+	awaitStats(t, pool, "all closed", func(s Stats) bool { return s.OpenConns == 0 && s.PeakConns == 5 })
+}
+
+// sendRequests sends two requests and a health check, one after another, and reads their responses.
+func sendRequests(t *testing.T, conn net.Conn) {
+	t.Helper()
+	reader := bufio.NewReader(conn)
+	for _, text := range []string{
+		"POST /checkout HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /",
+		"GET /search HTTP/1.1\r\nHost: x\r\n\r\n",
+		"GET /health/live HTTP/1.1\r\n\r\n",
+	} {
+		fmt.Fprint(conn, text)
+		response, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(response.Body)
+		if err != nil || response.StatusCode != 200 || len(body) == 0 {
+			t.Fatalf("%s: %q, %v", response.Status, body, err)
+		}
+	}
+}
+
+// awaitStats waits until the pool's counts are as wanted.
+func awaitStats(t *testing.T, pool *Pool, what string, reached func(Stats) bool) {
+	t.Helper()
+	for deadline := time.Now().Add(30 * time.Second); !reached(pool.Stats()); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: %+v", what, pool.Stats())
+		}
 	}
-	eventually("all closed", func(s Stats) bool { return s.OpenConns == 0 && s.PeakConns == 5 })
 }
