--- /dev/null
+++ b/internal/lab/hollow/attempt.go
@@ -0,0 +1,102 @@
+package hollow
+
+import (
+	"net/http"
+	"time"
+
+	"amberlb/policy"
+)
+
+// defaultRetryAfter is how long a rejected client waits that got no Retry-After.
+const defaultRetryAfter = 50 * time.Millisecond
+
+// attempt is one request of a client to one gateway.
+type attempt struct {
+	customer     *customer
+	id           string
+	gatewayIndex int       // in the customer's subset
+	due          time.Time // when the client's first attempt was due
+	measured     bool      // it counts in the result
+	isRetry      bool
+	done         func() // called when the client has its final answer
+}
+
+// send sends an attempt to its gateway.
+func (g *groupLoad) send(a attempt) {
+	request := policy.Request{
+		Customer:     a.customer.id,
+		Plan:         g.Plan,
+		Class:        g.Class,
+		Units:        g.Units,
+		FirstGateway: g.First + a.customer.firstGateway,
+		Gateways:     g.Spread,
+		Deadline:     (g.deadline - time.Since(a.due)).Seconds(),
+		IsRetry:      a.isRetry,
+	}
+	target := g.gateways[a.customer.firstGateway+a.gatewayIndex]
+	onForwarded := func() { g.onForwarded(a) }
+	onAnswer := func(status int, retryAfter float64) { g.onAnswer(a, status, seconds(retryAfter)) }
+	target.Submit(request, a.id, onForwarded, onAnswer)
+}
+
+// onForwarded charges an attempt to the customer's quota.
+func (g *groupLoad) onForwarded(a attempt) {
+	withinQuota := a.customer.bucket.Take(time.Since(g.startedAt), g.Units)
+	if !withinQuota && a.measured {
+		g.updateResult(func(r *GroupResult) { r.Beyond++ })
+	}
+}
+
+// onAnswer counts an attempt. Its client retries, or is done.
+func (g *groupLoad) onAnswer(a attempt, status int, retryAfter time.Duration) {
+	if a.measured {
+		g.countAnswer(a, status)
+	}
+	if retryAfter == 0 {
+		retryAfter = defaultRetryAfter
+	}
+	retryInTime := time.Since(a.due)+retryAfter < g.deadline
+	if !isRejection(status) || a.isRetry || !g.retryRejected || !retryInTime {
+		a.done()
+		return
+	}
+	a.id += "r"
+	a.gatewayIndex = (a.gatewayIndex + 1) % g.Spread
+	a.isRetry = true
+	time.AfterFunc(retryAfter, func() { g.send(a) })
+}
+
+// countAnswer counts an attempt in the result. A rejection is judged by what the customer's bucket holds now.
+func (g *groupLoad) countAnswer(a attempt, status int) {
+	now := time.Since(g.startedAt)
+	hasUnits := a.customer.bucket.CanTake(now, g.Units)
+	halfFull := a.customer.bucket.HalfFull(now)
+	if status == http.StatusOK {
+		g.latency.Record(time.Since(a.due))
+	}
+	g.updateResult(func(r *GroupResult) {
+		r.Tries++
+		if a.isRetry {
+			r.Repeats++
+		}
+		switch {
+		case status == http.StatusOK:
+			r.Served++
+		case isRejection(status):
+			r.Refused++
+			if hasUnits {
+				r.RefusedInside++
+			}
+			if halfFull {
+				r.RefusedHalfFull++
+			}
+		default:
+			r.Failed++
+		}
+	})
+}
+
+// isRejection tells whether a status is one by which a gateway rejects a request.
+func isRejection(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+}
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"sync"
 	"time"
 
@@ -15,172 +14,156 @@
 )
 
 const (
-	maxInFlight       = 1 << 16               // requests of a group that are out at once
-	defaultRetryAfter = 50 * time.Millisecond // for a client that was not told when to come again
-	minWeightInterval = 7 * time.Second       // between draws of a customer's shares
+	maxInFlight       = 1 << 16         // requests of a group
+	minWeightInterval = 7 * time.Second // between two draws of a customer's weights
 	maxWeightInterval = 18 * time.Second
 )
 
-// groupLoad is the load of one group while it runs.
+// groupLoad is the load of one group.
 type groupLoad struct {
 	Group
-	gateways         []*gateway.Hollow
-	retryRejected    bool
-	deadline         time.Duration // of its class
-	warmup, duration time.Duration // of load that is not counted, and of all load
-	startedAt        time.Time     // the load's, and the stores'
-	rng              *rand.Rand    // drive's
-	customers        []customer
-	popularity       *load.TenantDistribution
-	pendingClients   sync.WaitGroup // those that still wait
-	latency          load.LatencyHistogram
+	gateways       []*gateway.Hollow
+	retryRejected  bool
+	deadline       time.Duration // of the group's class
+	warmup         time.Duration // length of the load that is not measured
+	duration       time.Duration // length of all load
+	startedAt      time.Time     // of the load, and of the buckets
+	rng            *rand.Rand    // runLoad's
+	customers      []customer
+	popularity     *load.TenantDistribution
+	pendingClients sync.WaitGroup // clients without a final answer
+	latency        load.LatencyHistogram
 
 	mu     sync.Mutex
-	result GroupResult // all but calls and latency
+	result GroupResult // without the calls and the latency, which finish adds
 }
 
-// customer is one customer of a group. All but the store is drive's.
+// customer is one customer of a group. All but the bucket is runLoad's.
 type customer struct {
 	id            policy.CustomerID
-	firstGateway  int // of its gateways, in the group
+	firstGateway  int // of its subset, from the group's first
 	bucket        *oracle.TokenBucket
-	weights       []float64     // of its gateways; nil: even
-	nextWeightsAt time.Duration // when the weights are drawn again
+	weights       []float64     // of the gateways of its subset; nil: even
+	nextWeightsAt time.Duration // since the start of the load, when the weights are drawn again
 }
 
-func (h *jobRun) newGroupLoad(g Group) *groupLoad {
-	from, plan := g.First-h.First, h.deployment.Plans[g.Plan]
-	newLoad := &groupLoad{Group: g, gateways: h.gateways[from : from+g.Gateways], retryRejected: h.Retry,
-		deadline: seconds(h.deployment.Classes[g.Class].Deadline), warmup: seconds(h.WarmS), duration: seconds(h.WarmS + h.RunS),
-		rng: rand.New(rand.NewPCG(h.Seed, uint64(g.First)<<1)), popularity: load.NewTenantDistribution(g.Customers, g.Zipf),
-		customers: make([]customer, g.Customers), result: GroupResult{Name: g.Name}}
-	for i := range newLoad.customers {
-		newLoad.customers[i] = customer{id: policy.CustomerID(g.First + i*h.Fleet), // no other group has this First
-			firstGateway: newLoad.rng.IntN(g.Gateways - g.Spread + 1), bucket: oracle.New(plan.Rate, plan.Burst)}
-		if g.Shift {
-			newLoad.customers[i].weights = make([]float64, g.Spread)
+// newGroupLoads makes the loads of all groups.
+func (h *jobRun) newGroupLoads() []*groupLoad {
+	groups := make([]*groupLoad, len(h.Groups))
+	for i, group := range h.Groups {
+		groups[i] = h.newGroupLoad(group)
+	}
+	return groups
+}
+
+func (h *jobRun) newGroupLoad(group Group) *groupLoad {
+	firstIndex := group.First - h.First
+	g := &groupLoad{
+		Group:         group,
+		gateways:      h.gateways[firstIndex : firstIndex+group.Gateways],
+		retryRejected: h.Retry,
+		deadline:      seconds(h.deployment.Classes[group.Class].Deadline),
+		warmup:        seconds(h.WarmS),
+		duration:      seconds(h.WarmS + h.RunS),
+		rng:           rand.New(rand.NewPCG(h.Seed, uint64(group.First)<<1)),
+		popularity:    load.NewTenantDistribution(group.Customers, group.Zipf),
+		customers:     make([]customer, group.Customers),
+		result:        GroupResult{Name: group.Name},
+	}
+	plan := h.deployment.Plans[group.Plan]
+	for i := range g.customers {
+		g.customers[i] = customer{
+			id:           policy.CustomerID(group.First + i*h.Fleet), // unique, since no other group has this First
+			firstGateway: g.rng.IntN(group.Gateways - group.Spread + 1),
+			bucket:       oracle.New(plan.Rate, plan.Burst),
+		}
+		if group.Shift {
+			g.customers[i].weights = make([]float64, group.Spread)
 		}
 	}
-	return newLoad
+	return g
+}
+
+// counterCalls are calls of a group's gateways to the counter.
+type counterCalls struct {
+	made       uint64
+	unanswered uint64 // of these
 }
 
-// counterCalls sums up the calls of the group's gateways to the counter so far.
-func (g *groupLoad) counterCalls() (c counterCalls) {
+// counterCalls are the calls of the group's gateways so far.
+func (g *groupLoad) counterCalls() counterCalls {
+	var total counterCalls
 	for _, h := range g.gateways {
 		made, unanswered := h.CounterCalls()
-		c.made, c.unanswered = c.made+made, c.unanswered+unanswered
+		total.made += made
+		total.unanswered += unanswered
 	}
-	return c
+	return total
 }
 
-type counterCalls struct{ made, unanswered uint64 }
-
-// attempt is one request of a client at one gateway.
-type attempt struct {
-	customer     *customer
-	id           string
-	gatewayIndex int       // of the gateway in the customer's set
-	due          time.Time // of the client's first try
-	measured     bool      // in the result
-	isRetry      bool
-	done         func() // called when the client is done
-}
-
-// runLoad makes the load, and returns once all of it is over or ctx ends.
+// runLoad sends the load, and returns once all of it is over or ctx ends.
 func (g *groupLoad) runLoad(ctx context.Context, start time.Time) {
 	g.startedAt = start
-	measured := func(due time.Time) bool { return due.Sub(start) >= g.warmup }
 	arrivals := load.NewPoisson(g.rng, g.PerSecond*float64(g.Customers))
-	load.RunOpenLoop(ctx, arrivals, start, g.duration, maxInFlight, func(due time.Time, n int, done func()) {
+	issue := func(due time.Time, n int, done func()) {
 		c := &g.customers[g.popularity.Sample(g.rng)]
 		g.pendingClients.Add(1)
-		g.send(attempt{customer: c, id: fmt.Sprintf("%d-%d", g.First, n), gatewayIndex: g.pickGateway(c, due.Sub(start)), due: due, measured: measured(due),
-			done: func() { done(); g.pendingClients.Done() }})
-	}, func(due time.Time, _ int) {
-		if measured(due) {
-			g.updateResult(func(r *GroupResult) { r.Tries++; r.Dropped++ })
+		g.send(attempt{
+			customer:     c,
+			id:           fmt.Sprintf("%d-%d", g.First, n),
+			gatewayIndex: g.pickGateway(c, due.Sub(start)),
+			due:          due,
+			measured:     g.isMeasured(due),
+			done: func() {
+				done()
+				g.pendingClients.Done()
+			},
+		})
+	}
+	dropped := func(due time.Time, _ int) {
+		if g.isMeasured(due) {
+			g.updateResult(func(r *GroupResult) {
+				r.Tries++
+				r.Dropped++
+			})
 		}
-	})
+	}
+	load.RunOpenLoop(ctx, arrivals, start, g.duration, maxInFlight, issue, dropped)
 }
 
-// pickGateway draws the gateway of the customer's set that a request reaches.
+// isMeasured tells whether a request that is due at a time comes after the warm-up.
+func (g *groupLoad) isMeasured(due time.Time) bool { return due.Sub(g.startedAt) >= g.warmup }
+
+// pickGateway draws the gateway of a customer's subset that a request is sent to. at is the time since the start of the
+// load.
 func (g *groupLoad) pickGateway(c *customer, at time.Duration) int {
 	if c.weights == nil {
 		return g.rng.IntN(g.Spread)
 	}
 	if at >= c.nextWeightsAt {
-		c.nextWeightsAt = at + minWeightInterval + time.Duration(g.rng.Int64N(int64(maxWeightInterval-minWeightInterval)))
-		for i := range c.weights {
-			c.weights[i] = g.rng.ExpFloat64()
-		}
+		g.drawWeights(c, at)
 	}
 	sum := 0.0
-	for _, w := range c.weights {
-		sum += w
+	for _, weight := range c.weights {
+		sum += weight
 	}
 	remaining := g.rng.Float64() * sum
-	for i, w := range c.weights {
-		if remaining -= w; remaining < 0 {
+	for i, weight := range c.weights {
+		remaining -= weight
+		if remaining < 0 {
 			return i
 		}
 	}
-	return g.Spread - 1 // rounding
-}
-
-// send makes one try.
-func (g *groupLoad) send(a attempt) {
-	request := policy.Request{Customer: a.customer.id, Plan: g.Plan, Class: g.Class, Units: g.Units, FirstGateway: g.First + a.customer.firstGateway,
-		Gateways: g.Spread, Deadline: (g.deadline - time.Since(a.due)).Seconds(), IsRetry: a.isRetry}
-	g.gateways[a.customer.firstGateway+a.gatewayIndex].Submit(request, a.id, func() { g.onForwarded(a) },
-		func(status int, wait float64) { g.onAnswer(a, status, seconds(wait)) })
-}
-
-// onForwarded charges a try to the customer's quota.
-func (g *groupLoad) onForwarded(a attempt) {
-	if withinQuota := a.customer.bucket.Take(time.Since(g.startedAt), g.Units); !withinQuota && a.measured {
-		g.updateResult(func(r *GroupResult) { r.Beyond++ })
-	}
+	return g.Spread - 1 // the sum was rounded
 }
 
-// onAnswer counts a try, and has its client come again or be done.
-func (g *groupLoad) onAnswer(a attempt, status int, retryDelay time.Duration) {
-	now := time.Since(g.startedAt)
-	rejected := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
-	if a.measured {
-		hasUnits, halfFull := a.customer.bucket.CanTake(now, g.Units), a.customer.bucket.HalfFull(now)
-		if status == http.StatusOK {
-			g.latency.Record(time.Since(a.due))
-		}
-		g.updateResult(func(r *GroupResult) {
-			r.Tries++
-			if a.isRetry {
-				r.Repeats++
-			}
-			switch {
-			case status == http.StatusOK:
-				r.Served++
-			case rejected:
-				r.Refused++
-				if hasUnits {
-					r.RefusedInside++
-				}
-				if halfFull {
-					r.RefusedHalfFull++
-				}
-			default:
-				r.Failed++
-			}
-		})
-	}
-	if retryDelay == 0 {
-		retryDelay = defaultRetryAfter
+// drawWeights draws the weights of a customer's gateways, and when they are drawn again.
+func (g *groupLoad) drawWeights(c *customer, at time.Duration) {
+	interval := minWeightInterval + time.Duration(g.rng.Int64N(int64(maxWeightInterval-minWeightInterval)))
+	c.nextWeightsAt = at + interval
+	for i := range c.weights {
+		c.weights[i] = g.rng.ExpFloat64()
 	}
-	if !rejected || a.isRetry || !g.retryRejected || time.Since(a.due)+retryDelay >= g.deadline {
-		a.done()
-		return
-	}
-	a.id, a.gatewayIndex, a.isRetry = a.id+"r", (a.gatewayIndex+1)%g.Spread, true
-	time.AfterFunc(retryDelay, func() { g.send(a) })
 }
 
 // updateResult changes the result.
@@ -189,3 +172,14 @@
 	defer g.mu.Unlock()
 	update(&g.result)
 }
+
+// finish returns the result. It is called once the gateways have ended, so that each client has its answer. callsBefore
+// are the calls to the counter before the measured load.
+func (g *groupLoad) finish(callsBefore counterCalls) GroupResult {
+	g.pendingClients.Wait()
+	calls := g.counterCalls()
+	g.result.Calls = calls.made - callsBefore.made
+	g.result.CallsUnanswered = calls.unanswered - callsBefore.unanswered
+	g.result.Latency = g.latency.Quantiles(time.Millisecond)
+	return g.result
+}
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -6,114 +6,98 @@
 	"math/rand/v2"
 	"runtime/debug"
 	"sync"
-	"syscall"
 	"time"
 
 	"amberlb/internal/gateway"
+	"amberlb/internal/lab/ctxtime"
 	"amberlb/internal/lab/load"
 	"amberlb/policy"
-
-	"amberlb/internal/lab/ctxtime"
 )
 
 const (
-	maxCustomerIDs = 1 << 33         // their numbers are below it
-	listTimeout    = 3 * time.Minute // for the first list, after the last gateway's start
-	drainMargin    = 2 * time.Second // for the last answers, after the longest deadline
+	listTimeout  = 3 * time.Minute // for a gateway's first list, after the last gateway's start
+	answerMargin = 2 * time.Second // for the last answers, after the longest deadline
 )
 
-// fixedServiceTime is the backend of all hollow gateways: it serves each request, in the same time.
+// fixedServiceTime is the backend of all hollow gateways. It serves each request in the same time.
 type fixedServiceTime time.Duration
 
+// Serve returns the service time of a request, which is always served.
 func (s fixedServiceTime) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
 	return time.Duration(s), policy.Served
 }
 
-// Run runs the gateways of a job until its load is over and answered, or until ctx ends, and has ended them when
-// it returns. The load begins once all gateways have their list. Where ctx ends before the load is over, the
-// result tells what was done by then, and the error is ctx's.
-func Run(ctx context.Context, j Job) (Result, error) {
-	h, err := newJobRun(j)
+// Run runs the gateways of a job until its load is over and answered, or until ctx ends; all gateways have ended when
+// it returns. The load begins once all gateways have their list. Where ctx ends during the load, the result tells what
+// was done by then, and the error is ctx's.
+func Run(ctx context.Context, job Job) (Result, error) {
+	h, err := newJobRun(job)
 	if err != nil {
 		return Result{}, fmt.Errorf("job: %w", err)
 	}
-	if j.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(j.MemoryMB) << 20)
+	if job.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(job.MemoryMB) << 20)
 	}
-	gatewaysCtx, stop := context.WithCancel(ctx)
+	gatewaysCtx, stopGateways := context.WithCancel(ctx)
 	var gatewaysRunning sync.WaitGroup
 	defer gatewaysRunning.Wait()
-	defer stop()
+	defer stopGateways()
 	var ready load.LatencyHistogram
 	if err := h.startGateways(gatewaysCtx, &gatewaysRunning, &ready); err != nil {
 		return Result{}, err
 	}
-	groups := make([]*groupLoad, len(j.Groups))
-	for n, g := range j.Groups {
-		groups[n] = h.newGroupLoad(g)
+	groups := h.newGroupLoads()
+	result := Result{Ready: ready.Quantiles(time.Second), Gateways: job.Gateways}
+	callsBefore := h.measureLoad(gatewaysCtx, groups, &result)
+	stopGateways()
+	gatewaysRunning.Wait()
+	for i, g := range groups {
+		groupResult := g.finish(callsBefore[i])
+		result.Groups = append(result.Groups, groupResult)
+		result.Requests += groupResult.Tries
 	}
-	loadStart := time.Now()
-	// A gateway that is stuck may never answer; its open requests fail when it is ended.
-	loadCtx, cancel := context.WithDeadline(gatewaysCtx, loadStart.Add(h.loadTimeout()))
+	return result, ctx.Err()
+}
+
+// measureLoad runs the load of all groups, and records in the result what the process used after the warm-up. It returns
+// the calls to the counter that each group's gateways had made by the end of the warm-up.
+func (h *jobRun) measureLoad(ctx context.Context, groups []*groupLoad, result *Result) (callsBefore []counterCalls) {
+	start := time.Now()
+	// A gateway that hangs may never answer; its open requests fail when it is ended.
+	loadCtx, cancel := context.WithDeadline(ctx, start.Add(h.loadTimeout()))
 	defer cancel()
 	var loads sync.WaitGroup
 	for _, g := range groups {
-		loads.Go(func() { g.runLoad(loadCtx, loadStart) })
+		loads.Go(func() { g.runLoad(loadCtx, start) })
 	}
-	warmupTimer := time.NewTimer(seconds(j.WarmS))
-	defer warmupTimer.Stop()
-	select {
-	case <-warmupTimer.C:
-	case <-ctx.Done():
-	}
-	measuredFrom, cpuBefore := time.Now(), readUsage().cpu
-	before := make([]counterCalls, len(groups))
-	for n, g := range groups {
-		before[n] = g.counterCalls()
+	ctxtime.Sleep(ctx, seconds(h.WarmS))
+	measuredFrom := time.Now()
+	usedBefore := readUsage()
+	for _, g := range groups {
+		callsBefore = append(callsBefore, g.counterCalls())
 	}
 	loads.Wait()
-	result := Result{Ready: ready.Quantiles(time.Second), Gateways: j.Gateways, SpanS: time.Since(measuredFrom).Seconds()}
+	result.SpanS = time.Since(measuredFrom).Seconds()
 	used := readUsage()
-	result.CPUSeconds, result.PeakMB = (used.cpu - cpuBefore).Seconds(), used.peakMB
-	stop()
-	gatewaysRunning.Wait()
-	for n, g := range groups {
-		g.pendingClients.Wait() // the gateways have ended, so each has its answer
-		after := g.counterCalls()
-		g.result.Calls, g.result.CallsUnanswered = after.made-before[n].made, after.unanswered-before[n].unanswered
-		g.result.Latency = g.latency.Quantiles(time.Millisecond)
-		result.Groups = append(result.Groups, g.result)
-		result.Requests += g.result.Tries
-	}
-	return result, ctx.Err()
+	result.CPUSeconds = (used.cpu - usedBefore.cpu).Seconds()
+	result.PeakMB = used.peakMB
+	return callsBefore
 }
 
-// startGateways starts all gateways and waits for their lists.
+// startGateways starts all gateways, on goroutines that running counts, and waits for their lists. It records how long
+// each took to be ready.
 func (h *jobRun) startGateways(ctx context.Context, running *sync.WaitGroup, ready *load.LatencyHistogram) error {
 	failed := make(chan error, h.Gateways)
 	var starting sync.WaitGroup
 	starting.Add(h.Gateways)
-	for n := range h.Gateways {
+	for index := range h.Gateways {
 		running.Go(func() {
-			listed := sync.OnceFunc(starting.Done)
-			defer listed()
-			if !ctxtime.Sleep(ctx, seconds(h.StartSpreadS*float64(n)/float64(h.Gateways))) {
+			defer starting.Done()
+			if !ctxtime.Sleep(ctx, seconds(h.StartSpreadS*float64(index)/float64(h.Gateways))) {
 				return
 			}
-			began := time.Now()
-			g, err := gateway.NewHollow(h.gatewayConfig(h.First+n), fixedServiceTime(seconds(h.ServiceS)))
-			if err != nil {
+			if err := h.startGateway(ctx, index, running, ready); err != nil {
 				failed <- err
-				return
-			}
-			h.gateways[n] = g
-			running.Go(func() { g.Run(ctx) })
-			select {
-			case <-g.Ready():
-				ready.Record(time.Since(began))
-			case <-ctx.Done():
-			case <-time.After(seconds(h.StartSpreadS) + listTimeout):
-				failed <- fmt.Errorf("gateway %d has no list", h.First+n)
 			}
 		})
 	}
@@ -126,35 +110,51 @@
 	}
 }
 
-// gatewayConfig is that of the gateway with a number.
+// startGateway starts a gateway and waits for its list. It returns nil also where ctx ends before.
+func (h *jobRun) startGateway(
+	ctx context.Context, index int, running *sync.WaitGroup, ready *load.LatencyHistogram,
+) error {
+	startedAt := time.Now()
+	rank := h.First + index
+	g, err := gateway.NewHollow(h.gatewayConfig(rank), fixedServiceTime(seconds(h.ServiceS)))
+	if err != nil {
+		return err
+	}
+	h.gateways[index] = g
+	running.Go(func() { g.Run(ctx) })
+	select {
+	case <-g.Ready():
+		ready.Record(time.Since(startedAt))
+	case <-ctx.Done():
+	case <-time.After(seconds(h.StartSpreadS) + listTimeout):
+		return fmt.Errorf("gateway %d has no list", rank)
+	}
+	return nil
+}
+
+// gatewayConfig is that of the gateway of a rank.
 func (h *jobRun) gatewayConfig(rank int) *gateway.Config {
-	c := &gateway.Config{Name: fmt.Sprintf("h-%05d", rank), Discovery: h.Discovery, Counter: h.Counter,
-		Seed: rand.New(rand.NewPCG(h.Seed, uint64(rank)<<1|1)).Uint64(), Deployment: h.deployment}
-	c.GatewayIndex, c.FleetSize = rank, h.Fleet
-	return c
+	rng := rand.New(rand.NewPCG(h.Seed, uint64(rank)<<1|1))
+	config := &gateway.Config{
+		Name:       fmt.Sprintf("h-%05d", rank),
+		Discovery:  h.Discovery,
+		Counter:    h.Counter,
+		Seed:       rng.Uint64(),
+		Deployment: h.deployment,
+	}
+	config.GatewayIndex = rank
+	config.FleetSize = h.Fleet
+	return config
 }
 
-// loadTimeout is when the last request is over at the latest, since the load began.
+// loadTimeout is the time from the start of the load by which the last request is over.
 func (h *jobRun) loadTimeout() time.Duration {
-	most := 0.0
+	longestDeadline := 0.0
 	for _, g := range h.Groups {
-		most = max(most, h.deployment.Classes[g.Class].Deadline)
+		longestDeadline = max(longestDeadline, h.deployment.Classes[g.Class].Deadline)
 	}
-	return seconds(h.WarmS+h.RunS+most+h.deployment.AnswerSlack) + drainMargin
+	return seconds(h.WarmS+h.RunS+longestDeadline+h.deployment.AnswerSlack) + answerMargin
 }
 
+// seconds converts seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// resourceUsage are what the process has used since its start.
-type resourceUsage struct {
-	cpu    time.Duration
-	peakMB float64
-}
-
-func readUsage() resourceUsage {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // it can't fail with these arguments
-	}
-	return resourceUsage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), float64(u.Maxrss) / 1024}
-}
--- /dev/null
+++ b/internal/lab/hollow/usage.go
@@ -0,0 +1,24 @@
+package hollow
+
+import (
+	"syscall"
+	"time"
+)
+
+// resourceUsage is what the process has used since its start.
+type resourceUsage struct {
+	cpu    time.Duration // user and system
+	peakMB float64       // resident memory
+}
+
+// readUsage reads the usage of this process.
+func readUsage() resourceUsage {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		panic(err) // it can't fail with these arguments
+	}
+	return resourceUsage{
+		cpu:    time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
+		peakMB: float64(usage.Maxrss) / 1024,
+	}
+}
