--- a/internal/lab/ctxtime/sleep.go
+++ b/internal/lab/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for a while, or until a run is over.
+// Package ctxtime waits for a while that the end of a context cuts short.
 package ctxtime
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Sleep waits and tells whether ctx still stands.
-func Sleep(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
+// Sleep waits for a duration. It returns false if ctx ends before.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -1,5 +1,5 @@
-// Package oracle keeps a customer's quota exactly, as the rules count it: one store for all gateways, which no
-// real gateway can see. What gateways let in and refuse is held against it.
+// Package oracle keeps a customer's quota exactly, as the protocol counts it: one token bucket for all gateways, which no
+// gateway can see. What gateways admit and reject is compared with it.
 package oracle
 
 import (
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// TokenBucket is the quota's store of one customer. Its gateways share it: all methods may be called from any
-// goroutine. Times count from the store's start; one that lies before the last passes for the last.
+// TokenBucket is the quota of one customer. Its gateways share it: all methods may be called from any goroutine. Times
+// count from the bucket's start; one that is before the last counts as the last.
 type TokenBucket struct {
-	rate, burst float64 // units a second, units
+	rate  float64 // units a second; 0: there is no quota
+	burst float64 // units
 
 	mu        sync.Mutex
-	tokens    float64
+	tokens    float64 // units, at updatedAt
 	updatedAt time.Duration
 }
 
-// New makes a store that is full and refills at rate units a second up to burst. A rate of 0 stands for no quota:
-// every send is inside, and there always is room.
+// New makes a bucket that is full and refills at rate units a second up to burst. A rate of 0 stands for no quota: every
+// request is within it.
 func New(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// refill brings the store up to now.
+// refill brings the tokens up to now.
 func (b *TokenBucket) refill(now time.Duration) {
 	if now > b.updatedAt {
 		b.tokens = min(b.tokens+b.rate*(now-b.updatedAt).Seconds(), b.burst)
@@ -31,8 +32,8 @@
 	}
 }
 
-// Take notes that a try was first sent on, and tells whether it was inside the quota: if the store had its units,
-// which it then takes. A send beyond the quota takes nothing.
+// Take charges an attempt when it is first forwarded, and tells whether it was within the quota: if the bucket had its
+// units, which it then takes. An attempt beyond the quota takes nothing.
 func (b *TokenBucket) Take(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +48,7 @@
 	return true
 }
 
-// CanTake tells whether the store has the units, so that a refusal now is one inside the quota.
+// CanTake tells whether the bucket has the units, so that an attempt that is rejected now was within the quota.
 func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/request/request.go
+++ b/internal/lab/request/request.go
@@ -1,5 +1,6 @@
-// Package request reads HTTP/1.1 requests for the stand-ins that must bear many
-// of them cheaply. It reads what the gateway writes: no chunks, no folded lines.
+// Package request reads HTTP/1.1 requests for the stand-ins, which must bear many
+// of them cheaply. It reads what the gateway writes: neither chunked bodies nor folded
+// header lines.
 package request
 
 import (
@@ -9,23 +10,40 @@
 	"strconv"
 )
 
-// Request is the head of a request. It is used again for the next one.
-type Request struct {
-	Method, Target []byte
-	Close          bool // no other request follows
-	line           []byte
-}
+// maxHeaderLines is the most header lines of a request.
+const maxHeaderLines = 100
 
-// ErrMalformed is returned for anything that can't be read; the connection has
-// no use after it.
+// ErrMalformed is returned for a request that can't be read; its connection is of no
+// use afterwards.
 var ErrMalformed = errors.New("malformed request")
 
-const maxHeaderLines = 100
+// Request is a request without its body. The zero value is ready for Read, which may be called
+// again for the next request of a connection.
+type Request struct {
+	Method []byte // valid until the next Read
+	Target []byte // valid until the next Read
+	Close  bool   // no other request follows on the connection
+
+	line []byte // request line, which Method and Target are parts of
+}
+
+// Read reads a complete request and discards its body. A line must fit in reader's
+// buffer. The error is ErrMalformed, or that of the connection.
+func (q *Request) Read(reader *bufio.Reader) error {
+	if err := q.readRequestLine(reader); err != nil {
+		return err
+	}
+	bodyLength, err := q.readHeader(reader)
+	if err != nil {
+		return err
+	}
+	_, err = reader.Discard(bodyLength)
+	return err
+}
 
-// Read reads a whole request and throws its body away. A line must fit in r's
-// buffer. Any error other than ErrMalformed is the connection's.
-func (q *Request) Read(r *bufio.Reader) error {
-	line, err := readLine(r)
+// readRequestLine reads the method and the target.
+func (q *Request) readRequestLine(reader *bufio.Reader) error {
+	line, err := readLine(reader)
 	if err != nil {
 		return err
 	}
@@ -35,36 +53,43 @@
 	if len(target) == 0 || !bytes.HasPrefix(version, []byte("HTTP/1.")) {
 		return ErrMalformed
 	}
-	q.Method, q.Target, q.Close = method, target, false
-	length := 0
+	q.Method = method
+	q.Target = target
+	return nil
+}
+
+// readHeader reads the header lines up to the blank one, and returns the length of the body.
+func (q *Request) readHeader(reader *bufio.Reader) (bodyLength int, err error) {
+	q.Close = false
 	for range maxHeaderLines {
-		if line, err = readLine(r); err != nil {
-			return err
+		line, err := readLine(reader)
+		if err != nil {
+			return 0, err
 		}
 		if len(line) == 0 {
-			_, err = r.Discard(length)
-			return err
+			return bodyLength, nil
 		}
 		name, value, found := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimSpace(value)
 		switch {
 		case !found, bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			return ErrMalformed
+			return 0, ErrMalformed
 		case bytes.EqualFold(name, []byte("Connection")):
 			q.Close = bytes.EqualFold(value, []byte("close"))
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 {
-				return ErrMalformed
+			bodyLength, err = strconv.Atoi(string(value))
+			if err != nil || bodyLength < 0 {
+				return 0, ErrMalformed
 			}
 		}
 	}
-	return ErrMalformed
+	return 0, ErrMalformed
 }
 
 // readLine returns the next line without its end, valid until the next read.
-func readLine(r *bufio.Reader) ([]byte, error) {
-	line, err := r.ReadSlice('\n')
-	if err == bufio.ErrBufferFull {
+func readLine(reader *bufio.Reader) ([]byte, error) {
+	line, err := reader.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
 		return nil, ErrMalformed
 	}
 	if err != nil {
