--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -9,31 +9,43 @@
 	"time"
 )
 
+// seeded returns a source of random numbers that is the same in each call.
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// The gaps of a Poisson stream are exponential: their standard deviation is their mean.
-func TestPoisson(t *testing.T) {
+// The gaps of a Poisson process are exponential: their standard deviation is their mean.
+func TestPoissonGapsAreExponential(t *testing.T) {
 	const n, rate = 200_000, 250.0
-	a, again := NewPoisson(seeded(), rate), NewPoisson(seeded(), rate)
+	arrivals := NewPoisson(seeded(), rate)
+	same := NewPoisson(seeded(), rate)
 	var last time.Duration
-	sum, squares := 0.0, 0.0
+	sum := 0.0
+	squares := 0.0
 	for range n {
-		next := a.Next()
-		if next != again.Next() {
-			t.Fatal("one seed gave two streams")
+		next := arrivals.Next()
+		if next != same.Next() {
+			t.Fatal("one seed gave two processes")
 		}
 		gap := (next - last).Seconds() * rate
-		sum, squares, last = sum+gap, squares+gap*gap, next
+		sum += gap
+		squares += gap * gap
+		last = next
 	}
 	mean := sum / n
-	if deviation := math.Sqrt(squares/n - mean*mean); math.Abs(mean-1) > 0.01 || math.Abs(deviation-1) > 0.02 {
+	deviation := math.Sqrt(squares/n - mean*mean)
+	if math.Abs(mean-1) > 0.01 || math.Abs(deviation-1) > 0.02 {
 		t.Errorf("mean gap %v and deviation %v times what was asked for", mean, deviation)
 	}
 }
 
-func TestTenants(t *testing.T) {
-	for exponent, want := range map[float64][3]float64{0: {1. / 3, 1. / 3, 1. / 3}, 1: {6. / 11, 3. / 11, 2. / 11}} {
-		tenants, rng, got := NewTenantDistribution(3, exponent), seeded(), [3]float64{}
+// Tenants get the shares of the Zipf law.
+func TestTenantShares(t *testing.T) {
+	for exponent, want := range map[float64][3]float64{
+		0: {1. / 3, 1. / 3, 1. / 3},
+		1: {6. / 11, 3. / 11, 2. / 11},
+	} {
+		tenants := NewTenantDistribution(3, exponent)
+		rng := seeded()
+		var got [3]float64
 		for range 100_000 {
 			got[tenants.Sample(rng)] += 1e-5
 		}
@@ -45,59 +57,71 @@
 	}
 }
 
-// A stall makes the requests that fall due in it late, and moves or drops none: latency counts from the due time.
-func TestStallCounts(t *testing.T) {
+// A stall of the process makes the requests that are due in it late, and moves or drops none: latency counts from the due
+// time.
+func TestStallCountsAsLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const stall, service = time.Second, 10 * time.Millisecond
+		const stall, serviceTime = time.Second, 10 * time.Millisecond
 		start := time.Now()
-		want, expect := 0, NewPoisson(seeded(), 100)
-		for expect.Next() < 4*time.Second {
+		want := 0
+		for expected := NewPoisson(seeded(), 100); expected.Next() < 4*time.Second; {
 			want++
 		}
-		var all LatencyHistogram
-		calls, late := 0, 0
-		RunOpenLoop(t.Context(), NewPoisson(seeded(), 100), start, 4*time.Second, 1000, func(due time.Time, n int, done func()) {
+		var latencies LatencyHistogram
+		calls := 0
+		late := 0
+		issue := func(due time.Time, n int, done func()) {
 			if n != calls {
 				t.Errorf("request %d came as number %d", n, calls)
 			}
-			if calls++; calls == 100 {
-				time.Sleep(stall) // the process stands still
+			calls++
+			if calls == 100 {
+				time.Sleep(stall)
 			}
 			if time.Since(due) > 0 {
 				late++
 			}
-			time.AfterFunc(service, func() { all.Record(time.Since(due)); done() })
-		}, func(time.Time, int) { t.Error("dropped") })
-		q := all.Quantiles(time.Millisecond)
+			time.AfterFunc(serviceTime, func() {
+				latencies.Record(time.Since(due))
+				done()
+			})
+		}
+		dropped := func(time.Time, int) { t.Error("dropped") }
+		RunOpenLoop(t.Context(), NewPoisson(seeded(), 100), start, 4*time.Second, 1000, issue, dropped)
+		q := latencies.Quantiles(time.Millisecond)
 		if calls != want || int(q.Count) != want {
 			t.Errorf("%d requests and %d answers of %d", calls, q.Count, want)
 		}
 		if late < 60 || late > 140 || q.P50 < 9.9 || q.P50 > 10.2 || q.Max < 1000 || q.Max > 1030 || q.P90 < 300 {
 			t.Errorf("%d late, latencies %+v", late, q)
 		}
-		if took := time.Since(start); took > 4*time.Second+service {
+		if took := time.Since(start); took > 4*time.Second+serviceTime {
 			t.Errorf("the load took %v", took)
 		}
 	})
 }
 
-// Above the bound, requests are dropped and told of, and no answer is waited for.
-func TestDropped(t *testing.T) {
+// Requests above the limit in flight are dropped and reported, and no answer is awaited for that.
+func TestRequestsAboveTheLimitAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var over []func()
-		dropped, began := 0, time.Now()
+		start := time.Now()
+		var doneFuncs []func() // of the requests issued
+		droppedCount := 0
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		RunOpenLoop(ctx, NewPoisson(seeded(), 100), began, time.Second, 3, func(_ time.Time, _ int, done func()) {
-			if over = append(over, done); len(over) == 3 {
-				time.AfterFunc(500*time.Millisecond, over[0])
+		issue := func(_ time.Time, _ int, done func()) {
+			doneFuncs = append(doneFuncs, done)
+			if len(doneFuncs) == 3 {
+				time.AfterFunc(500*time.Millisecond, doneFuncs[0])
 			}
-		}, func(time.Time, int) { dropped++ })
-		if len(over) != 4 || dropped < 50 {
-			t.Errorf("%d begun and %d dropped, with three places of which one is free again", len(over), dropped)
 		}
-		if took := time.Since(began); took != time.Minute {
-			t.Errorf("with requests out, it ended after %v and not with its context", took)
+		dropped := func(time.Time, int) { droppedCount++ }
+		RunOpenLoop(ctx, NewPoisson(seeded(), 100), start, time.Second, 3, issue, dropped)
+		if len(doneFuncs) != 4 || droppedCount < 50 {
+			t.Errorf("%d issued and %d dropped, with a limit of three of which one ended", len(doneFuncs), droppedCount)
+		}
+		if took := time.Since(start); took != time.Minute {
+			t.Errorf("with requests in flight, it ended after %v and not with its context", took)
 		}
 	})
 }
