--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -13,11 +13,15 @@
 	"time"
 )
 
-const block = 64 << 20
+// childEnv is the environment variable that makes the test binary run as a child, and says what it does.
+const childEnv = "PROC_TEST_CHILD"
 
-// TestMain is the child too, where the variable says what it does.
+// busyChildBytes is the memory that a busy child uses.
+const busyChildBytes = 64 << 20
+
+// TestMain runs the tests, or as a child what childEnv says.
 func TestMain(m *testing.M) {
-	switch os.Getenv("PROC_TEST_CHILD") {
+	switch os.Getenv(childEnv) {
 	case "":
 		os.Exit(m.Run())
 	case "echo":
@@ -25,97 +29,105 @@
 		fmt.Fprint(os.Stderr, strings.Repeat("x", maxStderr), "end")
 		os.Exit(3)
 	case "busy":
-		memory := make([]byte, block)
+		memory := make([]byte, busyChildBytes)
 		for used := time.Duration(0); used < 100*time.Millisecond; {
 			for i := range memory {
 				memory[i]++
 			}
-			var r syscall.Rusage
-			syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-			used = time.Duration(r.Utime.Nano())
+			var usage syscall.Rusage
+			syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+			used = time.Duration(usage.Utime.Nano())
 		}
 	case "stubborn":
 		signal.Ignore(syscall.SIGTERM)
 	case "parent":
-		p, err := Start(context.Background(), os.Args[0], []string{"PROC_TEST_CHILD=stubborn"}, nil)
+		p, err := Start(context.Background(), os.Args[0], []string{childEnv + "=stubborn"}, nil)
 		fmt.Fprintln(os.Stderr, err, p.Pid)
 	}
 	fmt.Fprintln(os.Stderr, "ready")
 	time.Sleep(time.Minute)
 }
 
-func child(t *testing.T, ctx context.Context, what string, stdin io.Reader) *Process {
+// startChild starts the test binary as a child.
+func startChild(ctx context.Context, t *testing.T, behavior string, stdin io.Reader) *Process {
 	t.Helper()
-	p, err := Start(ctx, os.Args[0], []string{"PROC_TEST_CHILD=" + what}, stdin)
+	p, err := Start(ctx, os.Args[0], []string{childEnv + "=" + behavior}, stdin)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func eventually(t *testing.T, what string, done func() bool) {
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for over := time.Now().Add(30 * time.Second); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(over) {
+	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(what, "did not come")
 		}
 	}
 }
 
-func ready(t *testing.T, p *Process) {
+// awaitReady waits until a child says that it is ready.
+func awaitReady(t *testing.T, p *Process) {
 	t.Helper()
 	eventually(t, "ready", func() bool { return strings.HasSuffix(p.Stderr(), "ready\n") })
 }
 
+// The usage of a running child is read; that of one that has ended is an error.
 func TestUsageOfABusyChild(t *testing.T) {
-	p := child(t, t.Context(), "busy", nil)
-	ready(t, p)
-	u, err := ReadUsage(p.Pid)
+	p := startChild(t.Context(), t, "busy", nil)
+	awaitReady(t, p)
+	usage, err := ReadUsage(p.Pid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u.CPU < 90*time.Millisecond || u.CPU > time.Minute || u.PeakRSS < block || u.PeakRSS > 64*block || u.RSS > u.PeakRSS {
-		t.Errorf("%+v", u)
+	if usage.CPU < 90*time.Millisecond || usage.CPU > time.Minute || usage.PeakRSS < busyChildBytes || usage.PeakRSS > 64*busyChildBytes ||
+		usage.RSS > usage.PeakRSS {
+		t.Errorf("%+v", usage)
 	}
 	if err := p.Stop(30 * time.Second); err == nil || !strings.Contains(err.Error(), "terminated") {
 		t.Errorf("stopped: %v", err)
 	}
-	if u, err := ReadUsage(p.Pid); err == nil {
-		t.Errorf("an ended process uses %+v", u)
+	if usage, err := ReadUsage(p.Pid); err == nil {
+		t.Errorf("an ended process uses %+v", usage)
 	}
 }
 
-func TestOutputAndStatus(t *testing.T) {
-	p := child(t, t.Context(), "echo", strings.NewReader("a job"))
+// The output of a child is kept within its limits, and its exit status is the error of Wait.
+func TestOutputAndExitStatus(t *testing.T) {
+	p := startChild(t.Context(), t, "echo", strings.NewReader("a job"))
 	if err := p.Wait(); err == nil || err.Error() != "exit status 3" {
 		t.Error(err)
 	}
 	if out := string(p.Stdout()); out != "a job" {
 		t.Errorf("output %q", out)
 	}
-	if s := p.Stderr(); len(s) != maxStderr || !strings.HasSuffix(s, "xend") {
-		t.Errorf("%d bytes of standard error kept", len(s))
+	if text := p.Stderr(); len(text) != maxStderr || !strings.HasSuffix(text, "xend") {
+		t.Errorf("%d bytes of standard error kept", len(text))
 	}
 }
 
-func TestAStubbornChildIsKilled(t *testing.T) {
-	p := child(t, t.Context(), "stubborn", nil)
-	ready(t, p)
+// A child that ignores SIGTERM gets SIGKILL after the grace, and when its context ends.
+func TestChildThatIgnoresSIGTERMIsKilled(t *testing.T) {
+	p := startChild(t.Context(), t, "stubborn", nil)
+	awaitReady(t, p)
 	if err := p.Stop(time.Millisecond); err == nil || !strings.Contains(err.Error(), "killed") {
 		t.Errorf("stopped: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	p = child(t, ctx, "stubborn", nil)
-	ready(t, p)
+	p = startChild(ctx, t, "stubborn", nil)
+	awaitReady(t, p)
 	cancel()
 	if p.Wait() == nil {
 		t.Error("it ended well")
 	}
 }
 
+// A child dies with the process that started it, also where that one is killed.
 func TestNoChildOutlivesItsParent(t *testing.T) {
-	p := child(t, t.Context(), "parent", nil)
-	ready(t, p)
+	p := startChild(t.Context(), t, "parent", nil)
+	awaitReady(t, p)
 	pid, err := strconv.Atoi(strings.Fields(p.Stderr())[1])
 	if err != nil {
 		t.Fatal(err)
