--- a/internal/lab/soak/discoveryfaults.go
+++ b/internal/lab/soak/discoveryfaults.go
@@ -20,7 +20,7 @@
 			return
 		}
 		r.setLifecycle(drain.Backend, lifecycleDraining)
-		if !r.sleepUntil(ctx, drain.GoneAt) {
+		if !r.sleepUntil(ctx, drain.RemovedAt) {
 			return
 		}
 		r.setLifecycle(drain.Backend, lifecycleRemoved)
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -26,10 +26,10 @@
 
 // Drain takes a backend out of service and brings it back. The backend goes on answering all the while.
 type Drain struct {
-	Backend int           // number
-	DrainAt time.Duration // when the list says that it drains
-	GoneAt  time.Duration // when it is removed from the list
-	ReadyAt time.Duration // when it is back in the list
+	Backend   int           // number
+	DrainAt   time.Duration // when the list says that it drains
+	RemovedAt time.Duration // when it is removed from the list
+	ReadyAt   time.Duration // when it is back in the list
 }
 
 // Outage is a time in which discovery is silent: connections to it are accepted, but nothing is forwarded on them, then
@@ -73,7 +73,7 @@
 	maxFrontDelay = 400 * time.Millisecond
 	maxOutage     = 3 * time.Second
 
-	crowdedDescriptorLimit = 192 // file descriptors of a gateway with as many idle connections
+	lowDescriptorLimit     = 192 // file descriptors of a gateway with as many idle connections
 	defaultDescriptorLimit = 1024
 )
 
@@ -92,8 +92,8 @@
 	p.HangingBackends = p.Backends/4 + rng.IntN(p.Backends/2)
 	p.Classes = newClasses(rng, longestDeadline)
 	if rng.IntN(4) == 0 {
-		p.DescriptorLimit = crowdedDescriptorLimit
-		p.IdleConns = crowdedDescriptorLimit
+		p.DescriptorLimit = lowDescriptorLimit
+		p.IdleConns = lowDescriptorLimit
 	}
 	p.ClientFaults = newClientFaults(rng)
 	p.BackendFaults = newBackendFaults(rng)
@@ -153,8 +153,8 @@
 	earliest := firstStop
 	for {
 		drain := Drain{Backend: rng.IntN(backends), DrainAt: earliest + randomDuration(rng, 0, time.Second)}
-		drain.GoneAt = drain.DrainAt + randomDuration(rng, time.Second, 4*time.Second)
-		drain.ReadyAt = drain.GoneAt + randomDuration(rng, 0, time.Second)
+		drain.RemovedAt = drain.DrainAt + randomDuration(rng, time.Second, 4*time.Second)
+		drain.ReadyAt = drain.RemovedAt + randomDuration(rng, 0, time.Second)
 		if drain.ReadyAt > duration-endMargin {
 			return drains
 		}
