--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -11,21 +11,27 @@
 )
 
 // arrivedConns is a listener whose connections are those of a channel.
-type arrivedConns chan net.Conn
+type arrivedConns struct {
+	conns    chan net.Conn
+	onAccept func() // called as Accept begins; nil: nothing is
+}
 
 // Accept returns the next connection, or net.ErrClosed once the channel is closed.
-func (c arrivedConns) Accept() (net.Conn, error) {
-	if conn, ok := <-c; ok {
+func (c *arrivedConns) Accept() (net.Conn, error) {
+	if c.onAccept != nil {
+		c.onAccept()
+	}
+	if conn, ok := <-c.conns; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
 // Close does nothing.
-func (c arrivedConns) Close() error { return nil }
+func (c *arrivedConns) Close() error { return nil }
 
 // Addr returns no address in particular.
-func (c arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
+func (c *arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
 
 // A request that waited in the accept queue, since there was no place for those before it, has used that time of its
 // client's timeout: its backend gets what is left. One that came without a wait has lost none.
@@ -41,7 +47,7 @@
 		send(t, near, far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
 	}
-	arrived := make(arrivedConns, 10)
+	arrived := &arrivedConns{conns: make(chan net.Conn, 10)}
 	table := newClientConnections(arrived, 1)
 	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
 	accept := func() *clientConn {
@@ -54,14 +60,14 @@
 	timeLeft := func(conn *clientConn) time.Duration {
 		return time.Until(f.requestDeadline(t, conn))
 	}
-	arrived <- arrive()
+	arrived.conns <- arrive()
 	first := accept()
 	if left := timeLeft(first); left < 4900*time.Millisecond {
 		t.Errorf("no wait: %v of %v are left", left, clientTimeout)
 	}
 	// Two find no place, for minEvictionGrace each; the third does.
 	for range 3 {
-		arrived <- arrive()
+		arrived.conns <- arrive()
 	}
 	began := time.Now()
 	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
@@ -74,14 +80,14 @@
 	if left := timeLeft(third); left > clientTimeout-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
 		t.Errorf("after a wait of %v, %v of %v are left", waited, left, clientTimeout)
 	}
-	// There is a place again, and nobody waits.
+	// There is a place again, and nobody waits: the next one comes while the acceptor has waited for a while.
 	table.mu.Lock()
 	table.forget(third)
 	table.mu.Unlock()
-	go func() {
-		time.Sleep(20 * time.Millisecond)
-		arrived <- arrive()
-	}()
+	next := arrive()
+	arrived.onAccept = func() {
+		time.AfterFunc(20*emptyQueueThreshold, func() { arrived.conns <- next })
+	}
 	if left := timeLeft(accept()); left < 4900*time.Millisecond {
 		t.Errorf("no wait any more: %v of %v are left", left, clientTimeout)
 	}
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -175,9 +175,15 @@
 	}
 }
 
-// expectKept checks that the table has these connections and no other, and that none of them is closing.
+// expectKept checks that the table has these connections and no other, once the servers of those that are closing have
+// closed them, and that none of them is closing.
 func (e *evictionTable) expectKept(t *testing.T, step string, want []*clientConn) {
 	t.Helper()
+	awaitCondition(t, step+": closing connections are closed", func() bool {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		return e.closing == 0
+	})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.conns) != len(want) || e.closing != 0 {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -35,8 +35,9 @@
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are too few to pay again.
-	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, 500*time.Millisecond), backend)
+	// The gateway's local tokens are too few to pay again. The second call must not time out on a busy machine.
+	const callTimeout = 2500 * time.Millisecond
+	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.accept(t)
 	first, _ := readRequest(t, calls)
