--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -13,9 +13,9 @@
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
+	r := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
-	for range 100 { // the limit is below 40
+	for range 100 { // the limit is 48
 		conn, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
