--- a/policy/queue.go
+++ b/policy/queue.go
@@ -86,7 +86,7 @@
 // dispatch sends queued requests, highest level first, until the concurrency limit is reached.
 func (e *Engine) dispatch() {
 	for level := e.queue.topLevel(); level >= 0; level-- {
-		if !e.dispatchLevel(level) {
+		if len(e.queue.requests[level]) > 0 && !e.dispatchLevel(level) {
 			return
 		}
 	}
