--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// capacityPollInterval is the time between two looks whether the table has a free place.
+// capacityPollInterval is the time between two looks whether the table has capacity.
 const capacityPollInterval = 10 * time.Millisecond
 
 // The backoff between accepts that fail.
@@ -44,7 +44,7 @@
 	}
 }
 
-// awaitCapacity enters a connection in the table, once it has a free place. It returns nil if there is none within the
+// awaitCapacity enters a connection in the table, once it has capacity. It returns nil if there is none within the
 // time that an eviction may take.
 func (c *clientConnections) awaitCapacity(netConn net.Conn) *clientConn {
 	for remaining := minEvictionGrace; ; remaining -= capacityPollInterval {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -92,7 +92,7 @@
 // maintainCustomers expires leases, returns unused units, forgets idle customers and admits the waiting
 // requests of the others where that is possible now.
 func (e *Engine) maintainCustomers() {
-	kept := e.customers.ordered[:0]
+	active := e.customers.ordered[:0]
 	for _, c := range e.customers.ordered {
 		if e.now >= c.lease.expiresAt {
 			c.expireLease()
@@ -101,13 +101,13 @@
 			delete(e.customers.byID, c.id)
 			continue
 		}
-		kept = append(kept, c)
+		active = append(active, c)
 		e.returnUnusedUnits(c)
 		if len(c.waiting) > 0 {
 			e.admit(c)
 		}
 	}
-	e.customers.ordered = kept
+	e.customers.ordered = active
 }
 
 // isIdle reports whether a customer can be forgotten.
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -36,7 +36,7 @@
 }
 
 // full reports whether no attempt may begin now. The reserve is for top levels. Of many gateways, the limit
-// of one is less than an attempt; then it is kept in the mean.
+// of one is less than an attempt; then it holds in the mean.
 func (l *concurrencyLimiter) full(topLevel bool) bool {
 	capacity := l.limit
 	if !topLevel {
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -11,7 +11,7 @@
 
 const (
 	admitNow             admissionDecision = iota // its units are paid
-	holdRequest                                   // it and those behind it wait for capacity, units or a reply
+	deferRequest                                  // it and those behind it wait for capacity, units or a reply
 	needsLease                                    // the counter is to be called, and the decision made again
 	rejectForQuota                                // its customer has no units left
 	rejectForConcurrency                          // its customer has no concurrency at this gateway
@@ -25,7 +25,7 @@
 		switch e.decideAdmission(c, req) {
 		case admitNow:
 			e.admitFirst(c)
-		case holdRequest:
+		case deferRequest:
 			return
 		case needsLease:
 			e.requestLease(c)
@@ -66,7 +66,7 @@
 // to another.
 func (c *customer) decideAtConcurrencyLimit() admissionDecision {
 	if c.quota.localConcurrency > 0 {
-		return holdRequest
+		return deferRequest
 	}
 	return rejectForConcurrency
 }
@@ -85,7 +85,7 @@
 		e.reportSpent(c)
 		return admitNow
 	case c.calls.pendingLeases > 0:
-		return holdRequest
+		return deferRequest
 	case e.now < c.exhaustedUntil:
 		return e.decideWhileExhausted(c, req)
 	case !e.settings.Counter || c.backoff.active(e.now):
@@ -98,7 +98,7 @@
 // it at the lowest level: as far as is known here, it is beyond the quota.
 func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
 	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
-		return holdRequest
+		return deferRequest
 	}
 	if c.quota.admitsOverQuota && c.takeLocalTokens(e.now, req.Units) {
 		req.level = 0
@@ -108,7 +108,7 @@
 }
 
 // decideWithoutCounter decides on a request while the counter is not called: local tokens admit it. Where
-// there are too few, it is held if the pause ends in time, since an overloaded counter may have capacity by
+// there are too few, it waits if the pause ends in time, since an overloaded counter may have capacity by
 // then.
 func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
 	if c.takeLocalTokens(e.now, req.Units) {
@@ -116,7 +116,7 @@
 		return admitNow
 	}
 	if e.settings.Counter && c.quota.smallGatewaySet && c.backoff.until+e.latency.mean < req.answerBy {
-		return holdRequest
+		return deferRequest
 	}
 	return rejectForQuota
 }
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -14,7 +14,7 @@
 	// A ceiling.
 	ceilingLeaseShare = 0.22 // of its burst: what a window may lease; local tokens have the rest
 
-	// A concurrency limit that is kept as a rate.
+	// A concurrency limit that is applied as a rate.
 	concurrencyUtilization = 0.65 // mean use of the limit
 	concurrencyRateWindow  = 1.0  // seconds of its window
 )
@@ -62,7 +62,7 @@
 		q.windowDuration = q.allowance / max(q.rate, minRate)
 	}
 	if !q.smallGatewaySet && q.concurrencyLimit > 0 {
-		q.keepConcurrencyAsRate(p, e.latency.mean)
+		q.useConcurrencyRate(p, e.latency.mean)
 	}
 	return q
 }
@@ -145,10 +145,10 @@
 	return (p.CeilingBurst - (2+leaseLifeShare)*q.allowance) / q.gatewayCount
 }
 
-// keepConcurrencyAsRate replaces a concurrency limit by the rate that it admits on average, where the plan
+// useConcurrencyRate replaces a concurrency limit by the rate that it admits on average, where the plan
 // has no rate and a mean latency is known. Concurrency that many gateways share would be two calls a request,
 // and the count would drift.
-func (q *quotaAttributes) keepConcurrencyAsRate(p *Plan, meanLatency float64) {
+func (q *quotaAttributes) useConcurrencyRate(p *Plan, meanLatency float64) {
 	q.concurrencyLimit = 0
 	if q.rate == 0 && meanLatency > 0 {
 		q.rate = concurrencyUtilization * float64(p.MaxConcurrent) / meanLatency
--- a/policy/send.go
+++ b/policy/send.go
@@ -56,7 +56,7 @@
 	return req.attemptsInFlight == 0 || e.settings.CanHedge
 }
 
-// chargeAttempt counts an attempt of that number. A first one adds to the retry budget; its place under the
+// chargeAttempt counts an attempt of that number. A first one adds to the retry budget; its slot under the
 // customer's concurrency limit was taken at admission, while each further attempt takes one more.
 func (e *Engine) chargeAttempt(req *request, number int) {
 	if number == 0 {
