--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"regexp"
@@ -100,10 +99,8 @@
 	}
 	issue, err := strconv.Atoi(fields["issue"])
 	if err != nil || issue < 1 {
-		return entry{}, fmt.Errorf("%s: issue: %w", e.test, errors.Join(errNoIssue, err))
+		return entry{}, fmt.Errorf("%s: issue: %q is no number of an issue", e.test, fields["issue"])
 	}
 	e.issue = issue
 	return e, nil
 }
-
-var errNoIssue = errors.New("the number of an open issue is wanted")
