--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -255,16 +255,7 @@
 	pools := newConnectionPools(testTimeout, time.Minute, 8)
 	l := newEventLoop(&config, pools, newCounterClient(counter.address(), testTimeout), func() {})
 	l.applyEndpointList(endpointListOf(true, "Ready", backend), policy.FullList)
-	now := l.clock.now()
-	req := &clientRequest{
-		correlationID: "one",
-		method:        "GET",
-		uri:           "/lookup",
-		host:          "h",
-		header:        http.Header{},
-		response:      make(chan clientResponse, 2),
-		decoded:       policy.Request{Units: 1, Gateways: 1, Customer: 5, SentAt: now, Deadline: now + 15},
-	}
+	req := newLoopRequest(l, "GET", "/lookup", policy.Request{Customer: 5})
 	l.startRequest(req)
 	for _, calls := range l.pendingCalls {
 		l.handleMessage(counterCallDone{calls[0], policy.Served, calls[0].amount})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"amberlb/policy"
 )
 
 // testGateway is a whole gateway between loopback sockets.
@@ -217,3 +219,21 @@
 		`"mostUnits": 4`, fmt.Sprintf(`"mostUnits": 4, "hasCounter": true, "counterTimeoutS": %g`, timeout.Seconds()),
 	).Replace
 }
+
+// newLoopRequest returns a request for a loop that the test runs by hand: of one unit, sent now, with 15 s left. It has
+// room for a second response, so that one too many shows.
+func newLoopRequest(l *eventLoop, method, uri string, decoded policy.Request) *clientRequest {
+	decoded.Units = 1
+	decoded.Gateways = 1
+	decoded.SentAt = l.clock.now()
+	decoded.Deadline = decoded.SentAt + 15
+	return &clientRequest{
+		correlationID: "one",
+		method:        method,
+		uri:           uri,
+		host:          "h",
+		header:        http.Header{},
+		response:      make(chan clientResponse, 2),
+		decoded:       decoded,
+	}
+}
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -203,16 +203,7 @@
 			p := newConnectionPools(testTimeout, time.Minute, 8)
 			l := newEventLoop(&config, p, nil, func() {})
 			l.applyEndpointList(endpointListOf(true, "Ready", backend), policy.FullList)
-			now := l.clock.now()
-			req := &clientRequest{
-				correlationID: "one",
-				method:        "POST",
-				uri:           "/payment",
-				host:          "h",
-				header:        http.Header{},
-				response:      make(chan clientResponse, 2),
-				decoded:       policy.Request{Class: 2, Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15},
-			}
+			req := newLoopRequest(l, "POST", "/payment", policy.Request{Class: 2})
 			l.startRequest(req)
 			_, reader := backend.acceptRequest(t)
 			c.end(l, req)
