--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -61,8 +61,8 @@
 	defer backend.Close()
 	backendAddress = backend.Listener.Addr().String()
 	listen := freeAddress(t)
-	cmd, stderr := command(t, fmt.Sprintf(descriptorLimitConfig, listen, discovery.Listener.Addr(), counter.Listener.Addr(),
-		minDescriptors, backendAddress))
+	cmd, stderr := gatewayCommand(t, fmt.Sprintf(descriptorLimitConfig, listen, discovery.Listener.Addr(),
+		counter.Listener.Addr(), minDescriptors, backendAddress))
 	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", descriptorLimitKey, minDescriptors))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -167,11 +167,11 @@
 }
 
 // awaitOK repeats a request until it is answered with 200.
-func (c *descriptorClient) awaitOK(t *testing.T, what string, request func() string) {
+func (c *descriptorClient) awaitOK(t *testing.T, purpose string, request func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); c.do(request()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: never answered", what)
+			t.Fatalf("%s: never answered", purpose)
 		}
 	}
 }
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -23,13 +23,13 @@
 			}
 			defer reader.Close()
 			classes := []soak.Class{{Name: string(soak.NonIdempotent), Idempotency: soak.NonIdempotent, Deadline: time.Second}}
-			_, discovery := hangingBackends(t, soak.NewClock())
+			_, discovery := startHangingBackends(t, soak.NewClock())
 			options := gatewayOptions(t, classes, discovery)
 			config, err := options.ConfigFile()
 			if err != nil {
 				t.Fatal(err)
 			}
-			cmd, _ := command(t, string(config))
+			cmd, _ := gatewayCommand(t, string(config))
 			cmd.Env = append(cmd.Env, options.Env...)
 			cmd.Stderr = writer
 			if err := cmd.Start(); err != nil {
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -35,8 +35,8 @@
 	os.Exit(m.Run())
 }
 
-// command returns the gateway's command with a configuration, not yet started, and its standard error.
-func command(t *testing.T, config string) (cmd *exec.Cmd, stderr *bytes.Buffer) {
+// gatewayCommand returns the gateway's command with a configuration, not yet started, and its standard error.
+func gatewayCommand(t *testing.T, config string) (cmd *exec.Cmd, stderr *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -51,7 +51,7 @@
 
 // A configuration that can't be used ends the process with one line on standard error and exit status 1.
 func TestInvalidConfigurationEndsStart(t *testing.T) {
-	cmd, stderr := command(t, `{"settings": {}}`)
+	cmd, stderr := gatewayCommand(t, `{"settings": {}}`)
 	var exit *exec.ExitError
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v", err)
@@ -70,7 +70,7 @@
 		<-r.Context().Done() // never answers
 	}))
 	defer discovery.Close()
-	cmd, stderr := command(t, `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "`+
+	cmd, stderr := gatewayCommand(t, `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "`+
 		strings.TrimPrefix(discovery.URL, "http://")+`", "seed": "1", "limits": {"cores": 1, "memory_mb": 64, "sockets": 256},
 		"settings": {"fleetSize": 1, "tickS": 0.002, "allowed": {"connectTimeoutS": 1, "keepaliveS": 15},
 		"classes": [{"name": "c", "objectiveS": 1, "deadlineS": 2}], "packages": [{"name": "p"}]}}`)
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -24,9 +24,9 @@
 // shutdownSweep is one graceful shutdown with a request on each of many connections that were opened before
 // it. The requests come at moments that are a step apart.
 type shutdownSweep struct {
-	deadline   time.Duration // of the one class, whose requests are not idempotent
-	lastMoment time.Duration // after SIGTERM
-	inHalves   bool          // the requests begin right after SIGTERM, and their second half comes at the moment
+	deadline    time.Duration // of the one class, whose requests are not idempotent
+	lastOffset  time.Duration // after SIGTERM
+	inTwoPieces bool          // the requests begin right after SIGTERM, and their second half comes at the moment
 }
 
 // A gateway in graceful shutdown answers every request that it admits, whatever moment of the shutdown the
@@ -38,7 +38,7 @@
 		3 * time.Second, 4500 * time.Millisecond} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			attempts := shutdownSweep{deadline: deadline, lastMoment: 800 * time.Millisecond}.run(t)
+			attempts := shutdownSweep{deadline: deadline, lastOffset: 800 * time.Millisecond}.run(t)
 			answered := 0
 			for _, a := range attempts {
 				if a.Status != 0 {
@@ -60,7 +60,7 @@
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			attempts := shutdownSweep{deadline: deadline, lastMoment: deadline + time.Second, inHalves: true}.run(t)
+			attempts := shutdownSweep{deadline: deadline, lastOffset: deadline + time.Second, inTwoPieces: true}.run(t)
 			for _, a := range attempts {
 				if a.Status == 0 {
 					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", a.ID, a.FirstByteAt.Seconds(), a.SentAt.Seconds(),
@@ -77,28 +77,28 @@
 	t.Helper()
 	clock := soak.NewClock()
 	classes := []soak.Class{{Name: string(soak.NonIdempotent), Idempotency: soak.NonIdempotent, Deadline: s.deadline}}
-	backends, discovery := hangingBackends(t, clock)
+	backends, discovery := startHangingBackends(t, clock)
 	process, listen := startProcess(t, classes, discovery)
 	conns := s.dial(t, clock, listen)
-	incarnation := soak.Process{Gateway: 1, Number: 1, SigtermAt: clock.Now()}
+	processRecord := soak.Process{Gateway: 1, Number: 1, SigtermAt: clock.Now()}
 	process.Signal(syscall.SIGTERM)
 	attempts := make([]soak.ClientAttempt, len(conns))
 	var sending sync.WaitGroup
 	for i, conn := range conns {
-		sending.Go(func() { attempts[i] = s.send(conn, clock, incarnation.SigtermAt, i) })
+		sending.Go(func() { attempts[i] = s.send(conn, clock, processRecord.SigtermAt, i) })
 	}
 	select {
 	case <-process.Done():
-	case <-time.After(time.Until(clock.At(incarnation.SigtermAt + soak.KillAfter(classes)))):
-		incarnation.SigkillAt = clock.Now()
+	case <-time.After(time.Until(clock.At(processRecord.SigtermAt + soak.KillAfter(classes)))):
+		processRecord.SigkillAt = clock.Now()
 		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come",
-			(incarnation.SigkillAt - incarnation.SigtermAt).Seconds())
+			(processRecord.SigkillAt - processRecord.SigtermAt).Seconds())
 	}
-	incarnation.Err = process.Close()
-	incarnation.EndedAt = clock.Now()
-	incarnation.Log = process.Log()
+	processRecord.Err = process.Close()
+	processRecord.EndedAt = clock.Now()
+	processRecord.Log = process.Log()
 	sending.Wait()
-	history := soak.History{ClientAttempts: attempts, Processes: []soak.Process{incarnation}}
+	history := soak.History{ClientAttempts: attempts, Processes: []soak.Process{processRecord}}
 	for _, b := range backends {
 		history.BackendAttempts = append(history.BackendAttempts, b.Attempts()...)
 	}
@@ -115,7 +115,7 @@
 func (s shutdownSweep) dial(t *testing.T, clock soak.Clock, listen string) []*soak.Conn {
 	t.Helper()
 	var conns []*soak.Conn
-	for range s.lastMoment / sweepStep {
+	for range s.lastOffset / sweepStep {
 		conn, err := soak.Dial(clock, listen, 1, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -128,14 +128,14 @@
 
 // send sends the request of moment i and returns what became of it.
 func (s shutdownSweep) send(conn *soak.Conn, clock soak.Clock, sigtermAt time.Duration, i int) soak.ClientAttempt {
-	moment := time.Duration(i) * sweepStep
+	offset := time.Duration(i) * sweepStep
 	request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST", BodyBytes: 12,
 		Timeout: s.deadline}
-	if s.inHalves {
+	if s.inTwoPieces {
 		request.Pieces = 2
-		request.PieceGap = moment
+		request.PieceGap = offset
 	} else {
-		time.Sleep(time.Until(clock.At(sigtermAt + moment)))
+		time.Sleep(time.Until(clock.At(sigtermAt + offset)))
 	}
 	attempt, _ := conn.Do(request)
 	return attempt
@@ -178,8 +178,8 @@
 	return options
 }
 
-// hangingBackends starts backends that take requests and never answer, and a discovery that lists them.
-func hangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
+// startHangingBackends starts backends that take requests and never answer, and a discovery that lists them.
+func startHangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
 	var list []gateway.EndpointEntry
 	hang := func(time.Duration) soak.Behavior { return soak.Behavior{Hang: true} }
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -45,15 +45,15 @@
 	if inst.engine == nil {
 		return nil
 	}
-	if request, ok := event.(policy.Request); ok && !inst.knows(request) {
+	if request, ok := event.(policy.Request); ok && !inst.hasClassAndPlan(request) {
 		return unknownClassOrPlanError(request.ID)
 	}
 	inst.actions = inst.engine.Handle(now, event, inst.actions)
 	return nil
 }
 
-// knows reports whether the settings have the class and the plan of a request.
-func (inst *instance) knows(request policy.Request) bool {
+// hasClassAndPlan reports whether the settings have the class and the plan of a request.
+func (inst *instance) hasClassAndPlan(request policy.Request) bool {
 	return request.Class < len(inst.settings.Classes) && request.Plan < len(inst.settings.Plans)
 }
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// settings are those of the instances in this file's batches.
-const settings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
+// testSettings are those of the instances in this file's batches.
+const testSettings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
 	"tickS": 0.002, "allowed": {"mostTries": 2}}`
 
 // encodeBatch returns the frame of a batch with the given records, at clock time 5.
@@ -36,8 +36,8 @@
 	var w recordWriter
 	w.begin(eventStartInstance)
 	w.u64(0)
-	w.u32(uint32(len(settings)))
-	return append(w.data, settings...)
+	w.u32(uint32(len(testSettings)))
+	return append(w.data, testSettings...)
 }
 
 // stopRecord stops an instance.
--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -17,17 +17,17 @@
 // drawOutcome draws how an attempt at a backend ends and after how long.
 func (s *simulation) drawOutcome(b *simBackend) (status uint8, latency float64) {
 	latency = b.latency * s.between(0.5, 2) * (1 + float64(b.inFlight)/6)
-	luck := s.Float64()
+	roll := s.Float64()
 	switch {
 	case b.state == stateRemoved || b.condition == unreachable:
 		return statusConnectFailed, s.settings.Capabilities.ConnectTimeoutS
-	case b.state == stateDraining || b.condition == rejecting && luck < 0.8 || b.inFlight > 30:
+	case b.state == stateDraining || b.condition == rejecting && roll < 0.8 || b.inFlight > 30:
 		return statusRejected, 0.002
-	case b.condition == silent && luck < 0.9 || luck < 0.01:
+	case b.condition == silent && roll < 0.9 || roll < 0.01:
 		return statusTimeout, math.MaxFloat64
-	case b.condition == failing && luck < 0.5 || luck < 0.02:
-		return oneOf[uint8](s.draws, statusFailed, statusReset), latency * s.Float64()
-	case b.condition == failing && luck < 0.8 || luck < 0.04:
+	case b.condition == failing && roll < 0.5 || roll < 0.02:
+		return oneOf[uint8](s.randomSource, statusFailed, statusReset), latency * s.Float64()
+	case b.condition == failing && roll < 0.8 || roll < 0.04:
 		return statusReset, s.between(0, 2) // after the backend had begun
 	case b.condition == slow:
 		latency *= 8
@@ -68,14 +68,14 @@
 // startResponse starts the streamed response of an attempt, unless another one of its request came first.
 func (s *simulation) startResponse(req *simRequest, n int) {
 	a := req.attempts[n]
-	if !a.inFlight || !req.instanceRuns() || req.ended || req.streamedAttempt > 0 {
+	if !a.inFlight || !req.incarnationRuns() || req.ended || req.streamedAttempt > 0 {
 		s.endAttempt(req, n, statusCancelled)
 		return
 	}
 	req.streamedAttempt = n + 1
 	req.streamedInBatch = s.batchSeq
 	req.instance.events.responseStarted(req.id, a.backend.id, s.now-a.sentAt, n)
-	status := oneOf[uint8](s.draws, statusServed, statusServed, statusServed, statusReset)
+	status := oneOf[uint8](s.randomSource, statusServed, statusServed, statusServed, statusReset)
 	s.after(s.ExpFloat64(), func() { s.endAttempt(req, n, status) })
 }
 
@@ -97,7 +97,7 @@
 	}
 	a.inFlight = false
 	a.backend.inFlight--
-	if !req.instanceRuns() {
+	if !req.incarnationRuns() {
 		return
 	}
 	streamed := req.streamedAttempt == n+1
@@ -133,7 +133,7 @@
 // cancelAttempt cancels attempt n of a request. One whose response has started goes on.
 func (s *simulation) cancelAttempt(req *simRequest, n int) {
 	if !s.settings.Capabilities.CanCancel || n >= len(req.attempts) {
-		s.violation(req, fmt.Sprintf("attempt %d cannot be cancelled", n))
+		s.reportViolation(req, fmt.Sprintf("attempt %d cannot be cancelled", n))
 	} else if req.streamedAttempt != n+1 {
 		s.after(0, func() { s.endAttempt(req, n, statusCancelled) })
 	}
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -75,13 +75,13 @@
 // Discovery sends changes of the list to all instances.
 func (s *simulation) changeBackends() {
 	b := s.backends[s.IntN(len(s.backends))]
-	b.condition = oneOf(s.draws, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
+	b.condition = oneOf(s.randomSource, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
 	if !s.changeList(b) {
 		return
 	}
 	b.version++
 	for _, inst := range s.instances {
-		s.scheduleEndpointUpdate(inst, oneOf[uint8](s.draws, listDelta, listDelta, listDelta, listFull))
+		s.scheduleEndpointUpdate(inst, oneOf[uint8](s.randomSource, listDelta, listDelta, listDelta, listFull))
 	}
 }
 
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// violation reports a rule that was broken for a request.
-func (s *simulation) violation(req *simRequest, what string) {
+// reportViolation reports a rule that was broken for a request.
+func (s *simulation) reportViolation(req *simRequest, rule string) {
 	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id, req.class.Idempotency,
-		req.class.DedupeScope, what)
+		req.class.DedupeScope, rule)
 }
 
 // openRequest returns the request that an action names, and fails the test unless the instance got it in
 // its present incarnation.
 func (s *simulation) openRequest(inst *simInstance, id uint32) *simRequest {
 	req := s.requests[id]
-	if req == nil || req.instance != inst || !req.instanceRuns() {
+	if req == nil || req.instance != inst || !req.incarnationRuns() {
 		s.t.Fatalf("seed %d batch %d: an action names request %d, which instance %d does not hold",
 			s.seed, s.batchSeq, id, inst.number)
 	}
@@ -52,7 +52,7 @@
 		{req.mayExecuteTwice(b, s.now), "attempt where a second effect is possible"},
 	} {
 		if rule.broken {
-			s.violation(req, rule.what)
+			s.reportViolation(req, rule.what)
 		}
 	}
 }
@@ -60,8 +60,8 @@
 // expectFinalAnswer checks after the deadline that a request has ended.
 func (s *simulation) expectFinalAnswer(req *simRequest) {
 	s.after(req.deadline+s.settings.Requirements.AnswerSlackS+s.settings.TickS-s.now, func() {
-		if req.instanceRuns() && !req.ended && req.streamedAttempt == 0 {
-			s.violation(req, "no final answer")
+		if req.incarnationRuns() && !req.ended && req.streamedAttempt == 0 {
+			s.reportViolation(req, "no final answer")
 		}
 	})
 }
@@ -69,8 +69,8 @@
 // handleFinalAnswer checks the rules on a final answer of the adapter and ends the request. An answer that
 // crosses the end of its request in the same batch is void.
 func (s *simulation) handleFinalAnswer(req *simRequest, rejected bool) {
-	if what := s.finalAnswerViolation(req, rejected); what != "" {
-		s.violation(req, what)
+	if rule := s.finalAnswerViolation(req, rejected); rule != "" {
+		s.reportViolation(req, rule)
 	} else if req.ended {
 		return
 	}
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -28,8 +28,8 @@
 	answered        bool   // it was ended by a final answer of the instance
 }
 
-// instanceRuns reports whether the incarnation that got the request still runs.
-func (req *simRequest) instanceRuns() bool { return req.instance.runs(req.incarnation) }
+// incarnationRuns reports whether the incarnation that got the request still runs.
+func (req *simRequest) incarnationRuns() bool { return req.instance.runs(req.incarnation) }
 
 // end notes that the request has ended in a batch.
 func (req *simRequest) end(batchSeq uint32) {
@@ -51,7 +51,7 @@
 func (s *simulation) addCustomer(plan int) {
 	fleet := s.settings.FleetSize
 	member := s.instances[s.IntN(len(s.instances))]
-	gatewayCount := oneOf(s.draws, fleet, fleet, 1+s.IntN(fleet))
+	gatewayCount := oneOf(s.randomSource, fleet, fleet, 1+s.IntN(fleet))
 	c := &simCustomer{
 		id:           s.Uint64N(1 << 33),
 		plan:         plan,
@@ -60,16 +60,16 @@
 	}
 	s.drawInterval(c)
 	s.customers = append(s.customers, c)
-	s.after(s.ExpFloat64()*2, func() { s.nextArrival(c) })
+	s.after(s.ExpFloat64()*2, func() { s.sendNextRequest(c) })
 }
 
 // drawInterval draws the mean time between a customer's requests, from bursts to none for a minute.
 func (s *simulation) drawInterval(c *simCustomer) {
-	c.meanInterval = oneOf(s.draws, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
+	c.meanInterval = oneOf(s.randomSource, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
 }
 
-// nextArrival has a customer send a request, and schedules the next one.
-func (s *simulation) nextArrival(c *simCustomer) {
+// sendNextRequest has a customer send a request, and schedules the next one.
+func (s *simulation) sendNextRequest(c *simCustomer) {
 	if s.chance(0.03) || c.meanInterval > 5 {
 		s.drawInterval(c)
 	}
@@ -79,14 +79,14 @@
 		units = s.between(0, units)
 	}
 	s.sendRequest(c, class, units, s.now+s.settings.Classes[class].DeadlineS, false)
-	s.after(s.ExpFloat64()*c.meanInterval, func() { s.nextArrival(c) })
+	s.after(s.ExpFloat64()*c.meanInterval, func() { s.sendNextRequest(c) })
 }
 
 // sendRequest has a client send a request to one of its customer's gateways. Some requests have less time
 // than the client.
 func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
 	inst := s.instances[s.IntN(len(s.instances))]
-	if !inst.running || s.now >= giveUpAt || !s.mayReach(c, inst) {
+	if !inst.running || s.now >= giveUpAt || !s.drawReachable(c, inst) {
 		return
 	}
 	s.lastRequestID++
@@ -112,12 +112,12 @@
 	}
 }
 
-// mayReach reports whether a customer's request may be sent to an instance: some are sent outside of the
+// drawReachable reports whether a customer's request may be sent to an instance: some are sent outside of the
 // customer's set.
-func (s *simulation) mayReach(c *simCustomer, inst *simInstance) bool {
+func (s *simulation) drawReachable(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
-	place := (inst.rank - c.firstGateway + fleet) % fleet
-	return place < c.gatewayCount || s.chance(0.05)
+	offset := (inst.rank - c.firstGateway + fleet) % fleet
+	return offset < c.gatewayCount || s.chance(0.05)
 }
 
 // request writes the arrival of a request.
@@ -136,7 +136,7 @@
 
 // disconnect has the client of a request leave. The event may cross the end of the request.
 func (s *simulation) disconnect(req *simRequest) {
-	if !req.instanceRuns() {
+	if !req.incarnationRuns() {
 		return
 	}
 	if !req.ended {
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -22,7 +22,7 @@
 
 // changeCounter draws how the counter does for the next seconds, and in some cases has it lose all numbers.
 func (s *simulation) changeCounter() {
-	s.counterCondition = oneOf(s.draws, healthy, healthy, healthy, overloaded, slow, silent, unreachable, malformed)
+	s.counterCondition = oneOf(s.randomSource, healthy, healthy, healthy, overloaded, slow, silent, unreachable, malformed)
 	if s.chance(0.1) {
 		clear(s.counterTotals)
 	}
@@ -45,22 +45,22 @@
 func (s *simulation) drawCounterOutcome() counterOutcome {
 	timeout := s.settings.QuotaCounter.CounterTimeoutS
 	outcome := counterOutcome{status: statusServed, latency: s.between(0.001, 0.02), added: true}
-	luck := s.Float64()
+	roll := s.Float64()
 	switch {
-	case s.counterCondition == overloaded && luck < 0.5 || luck < 0.01:
+	case s.counterCondition == overloaded && roll < 0.5 || roll < 0.01:
 		outcome.status = statusRejected
 		outcome.added = false
-	case s.counterCondition == unreachable && luck < 0.8 || luck < 0.02:
+	case s.counterCondition == unreachable && roll < 0.8 || roll < 0.02:
 		outcome.status = statusConnectFailed
 		outcome.added = false
-	case s.counterCondition == silent && luck < 0.8 || luck < 0.03:
+	case s.counterCondition == silent && roll < 0.8 || roll < 0.03:
 		outcome.status = statusTimeout
 		outcome.latency = timeout
 		outcome.added = s.chance(0.5)
 	case s.counterCondition == slow:
 		outcome.latency = timeout * s.between(0.5, 1)
-	case s.counterCondition == malformed && luck < 0.6:
-		outcome.status = oneOf[uint8](s.draws, statusFailed, statusReset)
+	case s.counterCondition == malformed && roll < 0.6:
+		outcome.status = oneOf[uint8](s.randomSource, statusFailed, statusReset)
 	}
 	return outcome
 }
--- a/cmd/simadapter/simstrayevents_test.go
+++ b/cmd/simadapter/simstrayevents_test.go
@@ -32,7 +32,7 @@
 // repeatAttemptEnd ends the first attempt of a recent request a second time.
 func (s *simulation) repeatAttemptEnd(inst *simInstance) {
 	req := s.requests[s.lastRequestID-min(s.lastRequestID, s.Uint32N(20))]
-	if req == nil || req.instance != inst || !req.instanceRuns() || len(req.attempts) == 0 || req.attempts[0].inFlight {
+	if req == nil || req.instance != inst || !req.incarnationRuns() || len(req.attempts) == 0 || req.attempts[0].inFlight {
 		return
 	}
 	s.writeAttemptEnd(&inst.events, req, 0, statusFailed, 0)
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -40,13 +40,13 @@
 
 // simulation generates the stream of one seed and checks the replies to it.
 type simulation struct {
-	draws
+	randomSource
 	t        *testing.T
 	seed     uint64
 	settings simSettings
 
 	now     float64          // clock time
-	until   float64          // clock time at which the stream ends
+	endsAt  float64          // clock time at which the stream ends
 	tick    float64          // now in ticks
 	pending []scheduledEvent // by time
 
@@ -75,9 +75,9 @@
 func newSimulation(
 	t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader,
 ) *simulation {
-	d := draws{rand.New(rand.NewPCG(seed, 1))}
+	d := randomSource{rand.New(rand.NewPCG(seed, 1))}
 	s := &simulation{
-		draws:              d,
+		randomSource:       d,
 		t:                  t,
 		seed:               seed,
 		settings:           d.settings(seed),
@@ -89,21 +89,21 @@
 		fromAdapter:        fromAdapter,
 		actionCounts:       actionCounts,
 	}
-	s.until = s.now + d.between(60, 110)
+	s.endsAt = s.now + d.between(60, 110)
 	if s.settings.TickS < 0.01 {
-		s.until = s.now + d.between(60, 70)
+		s.endsAt = s.now + d.between(60, 70)
 	}
-	s.addWorld()
-	s.every(1.5, s.changeBackends)
-	s.every(4, s.changeCounter)
-	s.every(10, s.refreshCachedList)
-	s.every(0.5, s.sendStrayEvent)
-	s.every(30, s.restartInstance)
+	s.addInitialState()
+	s.repeat(1.5, s.changeBackends)
+	s.repeat(4, s.changeCounter)
+	s.repeat(10, s.refreshCachedList)
+	s.repeat(0.5, s.sendStrayEvent)
+	s.repeat(30, s.restartInstance)
 	return s
 }
 
-// addWorld adds the backends, instances and customers that are there from the beginning.
-func (s *simulation) addWorld() {
+// addInitialState adds the backends, instances and customers that are there from the beginning.
+func (s *simulation) addInitialState() {
 	for range 3 + s.IntN(4) {
 		s.addBackend(0)
 	}
@@ -122,11 +122,11 @@
 // after schedules a change of the world; it happens in a later batch.
 func (s *simulation) after(delay float64, apply func()) { s.schedule(delay, false, apply) }
 
-// every repeats a change of the world at random intervals.
-func (s *simulation) every(meanInterval float64, apply func()) {
+// repeat repeats a change of the world at random intervals.
+func (s *simulation) repeat(meanInterval float64, apply func()) {
 	s.after(s.ExpFloat64()*meanInterval, func() {
 		apply()
-		s.every(meanInterval, apply)
+		s.repeat(meanInterval, apply)
 	})
 }
 
@@ -157,7 +157,7 @@
 	for len(s.pending) > 0 && !s.t.Failed() {
 		s.tick = max(s.tick+1, math.Ceil(s.pending[0].at/s.settings.TickS))
 		now := s.tick * s.settings.TickS
-		if now > s.until {
+		if now > s.endsAt {
 			break
 		}
 		s.now = now
--- a/cmd/simadapter/stream_test.go
+++ b/cmd/simadapter/stream_test.go
@@ -36,7 +36,7 @@
 		if *recordDir != "" {
 			record(t, *recordDir, s)
 		}
-		t.Logf("seed %d: %d batches, %d requests, %.0f s", seed, s.batchSeq, len(s.requests), s.until)
+		t.Logf("seed %d: %d batches, %d requests, %.0f s", seed, s.batchSeq, len(s.requests), s.endsAt)
 	}
 	for code, name := range map[uint8]string{
 		actionSendAttempt:   "attempt",
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -90,22 +90,22 @@
 	OverloadDurationS float64 `json:"overloadForS"`
 }
 
-// draws are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped
+// randomSource are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped
 // or moved changes all streams.
-type draws struct{ *rand.Rand }
+type randomSource struct{ *rand.Rand }
 
 // chance draws whether something of probability p happens.
-func (d draws) chance(p float64) bool { return d.Float64() < p }
+func (d randomSource) chance(p float64) bool { return d.Float64() < p }
 
 // between draws a number that is evenly distributed.
-func (d draws) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
+func (d randomSource) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
 // oneOf draws one of the values, all equally likely.
-func oneOf[T any](d draws, values ...T) T { return values[d.IntN(len(values))] }
+func oneOf[T any](d randomSource, values ...T) T { return values[d.IntN(len(values))] }
 
 // settings draws a deployment. The size of the fleet and the use of a counter depend on the seed alone, so
 // that few seeds cover them all.
-func (d draws) settings(seed uint64) simSettings {
+func (d randomSource) settings(seed uint64) simSettings {
 	s := simSettings{
 		FleetSize:    []int{3, 60, 1, 8, 5}[seed%5],
 		TickS:        oneOf(d, 0.004, 0.02, 0.04),
@@ -128,7 +128,7 @@
 	return s
 }
 
-func (d draws) capabilities() simCapabilities {
+func (d randomSource) capabilities() simCapabilities {
 	return simCapabilities{
 		CanCancel:         d.chance(0.6),
 		ConnectTimeoutS:   0.25,
@@ -141,7 +141,7 @@
 	}
 }
 
-func (d draws) quotaCounter(hasCounter bool) simQuotaCounter {
+func (d randomSource) quotaCounter(hasCounter bool) simQuotaCounter {
 	return simQuotaCounter{
 		CounterPrice:    0.02,
 		CounterTimeoutS: 0.08,
@@ -151,7 +151,7 @@
 	}
 }
 
-func (d draws) requirements() simRequirements {
+func (d randomSource) requirements() simRequirements {
 	return simRequirements{
 		AnswerSlackS:      0.016,
 		PollIntervalS:     10,
@@ -164,7 +164,7 @@
 }
 
 // classes draws a class for each kind of idempotency, and one more of those that may be retried at will.
-func (d draws) classes() []simClass {
+func (d randomSource) classes() []simClass {
 	var classes []simClass
 	for _, kind := range []struct{ idempotency, scope string }{
 		{"repeatable", "all"}, {"repeatable", "all"}, {"once", "all"}, {"by_key", "all"}, {"by_key", "zone"}, {"by_key", "cell"},
@@ -187,7 +187,7 @@
 }
 
 // plans draws a plan for each combination of quotas: none, by rate, with a ceiling, and by concurrency.
-func (d draws) plans() []simPlan {
+func (d randomSource) plans() []simPlan {
 	rate := d.between(0.5, 4)
 	plans := []simPlan{
 		{},
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -116,8 +116,8 @@
 // replyReader takes fields from a reply. A reply that is too short panics, which fails the test.
 type replyReader []byte
 
-// number takes an unsigned number of n bytes.
-func (r *replyReader) number(n int) (v uint64) {
+// unsigned takes an unsigned number of n bytes.
+func (r *replyReader) unsigned(n int) (v uint64) {
 	for _, b := range (*r)[:n] {
 		v = v<<8 | uint64(b)
 	}
@@ -125,8 +125,8 @@
 	return v
 }
 
-func (r *replyReader) u8() uint8    { return uint8(r.number(1)) }
-func (r *replyReader) u32() uint32  { return uint32(r.number(4)) }
-func (r *replyReader) u64() uint64  { return r.number(8) }
+func (r *replyReader) u8() uint8    { return uint8(r.unsigned(1)) }
+func (r *replyReader) u32() uint32  { return uint32(r.unsigned(4)) }
+func (r *replyReader) u64() uint64  { return r.unsigned(8) }
 func (r *replyReader) f64() float64 { return math.Float64frombits(r.u64()) }
 func (r *replyReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -21,8 +21,8 @@
 	return field
 }
 
-// bigEndian reads an unsigned number of n bytes.
-func (c *cursor) bigEndian(n int) uint64 {
+// unsigned reads an unsigned number of n bytes.
+func (c *cursor) unsigned(n int) uint64 {
 	var v uint64
 	for _, b := range c.take(n) {
 		v = v<<8 | uint64(b)
@@ -30,9 +30,9 @@
 	return v
 }
 
-func (c *cursor) u8() uint8    { return uint8(c.bigEndian(1)) }
-func (c *cursor) u16() uint16  { return uint16(c.bigEndian(2)) }
-func (c *cursor) u32() uint32  { return uint32(c.bigEndian(4)) }
-func (c *cursor) u64() uint64  { return c.bigEndian(8) }
+func (c *cursor) u8() uint8    { return uint8(c.unsigned(1)) }
+func (c *cursor) u16() uint16  { return uint16(c.unsigned(2)) }
+func (c *cursor) u32() uint32  { return uint32(c.unsigned(4)) }
+func (c *cursor) u64() uint64  { return c.unsigned(8) }
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 func (c *cursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -3,8 +3,8 @@
 import "amberlb/policy"
 
 const (
-	endpointSize     = 22 // bytes of one entry of a list
-	maxEndpointLists = 16 // lists that can be defined at a time
+	endpointEntrySize = 22 // bytes of one entry of a list
+	maxEndpointLists  = 16 // lists that can be defined at a time
 )
 
 // endpointList is a numbered list, which endpoint updates refer to. It may be shared by instances, so it is
@@ -14,15 +14,15 @@
 	entries []policy.Backend
 }
 
-// backendStates maps the wire's availability.
-var backendStates = map[uint8]policy.BackendState{
+// backendStatesByAvailability maps the wire's availability.
+var backendStatesByAvailability = map[uint8]policy.BackendState{
 	0: policy.Removed,
 	1: policy.Ready,
 	2: policy.Draining,
 }
 
-// listKinds maps the wire's forms of an endpoint update.
-var listKinds = map[uint8]policy.ListKind{
+// listKindsByForm maps the wire's forms of an endpoint update.
+var listKindsByForm = map[uint8]policy.ListKind{
 	0: policy.FullList,
 	1: policy.Delta,
 	2: policy.CachedList,
@@ -36,7 +36,7 @@
 	if number >= maxEndpointLists {
 		return ListNumberError(number)
 	}
-	if uint64(count)*endpointSize > uint64(len(c.remaining)) { // before so many entries are allocated
+	if uint64(count)*endpointEntrySize > uint64(len(c.remaining)) { // before so many entries are allocated
 		c.truncated = true
 		return nil
 	}
@@ -61,7 +61,7 @@
 		Cell: int(c.u16()),
 	}
 	availability := c.u8()
-	state, known := backendStates[availability]
+	state, known := backendStatesByAvailability[availability]
 	if !known {
 		return policy.Backend{}, &UnknownValueError{"availability", availability}
 	}
@@ -79,7 +79,7 @@
 	if c.truncated {
 		return nil, nil
 	}
-	kind, known := listKinds[form]
+	kind, known := listKindsByForm[form]
 	if !known {
 		return nil, &UnknownValueError{"form", form}
 	}
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -14,7 +14,7 @@
 	// ErrInvalidClock reports a batch whose clock is not a finite number.
 	ErrInvalidClock = errors.New("the clock is no number")
 	// ErrShortFrame reports a record that extends past the end of its frame.
-	ErrShortFrame = errors.New("the frame is too short")
+	ErrTruncatedRecord = errors.New("the frame is too short")
 	// ErrUnknownCode reports a record code that is not in the wire's description.
 	ErrUnknownCode = errors.New("the code is not known")
 	// ErrNoInstance reports an event before the record that says which instance it is for.
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -27,11 +27,11 @@
 	for i := range count {
 		code := c.u8()
 		if c.truncated {
-			return nil, &RecordError{Index: i, Code: noCode, Err: ErrShortFrame}
+			return nil, &RecordError{Index: i, Code: noCode, Err: ErrTruncatedRecord}
 		}
 		record, err := d.decodeRecord(c, code)
 		if c.truncated {
-			err = ErrShortFrame
+			err = ErrTruncatedRecord
 		}
 		if err != nil {
 			return nil, &RecordError{Index: i, Code: int(code), Err: err}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	replyHeaderSize  = 12 // bytes: length, number of records, sequence number
-	replyLengthSize  = 4  // bytes of the header that the length does not count
-	followingChanges = 1  // the field of codePollEndpoints: on
+	replyHeaderSize = 12 // bytes: length, number of records, sequence number
+	replyLengthSize = 4  // bytes of the header that the length does not count
+	pollOn          = 1  // the field of codePollEndpoints: on
 )
 
 // Reply collects the actions of all instances in answer to one batch. The zero value needs a Reset before
@@ -83,7 +83,7 @@
 		r.u32(uint32(a.Backend))
 	case policy.PollEndpoints:
 		r.beginRecord(codePollEndpoints)
-		r.u8(followingChanges)
+		r.u8(pollOn)
 	case policy.Log:
 		r.beginRecord(codeLog)
 		r.text(a.Text)
--- a/internal/wire/settingsmap.go
+++ b/internal/wire/settingsmap.go
@@ -4,10 +4,10 @@
 
 // Words of single settings.
 const (
-	discoveryByPolling  = "ask"
-	weightsRough        = "rough"
-	weightsNominal      = "nominal"
-	loadReportsInAnswer = "inline"
+	discoveryByPolling = "ask"
+	weightsRough       = "rough"
+	weightsNominal     = "nominal"
+	loadReportsInline  = "inline"
 )
 
 // idempotencyByName maps the word for how often a request may take effect.
@@ -81,7 +81,7 @@
 }
 
 func (j *settingsJSON) setLoadReport(s *policy.Settings) {
-	s.LoadInline = j.LoadReport.Delivery == loadReportsInAnswer
+	s.LoadInline = j.LoadReport.Delivery == loadReportsInline
 	for _, name := range j.LoadReport.Fields {
 		s.LoadFields = append(s.LoadFields, loadFieldsByName[name])
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,8 +11,8 @@
 	"amberlb/policy"
 )
 
-// unhex decodes hexadecimal digits, passing over white space.
-func unhex(t testing.TB, text string) []byte {
+// decodeHex decodes hexadecimal digits, passing over white space.
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -25,7 +25,7 @@
 const emptyBatch = "4020d3126e978d50 00000008 00000000 00000001"
 
 func TestDecodeEvents(t *testing.T) {
-	in := unhex(t, `4020d3126e978d50 00000046 00000005 0000000c
+	in := decodeHex(t, `4020d3126e978d50 00000046 00000005 0000000c
 		1c 00000003
 		12 5d3a91c4 3f800000 0000 91f03b7c55d20a64 40400000 40000000 01 0000 40214df3b645a1cb
 		16 000000000000004d
@@ -55,7 +55,7 @@
 	first := "1b 00000000 00000001 03124a07 00 0000 0000 01 3f800000 0000000000000000"
 	second := "1b 00000000 00000001 2c9011f2 01 0000 0000 02 3fc00000 4018666666666666"
 	update := "11 01 00000029 00000000"
-	in := unhex(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+first+update+second+update)
+	in := decodeHex(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+first+update+second+update)
 	in[11] = byte(len(in) - 12)
 	b, err := NewDecoder(bytes.NewReader(in)).Next()
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 func TestDecodeAttemptEndAndCounterReply(t *testing.T) {
-	in := unhex(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
+	in := decodeHex(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
 		14 5d3a91c4 00 03124a07 00 3f92f1a9fbe76c8b 01 0056 0003 02 40e0000040400000
 		1a 000000000089f690 00 42180000 3f619ce075f6fd22`)
 	in[11] = byte(len(in) - 12)
@@ -101,13 +101,13 @@
 	if err := r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}}); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
+	want := decodeHex(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
 		52 3fe0000000000000 000000000000004d 57 00000005 5c 0011 74776f2073657276657273206b6e6f776e`)
 	if !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", r.Bytes(), want)
 	}
 	r.Reset(1)
-	if want := unhex(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
+	if want := decodeHex(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("empty reply %x", r.Bytes())
 	}
 }
@@ -124,7 +124,7 @@
 		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length", LengthError(0xffffffff)},
 		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
 		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known", ErrUnknownCode},
-		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrShortFrame},
+		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrTruncatedRecord},
 		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d",
 			"no instance was named", ErrNoInstance},
 		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
@@ -134,7 +134,7 @@
 			"settings", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := NewDecoder(bytes.NewReader(unhex(t, c.in))).Next()
+			_, err := NewDecoder(bytes.NewReader(decodeHex(t, c.in))).Next()
 			if err == nil || !strings.Contains(err.Error(), c.text) {
 				t.Errorf("error %v, want one that says %q", err, c.text)
 			}
@@ -147,7 +147,7 @@
 
 // Input that ends between batches is no error.
 func TestEndOfInputBetweenBatches(t *testing.T) {
-	d := NewDecoder(bytes.NewReader(unhex(t, emptyBatch)))
+	d := NewDecoder(bytes.NewReader(decodeHex(t, emptyBatch)))
 	if b, err := d.Next(); err != nil || len(b.Records) != 0 {
 		t.Errorf("empty batch: %v %v", b, err)
 	}
@@ -183,8 +183,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(unhex(f, emptyBatch))
-	f.Add(unhex(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
+	f.Add(decodeHex(f, emptyBatch))
+	f.Add(decodeHex(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -20,14 +20,14 @@
 	issue   int    // number of the open issue about the fault
 }
 
-var testName = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
+var testNamePattern = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 
 // readList reads the entries of a list. Entries are paragraphs of "key: value" lines with the keys test, command, seen and
 // issue, each exactly once; lines that begin with # are comments.
 func readList(r io.Reader) ([]entry, error) {
 	var entries []entry
 	fields := map[string]string{}
-	finish := func() error {
+	finishEntry := func() error {
 		if len(fields) == 0 {
 			return nil
 		}
@@ -45,7 +45,7 @@
 		switch {
 		case strings.HasPrefix(line, "#"):
 		case line == "":
-			if err := finish(); err != nil {
+			if err := finishEntry(); err != nil {
 				return nil, err
 			}
 		default:
@@ -57,7 +57,7 @@
 	if err := lines.Err(); err != nil {
 		return nil, err
 	}
-	if err := finish(); err != nil {
+	if err := finishEntry(); err != nil {
 		return nil, err
 	}
 	if len(entries) > maxEntries {
@@ -88,7 +88,7 @@
 // newEntry makes an entry of its fields.
 func newEntry(fields map[string]string) (entry, error) {
 	e := entry{test: fields["test"], command: fields["command"], seen: fields["seen"]}
-	if !testName.MatchString(e.test) {
+	if !testNamePattern.MatchString(e.test) {
 		return entry{}, fmt.Errorf("test: %q is no name of a top-level test", e.test)
 	}
 	if !strings.Contains(e.command, e.test) {
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -22,9 +22,9 @@
 const commandTimeout = 10 * time.Minute
 
 var (
-	errUsage  = errors.New("usage: knownred pattern|check FILE")
-	errPasses = errors.New("passes; take it off the list")
-	errOther  = errors.New("ended without its own failure")
+	errUsage        = errors.New("usage: knownred pattern|check FILE")
+	errPasses       = errors.New("passes; take it off the list")
+	errOtherFailure = errors.New("ended without its own failure")
 )
 
 func main() {
@@ -39,7 +39,7 @@
 	if len(args) != 2 {
 		return errUsage
 	}
-	verb, path := args[0], args[1]
+	subcommand, path := args[0], args[1]
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	switch verb {
+	switch subcommand {
 	case "pattern":
 		_, err := io.WriteString(out, skipPattern(entries))
 		return err
@@ -73,13 +73,13 @@
 
 // check runs all listed tests and returns what is wrong with the list.
 func check(entries []entry, out io.Writer) error {
-	var wrong []error
+	var problems []error
 	for _, e := range entries {
 		if err := e.check(out); err != nil {
-			wrong = append(wrong, fmt.Errorf("%s %w", e.test, err))
+			problems = append(problems, fmt.Errorf("%s %w", e.test, err))
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
 // check runs the command of one entry and prints the known failure.
@@ -91,7 +91,7 @@
 		return errPasses
 	}
 	if !strings.Contains(string(output), "--- FAIL: "+e.test+" ") {
-		return fmt.Errorf("%w: %w\n%s", errOther, err, output)
+		return fmt.Errorf("%w: %w\n%s", errOtherFailure, err, output)
 	}
 	_, err = fmt.Fprintf(out, "known failure: %s: %s (issue %d)\n%s", e.test, e.seen, e.issue, output)
 	return err
--- a/tools/knownred/main_test.go
+++ b/tools/knownred/main_test.go
@@ -8,28 +8,28 @@
 	"testing"
 )
 
-// failing is a command that ends as a failing test does.
-const failing = `printf -- '--- FAIL: TestSlow (0.01s)\n    slow_test.go:9: took 3 s\n'; exit 1`
+// failingCommand is a command that ends as a failing test does.
+const failingCommand = `printf -- '--- FAIL: TestSlow (0.01s)\n    slow_test.go:9: took 3 s\n'; exit 1`
 
-// listOf returns a list of one entry for TestSlow with the given command.
-func listOf(command string) string {
+// listWithCommand returns a list of one entry for TestSlow with the given command.
+func listWithCommand(command string) string {
 	return "# a comment\ntest: TestSlow\ncommand: : TestSlow; " + command + "\nseen: took 3 s of 1 s\nissue: 7\n"
 }
 
-// runOn runs a verb on a list and returns what it printed.
-func runOn(t *testing.T, verb, list string) (string, error) {
+// runSubcommand runs a verb on a list and returns what it printed.
+func runSubcommand(t *testing.T, subcommand, list string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "list.txt")
 	if err := os.WriteFile(path, []byte(list), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	err := run([]string{verb, path}, &out)
+	err := run([]string{subcommand, path}, &out)
 	return out.String(), err
 }
 
 func TestKnownFailureIsPrintedAndPassedOver(t *testing.T) {
-	out, err := runOn(t, "check", listOf(failing))
+	out, err := runSubcommand(t, "check", listWithCommand(failingCommand))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 		want    error
 	}{
 		{"passes", "true", errPasses},
-		{"does not build", "echo build failed; exit 2", errOther},
-		{"another test fails", "echo '--- FAIL: TestSlower (0.01s)'; exit 1", errOther},
+		{"does not build", "echo build failed; exit 2", errOtherFailure},
+		{"another test fails", "echo '--- FAIL: TestSlower (0.01s)'; exit 1", errOtherFailure},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := runOn(t, "check", listOf(c.command)); !errors.Is(err, c.want) {
+			if _, err := runSubcommand(t, "check", listWithCommand(c.command)); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
@@ -59,34 +59,34 @@
 }
 
 func TestPatternNamesTheListedTests(t *testing.T) {
-	second := strings.ReplaceAll(listOf(failing), "TestSlow", "TestFast")
+	second := strings.ReplaceAll(listWithCommand(failingCommand), "TestSlow", "TestFast")
 	for _, c := range []struct{ list, want string }{
 		{"", ""},
-		{listOf(failing), "^(TestSlow)$\n"},
-		{listOf(failing) + "\n" + second, "^(TestSlow|TestFast)$\n"},
+		{listWithCommand(failingCommand), "^(TestSlow)$\n"},
+		{listWithCommand(failingCommand) + "\n" + second, "^(TestSlow|TestFast)$\n"},
 	} {
-		if out, err := runOn(t, "pattern", c.list); err != nil || out != c.want {
+		if out, err := runSubcommand(t, "pattern", c.list); err != nil || out != c.want {
 			t.Errorf("got %q, %v, want %q", out, err, c.want)
 		}
 	}
 }
 
 func TestMalformedListIsRefused(t *testing.T) {
-	whole := listOf(failing)
+	valid := listWithCommand(failingCommand)
 	for name, list := range map[string]string{
-		"no test":            strings.Replace(whole, "test: TestSlow\n", "", 1),
-		"no name of a test":  strings.Replace(whole, "test: TestSlow", "test: Slow", 1),
-		"no command":         strings.Replace(whole, "command: : TestSlow; "+failing+"\n", "", 1),
+		"no test":            strings.Replace(valid, "test: TestSlow\n", "", 1),
+		"no name of a test":  strings.Replace(valid, "test: TestSlow", "test: Slow", 1),
+		"no command":         strings.Replace(valid, "command: : TestSlow; "+failingCommand+"\n", "", 1),
 		"command of another": "test: TestSlow\ncommand: go test -run TestFast .\nseen: took 3 s of 1 s\nissue: 7\n",
-		"not seen":           strings.Replace(whole, "seen: took 3 s of 1 s\n", "", 1),
-		"no issue":           strings.Replace(whole, "issue: 7", "issue: soon", 1),
-		"key twice":          whole + "issue: 8\n",
-		"unknown key":        whole + "cause: none\n",
+		"not seen":           strings.Replace(valid, "seen: took 3 s of 1 s\n", "", 1),
+		"no issue":           strings.Replace(valid, "issue: 7", "issue: soon", 1),
+		"key twice":          valid + "issue: 8\n",
+		"unknown key":        valid + "cause: none\n",
 		"one line":           "./policy TestSlow: took 3 s, issue 7\n",
-		"four entries":       strings.Repeat(whole+"\n", maxEntries+1),
+		"four entries":       strings.Repeat(valid+"\n", maxEntries+1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if out, err := runOn(t, "check", list); err == nil {
+			if out, err := runSubcommand(t, "check", list); err == nil {
 				t.Errorf("no error, printed %q", out)
 			}
 		})
