--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,6 +1,12 @@
 // Package wire translates between the simulator's binary frames and the events and actions of package
-// policy, and reads the settings of a deployment. It maps names and units and decides nothing. The words of
-// the wire's description are known here alone: as the keys in settings.go and in the comments of codes.go.
+// policy, and parses the settings of a deployment. It converts names and units and makes no decisions.
+//
+// The specification of the simulator's protocol uses terms of its own. They occur in this package only: as
+// JSON keys in settings.go, as values of settings in settingsmap.go and as record names in the comments of
+// codes.go.
+//
+// An instance is one simulated gateway. A batch is a frame with all events of one moment, for any number of
+// instances; each batch is answered by one reply frame with the actions of those instances.
 package wire
 
 import (
@@ -13,19 +19,19 @@
 )
 
 const (
-	batchHeaderSize   = 20      // bytes: clock, length, number of records, sequence number
-	countedHeaderSize = 8       // bytes of the header that the length counts
-	maxFrameSize      = 1 << 30 // the largest length that is accepted
-	bodyReadStep      = 1 << 20 // bytes by which the buffer of a frame grows
+	batchHeaderSize   = 20      // bytes: clock, length, number of records and sequence number
+	countedHeaderSize = 8       // header bytes that the length includes: number of records and sequence number
+	maxFrameSize      = 1 << 30 // largest accepted value of the length field, in bytes
+	bodyReadStep      = 1 << 20 // bytes that readBody allocates and reads at a time
 )
 
-// InstanceStart starts an instance.
+// InstanceStart holds the parameters with which an instance is started.
 type InstanceStart struct {
-	Seed     uint64 // of its random numbers
+	Seed     uint64 // seed of the instance's random number generator
 	Settings policy.Settings
 }
 
-// Record is one event for one instance. Exactly one of Start, Stop and Event is set.
+// Record starts one instance, stops it or delivers an event to it. Exactly one of Start, Stop and Event is set.
 type Record struct {
 	Instance uint32
 	Start    *InstanceStart
@@ -33,25 +39,26 @@
 	Event    policy.Event
 }
 
-// Batch is all that happens at one moment.
+// Batch holds the records of all instances for one moment.
 type Batch struct {
 	Now     float64 // clock time in seconds
-	Seq     uint32  // returned in the reply
+	Seq     uint32  // sequence number, which the reply repeats
 	Records []Record
 }
 
-// Decoder reads batches. It keeps the numbered endpoint lists that batches refer to. NewDecoder makes one.
+// Decoder reads batches. It stores the endpoint lists that a batch defines by number, so that records of the
+// same and of later batches can refer to them. Decoders are created by NewDecoder.
 type Decoder struct {
 	reader        io.Reader
-	body          []byte // of the current frame; reused
+	body          []byte // body of the current frame; the buffer is reused
 	endpointLists [maxEndpointLists]endpointList
 }
 
-// NewDecoder returns a decoder of the frames in r.
+// NewDecoder returns a Decoder that reads frames from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
-// Next reads one batch. It returns io.EOF where the input ends between frames, ErrTruncatedHeader where it
-// ends within a header, and a BatchError for any other malformed input.
+// Next reads one batch. It returns io.EOF if the input ends between frames, ErrTruncatedHeader if it ends
+// within a header, and a *BatchError for any other malformed input.
 func (d *Decoder) Next() (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(d.reader, header[:]); err != nil {
@@ -74,7 +81,7 @@
 	return batch, nil
 }
 
-// readRecords checks the fields of a header and reads and decodes the records that follow it.
+// readRecords validates the fields of a header, then reads and decodes the records that follow the header.
 func (d *Decoder) readRecords(now float64, length, count uint32) ([]Record, error) {
 	if length < countedHeaderSize || length > maxFrameSize {
 		return nil, LengthError(length)
@@ -89,8 +96,8 @@
 	return d.decodeRecords(body, count)
 }
 
-// readBody reads n bytes, which are valid until the next call. It grows the buffer only as they arrive, so
-// that a malformed length allocates no more than the input holds.
+// readBody reads n bytes; the returned slice is valid until the next call. The buffer grows by bodyReadStep as
+// data arrives, so that a malformed length can't cause an allocation far larger than the input.
 func (d *Decoder) readBody(n int) ([]byte, error) {
 	d.body = d.body[:0]
 	for len(d.body) < n {
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -1,33 +1,33 @@
 package wire
 
-// Codes of the records in a batch. Each comment begins with the word of the wire's description for the
-// record.
+// Codes of the records in a batch. Each comment begins with the record's name in the specification of the
+// simulator's protocol.
 const (
-	codeStartInstance      = 16 // Attach: an instance starts with a seed and its settings
-	codeEndpointUpdate     = 17 // Sync: discovery's list, or changes to it, for an instance
-	codeRequest            = 18 // Ask: a client's request
-	codeResponseStarted    = 19 // Established: a streamed answer has begun
-	codeAttemptEnd         = 20 // AttemptEnd: the one end of an attempt
-	codeClientDisconnected = 21 // Aborted: the client of a request has left
-	codeTimerFired         = 22 // Alarm: a timer is due
-	codeProbeResult        = 23 // Checked: the result of a health check
-	codePeerMessage        = 24 // PeerData: a message of another instance
+	codeStartInstance      = 16 // Attach: starts an instance with a seed and its settings
+	codeEndpointUpdate     = 17 // Sync: discovery sent an instance the endpoint list, or changes to it
+	codeRequest            = 18 // Ask: a client sent a request
+	codeResponseStarted    = 19 // Established: a streamed response has started
+	codeAttemptEnd         = 20 // AttemptEnd: an attempt has ended, which is reported once
+	codeClientDisconnected = 21 // Aborted: the client of a request has disconnected
+	codeTimerFired         = 22 // Alarm: a timer has expired
+	codeProbeResult        = 23 // Checked: a health check of a backend has a result
+	codePeerMessage        = 24 // PeerData: a message from another instance
 	codeStopInstance       = 25 // Teardown: the instance was killed
-	codeCounterReply       = 26 // CounterReply: the answer to an addition on the counter
-	codeDefineEndpointList = 27 // Manifest: a numbered list for all instances, which Sync refers to
-	codeInstanceEvents     = 28 // For: the instance that the next records are for
+	codeCounterReply       = 26 // CounterReply: the counter replied to an addition
+	codeDefineEndpointList = 27 // Manifest: defines a numbered endpoint list, for Sync records of any instance
+	codeInstanceEvents     = 28 // For: names the instance that the next records are for
 )
 
-// Codes of the records in a reply, which are a set of their own.
+// Codes of the records in a reply. Batches and replies have separate sets of codes.
 const (
-	codeProbe           = 80 // AskLoad: check the health of a backend
-	codeCancelAttempt   = 81 // DropAttempt: stop waiting for an attempt
+	codeProbe           = 80 // AskLoad: send a health check to a backend
+	codeCancelAttempt   = 81 // DropAttempt: cancel an attempt
 	codeSetTimer        = 82 // Sleep: set a timer
-	codeCounterAdd      = 85 // Count: add an amount on the counter
-	codeRejectRequest   = 86 // Decline: a final answer that a retry is harmless
-	codeInstanceActions = 87 // Speaking: the instance that the next records come from
-	codePollEndpoints   = 88 // StreamChanges: follow discovery's changes, or stop doing so
-	codeFailRequest     = 89 // Abort: a final answer of failure
+	codeCounterAdd      = 85 // Count: add an amount to a total of the counter
+	codeRejectRequest   = 86 // Decline: final answer: rejected, and a retry is safe
+	codeInstanceActions = 87 // Speaking: names the instance that the next records come from
+	codePollEndpoints   = 88 // StreamChanges: subscribe to the changes of the endpoint list, or unsubscribe
+	codeFailRequest     = 89 // Abort: final answer: failed, possibly after it took effect
 	codeSendAttempt     = 91 // PassOn: send an attempt to a backend
-	codeLog             = 92 // Log: a line for the report
+	codeLog             = 92 // Log: a line for the simulator's report
 )
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// cursor reads the fields of a frame, which are big-endian and not padded. Past the end it reads zeros and
-// sets truncated, so that a record's decoder needs no check after each field.
+// cursor reads the fields of a frame, which are big-endian and not padded. A read past the end returns zero
+// and sets truncated, so that decoders of records need not check for the end after each field.
 type cursor struct {
 	remaining []byte
-	truncated bool // a field extended past the end
+	truncated bool // a read went past the end of the frame
 }
 
-// take returns the next n bytes, or nil past the end.
+// take returns the next n bytes, or nil if fewer remain.
 func (c *cursor) take(n int) []byte {
 	if n < 0 || n > len(c.remaining) {
 		c.truncated = true
@@ -21,7 +21,7 @@
 	return field
 }
 
-// unsigned reads an unsigned number of n bytes.
+// unsigned reads an unsigned integer of n bytes.
 func (c *cursor) unsigned(n int) uint64 {
 	var v uint64
 	for _, b := range c.take(n) {
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -3,25 +3,25 @@
 import "amberlb/policy"
 
 const (
-	endpointEntrySize = 22 // bytes of one entry of a list
-	maxEndpointLists  = 16 // lists that can be defined at a time
+	endpointEntrySize = 22 // encoded size of a list entry, in bytes
+	maxEndpointLists  = 16 // lists that can be defined at a time; they are numbered from 0
 )
 
-// endpointList is a numbered list, which endpoint updates refer to. It may be shared by instances, so it is
-// never changed.
+// endpointList is an endpoint list that endpoint updates refer to by number. Its entries may be shared by
+// several instances, so they are never modified.
 type endpointList struct {
 	defined bool
 	entries []policy.Backend
 }
 
-// backendStatesByAvailability maps the wire's availability.
+// backendStatesByAvailability maps the availability of an endpoint entry; other values are malformed.
 var backendStatesByAvailability = map[uint8]policy.BackendState{
 	0: policy.Removed,
 	1: policy.Ready,
 	2: policy.Draining,
 }
 
-// listKindsByForm maps the wire's forms of an endpoint update.
+// listKindsByForm maps the form of an endpoint update; other values are malformed.
 var listKindsByForm = map[uint8]policy.ListKind{
 	0: policy.FullList,
 	1: policy.Delta,
@@ -29,14 +29,14 @@
 	3: policy.ListFailed,
 }
 
-// defineEndpointList decodes a list and keeps it under its number.
+// defineEndpointList decodes an endpoint list and stores it under its number.
 func (d *Decoder) defineEndpointList(c *cursor) error {
 	number := c.u32()
 	count := c.u32()
 	if number >= maxEndpointLists {
 		return ListNumberError(number)
 	}
-	if uint64(count)*endpointEntrySize > uint64(len(c.remaining)) { // before so many entries are allocated
+	if uint64(count)*endpointEntrySize > uint64(len(c.remaining)) { // checked before the entries are allocated
 		c.truncated = true
 		return nil
 	}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// decodeEndpoint decodes one entry of a list.
+// decodeEndpoint decodes one entry of an endpoint list.
 func (c *cursor) decodeEndpoint() (policy.Backend, error) {
 	backend := policy.Backend{
 		ID:   policy.BackendID(c.u32()),
@@ -71,10 +71,10 @@
 	return backend, nil
 }
 
-// decodeEndpointUpdate decodes what discovery sent to an instance.
+// decodeEndpointUpdate decodes an update of the endpoint list and resolves the list number in it.
 func (d *Decoder) decodeEndpointUpdate(c *cursor) (policy.Event, error) {
 	form := c.u8()
-	c.u32() // the version: changes come in order and none is missing
+	c.u32() // version, not needed: updates arrive in order and without gaps
 	number := c.u32()
 	if c.truncated {
 		return nil, nil
@@ -83,7 +83,7 @@
 	if !known {
 		return nil, &UnknownValueError{"form", form}
 	}
-	if kind == policy.ListFailed { // its list number means nothing
+	if kind == policy.ListFailed { // the list number has no meaning in this form
 		return policy.EndpointsUpdated{Kind: kind}, nil
 	}
 	if number >= maxEndpointLists || !d.endpointLists[number].defined {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// Errors of malformed input that have no details.
+// Errors for malformed input that carry no values.
 var (
-	// ErrTruncatedHeader reports that the input ends within a batch header.
-	ErrTruncatedHeader = errors.New("the input ends within a header")
-	// ErrTruncatedFrame reports that the input ends before the length that a header states.
+	// ErrTruncatedHeader reports input that ends within the header of a batch.
+	ErrTruncatedHeader = errors.New("the input ends within a batch header")
+	// ErrTruncatedFrame reports input that ends before the end of a frame, as given by the length in its header.
 	ErrTruncatedFrame = errors.New("the input ends within the frame")
-	// ErrInvalidClock reports a batch whose clock is not a finite number.
-	ErrInvalidClock = errors.New("the clock is no number")
+	// ErrInvalidClock reports a batch whose clock time is NaN or infinite.
+	ErrInvalidClock = errors.New("the clock time is not a finite number")
 	// ErrShortFrame reports a record that extends past the end of its frame.
-	ErrTruncatedRecord = errors.New("the frame is too short")
-	// ErrUnknownCode reports a record code that is not in the wire's description.
-	ErrUnknownCode = errors.New("the code is not known")
-	// ErrNoInstance reports an event before the record that says which instance it is for.
-	ErrNoInstance = errors.New("no instance was named")
-	// ErrNoClassesOrPlans reports settings with an empty list of classes or of plans.
-	ErrNoClassesOrPlans = errors.New("settings: no classes or no packages")
+	ErrTruncatedRecord = errors.New("the record extends past the end of the frame")
+	// ErrUnknownCode reports a record code that the protocol does not define.
+	ErrUnknownCode = errors.New("unknown record code")
+	// ErrNoInstance reports a record that comes before any record that names an instance in its batch.
+	ErrNoInstance = errors.New("no earlier record of the batch names an instance")
+	// ErrNoClassesOrPlans reports settings with no classes or no plans, which the setting "packages" lists.
+	ErrNoClassesOrPlans = errors.New("settings: classes or packages is missing or empty")
 )
 
-// BatchError says which batch an error belongs to.
+// BatchError reports which batch is malformed.
 type BatchError struct {
 	Seq uint32
 	Err error
@@ -34,13 +34,13 @@
 // Unwrap returns the cause.
 func (e *BatchError) Unwrap() error { return e.Err }
 
-// noCode stands for the code of a record that ends before it.
+// noCode is the value of RecordError.Code if the frame ends before the record's code.
 const noCode = -1
 
-// RecordError says which record of a batch is malformed.
+// RecordError reports which record of a batch is malformed.
 type RecordError struct {
 	Index uint32 // counted from 0
-	Code  int    // noCode if the frame ends before it
+	Code  int    // record code, or noCode
 	Err   error
 }
 
@@ -54,44 +54,48 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// LengthError is a frame's stated length that no frame can have.
+// LengthError reports a frame length below countedHeaderSize or above maxFrameSize.
 type LengthError uint32
 
-func (e LengthError) Error() string { return fmt.Sprintf("impossible length %d", uint32(e)) }
+func (e LengthError) Error() string { return fmt.Sprintf("invalid frame length %d", uint32(e)) }
 
-// TrailingBytesError is the number of bytes in a frame after its last record.
+// TrailingBytesError reports the number of bytes that follow the last record of a frame.
 type TrailingBytesError int
 
 func (e TrailingBytesError) Error() string {
 	return fmt.Sprintf("%d bytes follow the last record", int(e))
 }
 
-// UnknownValueError reports a field whose value is not in the wire's description.
+// UnknownValueError reports a field of a record with a value that the protocol does not define.
 type UnknownValueError struct {
 	Field string // availability, form or outcome
 	Value uint8
 }
 
 func (e *UnknownValueError) Error() string {
-	return fmt.Sprintf("%s %d is not known", e.Field, e.Value)
+	return fmt.Sprintf("unknown %s %d", e.Field, e.Value)
 }
 
-// ListNumberError reports a number of an endpoint list that can't be defined.
+// ListNumberError reports the definition of an endpoint list under a number that is too high.
 type ListNumberError uint32
 
-func (e ListNumberError) Error() string { return fmt.Sprintf("list number %d is too high", uint32(e)) }
+func (e ListNumberError) Error() string {
+	return fmt.Sprintf("endpoint list number %d is too high", uint32(e))
+}
 
 // UndefinedListError reports a reference to an endpoint list that has not been defined.
 type UndefinedListError uint32
 
-func (e UndefinedListError) Error() string { return fmt.Sprintf("list %d was not defined", uint32(e)) }
+func (e UndefinedListError) Error() string {
+	return fmt.Sprintf("endpoint list %d is not defined", uint32(e))
+}
 
-// UnknownNameError reports a word in the settings that is not in the wire's description.
+// UnknownNameError reports a setting whose value is not one of the names defined for it.
 type UnknownNameError struct {
-	Setting string // effect or key scope
+	Setting string // effect or keyScope
 	Name    string
 }
 
 func (e *UnknownNameError) Error() string {
-	return fmt.Sprintf("settings: %s %q is not known", e.Setting, e.Name)
+	return fmt.Sprintf("settings: unknown %s %q", e.Setting, e.Name)
 }
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -2,10 +2,10 @@
 
 import "amberlb/policy"
 
-// flagRetry is the bit of a request's flags that marks a client's retry.
+// flagRetry is the bit in a request's flags that marks the request as a client's retry.
 const flagRetry = 2
 
-// outcomesByCode maps the wire's completion codes. Other codes are malformed.
+// outcomesByCode maps the outcomes of attempts, probes and counter calls; other values are malformed.
 var outcomesByCode = map[uint8]policy.Outcome{
 	0:   policy.Served,
 	255: policy.Failed,
@@ -17,8 +17,8 @@
 	249: policy.NotSent,
 }
 
-// decodeRecords decodes the records of a frame. Those that define a list or name an instance take effect
-// here; the others are returned, in order, with the instance that was named last.
+// decodeRecords decodes the records of a frame. Records that define an endpoint list or name an instance are
+// processed here. All other records are returned, in order, each with the instance that was named last.
 func (d *Decoder) decodeRecords(body []byte, count uint32) ([]Record, error) {
 	c := &cursor{remaining: body}
 	var records []Record
@@ -55,7 +55,7 @@
 	return records, nil
 }
 
-// decodeRecord decodes the fields of one record. Its result means nothing if the cursor is truncated.
+// decodeRecord decodes the fields of one record. The caller must discard the results if they leave c.truncated set.
 func (d *Decoder) decodeRecord(c *cursor, code uint8) (Record, error) {
 	switch code {
 	case codeInstanceEvents:
@@ -84,7 +84,7 @@
 	return Record{Start: &InstanceStart{Seed: seed, Settings: settings}}, err
 }
 
-// decodeEvent decodes an event that depends on nothing but its record.
+// decodeEvent decodes an event that refers to no endpoint list.
 func (c *cursor) decodeEvent(code uint8) (policy.Event, error) {
 	switch code {
 	case codeRequest:
@@ -156,7 +156,7 @@
 	return result, err
 }
 
-// decodePeerMessage copies the message's data, since the frame's buffer is reused.
+// decodePeerMessage decodes a peer message. It copies the data, since the buffer of the frame is reused.
 func (c *cursor) decodePeerMessage() policy.Event {
 	from := int(c.u32())
 	data := c.take(int(c.u16()))
@@ -181,7 +181,7 @@
 	return outcome, nil
 }
 
-// decodeLoadReport decodes a backend's load report, which is nil where none came along.
+// decodeLoadReport decodes a backend's load report. It returns nil if the record includes none.
 func (c *cursor) decodeLoadReport() []float64 {
 	count := int(c.u8())
 	if count == 0 {
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	replyHeaderSize = 12 // bytes: length, number of records, sequence number
-	replyLengthSize = 4  // bytes of the header that the length does not count
-	pollOn          = 1  // the field of codePollEndpoints: on
+	replyHeaderSize = 12 // bytes: length, number of records and sequence number
+	replyLengthSize = 4  // bytes of the length field, which the length does not include
+	pollOn          = 1  // the field of a codePollEndpoints record: subscribe
 )
 
-// Reply collects the actions of all instances in answer to one batch. The zero value needs a Reset before
-// its use.
+// Reply encodes the actions of all instances in response to one batch. Reset must be called before any other
+// method.
 type Reply struct {
 	buf         []byte
 	recordCount uint32
 }
 
-// Reset empties the reply for the batch numbered seq.
+// Reset begins an empty reply to the batch with the sequence number seq.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = append(r.buf[:0], make([]byte, replyHeaderSize)...)
 	binary.BigEndian.PutUint32(r.buf[8:], seq)
 	r.recordCount = 0
 }
 
-// Add appends the actions of one instance. It returns an error for an action that the wire has no record for.
+// Add appends the actions of one instance. It returns an error if the protocol has no record for an action.
 func (r *Reply) Add(instance uint32, actions []policy.Action) error {
 	if len(actions) == 0 {
 		return nil
@@ -43,14 +43,14 @@
 	return nil
 }
 
-// Bytes returns the finished frame; it is valid until the next Reset.
+// Bytes returns the complete frame, which is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-replyLengthSize))
 	binary.BigEndian.PutUint32(r.buf[4:], r.recordCount)
 	return r.buf
 }
 
-// encodeAction appends the record of one action, its fields in the wire's order.
+// encodeAction appends the record of one action, with its fields in the order that the protocol defines.
 func (r *Reply) encodeAction(action policy.Action) error {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -88,12 +88,12 @@
 		r.beginRecord(codeLog)
 		r.text(a.Text)
 	default:
-		return fmt.Errorf("no record for action %T", a)
+		return fmt.Errorf("the protocol has no record for the action %T", a)
 	}
 	return nil
 }
 
-// beginRecord starts a record; its fields follow.
+// beginRecord appends the code of a record; the caller appends its fields.
 func (r *Reply) beginRecord(code uint8) {
 	r.u8(code)
 	r.recordCount++
@@ -105,7 +105,7 @@
 func (r *Reply) f32(v float64) { r.u32(math.Float32bits(float32(v))) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// text appends a text after its length, cut to the longest that the length can state.
+// text appends the length of s as 16 bits, then s itself. It cuts s to the longest length that fits.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(s)))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,25 +7,26 @@
 	"amberlb/policy"
 )
 
-// Deployment is all that the settings state: what the policy engine needs, and the names by which sockets
-// refer to the same things, in the settings' order.
+// Deployment holds everything that the settings state: the settings of the policy engine, and the names that
+// HTTP messages use for classes, plans, zones and kinds of machines. The policy engine refers to these by their
+// index in the name lists.
 type Deployment struct {
 	policy.Settings
 	ClassNames  []string
 	PlanNames   []string
 	Zones       []string
-	Kinds       []string // of machines
+	Kinds       []string // kinds of machines
 	IdleTimeout float64  // seconds after which idle connections are closed
 }
 
-// ParseSettings parses the settings of an instance.
+// ParseSettings parses the settings of an instance and returns only those of the policy engine.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	deployment, err := ParseDeployment(text)
 	return deployment.Settings, err
 }
 
-// ParseDeployment parses the settings with the names in them. The error for a word that is not known is an
-// UnknownNameError, and that for settings without a class or plan is ErrNoClassesOrPlans.
+// ParseDeployment parses the settings of a deployment. It returns an *UnknownNameError if a setting has a value
+// that is not defined for it, and ErrNoClassesOrPlans if the settings have no class or no plan.
 func ParseDeployment(text []byte) (Deployment, error) {
 	var parsed settingsJSON
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -43,8 +44,8 @@
 	return deployment, err
 }
 
-// settingsJSON mirrors the JSON of the settings. Its tags are the wire's names, which nothing else knows;
-// unknown keys are ignored. Names that end in S are seconds.
+// settingsJSON mirrors the JSON of the settings. Its tags are the keys of the protocol's specification, which no
+// other package uses; unknown keys are ignored. Fields whose names end in S are in seconds.
 type settingsJSON struct {
 	Capabilities struct {
 		CanCancel         bool    `json:"cancel"`
--- a/internal/wire/settingsmap.go
+++ b/internal/wire/settingsmap.go
@@ -2,7 +2,7 @@
 
 import "amberlb/policy"
 
-// Words of single settings.
+// Values of the settings "discovery", "weights" and "how" of "loadReport" that are distinguished.
 const (
 	discoveryByPolling = "ask"
 	weightsRough       = "rough"
@@ -10,7 +10,7 @@
 	loadReportsInline  = "inline"
 )
 
-// idempotencyByName maps the word for how often a request may take effect.
+// idempotencyByName maps the setting "effect" of a class.
 var idempotencyByName = map[string]policy.Idempotency{
 	"":           policy.Idempotent,
 	"repeatable": policy.Idempotent,
@@ -18,7 +18,8 @@
 	"once":       policy.NonIdempotent,
 }
 
-// dedupeScopesByName maps the word for the backends among which repeats of a key are discarded.
+// dedupeScopesByName maps the setting "keyScope" of a class: the backends among which duplicates of a keyed request
+// are dropped.
 var dedupeScopesByName = map[string]policy.DedupeScope{
 	"":     policy.ScopeAll,
 	"all":  policy.ScopeAll,
@@ -26,7 +27,8 @@
 	"cell": policy.ScopeCell,
 }
 
-// loadFieldsByName maps the names of a load report's values. Others are policy.LoadOther, the zero value.
+// loadFieldsByName maps the names of the values in a load report. Any other name maps to the zero value,
+// policy.LoadOther.
 var loadFieldsByName = map[string]policy.LoadField{
 	"busy_reqs": policy.LoadInFlight,
 	"pending":   policy.LoadQueued,
@@ -36,7 +38,7 @@
 	"failed_ps": policy.LoadErrorsPerSecond,
 }
 
-// policySettings translates the settings to the policy engine's form, section by section.
+// policySettings converts the parsed settings to those of the policy engine.
 func (j *settingsJSON) policySettings() (policy.Settings, error) {
 	s := policy.Settings{
 		GatewayIndex:       j.Rank,
@@ -111,7 +113,7 @@
 		}
 		scope, known := dedupeScopesByName[c.DedupeScope]
 		if !known && idempotency == policy.IdempotentByKey {
-			return &UnknownNameError{"key scope", c.DedupeScope}
+			return &UnknownNameError{"keyScope", c.DedupeScope}
 		}
 		s.Classes = append(s.Classes, policy.Class{
 			LatencyObjective: c.ObjectiveS,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"amberlb/policy"
 )
 
-// decodeHex decodes hexadecimal digits, passing over white space.
+// decodeHex decodes hexadecimal digits and ignores white space.
 func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,7 +21,7 @@
 	return b
 }
 
-// emptyBatch is the empty batch of the wire's description.
+// emptyBatch is the example of a batch without records in the protocol's specification.
 const emptyBatch = "4020d3126e978d50 00000008 00000000 00000001"
 
 func TestDecodeEvents(t *testing.T) {
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if b.Seq != 12 || len(b.Records) != 3 {
-		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
+		t.Fatalf("batch %d with %d records, want batch 12 with 3", b.Seq, len(b.Records))
 	}
 	r := b.Records[0].Event.(policy.Request)
 	want := policy.Request{ID: 0x5d3a91c4, FirstGateway: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
@@ -50,7 +50,7 @@
 	}
 }
 
-// A list that is defined again applies to the updates after it alone.
+// A list number can be defined again within a batch. Each update must refer to the latest definition before it.
 func TestEndpointUpdateRefersToLatestList(t *testing.T) {
 	first := "1b 00000000 00000001 03124a07 00 0000 0000 01 3f800000 0000000000000000"
 	second := "1b 00000000 00000001 2c9011f2 01 0000 0000 02 3fc00000 4018666666666666"
@@ -112,23 +112,27 @@
 	}
 }
 
-// Malformed input has an error of its kind, with a text for standard error.
+// Each kind of malformed input has an error of its own, whose text names the fault.
 func TestMalformedInputIsAnError(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
 		text string
-		kind error // nil: checked by its text alone
+		kind error // nil: only the text is checked
 	}{
-		"short header":      {"4020d3126e978d50 0000", "within a header", ErrTruncatedHeader},
-		"impossible length": {"4020d3126e978d50 00000004 00000000 00000001", "impossible length", LengthError(4)},
-		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length", LengthError(0xffffffff)},
-		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
-		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known", ErrUnknownCode},
-		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrTruncatedRecord},
+		"truncated header": {"4020d3126e978d50 0000", "within a batch header", ErrTruncatedHeader},
+		"length too small": {"4020d3126e978d50 00000004 00000000 00000001", "invalid frame length", LengthError(4)},
+		"length too large": {"4020d3126e978d50 ffffffff 00000000 00000001", "invalid frame length",
+			LengthError(0xffffffff)},
+		"truncated frame": {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
+		"unknown code": {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63",
+			"unknown record code", ErrUnknownCode},
+		"truncated record": {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000",
+			"past the end of the frame", ErrTruncatedRecord},
 		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d",
-			"no instance was named", ErrNoInstance},
-		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
-		"missing list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
+			"no earlier record of the batch names an instance", ErrNoInstance},
+		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record",
+			TrailingBytesError(1)},
+		"undefined list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
 			UndefinedListError(4)},
 		"malformed settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
 			"settings", nil},
@@ -136,16 +140,16 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewDecoder(bytes.NewReader(decodeHex(t, c.in))).Next()
 			if err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("error %v, want one that says %q", err, c.text)
+				t.Errorf("error %v, want one that contains %q", err, c.text)
 			}
 			if c.kind != nil && !errors.Is(err, c.kind) {
-				t.Errorf("error %v is not of the kind of %q", err, c.kind)
+				t.Errorf("error %v, want one that wraps %q", err, c.kind)
 			}
 		})
 	}
 }
 
-// Input that ends between batches is no error.
+// Input that ends between batches is complete: Next returns io.EOF.
 func TestEndOfInputBetweenBatches(t *testing.T) {
 	d := NewDecoder(bytes.NewReader(decodeHex(t, emptyBatch)))
 	if b, err := d.Next(); err != nil || len(b.Records) != 0 {
@@ -178,7 +182,7 @@
 	}
 	var unknown *UnknownNameError
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); !errors.As(err, &unknown) {
-		t.Errorf("an unknown effect was accepted, or has error %v", err)
+		t.Errorf("unknown effect: error %v, want an UnknownNameError", err)
 	}
 }
 
