--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -7,40 +7,43 @@
 	"amberlb/policy"
 )
 
-// notStartedError is the number of an instance that got an event before it was started.
+// notStartedError reports a record for an instance that was never started. Its value is the instance's number.
 type notStartedError uint32
 
-func (e notStartedError) Error() string { return fmt.Sprintf("instance %d has not started", uint32(e)) }
+func (e notStartedError) Error() string {
+	return fmt.Sprintf("instance %d was never started", uint32(e))
+}
 
-// unknownClassOrPlanError is the id of a request whose class or plan is not in its instance's settings.
+// unknownClassOrPlanError reports a request whose class or plan is not in the settings of its instance. Its value
+// is the request's id.
 type unknownClassOrPlanError policy.RequestID
 
 func (e unknownClassOrPlanError) Error() string {
-	return fmt.Sprintf("request %d: no such class or plan in the settings", policy.RequestID(e))
+	return fmt.Sprintf("request %d: its class or plan is not in the settings", policy.RequestID(e))
 }
 
-// instance is one gateway. Its actions of the current batch are kept apart from those of other instances,
-// since the reply groups them.
+// instance is one simulated gateway. It collects its own actions in a batch, since the reply groups the actions by
+// instance. Each start of an instance begins a new incarnation, which knows nothing of the one before.
 type instance struct {
 	settings policy.Settings
 	engine   *policy.Engine  // nil while the instance is stopped
-	actions  []policy.Action // in answer to the current batch
-	inReply  bool            // it is in host.replyOrder
+	actions  []policy.Action // actions in response to the current batch
+	inReply  bool            // host.replyOrder contains this instance
 }
 
-// start begins a new incarnation. What an earlier one did in the same batch is void.
+// start begins a new incarnation. It discards the actions of earlier incarnations in the same batch.
 func (inst *instance) start(start *wire.InstanceStart, now float64) {
 	inst.settings = start.Settings
 	inst.engine, inst.actions = policy.New(start.Settings, start.Seed, now, inst.actions[:0])
 }
 
-// stop ends the incarnation with all that it holds.
+// stop ends the incarnation. It discards the engine and the actions of the current batch.
 func (inst *instance) stop() {
 	inst.engine = nil
 	inst.actions = inst.actions[:0]
 }
 
-// handle passes an event to the engine. Events for a stopped instance are void.
+// handle passes an event to the engine. It ignores events for a stopped instance.
 func (inst *instance) handle(event policy.Event, now float64) error {
 	if inst.engine == nil {
 		return nil
@@ -52,20 +55,20 @@
 	return nil
 }
 
-// hasClassAndPlan reports whether the settings have the class and the plan of a request.
+// hasClassAndPlan reports whether the settings define the class and the plan of a request.
 func (inst *instance) hasClassAndPlan(request policy.Request) bool {
 	return request.Class < len(inst.settings.Classes) && request.Plan < len(inst.settings.Plans)
 }
 
-// host runs the instances. It keeps them apart: nothing passes from one to another.
+// host runs the instances, which share no state.
 type host struct {
 	instances  map[uint32]*instance
-	replyOrder []uint32 // instances with records in the current batch, in the order of their first ones
+	replyOrder []uint32 // instances with records in the current batch, in the order of their first record
 }
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// handleBatch passes the records of a batch to their instances and fills the reply with the actions.
+// handleBatch passes the records of a batch to their instances and writes the resulting actions to the reply.
 func (h *host) handleBatch(batch wire.Batch, reply *wire.Reply) error {
 	reply.Reset(batch.Seq)
 	h.replyOrder = h.replyOrder[:0]
@@ -100,7 +103,8 @@
 	return nil
 }
 
-// instanceFor returns the instance that a record is for, and adds it to the reply. The first start makes it.
+// instanceFor returns the instance that a record is for and lists it in replyOrder. It creates the instance if the
+// record is its first start.
 func (h *host) instanceFor(record wire.Record) (*instance, error) {
 	inst := h.instances[record.Instance]
 	if inst == nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Simadapter runs the policy engines of many gateways on the simulator's wire: batches of events on
-// standard input, one reply to each on standard output. It exits with status 0 at the end of the input, and
-// with status 1 and one line on standard error after malformed input.
+// Simadapter connects the policy engines of many gateways to the simulator. It reads batches of events from
+// standard input and writes one reply with actions for each batch to standard output. It exits with status 0 at
+// the end of the input, and with status 1 and one line on standard error after malformed input.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"amberlb/internal/wire"
 )
 
-// inputBufferSize is the size of reads from standard input; batches can run to megabytes.
+// inputBufferSize is the size in bytes of reads from standard input; a batch can have megabytes.
 const inputBufferSize = 1 << 16
 
 func main() {
@@ -23,7 +23,8 @@
 	}
 }
 
-// serve answers each batch until the input ends. Each reply is flushed, since the simulator waits for it.
+// serve replies to each batch until the input ends. It flushes each reply, since the simulator waits for the reply
+// before it sends the next batch.
 func serve(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(bufio.NewReaderSize(in, inputBufferSize))
 	writer := bufio.NewWriter(out)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// testSettings are those of the instances in this file's batches.
-const testSettings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
+// settings is the JSON text of the settings of the instances that startRecord starts.
+const settings = `{"classes": [{"objectiveS": 1, "deadlineS": 2, "points": 1}], "packages": [{"pays": 1}], "fleetSize": 1,
 	"tickS": 0.002, "allowed": {"mostTries": 2}}`
 
 // encodeBatch returns the frame of a batch with the given records, at clock time 5.
@@ -28,23 +28,23 @@
 	return append(header.data, body...)
 }
 
-// instanceRecord names the instance that the next records are for.
+// instanceRecord returns the record that names the instance of the records after it.
 func instanceRecord(number byte) []byte { return []byte{eventInstanceEvents, 0, 0, 0, number} }
 
-// startRecord starts an instance with the seed 0.
+// startRecord returns the record that starts an instance with the settings above and the seed 0.
 func startRecord() []byte {
 	var w recordWriter
 	w.begin(eventStartInstance)
 	w.u64(0)
-	w.u32(uint32(len(testSettings)))
-	return append(w.data, testSettings...)
+	w.u32(uint32(len(settings)))
+	return append(w.data, settings...)
 }
 
-// stopRecord stops an instance.
+// stopRecord returns the record that stops an instance.
 func stopRecord() []byte { return []byte{eventStopInstance} }
 
-// An instance that restarts within a batch acts for its new incarnation alone, and has no part in the next
-// reply.
+// If an instance restarts within a batch, the reply has the actions of the new incarnation only. The next reply
+// must not repeat them.
 func TestRestartWithinBatch(t *testing.T) {
 	batches := encodeBatch(1, instanceRecord(2), startRecord(), stopRecord(), startRecord())
 	batches = append(batches, encodeBatch(2)...)
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // the instance and one timer, from the new incarnation only
+	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // the instance's number and one timer of the new incarnation
 		t.Errorf("%d records in the first reply, want 2", n)
 	}
 	if second := got[4+binary.BigEndian.Uint32(got):]; !bytes.Equal(second, []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 2}) {
@@ -60,11 +60,10 @@
 	}
 }
 
-// A request of a plan that the settings don't have, and an event for an instance that has not started, are
-// errors.
+// A request whose plan is not in the settings, and a record for an instance that was never started, are errors.
 func TestUnknownPlanOrInstanceIsAnError(t *testing.T) {
 	request := append([]byte{eventRequest}, make([]byte, 37)...)
-	request[10] = 9 // the plan
+	request[10] = 9 // low byte of the plan's index
 	for name, c := range map[string]struct {
 		batch []byte
 		want  error
@@ -83,7 +82,7 @@
 // asCommandKey is the environment variable that makes the test binary run as the command.
 const asCommandKey = "SIMADAPTER_TEST_AS_COMMAND"
 
-// TestMain lets the test binary run as the command.
+// TestMain runs the command instead of the tests if the environment variable asCommandKey is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(asCommandKey) != "" {
 		main()
@@ -92,7 +91,7 @@
 	os.Exit(m.Run())
 }
 
-// Malformed input ends the command with one line on standard error.
+// Malformed input ends the command with a failure status and one line on standard error, not with a stack trace.
 func TestMalformedInputEndsTheCommand(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), asCommandKey+"=1")
@@ -100,9 +99,9 @@
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
 	if err := cmd.Run(); err == nil {
-		t.Error("exit 0")
+		t.Error("the command exited with status 0")
 	}
 	if text := stderr.String(); strings.Count(text, "\n") != 1 || strings.Contains(text, "goroutine") {
-		t.Errorf("want one plain line on stderr, got %q", text)
+		t.Errorf("want one line without a stack trace on standard error, got %q", text)
 	}
 }
--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// simAttempt is one attempt of a request at a backend.
+// simAttempt is one attempt of a request at a backend. mayHaveExecuted stays true unless the attempt's status proves
+// that the backend did not execute it.
 type simAttempt struct {
 	backend         *simBackend
 	sentAt          float64
@@ -14,7 +15,7 @@
 	mayHaveExecuted bool
 }
 
-// drawOutcome draws how an attempt at a backend ends and after how long.
+// drawOutcome draws the status and the latency of an attempt at a backend.
 func (s *simulation) drawOutcome(b *simBackend) (status uint8, latency float64) {
 	latency = b.latency * s.between(0.5, 2) * (1 + float64(b.inFlight)/6)
 	roll := s.Float64()
@@ -28,15 +29,15 @@
 	case b.condition == failing && roll < 0.5 || roll < 0.02:
 		return oneOf[uint8](s.randomSource, statusFailed, statusReset), latency * s.Float64()
 	case b.condition == failing && roll < 0.8 || roll < 0.04:
-		return statusReset, s.between(0, 2) // after the backend had begun
+		return statusReset, s.between(0, 2) // after the backend has started to execute the request
 	case b.condition == slow:
 		latency *= 8
 	}
 	return statusServed, latency
 }
 
-// startAttempt sends an attempt to a backend and schedules its end, if it gets one. A timeout of 0 is the
-// client's deadline.
+// startAttempt sends an attempt to a backend and schedules the attempt's end; in rare cases the end is never
+// reported. A timeout of 0 means that only the client's deadline limits the attempt.
 func (s *simulation) startAttempt(req *simRequest, timeout float64, backendID uint32) {
 	i := slices.IndexFunc(s.backends, func(b *simBackend) bool { return b.id == backendID })
 	if i < 0 {
@@ -55,7 +56,7 @@
 	switch {
 	case req.ended || req.streamedAttempt > 0:
 		s.after(0, func() { s.endAttempt(req, n, statusNotSent) })
-	case s.chance(0.01): // it never gets an end
+	case s.chance(0.01): // its end is never reported
 	case latency >= limit:
 		s.after(limit, func() { s.endAttempt(req, n, statusTimeout) })
 	case req.class.Streamed && status == statusServed:
@@ -65,7 +66,8 @@
 	}
 }
 
-// startResponse starts the streamed response of an attempt, unless another one of its request came first.
+// startResponse starts the streamed response of an attempt. It cancels the attempt instead if the request has ended
+// or another attempt's response has started.
 func (s *simulation) startResponse(req *simRequest, n int) {
 	a := req.attempts[n]
 	if !a.inFlight || !req.incarnationRuns() || req.ended || req.streamedAttempt > 0 {
@@ -79,7 +81,7 @@
 	s.after(s.ExpFloat64(), func() { s.endAttempt(req, n, status) })
 }
 
-// responseStarted writes that the streamed response of attempt n has started.
+// responseStarted writes the record that the streamed response of attempt n has started.
 func (w *recordWriter) responseStarted(request, backend uint32, latency float64, n int) {
 	w.begin(eventResponseStarted)
 	w.u32(request)
@@ -88,8 +90,8 @@
 	w.u8(uint8(n))
 }
 
-// endAttempt ends an attempt that is still in flight. An attempt that is served ends its request, unless it
-// comes second.
+// endAttempt ends attempt n if it is still in flight. The request ends with the first attempt that is served, or with
+// the end of a streamed response. A second served attempt is reported as cancelled.
 func (s *simulation) endAttempt(req *simRequest, n int, status uint8) {
 	a := &req.attempts[n]
 	if !a.inFlight {
@@ -115,7 +117,7 @@
 	s.writeAttemptEnd(&req.instance.events, req, n, status, actualUnits)
 }
 
-// writeAttemptEnd writes the end of attempt n of a request.
+// writeAttemptEnd writes the record that attempt n of a request has ended.
 func (s *simulation) writeAttemptEnd(w *recordWriter, req *simRequest, n int, status uint8, actualUnits int) {
 	a := &req.attempts[n]
 	w.begin(eventAttemptEnd)
@@ -125,12 +127,12 @@
 	w.u8(status)
 	w.f64(s.now - a.sentAt)
 	w.flag(req.ended, 1)
-	w.u16(s.IntN(150)) // the customer's use of its quota in percent
+	w.u16(s.IntN(150)) // 1 + the customer's use of its quota in percent; 0: not known
 	w.u16(actualUnits)
 	s.writeLoadReport(w, s.settings.LoadReport.Delivery == "inline", a.backend)
 }
 
-// cancelAttempt cancels attempt n of a request. One whose response has started goes on.
+// cancelAttempt cancels attempt n of a request. An attempt whose response has started continues.
 func (s *simulation) cancelAttempt(req *simRequest, n int) {
 	if !s.settings.Capabilities.CanCancel || n >= len(req.attempts) {
 		s.reportViolation(req, fmt.Sprintf("attempt %d cannot be cancelled", n))
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -1,6 +1,6 @@
 package main
 
-// condition is how a backend or the counter does for a while.
+// condition determines how the attempts at a backend, or the calls to the counter, end for a while.
 type condition string
 
 const (
@@ -10,31 +10,32 @@
 	rejecting   condition = "rejecting"
 	unreachable condition = "unreachable"
 	silent      condition = "silent"
-	overloaded  condition = "overloaded" // of the counter alone
-	malformed   condition = "malformed"  // of the counter alone: its answers can't be read
+	overloaded  condition = "overloaded" // counter only
+	malformed   condition = "malformed"  // counter only: its replies can't be parsed
 )
 
-// Bounds of the number of ready backends: below the first one is added, and from the second on none is.
+// Bounds of the number of ready backends. A backend is added if there are fewer than the minimum, and none is
+// added once there are as many as the maximum.
 const (
 	minReadyBackends = 1
 	maxReadyBackends = 8
 )
 
-// simBackend is an entry of the endpoint list with what the simulation knows of the backend besides.
+// simBackend is a simulated backend: its entry of the endpoint list, and the state that the list does not show.
 type simBackend struct {
 	id        uint32
-	version   uint32 // counts its changes
+	version   uint32 // incremented by each change of the entry
 	zone      uint8
 	cell      int
 	state     uint8
 	weight    float64
-	startedAt float64 // clock time; 0: long ago
-	latency   float64 // of an idle and healthy one, in seconds
+	startedAt float64 // clock time of the last start; 0: long ago
+	latency   float64 // seconds that a request takes while the backend is idle and healthy
 	condition condition
-	inFlight  int // attempts
+	inFlight  int // number of attempts in flight
 }
 
-// addBackend adds a backend that is ready.
+// addBackend adds a ready backend.
 func (s *simulation) addBackend(startedAt float64) {
 	s.backends = append(s.backends, &simBackend{
 		id:        s.Uint32(),
@@ -49,7 +50,7 @@
 	})
 }
 
-// currentList returns a copy of the endpoint list as it is now.
+// currentList returns a copy of the current endpoint list.
 func (s *simulation) currentList() []simBackend {
 	list := make([]simBackend, 0, len(s.backends))
 	for _, b := range s.backends {
@@ -58,7 +59,7 @@
 	return list
 }
 
-// refreshCachedList replaces the list that instances get at their start.
+// refreshCachedList replaces the cached list, which instances receive when they start, by the current list.
 func (s *simulation) refreshCachedList() { s.cachedList = s.currentList() }
 
 func (s *simulation) readyBackends() int {
@@ -71,8 +72,8 @@
 	return ready
 }
 
-// changeBackends changes the condition of one backend, and in some cases its state, or adds a new one.
-// Discovery sends changes of the list to all instances.
+// changeBackends draws a new condition for one backend, and may change the endpoint list. Discovery then sends the
+// change to all instances.
 func (s *simulation) changeBackends() {
 	b := s.backends[s.IntN(len(s.backends))]
 	b.condition = oneOf(s.randomSource, healthy, healthy, healthy, slow, failing, rejecting, unreachable, silent)
@@ -85,7 +86,8 @@
 	}
 }
 
-// changeList draws a change of the list, most often one of backend b. It returns false if there is none.
+// changeList draws whether and how to change the endpoint list: it adds a backend, restarts all ready backends or
+// changes the entry of backend b. It reports whether it changed anything.
 func (s *simulation) changeList(b *simBackend) bool {
 	ready := s.readyBackends()
 	switch {
@@ -94,7 +96,7 @@
 	case s.chance(0.03):
 		s.restartReadyBackends()
 	case b.state == stateReady && s.chance(0.12):
-		b.startedAt = s.now // it restarted
+		b.startedAt = s.now // a restart of the backend
 		b.condition = healthy
 	case b.state == stateReady && s.chance(0.1):
 		b.state = stateDraining
@@ -106,7 +108,7 @@
 	return true
 }
 
-// restartReadyBackends is a rollout that replaces all processes at once.
+// restartReadyBackends simulates a rollout that restarts all ready backends at once.
 func (s *simulation) restartReadyBackends() {
 	for _, b := range s.backends {
 		if b.state == stateReady {
@@ -116,8 +118,9 @@
 	}
 }
 
-// scheduleEndpointUpdate has discovery send the list, or what is new in it, to an instance that is
-// subscribed by then. A subscription may break instead.
+// scheduleEndpointUpdate schedules an update of the given form from discovery to an instance. The update is not
+// sent if the instance is not subscribed by then. Where instances poll, the subscription may fail instead, which the
+// instance is told by an update of the form listFailed.
 func (s *simulation) scheduleEndpointUpdate(inst *simInstance, form uint8) {
 	incarnation := inst.incarnation
 	s.schedule(s.between(0.02, 0.6), true, func() {
@@ -132,7 +135,8 @@
 	})
 }
 
-// answerPoll answers an instance's poll of discovery.
+// answerPoll answers an instance's poll of discovery: it either subscribes the instance and sends the full list, or
+// reports a failure.
 func (s *simulation) answerPoll(inst *simInstance) {
 	inst.subscribed = s.chance(0.75)
 	if inst.subscribed {
@@ -142,8 +146,8 @@
 	s.notify(inst, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(inst, listFailed, nil) })
 }
 
-// writeEndpointUpdate writes an update of the given form for an instance and notes what the instance knows
-// then.
+// writeEndpointUpdate writes an update of the given form for an instance and stores the entries that it sends in
+// knownEndpoints.
 func (s *simulation) writeEndpointUpdate(inst *simInstance, form uint8, current []simBackend) {
 	if form != listFailed {
 		entries := inst.entriesFor(form, current)
@@ -162,7 +166,7 @@
 	w.u32(s.listNumber)
 }
 
-// entriesFor returns the entries that an update of the given form has for the instance.
+// entriesFor returns the entries of the current list that an update of the given form to the instance contains.
 func (inst *simInstance) entriesFor(form uint8, current []simBackend) []simBackend {
 	var entries []simBackend
 	for _, b := range current {
@@ -178,7 +182,7 @@
 	return entries
 }
 
-// defineEndpointList writes a list under the next number.
+// defineEndpointList writes the record that defines an endpoint list under the next number.
 func (s *simulation) defineEndpointList(w *recordWriter, entries []simBackend) {
 	s.listNumber = (s.listNumber + 1) % maxEndpointLists
 	w.begin(eventDefineEndpointList)
@@ -193,17 +197,17 @@
 func (w *recordWriter) endpoint(b simBackend) {
 	w.u32(b.id)
 	w.u8(b.zone)
-	w.u16(0) // kind of machine
+	w.u16(0) // index of the kind of machine
 	w.u16(b.cell)
 	w.u8(b.state)
 	w.f32(b.weight)
 	w.f64(b.startedAt)
 }
 
-// answerProbe answers a health check of a backend.
+// answerProbe schedules the result of a health check, which always succeeds.
 func (s *simulation) answerProbe(inst *simInstance, backend uint32) {
 	if !s.settings.Capabilities.CanProbe {
-		s.t.Errorf("seed %d batch %d: probes are not allowed", s.seed, s.batchSeq)
+		s.t.Errorf("seed %d batch %d: a probe, which the settings don't allow", s.seed, s.batchSeq)
 	}
 	const latency = 0.01
 	s.notify(inst, latency, func(w *recordWriter) {
@@ -215,7 +219,7 @@
 	})
 }
 
-// writeLoadReport writes a backend's load report, or that none came along.
+// writeLoadReport writes the load report of a backend, or an empty one if it is not included.
 func (s *simulation) writeLoadReport(w *recordWriter, included bool, b *simBackend) {
 	if !included {
 		w.u8(0)
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// reportViolation reports a rule that was broken for a request.
+// reportViolation fails the test with a rule that the adapter's actions for a request violate.
 func (s *simulation) reportViolation(req *simRequest, rule string) {
-	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id, req.class.Idempotency,
-		req.class.DedupeScope, rule)
+	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id,
+		req.class.Idempotency, req.class.DedupeScope, rule)
 }
 
-// openRequest returns the request that an action names, and fails the test unless the instance got it in
-// its present incarnation.
+// openRequest returns the request that an action names. It fails the test unless the request was sent to the
+// current incarnation of the instance.
 func (s *simulation) openRequest(inst *simInstance, id uint32) *simRequest {
 	req := s.requests[id]
 	if req == nil || req.instance != inst || !req.incarnationRuns() {
-		s.t.Fatalf("seed %d batch %d: an action names request %d, which instance %d does not hold",
+		s.t.Fatalf("seed %d batch %d: an action names request %d, which instance %d has not received",
 			s.seed, s.batchSeq, id, inst.number)
 	}
 	return req
 }
 
-// mayExecuteTwice reports whether an attempt at backend b could have a second effect. Without a backend it
-// reports whether the claim of a rejection, that a retry is harmless, could be wrong.
+// mayExecuteTwice reports whether a further attempt at backend b could execute the request a second time. If b is
+// nil, it reports whether a rejection could be wrong in its promise that the client may safely retry.
 func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
@@ -37,19 +37,19 @@
 	})
 }
 
-// checkAttempt checks the rules on a new attempt of a request at a backend.
+// checkAttempt checks a new attempt of a request at a backend against the rules for attempts.
 func (s *simulation) checkAttempt(req *simRequest, b *simBackend) {
 	inFlight := slices.ContainsFunc(req.attempts, func(a simAttempt) bool { return a.inFlight })
 	for _, rule := range []struct {
 		broken bool
 		what   string
 	}{
-		{req.answered || req.endedBefore(s.batchSeq), "attempt after its end"},
-		{req.streamedBefore(s.batchSeq), "attempt after its response had started"},
+		{req.answered || req.endedBefore(s.batchSeq), "attempt after the end of the request"},
+		{req.streamedBefore(s.batchSeq), "attempt after the response had started"},
 		{req.instance.knownEndpoints[b.id].state != stateReady, "attempt at a backend that is not ready"},
 		{len(req.attempts) >= s.settings.Capabilities.MaxAttempts, "more attempts than allowed"},
 		{inFlight && !s.settings.Capabilities.CanHedge, "two attempts in flight at once"},
-		{req.mayExecuteTwice(b, s.now), "attempt where a second effect is possible"},
+		{req.mayExecuteTwice(b, s.now), "attempt that may execute the request a second time"},
 	} {
 		if rule.broken {
 			s.reportViolation(req, rule.what)
@@ -57,7 +57,8 @@
 	}
 }
 
-// expectFinalAnswer checks after the deadline that a request has ended.
+// expectFinalAnswer schedules a check that the request has ended, or its response has started, by its deadline plus
+// the answer slack and one tick.
 func (s *simulation) expectFinalAnswer(req *simRequest) {
 	s.after(req.deadline+s.settings.Requirements.AnswerSlackS+s.settings.TickS-s.now, func() {
 		if req.incarnationRuns() && !req.ended && req.streamedAttempt == 0 {
@@ -66,8 +67,8 @@
 	})
 }
 
-// handleFinalAnswer checks the rules on a final answer of the adapter and ends the request. An answer that
-// crosses the end of its request in the same batch is void.
+// handleFinalAnswer checks a final answer of the adapter against the rules for answers and ends the request. It
+// ignores an answer to a request that has ended in the same batch.
 func (s *simulation) handleFinalAnswer(req *simRequest, rejected bool) {
 	if rule := s.finalAnswerViolation(req, rejected); rule != "" {
 		s.reportViolation(req, rule)
@@ -78,7 +79,7 @@
 	req.end(s.batchSeq)
 }
 
-// finalAnswerViolation returns the rule that a final answer breaks, or "".
+// finalAnswerViolation describes how a final answer breaks the rules. It returns "" if the answer is allowed.
 func (s *simulation) finalAnswerViolation(req *simRequest, rejected bool) string {
 	switch {
 	case req.answered || req.endedBefore(s.batchSeq):
@@ -86,11 +87,11 @@
 	case req.ended:
 		return ""
 	case req.streamedBefore(s.batchSeq):
-		return "answered after its response had started"
+		return "final answer after the response had started"
 	case s.now > req.deadline+s.settings.Requirements.AnswerSlackS:
-		return "answered too late"
+		return "final answer too late"
 	case rejected && req.mayExecuteTwice(nil, s.now):
-		return "rejected though it may have executed"
+		return "rejection though a retry may execute the request a second time"
 	}
 	return ""
 }
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -1,37 +1,37 @@
 package main
 
-// simCustomer is a customer whose clients send requests to its set of gateways.
+// simCustomer is a customer, whose clients send requests to the gateways that are assigned to it.
 type simCustomer struct {
 	id           uint64
 	plan         int
-	firstGateway int // rank of the first gateway of its set; the others follow
+	firstGateway int // rank of the first of its gateways; the others have the ranks after it, modulo the fleet size
 	gatewayCount int
-	meanInterval float64 // seconds between requests
+	meanInterval float64 // mean time between requests in seconds
 }
 
-// simRequest is one request of a client. A retry is a request of its own.
+// simRequest is one request of a client. Each retry by the client is a new simRequest.
 type simRequest struct {
 	id              uint32
-	instance        *simInstance // that it was sent to
-	incarnation     int          // of the instance
+	instance        *simInstance // instance that the request was sent to
+	incarnation     int          // incarnation of the instance at that time
 	class           *simClass
 	classIndex      int
 	customer        *simCustomer
 	units           float64
 	deadline        float64 // clock time at which the client stops waiting for this request
-	giveUpAt        float64 // clock time at which the client gives up with all its retries
+	giveUpAt        float64 // clock time after which the client sends no further retry
 	attempts        []simAttempt
-	streamedAttempt int    // 1 + the attempt whose response has started; 0: none
-	streamedInBatch uint32 // the batch in which it started
+	streamedAttempt int    // 1 + the index of the attempt whose response has started; 0: none
+	streamedInBatch uint32 // batch in which that response started
 	ended           bool
-	endedInBatch    uint32 // the batch that ended it
-	answered        bool   // it was ended by a final answer of the instance
+	endedInBatch    uint32 // batch in which the request ended
+	answered        bool   // the instance has sent a final answer
 }
 
-// incarnationRuns reports whether the incarnation that got the request still runs.
+// incarnationRuns reports whether the incarnation that the request was sent to is still running.
 func (req *simRequest) incarnationRuns() bool { return req.instance.runs(req.incarnation) }
 
-// end notes that the request has ended in a batch.
+// end marks the request as ended in the given batch.
 func (req *simRequest) end(batchSeq uint32) {
 	req.ended = true
 	req.endedInBatch = batchSeq
@@ -42,12 +42,13 @@
 	return req.ended && req.endedInBatch < batchSeq
 }
 
-// streamedBefore reports whether a response started in a batch before the given one.
+// streamedBefore reports whether a response to the request started in a batch before the given one.
 func (req *simRequest) streamedBefore(batchSeq uint32) bool {
 	return req.streamedAttempt > 0 && req.streamedInBatch < batchSeq
 }
 
-// addCustomer adds a customer of a plan. One of the instances belongs to its set.
+// addCustomer adds a customer with the given plan and assigns a range of gateways to it, which includes at least one
+// instance.
 func (s *simulation) addCustomer(plan int) {
 	fleet := s.settings.FleetSize
 	member := s.instances[s.IntN(len(s.instances))]
@@ -63,12 +64,13 @@
 	s.after(s.ExpFloat64()*2, func() { s.sendNextRequest(c) })
 }
 
-// drawInterval draws the mean time between a customer's requests, from bursts to none for a minute.
+// drawInterval draws the mean time between a customer's requests, from bursts of many a second to pauses of a
+// minute.
 func (s *simulation) drawInterval(c *simCustomer) {
 	c.meanInterval = oneOf(s.randomSource, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
 }
 
-// sendNextRequest has a customer send a request, and schedules the next one.
+// sendNextRequest sends a request of a customer and schedules the customer's next one.
 func (s *simulation) sendNextRequest(c *simCustomer) {
 	if s.chance(0.03) || c.meanInterval > 5 {
 		s.drawInterval(c)
@@ -82,8 +84,9 @@
 	s.after(s.ExpFloat64()*c.meanInterval, func() { s.sendNextRequest(c) })
 }
 
-// sendRequest has a client send a request to one of its customer's gateways. Some requests have less time
-// than the client.
+// sendRequest sends a request of a customer to a random instance. It sends none if the instance is not running, if
+// drawReachable rules the instance out, or after giveUpAt. In some cases the request's deadline is before giveUpAt,
+// or its client disconnects before the deadline.
 func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running || s.now >= giveUpAt || !s.drawReachable(c, inst) {
@@ -112,15 +115,15 @@
 	}
 }
 
-// drawReachable reports whether a customer's request may be sent to an instance: some are sent outside of the
-// customer's set.
+// drawReachable reports whether to send a customer's request to an instance. All of the customer's gateways get
+// requests; other gateways get a few by mistake.
 func (s *simulation) drawReachable(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
 	offset := (inst.rank - c.firstGateway + fleet) % fleet
 	return offset < c.gatewayCount || s.chance(0.05)
 }
 
-// request writes the arrival of a request.
+// request writes the record that a request has arrived.
 func (w *recordWriter) request(req *simRequest, isRetry bool) {
 	w.begin(eventRequest)
 	w.u32(req.id)
@@ -134,7 +137,7 @@
 	w.f64(req.deadline)
 }
 
-// disconnect has the client of a request leave. The event may cross the end of the request.
+// disconnect disconnects the client of a request. The request may have ended already.
 func (s *simulation) disconnect(req *simRequest) {
 	if !req.incarnationRuns() {
 		return
@@ -146,7 +149,7 @@
 	req.instance.events.u32(req.id)
 }
 
-// retryLater has the client of a rejected request retry, through any gateway.
+// retryLater schedules a retry of a rejected request through a random instance, unless the client doesn't retry.
 func (s *simulation) retryLater(req *simRequest, retryAfter float64) {
 	backoff := retryAfter + s.ExpFloat64()*0.2
 	if !req.ended && s.chance(0.5) && s.now+backoff < req.giveUpAt {
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -1,26 +1,26 @@
 package main
 
-// simCounterTotal is a number of the counter, which is forgotten after a while.
+// simCounterTotal is the total that the counter stores under one name until the total expires.
 type simCounterTotal struct {
 	total   float64
-	expires float64 // clock time
+	expires float64 // clock time at which the counter forgets the name
 }
 
-// simCounterCaller is an instance with a name that it calls the counter for. Replies to one caller keep the
-// calls' order.
+// simCounterCaller identifies the counter calls of one instance for one name. Their replies arrive in the order of
+// the calls.
 type simCounterCaller struct {
 	instance int
 	name     uint64
 }
 
-// counterOutcome is how a call to the counter ends.
+// counterOutcome is how a counter call ends, and whether the counter added the amount.
 type counterOutcome struct {
 	status  uint8
 	latency float64
 	added   bool
 }
 
-// changeCounter draws how the counter does for the next seconds, and in some cases has it lose all numbers.
+// changeCounter draws a new condition for the counter. In some cases the counter loses all totals.
 func (s *simulation) changeCounter() {
 	s.counterCondition = oneOf(s.randomSource, healthy, healthy, healthy, overloaded, slow, silent, unreachable, malformed)
 	if s.chance(0.1) {
@@ -28,20 +28,22 @@
 	}
 }
 
-// callCounter executes an instance's call to the counter and schedules its reply.
+// callCounter executes a counter call of an instance and schedules the reply.
 func (s *simulation) callCounter(inst *simInstance, name uint64, amount, ttl float64) {
 	if !s.settings.QuotaCounter.HasCounter {
-		s.t.Errorf("seed %d batch %d: a call to a counter that does not exist", s.seed, s.batchSeq)
+		s.t.Errorf("seed %d batch %d: a counter call, though the deployment has no counter", s.seed, s.batchSeq)
 	}
 	outcome := s.drawCounterOutcome()
 	total := s.addToCounter(name, amount, ttl, outcome.added)
 	caller := simCounterCaller{inst.number, name}
 	repliedAt := max(s.now+outcome.latency, s.lastCounterReplyAt[caller])
 	s.lastCounterReplyAt[caller] = repliedAt
-	s.notify(inst, repliedAt-s.now, func(w *recordWriter) { w.counterReply(name, outcome.status, total, outcome.latency) })
+	s.notify(inst, repliedAt-s.now, func(w *recordWriter) {
+		w.counterReply(name, outcome.status, total, outcome.latency)
+	})
 }
 
-// drawCounterOutcome draws how a call ends under the counter's present condition.
+// drawCounterOutcome draws how a call ends in the counter's current condition.
 func (s *simulation) drawCounterOutcome() counterOutcome {
 	timeout := s.settings.QuotaCounter.CounterTimeoutS
 	outcome := counterOutcome{status: statusServed, latency: s.between(0.001, 0.02), added: true}
@@ -65,8 +67,8 @@
 	return outcome
 }
 
-// addToCounter adds an amount to a number of the counter, unless the call failed, and returns the total.
-// Gateways outside of the stream may add to the customer's number, too.
+// addToCounter adds an amount to the total of a name, if added is set, and returns the total. Afterwards it may add
+// more to the total, for the gateways of the fleet that are not simulated.
 func (s *simulation) addToCounter(name uint64, amount, ttl float64, added bool) float64 {
 	c := s.counterTotals[name]
 	if s.now >= c.expires {
@@ -83,7 +85,7 @@
 	return total
 }
 
-// counterReply writes the reply to a call to the counter.
+// counterReply writes the record of the counter's reply to a call.
 func (w *recordWriter) counterReply(name uint64, status uint8, total, latency float64) {
 	w.begin(eventCounterReply)
 	w.u64(name)
--- a/cmd/simadapter/simstrayevents_test.go
+++ b/cmd/simadapter/simstrayevents_test.go
@@ -1,7 +1,7 @@
 package main
 
-// sendStrayEvent sends an instance an event that it does not expect: about unknown or finished requests and
-// attempts, unknown timers and names of the counter, or a message of a peer.
+// sendStrayEvent sends a running instance an event that it does not expect: for an unknown or ended request or
+// attempt, for an unknown timer or counter name, or a message from a peer.
 func (s *simulation) sendStrayEvent() {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running {
@@ -19,9 +19,9 @@
 		w.counterReply(s.Uint64(), statusServed, 3, 0.01)
 	case 3:
 		w.begin(eventPeerMessage)
-		w.u32(0)      // the sender
-		w.u16(2)      // bytes
-		w.u16(0x6869) // "hi"
+		w.u32(0)      // rank of the sender
+		w.u16(2)      // length of the data in bytes
+		w.u16(0x6869) // the data: "hi"
 	case 4:
 		w.responseStarted(unknown.id, s.backends[0].id, 0.1, 0)
 	case 5:
@@ -29,7 +29,7 @@
 	}
 }
 
-// repeatAttemptEnd ends the first attempt of a recent request a second time.
+// repeatAttemptEnd reports the end of the first attempt of a recent request a second time.
 func (s *simulation) repeatAttemptEnd(inst *simInstance) {
 	req := s.requests[s.lastRequestID-min(s.lastRequestID, s.Uint32N(20))]
 	if req == nil || req.instance != inst || !req.incarnationRuns() || len(req.attempts) == 0 || req.attempts[0].inFlight {
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -12,33 +12,34 @@
 	"testing"
 )
 
-// maxInstances is how many gateways of the fleet are simulated, at most.
+// maxInstances is the largest number of gateways of the fleet that are simulated.
 const maxInstances = 3
 
 // simInstance is one simulated gateway.
 type simInstance struct {
-	number         int // on the wire
-	rank           int // in the fleet
-	incarnation    int // counts the starts
+	number         int // number of the instance in frames
+	rank           int // index of the gateway in the fleet
+	incarnation    int // number of starts
 	running        bool
-	subscribed     bool                  // discovery sends it changes
-	knownEndpoints map[uint32]simBackend // the endpoint list as it was sent to this incarnation
-	events         recordWriter          // its part of the batch that is being put together
+	subscribed     bool                  // discovery sends changes of the list to it
+	knownEndpoints map[uint32]simBackend // endpoint list as sent to this incarnation
+	events         recordWriter          // records for the next batch
 }
 
-// runs reports whether the given incarnation runs.
+// runs reports whether the given incarnation is running.
 func (inst *simInstance) runs(incarnation int) bool {
 	return inst.running && inst.incarnation == incarnation
 }
 
-// scheduledEvent is something due at a time: an event for an instance, or a change of the world.
+// scheduledEvent is an event for an instance, or a change of the simulated system, that is due at a clock time.
 type scheduledEvent struct {
 	at            float64 // clock time
-	fromDiscovery bool    // such events come first in a batch
+	fromDiscovery bool    // events from discovery come first in a batch
 	apply         func()
 }
 
-// simulation generates the stream of one seed and checks the replies to it.
+// simulation generates the stream of one seed and checks the adapter's replies. A stream is the sequence of batches
+// that is drawn from a seed.
 type simulation struct {
 	randomSource
 	t        *testing.T
@@ -47,13 +48,13 @@
 
 	now     float64          // clock time
 	endsAt  float64          // clock time at which the stream ends
-	tick    float64          // now in ticks
-	pending []scheduledEvent // by time
+	tick    float64          // clock time in ticks
+	pending []scheduledEvent // ordered by time
 
 	instances     []*simInstance
 	backends      []*simBackend
-	cachedList    []simBackend // the endpoint list that an instance gets at its start
-	listNumber    uint32       // of the endpoint list that was defined last
+	cachedList    []simBackend // endpoint list that an instance receives at its start
+	listNumber    uint32       // number of the endpoint list that was defined last
 	customers     []*simCustomer
 	requests      map[uint32]*simRequest // by id
 	lastRequestID uint32
@@ -65,13 +66,13 @@
 	batchSeq     uint32
 	toAdapter    io.Writer
 	fromAdapter  io.Reader
-	batches      bytes.Buffer  // all that was sent
-	replies      bytes.Buffer  // all that was received
-	actionCounts map[uint8]int // by code
+	batches      bytes.Buffer  // all frames sent
+	replies      bytes.Buffer  // all frames received
+	actionCounts map[uint8]int // number of actions received, by code
 }
 
-// newSimulation draws the world of a seed and schedules what happens in it without a cause in the replies.
-// It adds the actions of the replies to actionCounts.
+// newSimulation draws the deployment and the initial state from a seed and schedules the events that do not depend on
+// replies. The simulation counts the actions in the replies in actionCounts.
 func newSimulation(
 	t *testing.T, seed uint64, actionCounts map[uint8]int, toAdapter io.Writer, fromAdapter io.Reader,
 ) *simulation {
@@ -102,7 +103,7 @@
 	return s
 }
 
-// addInitialState adds the backends, instances and customers that are there from the beginning.
+// addInitialState adds the initial backends, instances and customers.
 func (s *simulation) addInitialState() {
 	for range 3 + s.IntN(4) {
 		s.addBackend(0)
@@ -119,10 +120,10 @@
 	}
 }
 
-// after schedules a change of the world; it happens in a later batch.
+// after schedules a change of the simulated system, which takes effect in a later batch.
 func (s *simulation) after(delay float64, apply func()) { s.schedule(delay, false, apply) }
 
-// repeat repeats a change of the world at random intervals.
+// repeat schedules a change of the simulated system again and again, at random intervals.
 func (s *simulation) repeat(meanInterval float64, apply func()) {
 	s.after(s.ExpFloat64()*meanInterval, func() {
 		apply()
@@ -130,7 +131,7 @@
 	})
 }
 
-// notify schedules an event for an instance; it is void if the incarnation ends before.
+// notify schedules an event for an instance. The event is dropped if the incarnation ends first.
 func (s *simulation) notify(inst *simInstance, delay float64, write func(w *recordWriter)) {
 	incarnation := inst.incarnation
 	s.after(delay, func() {
@@ -140,7 +141,7 @@
 	})
 }
 
-// schedule adds to the pending events. Events of the same time keep their order.
+// schedule adds a pending event. Events that are due at the same time keep the order in which they were added.
 func (s *simulation) schedule(delay float64, fromDiscovery bool, apply func()) {
 	event := scheduledEvent{s.now + max(delay, 0), fromDiscovery, apply}
 	i, _ := slices.BinarySearchFunc(s.pending, event.at, func(p scheduledEvent, at float64) int {
@@ -152,7 +153,7 @@
 	s.pending = slices.Insert(s.pending, i, event)
 }
 
-// run exchanges batches with the adapter until the stream ends or the test has failed.
+// run sends batches to the adapter and applies the replies, until the stream ends or the test has failed.
 func (s *simulation) run() error {
 	for len(s.pending) > 0 && !s.t.Failed() {
 		s.tick = max(s.tick+1, math.Ceil(s.pending[0].at/s.settings.TickS))
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// applyDueEvents applies the pending events whose time has come, those of discovery first.
+// applyDueEvents applies the pending events that are due, events from discovery first.
 func (s *simulation) applyDueEvents() {
 	n := slices.IndexFunc(s.pending, func(e scheduledEvent) bool { return e.at > s.now })
 	if n < 0 {
@@ -187,7 +188,7 @@
 	}
 }
 
-// exchange sends the batch that has been put together, receives the reply and applies it.
+// exchange sends the collected records as a batch, reads the reply and applies it.
 func (s *simulation) exchange() error {
 	batch := s.takeBatch()
 	s.batches.Write(batch)
@@ -206,7 +207,7 @@
 	return s.applyReply(reply[replyLengthSize:])
 }
 
-// takeBatch returns the frame with the events of all instances, and begins an empty batch.
+// takeBatch returns a frame with the collected records of all instances and empties their writers.
 func (s *simulation) takeBatch() []byte {
 	var header, body recordWriter
 	for _, inst := range s.instances {
@@ -224,11 +225,11 @@
 	return append(header.data, body.data...)
 }
 
-// applyReply lets the actions of a reply have their effects.
+// applyReply applies the actions of a reply. It returns an error if the reply is malformed.
 func (s *simulation) applyReply(r replyReader) error {
 	records := r.u32()
 	if seq := r.u32(); seq != s.batchSeq {
-		return fmt.Errorf("the reply is to batch %d", seq)
+		return fmt.Errorf("the reply has the sequence number %d", seq)
 	}
 	var inst *simInstance
 	for range records {
@@ -245,7 +246,7 @@
 	return nil
 }
 
-// applyAction reads the fields of an action of an instance and lets it have its effect.
+// applyAction reads the fields of an instance's action and applies the action to the simulated system.
 func (s *simulation) applyAction(inst *simInstance, code uint8, r *replyReader) error {
 	switch code {
 	case actionSetTimer:
@@ -258,7 +259,7 @@
 		name, amount, ttl := r.u64(), r.f32(), r.f64()
 		s.callCounter(inst, name, amount, ttl)
 	case actionPollEndpoints:
-		r.u8() // on or off
+		r.u8() // 1: subscribe, which the adapter always sends
 		s.answerPoll(inst)
 	case actionProbe:
 		s.answerProbe(inst, r.u32())
@@ -276,12 +277,12 @@
 	case actionFailRequest:
 		s.handleFinalAnswer(s.openRequest(inst, r.u32()), false)
 	default:
-		return fmt.Errorf("unexpected action %d", code)
+		return fmt.Errorf("unexpected action code %d", code)
 	}
 	return nil
 }
 
-// start starts an instance with the endpoint list as it may have had it last.
+// start starts a new incarnation of an instance and sends it the cached endpoint list.
 func (s *simulation) start(inst *simInstance) {
 	inst.running = true
 	inst.incarnation++
--- a/cmd/simadapter/stream_test.go
+++ b/cmd/simadapter/stream_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// The test in this file drives the adapter with event streams drawn from a seed. The generator, in the sim
-// files, is a small simulator: it sends a batch, reads the reply and lets the actions have their effects in
-// later batches. Batches and replies are plain bytes of the wire, so streams recorded with one version can
-// be replayed into another.
+// TestSeededStreams sends streams of batches to the adapter that are drawn from seeds. The files whose names begin
+// with sim generate the streams: like a small simulator, they send a batch, read the reply and apply its actions,
+// whose effects are part of later batches. Batches and replies are recorded as frames, so that streams recorded
+// with one version of the adapter can be replayed with another.
 
 var (
-	recordDir = flag.String("record", "", "directory for SEED.batches and SEED.replies")
-	seedCount = flag.Int("seeds", 6, "how many seeded streams to run")
+	recordDir = flag.String("record", "", "directory in which to write SEED.batches and SEED.replies")
+	seedCount = flag.Int("seeds", 6, "number of seeded streams to run")
 )
 
-// TestSeededStreams checks the rules that bind every reply, on streams that lead deep into the states of
-// the gateways, and that the same batches give the same replies.
+// TestSeededStreams checks every reply to long streams against the rules for attempts and answers. It also checks
+// that the same batches give the same replies, and that the streams lead to each kind of action.
 func TestSeededStreams(t *testing.T) {
 	actionCounts := map[uint8]int{}
 	for seed := range uint64(*seedCount) {
@@ -31,7 +31,7 @@
 		}
 		replayed, err := replay(s.batches.Bytes())
 		if err != nil || !bytes.Equal(replayed, s.replies.Bytes()) {
-			t.Fatalf("seed %d: the same batches gave other replies (%v)", seed, err)
+			t.Fatalf("seed %d: the same batches gave different replies, or the replay failed: %v", seed, err)
 		}
 		if *recordDir != "" {
 			record(t, *recordDir, s)
@@ -43,7 +43,7 @@
 		actionReject:        "rejection",
 		actionFailRequest:   "failure",
 		actionSetTimer:      "timer",
-		actionCounterAdd:    "call to the counter",
+		actionCounterAdd:    "counter call",
 		actionCancelAttempt: "cancellation",
 		actionPollEndpoints: "poll of discovery",
 	} {
@@ -54,7 +54,7 @@
 	t.Logf("actions by code: %v", actionCounts)
 }
 
-// runSimulation generates the stream of a seed against a fresh adapter.
+// runSimulation generates the stream of a seed and sends it to a new adapter.
 func runSimulation(t *testing.T, seed uint64, actionCounts map[uint8]int) *simulation {
 	t.Helper()
 	batchReader, batchWriter := io.Pipe()
@@ -77,14 +77,14 @@
 	return s
 }
 
-// replay gives recorded batches to a fresh adapter and returns its replies.
+// replay sends recorded batches to a new adapter and returns its replies.
 func replay(batches []byte) ([]byte, error) {
 	var replies bytes.Buffer
 	err := serve(bytes.NewReader(batches), &replies)
 	return replies.Bytes(), err
 }
 
-// record keeps a stream for comparisons between versions.
+// record writes the batches and replies of a stream to files, for comparison between versions.
 func record(t *testing.T, dir string, s *simulation) {
 	t.Helper()
 	for name, data := range map[string][]byte{"batches": s.batches.Bytes(), "replies": s.replies.Bytes()} {
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// simSettings are the settings of a deployment, as the wire states them.
+// simSettings mirrors the JSON of a deployment's settings. Fields whose names end in S are in seconds.
 type simSettings struct {
 	Capabilities simCapabilities    `json:"allowed"`
 	Classes      []simClass         `json:"classes"`
@@ -24,7 +24,7 @@
 	Weights      string             `json:"weights"`
 }
 
-// simCapabilities are what the deployment permits.
+// simCapabilities states which actions the deployment permits, and their limits.
 type simCapabilities struct {
 	CanCancel         bool    `json:"cancel"`
 	ConnectTimeoutS   float64 `json:"connectTimeoutS"`
@@ -36,7 +36,7 @@
 	CanSendRetryAfter bool    `json:"retryAfter"`
 }
 
-// simClass is a class of requests.
+// simClass holds the settings of a class of requests.
 type simClass struct {
 	ObjectivePerUnitS float64 `json:"aimStretch,omitempty"`
 	DeadlineS         float64 `json:"deadlineS"`
@@ -50,7 +50,7 @@
 	DedupeWindowS     float64 `json:"windowS"`
 }
 
-// simPlan is a plan with its quotas, which apply per customer.
+// simPlan holds the settings of a plan. Its quotas apply to each customer separately.
 type simPlan struct {
 	MaxConcurrent   int     `json:"atOnce"`
 	OverQuotaCost   float64 `json:"beyondCosts"`
@@ -64,7 +64,7 @@
 	Rate            float64 `json:"unitsPerS"`
 }
 
-// simQuotaCounter describes the counter and the units that requests draw.
+// simQuotaCounter holds the settings of the counter and of the units that requests take from a quota.
 type simQuotaCounter struct {
 	CounterPrice    float64 `json:"counterPrice"`
 	CounterTimeoutS float64 `json:"counterTimeoutS"`
@@ -73,13 +73,13 @@
 	UnitsEstimated  bool    `json:"truedUp"`
 }
 
-// simLoadReport describes the load reports of backends.
+// simLoadReport holds the settings of the backends' load reports.
 type simLoadReport struct {
 	Fields   []string `json:"fields"`
 	Delivery string   `json:"how"`
 }
 
-// simRequirements are the figures that the rules refer to.
+// simRequirements holds the times and factors in the rules that gateways must follow.
 type simRequirements struct {
 	AnswerSlackS      float64 `json:"answerSlackS"`
 	PollIntervalS     float64 `json:"askEveryS"`
@@ -90,21 +90,21 @@
 	OverloadDurationS float64 `json:"overloadForS"`
 }
 
-// randomSource are the random draws of a stream. Their order is part of the stream: a draw that is added, dropped
-// or moved changes all streams.
+// randomSource generates the random numbers of a stream. Their order determines the stream: a draw that is added,
+// removed or moved changes all streams.
 type randomSource struct{ *rand.Rand }
 
-// chance draws whether something of probability p happens.
+// chance returns true with probability p.
 func (d randomSource) chance(p float64) bool { return d.Float64() < p }
 
-// between draws a number that is evenly distributed.
+// between draws a number that is uniformly distributed between low and high.
 func (d randomSource) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
-// oneOf draws one of the values, all equally likely.
+// oneOf draws one of the values with equal probability.
 func oneOf[T any](d randomSource, values ...T) T { return values[d.IntN(len(values))] }
 
-// settings draws a deployment. The size of the fleet and the use of a counter depend on the seed alone, so
-// that few seeds cover them all.
+// settings draws the settings of a deployment. The fleet size and the presence of a counter depend on the seed only,
+// so that a few consecutive seeds cover all of their values.
 func (d randomSource) settings(seed uint64) simSettings {
 	s := simSettings{
 		FleetSize:    []int{3, 60, 1, 8, 5}[seed%5],
@@ -163,11 +163,12 @@
 	}
 }
 
-// classes draws a class for each kind of idempotency, and one more of those that may be retried at will.
+// classes draws one class for each combination of idempotency and dedupe scope, and a second idempotent class.
 func (d randomSource) classes() []simClass {
 	var classes []simClass
 	for _, kind := range []struct{ idempotency, scope string }{
-		{"repeatable", "all"}, {"repeatable", "all"}, {"once", "all"}, {"by_key", "all"}, {"by_key", "zone"}, {"by_key", "cell"},
+		{"repeatable", "all"}, {"repeatable", "all"}, {"once", "all"},
+		{"by_key", "all"}, {"by_key", "zone"}, {"by_key", "cell"},
 	} {
 		objective := d.between(0.2, 2)
 		classes = append(classes, simClass{
@@ -186,7 +187,7 @@
 	return classes
 }
 
-// plans draws a plan for each combination of quotas: none, by rate, with a ceiling, and by concurrency.
+// plans draws plans with no quota, with a rate only, with a rate and a ceiling, and with a concurrency limit.
 func (d randomSource) plans() []simPlan {
 	rate := d.between(0.5, 4)
 	plans := []simPlan{
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Codes of the records in a batch.
+// Codes of the records in a batch, which package wire does not export.
 const (
 	eventStartInstance      = 16
 	eventEndpointUpdate     = 17
@@ -35,7 +35,7 @@
 	actionSendAttempt     = 91
 )
 
-// Statuses of attempts, probes and calls to the counter.
+// Statuses of attempts, probes and counter calls.
 const (
 	statusServed        = 0
 	statusNotSent       = 249
@@ -63,13 +63,13 @@
 )
 
 const (
-	flagRetry         = 2  // of a request: the client marks it as a retry
-	countedHeaderSize = 8  // bytes of a batch header that the length counts
+	flagRetry         = 2  // bit in the flags of a request: the client marks it as a retry
+	countedHeaderSize = 8  // bytes of a batch header that the length includes
 	maxEndpointLists  = 16 // lists that can be defined at a time
-	replyLengthSize   = 4  // bytes of a reply's length, which it does not count
+	replyLengthSize   = 4  // bytes of a reply's length field, which the length does not include
 )
 
-// provesNotExecuted reports whether a status proves that an attempt had no effect.
+// provesNotExecuted reports whether a status proves that the backend did not execute the attempt.
 func provesNotExecuted(status uint8) bool {
 	return status == statusRejected || status == statusConnectFailed || status == statusNotSent
 }
@@ -77,10 +77,10 @@
 // recordWriter appends records and their fields, which are big-endian and not padded.
 type recordWriter struct {
 	data    []byte
-	records uint32 // how many have begun
+	records uint32 // number of records in data
 }
 
-// begin starts a record; its fields follow.
+// begin appends the code of a record; the caller appends its fields.
 func (w *recordWriter) begin(code uint8) {
 	w.u8(code)
 	w.records++
@@ -92,7 +92,7 @@
 	w.records += other.records
 }
 
-// reset empties the writer and keeps its buffer.
+// reset empties the writer but keeps its buffer.
 func (w *recordWriter) reset() {
 	w.data = w.data[:0]
 	w.records = 0
@@ -105,7 +105,7 @@
 func (w *recordWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
 func (w *recordWriter) f32(v float64) { w.u32(math.Float32bits(float32(v))) }
 
-// flag writes a bit value if it is set, and 0 otherwise.
+// flag writes a byte with the value bit if set is true, and 0 otherwise.
 func (w *recordWriter) flag(set bool, bit uint8) {
 	if !set {
 		bit = 0
@@ -113,10 +113,10 @@
 	w.u8(bit)
 }
 
-// replyReader takes fields from a reply. A reply that is too short panics, which fails the test.
+// replyReader reads the fields of a reply. It panics if the reply is too short, which fails the test.
 type replyReader []byte
 
-// unsigned takes an unsigned number of n bytes.
+// unsigned reads an unsigned integer of n bytes.
 func (r *replyReader) unsigned(n int) (v uint64) {
 	for _, b := range (*r)[:n] {
 		v = v<<8 | uint64(b)
