--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	minDescriptors = 128              // the lowest descriptor limit that a gateway accepts
-	testTimeout    = 20 * time.Second // bounds every wait of a test; none is expected to take so long
+	minDescriptors = 128              // lowest limit of file descriptors that a gateway accepts
+	testTimeout    = 20 * time.Second // longest wait for one step of a test; all are expected to be far shorter
 )
 
-// descriptorLimitConfig is the configuration of a gateway whose customers always need the counter. Its
-// verbs are the addresses of clients, discovery, counter and backend, with the descriptor limit after the
-// counter.
+// descriptorLimitConfig is the format of the configuration of a gateway that calls the counter for every customer.
+// The formatted values are the listen address, the addresses of discovery and the counter, the limit of file
+// descriptors and the address of the backend.
 const descriptorLimitConfig = `{"name": "n0", "listen": %q, "discovery": %q, "counter": %q, "seed": "1",
 	"limits": {"cores": 1, "memory_mb": 64, "sockets": %d},
 	"known": {"generation": 0, "reset": true, "instances": [{"instanceId": "s-1", "hostPort": %q, "zone": "a",
@@ -34,9 +34,9 @@
 	"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1}],
 	"packages": [{"name": "p", "pays": 1, "unitsPerS": 0.05, "depth": 100}]}}`
 
-// Idle clients may use all the descriptors that are theirs while discovery is down. What needs a descriptor
-// when discovery returns still gets one under the system's limit: discovery, the counter with all its
-// connections, backends and health checks.
+// Idle clients can use up all file descriptors that the gateway grants to clients while discovery is down. The
+// descriptors for discovery, for all connections to the counter, for backends and for health checks must still be
+// available once discovery is back, without exceeding the process's descriptor limit.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	var discoveryUp atomic.Bool
 	counterUnblocked := make(chan struct{})
@@ -52,12 +52,14 @@
 	}))
 	defer discovery.Close()
 	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-counterUnblocked // streams replace connections whose answers don't come by new ones
+		<-counterUnblocked // while calls hang, the gateway replaces their connections by new ones
 		io.WriteString(w, r.URL.Query().Get("add"))
 	}))
 	defer counter.Close()
 	defer unblockCounter()
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.WriteString(w, "ok")
+	}))
 	defer backend.Close()
 	backendAddress = backend.Listener.Addr().String()
 	listen := freeAddress(t)
@@ -71,12 +73,12 @@
 
 	client := &descriptorClient{listen: listen}
 	defer client.closeIdle()
-	client.awaitOK(t, "readiness by the cached list", client.healthCheck)
+	client.awaitOK(t, "health check with the cached endpoint list", client.healthCheck)
 	maxDescriptors := 0
 	for range 6 {
-		client.openIdle(minDescriptors) // more than the gateway has descriptors for; it evicts the oldest
+		client.openIdle(minDescriptors) // more than the gateway has descriptors for, so that it evicts the oldest ones
 		var requests sync.WaitGroup
-		for range 24 { // each of another customer, on all streams of the counter
+		for range 24 { // each from a different customer, to use all connections to the counter
 			requests.Go(func() { client.do(client.request()) })
 		}
 		answered := make(chan struct{})
@@ -93,20 +95,20 @@
 	unblockCounter()
 	client.openIdle(minDescriptors)
 	discoveryUp.Store(true)
-	client.awaitOK(t, "readiness", client.healthCheck)
-	client.awaitOK(t, "a request through counter and backend", client.request)
+	client.awaitOK(t, "health check", client.healthCheck)
+	client.awaitOK(t, "request that needs the counter and a backend", client.request)
 	if maxDescriptors > minDescriptors {
-		t.Errorf("%d descriptors", maxDescriptors)
+		t.Errorf("%d file descriptors were open, above the limit", maxDescriptors)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Wait()
 	if strings.Contains(stderr.String(), "too many open files") {
 		t.Errorf("the gateway logged %q", stderr)
 	}
-	t.Logf("%d descriptors at most", maxDescriptors)
+	t.Logf("at most %d file descriptors were open", maxDescriptors)
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +119,7 @@
 	return l.Addr().String()
 }
 
-// openDescriptors counts the file descriptors of a process.
+// openDescriptors returns the number of open file descriptors of a process.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -127,14 +129,14 @@
 	return len(files)
 }
 
-// descriptorClient is a client of the gateway at one address, with idle connections beside its requests.
+// descriptorClient sends requests to one gateway, each on a new connection, and can hold idle connections to it.
 type descriptorClient struct {
 	listen       string
 	idle         []net.Conn
 	requestCount atomic.Int32
 }
 
-// openIdle opens n connections and leaves them idle. Those that the gateway refuses are passed over.
+// openIdle opens n connections and leaves them idle. It ignores connections that can't be established.
 func (c *descriptorClient) openIdle(n int) {
 	for range n {
 		if conn, err := net.Dial("tcp", c.listen); err == nil {
@@ -149,8 +151,7 @@
 	}
 }
 
-// do sends a request on a new connection and returns the status, or 0 if the gateway closes the connection
-// unread.
+// do sends a request on a new connection and returns the status of the response, or 0 if there is no response.
 func (c *descriptorClient) do(text string) (status int) {
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -166,22 +167,22 @@
 	return resp.StatusCode
 }
 
-// awaitOK repeats a request until it is answered with 200.
+// awaitOK repeats a request until the response has status 200. The purpose is named if that never happens.
 func (c *descriptorClient) awaitOK(t *testing.T, purpose string, request func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); c.do(request()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: never answered", purpose)
+			t.Fatalf("%s: no response with status 200", purpose)
 		}
 	}
 }
 
-// healthCheck returns the text of a health check.
+// healthCheck returns the text of a health check request.
 func (c *descriptorClient) healthCheck() string {
 	return "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 }
 
-// request returns the text of a request with an id and a customer of its own.
+// request returns the text of a request with a new id and a new customer.
 func (c *descriptorClient) request() string {
 	n := c.requestCount.Add(1)
 	return fmt.Sprintf("GET /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d\r\nX-Service-Class: c\r\nX-Tier: p\r\n"+
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -10,8 +10,8 @@
 	"amberlb/internal/lab/soak"
 )
 
-// A log that nobody reads, be its pipe closed or full, neither ends a gateway nor blocks its requests or
-// its graceful shutdown.
+// If nothing reads a gateway's log, its pipe is closed or full. Neither may terminate the gateway or block its
+// requests or its graceful shutdown.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	t.Parallel()
 	for name, closed := range map[string]bool{"closed": true, "full": false} {
@@ -43,7 +43,7 @@
 			if closed {
 				reader.Close()
 			}
-			for range 1000 { // each reload leaves a line; together they fill a pipe of 64 KiB
+			for range 1000 { // each reload writes a log line; 1000 of them fill a pipe of 64 KiB
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(time.Millisecond)
 			}
@@ -55,13 +55,13 @@
 					t.Errorf("ended with %v", err)
 				}
 			case <-time.After(soak.KillAfter(classes)):
-				t.Error("the shutdown has not ended when SIGKILL may come")
+				t.Error("the process was still running at the earliest time that SIGKILL may be sent")
 			}
 		})
 	}
 }
 
-// awaitReady waits until a gateway's health check reports that it is ready.
+// awaitReady waits until the health check of a gateway reports that it is ready.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -73,5 +73,5 @@
 			}
 		}
 	}
-	t.Fatal("the gateway doesn't become ready, or has exited")
+	t.Fatal("the gateway did not become ready, or exited")
 }
--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -1,6 +1,6 @@
-// Amberlb is one gateway on real sockets. The environment variable EDGE_CONFIG names its configuration
-// file. SIGHUP reloads the file; SIGTERM and SIGINT start a graceful shutdown, which answers the requests
-// that are open.
+// Amberlb runs one gateway, which accepts HTTP requests and forwards them to backends. The environment variable
+// EDGE_CONFIG holds the path of its configuration file. SIGHUP reloads the file. SIGTERM and SIGINT start a graceful
+// shutdown, which answers the open requests before the process exits.
 package main
 
 import (
@@ -21,26 +21,26 @@
 	"amberlb/internal/gateway"
 )
 
-// configPathKey is the environment variable with the path of the configuration file.
+// configPathKey is the name of the environment variable that holds the path of the configuration file.
 const configPathKey = "EDGE_CONFIG"
 
 // Settings of the Go runtime.
 const (
-	heapLimitShare = 0.7 // of the memory limit; stacks, sockets and the binary have the rest
-	gcPercent      = 400 // heap growth between collections; the heap is small beside the limit
+	heapLimitShare = 0.7 // share of the memory limit for the Go heap; stacks, sockets and the binary need the rest
+	gcPercent      = 400 // heap growth in percent between collections; the heap is small compared with the limit
 )
 
-// logFlushTimeout bounds the wait for the log's reader before the process exits.
+// logFlushTimeout is the longest time to wait for queued log lines to be written before the process exits.
 const logFlushTimeout = 100 * time.Millisecond
 
 var errNoConfigPath = errors.New(configPathKey + " is not set")
 
 func main() {
-	signal.Ignore(syscall.SIGPIPE) // a closed log must not end the process
+	signal.Ignore(syscall.SIGPIPE) // the process must survive if the reader of its log closes the pipe
 	log := asyncwriter.New(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one pending signal is enough: a reload reads the whole file
+	hup := make(chan os.Signal, 1) // one pending signal is enough, since each reload reads the whole file
 	signal.Notify(hup, syscall.SIGHUP)
 	err := run(ctx, hup, log)
 	if err != nil {
@@ -52,8 +52,7 @@
 	}
 }
 
-// run reads the configuration and runs the gateway until ctx ends. Each signal on hup reloads the
-// configuration.
+// run reads the configuration and runs the gateway until ctx ends. Each signal on hup reloads the configuration.
 func run(ctx context.Context, hup <-chan os.Signal, log io.Writer) error {
 	path := os.Getenv(configPathKey)
 	if path == "" {
@@ -69,7 +68,7 @@
 	return gateway.Run(ctx, &config, gateway.Reload{Signal: hup, Read: readConfig})
 }
 
-// limitRuntime keeps the Go runtime within the configuration's limits.
+// limitRuntime applies the configuration's limits on processor cores and memory to the Go runtime.
 func limitRuntime(config *gateway.Config) {
 	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)))
 	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * heapLimitShare))
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// Environment variables that make the test binary run as the command.
+// Names of the environment variables that make the test binary run as the command.
 const (
 	asCommandKey       = "AMBERLB_TEST_AS_COMMAND"
-	descriptorLimitKey = "AMBERLB_TEST_DESCRIPTOR_LIMIT" // RLIMIT_NOFILE of the process; unset: as inherited
+	descriptorLimitKey = "AMBERLB_TEST_DESCRIPTOR_LIMIT" // RLIMIT_NOFILE of the process; unset: inherited
 )
 
-// TestMain lets the test binary run as the command.
+// TestMain runs the command instead of the tests if the environment variable asCommandKey is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(asCommandKey) != "" {
 		if n, err := strconv.ParseUint(os.Getenv(descriptorLimitKey), 10, 64); err == nil {
@@ -35,7 +35,8 @@
 	os.Exit(m.Run())
 }
 
-// gatewayCommand returns the gateway's command with a configuration, not yet started, and its standard error.
+// gatewayCommand returns a command that runs a gateway with the given configuration, and a buffer for the command's
+// standard error. The caller starts the command.
 func gatewayCommand(t *testing.T, config string) (cmd *exec.Cmd, stderr *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -49,7 +50,7 @@
 	return cmd, stderr
 }
 
-// A configuration that can't be used ends the process with one line on standard error and exit status 1.
+// If the configuration is invalid, the process exits with status 1 and one line on standard error.
 func TestInvalidConfigurationEndsStart(t *testing.T) {
 	cmd, stderr := gatewayCommand(t, `{"settings": {}}`)
 	var exit *exec.ExitError
@@ -57,12 +58,12 @@
 		t.Errorf("ended with %v", err)
 	}
 	if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "amberlb: configuration ") {
-		t.Errorf("said %q", text)
+		t.Errorf("standard error was %q", text)
 	}
 }
 
-// SIGHUP before the gateway is ready, and together with SIGTERM, must not end it in another way than
-// SIGTERM does.
+// SIGHUP must not terminate the process or change its exit status, neither before the gateway is ready nor during a
+// shutdown.
 func TestReloadSignalsDuringStartAndShutdown(t *testing.T) {
 	polled := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -79,7 +80,7 @@
 	}
 	defer cmd.Process.Kill()
 	select {
-	case <-polled: // the gateway runs
+	case <-polled: // the gateway is running
 	case <-time.After(20 * time.Second):
 		t.Fatal("discovery was not polled")
 	}
@@ -89,6 +90,6 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v, saying %q", err, stderr)
+		t.Errorf("ended with %v, standard error was %q", err, stderr)
 	}
 }
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -15,23 +15,23 @@
 	"amberlb/internal/lab/soak"
 )
 
-const sweepStep = 20 * time.Millisecond // between the moments of a sweep
+const sweepStep = 20 * time.Millisecond // difference between the offsets of consecutive requests in a sweep
 
-// commandEnv makes the test binary run as the command. The race detector would sleep for a second before an
-// exit.
+// commandEnv makes the test binary run as the command. GORACE turns off the second for which the race detector
+// sleeps before the process exits.
 var commandEnv = []string{asCommandKey + "=1", "GORACE=atexit_sleep_ms=0"}
 
-// shutdownSweep is one graceful shutdown with a request on each of many connections that were opened before
-// it. The requests come at moments that are a step apart.
+// shutdownSweep is a graceful shutdown with one request on each of many connections, which are opened before it.
+// Each request has an offset from SIGTERM at which it is sent. Offsets start at 0 and increase by sweepStep.
 type shutdownSweep struct {
-	deadline    time.Duration // of the one class, whose requests are not idempotent
-	lastOffset  time.Duration // after SIGTERM
-	inTwoPieces bool          // the requests begin right after SIGTERM, and their second half comes at the moment
+	deadline    time.Duration // deadline of the only class, whose requests are not idempotent
+	lastOffset  time.Duration // upper bound of the offsets
+	inTwoPieces bool          // send the first half of each request right after SIGTERM, the second half at its offset
 }
 
-// A gateway in graceful shutdown answers every request that it admits, whatever moment of the shutdown the
-// request comes at and whatever the deadlines are, while all backends hang. The incident's own values are a
-// deadline of 2.412 s and a request 0.600 s after SIGTERM.
+// A gateway in graceful shutdown answers every request that it admits, at any time during the shutdown and with any
+// deadline, while all backends hang. The incident behind this test had a deadline of 2.412 s and a request 0.600 s
+// after SIGTERM.
 func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 2412 * time.Millisecond,
@@ -46,15 +46,15 @@
 				}
 			}
 			if answered < len(attempts)/4 {
-				t.Errorf("%d of %d requests were answered: the sweep did not run as meant", answered, len(attempts))
+				t.Errorf("only %d of %d requests were answered: the sweep did not test the shutdown", answered, len(attempts))
 			}
 		})
 	}
 }
 
-// A request that a shutdown finds half read, or that begins during it, is answered however late its last
-// byte comes: the gateway has read a part of it, so its client can't tell the close of its connection from
-// that of an idle one.
+// A request that is only partly read when the shutdown begins, or that begins during the shutdown, is answered
+// however late its last byte arrives. If the gateway closed the connection instead, the client could not tell this
+// from the close of an idle connection, although the gateway has read a part of the request.
 func TestShutdownAnswersPartlyReadRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second} {
@@ -63,16 +63,16 @@
 			attempts := shutdownSweep{deadline: deadline, lastOffset: deadline + time.Second, inTwoPieces: true}.run(t)
 			for _, a := range attempts {
 				if a.Status == 0 {
-					t.Errorf("%s: bytes %.3f to %.3f, ended %.3f with no answer: %v", a.ID, a.FirstByteAt.Seconds(), a.SentAt.Seconds(),
-						a.EndedAt.Seconds(), a.Err)
+					t.Errorf("request %s: sent from %.3f s to %.3f s, ended at %.3f s without an answer: %v", a.ID,
+						a.FirstByteAt.Seconds(), a.SentAt.Seconds(), a.EndedAt.Seconds(), a.Err)
 				}
 			}
 		})
 	}
 }
 
-// run starts a gateway, shuts it down, and reports each violation of the rules. The gateway gets SIGKILL at
-// the earliest moment that the rules allow, and must have exited before.
+// run starts a gateway, shuts it down and reports each violation of the rules that package soak checks. The gateway
+// must exit before the earliest time at which the rules allow SIGKILL; otherwise run kills it and reports an error.
 func (s shutdownSweep) run(t *testing.T) []soak.ClientAttempt {
 	t.Helper()
 	clock := soak.NewClock()
@@ -91,7 +91,7 @@
 	case <-process.Done():
 	case <-time.After(time.Until(clock.At(processRecord.SigtermAt + soak.KillAfter(classes)))):
 		processRecord.SigkillAt = clock.Now()
-		t.Errorf("the process had not ended %.3f s after SIGTERM, when SIGKILL may come",
+		t.Errorf("the process was still running %.3f s after SIGTERM, when SIGKILL may be sent",
 			(processRecord.SigkillAt - processRecord.SigtermAt).Seconds())
 	}
 	processRecord.Err = process.Close()
@@ -103,7 +103,7 @@
 		history.BackendAttempts = append(history.BackendAttempts, b.Attempts()...)
 	}
 	if len(history.BackendAttempts) == 0 {
-		t.Error("no request reached a backend: the sweep did not run as meant")
+		t.Error("no request reached a backend: the sweep did not test the shutdown")
 	}
 	for _, violation := range soak.Check(history).Violations {
 		t.Error(violation)
@@ -111,7 +111,7 @@
 	return attempts
 }
 
-// dial opens a connection for each moment of the sweep. They are closed at the end of the test.
+// dial opens a connection for each request of the sweep. The connections are closed at the end of the test.
 func (s shutdownSweep) dial(t *testing.T, clock soak.Clock, listen string) []*soak.Conn {
 	t.Helper()
 	var conns []*soak.Conn
@@ -126,11 +126,11 @@
 	return conns
 }
 
-// send sends the request of moment i and returns what became of it.
+// send sends request i of the sweep and returns the outcome.
 func (s shutdownSweep) send(conn *soak.Conn, clock soak.Clock, sigtermAt time.Duration, i int) soak.ClientAttempt {
 	offset := time.Duration(i) * sweepStep
-	request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST", BodyBytes: 12,
-		Timeout: s.deadline}
+	request := soak.Request{ID: fmt.Sprintf("%016x", i+1), Class: string(soak.NonIdempotent), Method: "POST",
+		BodyBytes: 12, Timeout: s.deadline}
 	if s.inTwoPieces {
 		request.Pieces = 2
 		request.PieceGap = offset
@@ -141,11 +141,12 @@
 	return attempt
 }
 
-// startProcess starts a gateway as the command does and waits until it is ready.
+// startProcess starts a gateway as a process of the command and waits until it is ready.
 func startProcess(t *testing.T, classes []soak.Class, discovery string) (process *gatewayprocess.Gateway, listen string) {
 	t.Helper()
 	options := gatewayOptions(t, classes, discovery)
-	process, err := gatewayprocess.Start(t.Context(), gatewayprocess.Program{Command: "exec " + os.Args[0], Dir: "."}, options)
+	process, err := gatewayprocess.Start(t.Context(),
+		gatewayprocess.Program{Command: "exec " + os.Args[0], Dir: "."}, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +157,7 @@
 	return process, options.Listen
 }
 
-// gatewayOptions are those of a gateway of its own at a free address.
+// gatewayOptions returns the options of a single gateway that listens on a free port.
 func gatewayOptions(t *testing.T, classes []soak.Class, discovery string) gatewayprocess.Options {
 	t.Helper()
 	listen, err := gatewayprocess.FreeAddress()
@@ -178,7 +179,8 @@
 	return options
 }
 
-// startHangingBackends starts backends that take requests and never answer, and a discovery that lists them.
+// startHangingBackends starts backends that accept requests and never answer, and a discovery service that lists
+// them.
 func startHangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
 	var list []gateway.EndpointEntry
@@ -202,9 +204,9 @@
 	return backends, address
 }
 
-// Restarts under fault injection, short and seeded: series of signals, hanging backends, slow and
-// disconnecting clients that use open connections until SIGKILL, many idle clients, proxies. fleetlab soak
-// runs more seeds, and longer.
+// TestSoak runs short soak tests, which restart gateways under faults drawn from a seed: series of signals, hanging
+// backends, slow and disconnecting clients that use open connections until SIGKILL, many idle clients, and proxies.
+// The command fleetlab soak runs more seeds for a longer time.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	const (
@@ -227,7 +229,7 @@
 				t.Error(violation)
 			}
 			if v := result.Verdict; result.Partial || v.Served < 100 || v.Rejected+v.Failed == 0 {
-				t.Errorf("partial %t: %d served, %d rejected, %d failed: the run did not go as meant",
+				t.Errorf("partial %t: %d served, %d rejected, %d failed: want a complete run, 100 served, some not served",
 					result.Partial, v.Served, v.Rejected, v.Failed)
 			}
 		})
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -25,7 +25,7 @@
 	streamedInBatch uint32 // batch in which that response started
 	ended           bool
 	endedInBatch    uint32 // batch in which the request ended
-	answered        bool   // the instance has sent a final answer
+	answered        bool   // a final answer of the instance ended the request
 }
 
 // incarnationRuns reports whether the incarnation that the request was sent to is still running.
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -1,5 +1,5 @@
-// Package asyncwriter provides an io.Writer that never blocks its callers. It decouples a program from the
-// reader of its log, which may be slow, stuck or gone.
+// Package asyncwriter provides an io.Writer that never blocks its callers, so that a program is not affected by a
+// reader of its log that is slow, hangs or has exited.
 package asyncwriter
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// maxQueuedLines is the length of the queue. Lines that don't fit are dropped and counted.
+// maxQueuedLines is the capacity of the queue. Lines that do not fit are dropped and counted.
 const maxQueuedLines = 1024
 
-// Writer forwards each Write to another writer, in order, on a goroutine of its own. Errors of that writer
-// are ignored: a log that nobody reads must not keep a program from its work. Its methods may be called
-// from many goroutines. A Writer is made by New, and its goroutine lasts as long as the process.
+// Writer queues the data of each Write as one line, and writes the lines in order to a destination on a separate
+// goroutine. It ignores errors of the destination, since a log that nobody reads must not stop the program. Its
+// methods are safe for concurrent use. Writers are created by New; their goroutine runs until the process exits.
 type Writer struct {
 	dst     io.Writer
 	queue   chan queueEntry
-	dropped atomic.Uint64 // lines dropped since the last line about them
+	dropped atomic.Uint64 // lines dropped since the last report of dropped lines
 }
 
-// queueEntry is a line, or a marker that all entries before it have been written.
+// queueEntry is a line, or a marker that Flush queues to learn when all entries before it have been written.
 type queueEntry struct {
 	line    []byte
-	flushed chan struct{} // closed when the marker is reached; nil for a line
+	flushed chan struct{} // closed when forward reaches the marker; nil for a line
 }
 
-// New returns a Writer that forwards to dst.
+// New returns a Writer with the destination dst and starts its goroutine.
 func New(dst io.Writer) *Writer {
 	w := &Writer{dst: dst, queue: make(chan queueEntry, maxQueuedLines)}
 	go w.forward()
@@ -45,7 +45,7 @@
 	return len(p), nil
 }
 
-// Flush returns when all lines queued before it have been written, or after the timeout.
+// Flush waits until all lines that are queued before the call have been written, or until the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
@@ -61,7 +61,7 @@
 	}
 }
 
-// forward writes the queue's entries to the destination.
+// forward writes the queued lines to the destination. It never returns.
 func (w *Writer) forward() {
 	for entry := range w.queue {
 		if entry.flushed != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// reportDropped writes how many lines have been dropped since it last did so, if any.
+// reportDropped writes the number of lines dropped since its last report, if any, to the destination.
 func (w *Writer) reportDropped() {
 	if n := w.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w.dst, "log: %d lines were dropped\n", n)
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -12,7 +12,7 @@
 
 // gatedWriter is a destination whose writes block until the gate is opened.
 type gatedWriter struct {
-	gate chan struct{} // closed to open it
+	gate chan struct{} // closing the channel opens the gate
 	mu   sync.Mutex
 	text bytes.Buffer
 }
@@ -24,7 +24,7 @@
 	return g.text.Write(p)
 }
 
-// Lines are written in order. While the destination blocks, no caller does, and lines that don't fit the
+// Lines are written in order. While the destination blocks, Write does not block, and lines that do not fit into the
 // queue are counted.
 func TestBlockedDestinationBlocksNoCaller(t *testing.T) {
 	dst := &gatedWriter{gate: make(chan struct{})}
@@ -56,7 +56,7 @@
 	}
 }
 
-// An error of the destination reaches no caller.
+// Errors of the destination are not returned to callers of Write.
 func TestFailingDestinationFailsNoCaller(t *testing.T) {
 	reader, writer := io.Pipe()
 	reader.Close()
