--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// maxEntries is how many known failures a landing may carry.
+// maxEntries is the largest number of known failures with which a change may be merged.
 const maxEntries = 3
 
-// entry is one test that fails for a fault which is not mended yet.
+// entry is one test that is known to fail because of a fault that has not been fixed yet.
 type entry struct {
-	test    string // name of the top-level test
-	command string // shell command that runs the test, with its seed, and shows the failure
-	seen    string // what was seen
+	test    string // name of the top-level test function
+	command string // shell command that runs the test, with its seed if it has one, and prints the failure
+	seen    string // failure that was observed
 	issue   int    // number of the open issue about the fault
 }
 
 var testNamePattern = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 
-// readList reads the entries of a list. Entries are paragraphs of "key: value" lines with the keys test, command, seen and
-// issue, each exactly once; lines that begin with # are comments.
+// readList reads the entries of a list, which are separated by blank lines. An entry has "key: value" lines with the
+// keys test, command, seen and issue, each exactly once. Lines that begin with # are comments.
 func readList(r io.Reader) ([]entry, error) {
 	var entries []entry
 	fields := map[string]string{}
@@ -66,40 +66,40 @@
 	return entries, nil
 }
 
-// addField adds the field that a line holds.
+// addField parses a "key: value" line and adds the field to those of the current entry.
 func addField(fields map[string]string, line string) error {
 	key, value, found := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
 	switch key {
 	case "test", "command", "seen", "issue":
 	default:
-		return fmt.Errorf("no such key: %q", key)
+		return fmt.Errorf("unknown key %q", key)
 	}
 	if !found || value == "" {
 		return fmt.Errorf("%s has no value", key)
 	}
 	if fields[key] != "" {
-		return fmt.Errorf("%s stands twice in an entry", key)
+		return fmt.Errorf("the entry has the key %s twice", key)
 	}
 	fields[key] = value
 	return nil
 }
 
-// newEntry makes an entry of its fields.
+// newEntry validates the fields of an entry and returns the entry.
 func newEntry(fields map[string]string) (entry, error) {
 	e := entry{test: fields["test"], command: fields["command"], seen: fields["seen"]}
 	if !testNamePattern.MatchString(e.test) {
-		return entry{}, fmt.Errorf("test: %q is no name of a top-level test", e.test)
+		return entry{}, fmt.Errorf("test: %q is not the name of a top-level test", e.test)
 	}
 	if !strings.Contains(e.command, e.test) {
-		return entry{}, fmt.Errorf("%s: its command doesn't name it", e.test)
+		return entry{}, fmt.Errorf("%s: the command does not contain the name of the test", e.test)
 	}
 	if e.seen == "" {
-		return entry{}, fmt.Errorf("%s: what was seen is missing", e.test)
+		return entry{}, fmt.Errorf("%s: the key seen is missing", e.test)
 	}
 	issue, err := strconv.Atoi(fields["issue"])
 	if err != nil || issue < 1 {
-		return entry{}, fmt.Errorf("%s: issue: %q is no number of an issue", e.test, fields["issue"])
+		return entry{}, fmt.Errorf("%s: issue: %q is not an issue number", e.test, fields["issue"])
 	}
 	e.issue = issue
 	return e, nil
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,10 +1,10 @@
-// Command knownred runs the tests that KNOWN-RED.txt lists and passes over their failures.
+// Knownred handles the tests that are known to fail. KNOWN-RED.txt lists them; their failures don't block a change.
 //
-//	knownred pattern FILE   prints a pattern of the listed tests for go test -skip; nothing for an empty list
-//	knownred check FILE     runs each listed test by its command
+//	knownred pattern FILE   prints a pattern for go test -skip that matches the listed tests; nothing for an empty list
+//	knownred check FILE     runs the command of each listed test
 //
-// check prints each known failure. Its exit status is 1 if a listed test passes, for then its entry has to go, if a
-// command ends without the failure of its own test, and if the list can't be read.
+// The subcommand check prints each known failure. It exits with status 1 if a listed test passes, since its entry must
+// then be removed, if a command fails without a failure of its test, or if the list can't be read.
 package main
 
 import (
@@ -18,13 +18,13 @@
 	"time"
 )
 
-// commandTimeout bounds the run of one listed test.
+// commandTimeout is the longest time that the command of a listed test may run.
 const commandTimeout = 10 * time.Minute
 
 var (
 	errUsage        = errors.New("usage: knownred pattern|check FILE")
-	errPasses       = errors.New("passes; take it off the list")
-	errOtherFailure = errors.New("ended without its own failure")
+	errPasses       = errors.New("passes; remove it from the list")
+	errOtherFailure = errors.New("did not fail, but its command did")
 )
 
 func main() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// run carries out the command line.
+// run executes the subcommand in args and writes its output to out.
 func run(args []string, out io.Writer) error {
 	if len(args) != 2 {
 		return errUsage
@@ -59,7 +59,7 @@
 	return errUsage
 }
 
-// skipPattern returns a pattern that matches the listed tests, or "" if there are none.
+// skipPattern returns a pattern for go test -skip that matches the listed tests, or "" if the list is empty.
 func skipPattern(entries []entry) string {
 	if len(entries) == 0 {
 		return ""
@@ -71,7 +71,7 @@
 	return "^(" + strings.Join(names, "|") + ")$\n"
 }
 
-// check runs all listed tests and returns what is wrong with the list.
+// check checks all entries and returns an error for each entry whose test does not fail as listed.
 func check(entries []entry, out io.Writer) error {
 	var problems []error
 	for _, e := range entries {
@@ -82,7 +82,8 @@
 	return errors.Join(problems...)
 }
 
-// check runs the command of one entry and prints the known failure.
+// check runs the command of an entry. If the listed test fails, it prints the known failure; otherwise it returns an
+// error.
 func (e entry) check(out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/tools/knownred/main_test.go
+++ b/tools/knownred/main_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// failingCommand is a command that ends as a failing test does.
+// failingCommand is a shell command with the output and exit status of a failing TestSlow.
 const failingCommand = `printf -- '--- FAIL: TestSlow (0.01s)\n    slow_test.go:9: took 3 s\n'; exit 1`
 
-// listWithCommand returns a list of one entry for TestSlow with the given command.
+// listWithCommand returns a list whose only entry is for TestSlow and has the given command.
 func listWithCommand(command string) string {
 	return "# a comment\ntest: TestSlow\ncommand: : TestSlow; " + command + "\nseen: took 3 s of 1 s\nissue: 7\n"
 }
 
-// runSubcommand runs a verb on a list and returns what it printed.
+// runSubcommand runs a subcommand of knownred on a list and returns its output.
 func runSubcommand(t *testing.T, subcommand, list string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "list.txt")
