--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -167,7 +167,8 @@
 	return resp.StatusCode
 }
 
-// awaitOK repeats a request until the response has status 200. The purpose is named if that never happens.
+// awaitOK repeats a request until the response has status 200. If that does not happen within testTimeout, it fails
+// the test and names the purpose of the request.
 func (c *descriptorClient) awaitOK(t *testing.T, purpose string, request func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); c.do(request()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// asCommandKey is the environment variable that makes the test binary run as the command.
+// asCommandKey is the name of the environment variable that makes the test binary run as the command.
 const asCommandKey = "SIMADAPTER_TEST_AS_COMMAND"
 
 // TestMain runs the command instead of the tests if the environment variable asCommandKey is set.
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// reportViolation fails the test with a rule that the adapter's actions for a request violate.
+// reportViolation fails the test because the adapter's actions for a request break a rule.
 func (s *simulation) reportViolation(req *simRequest, rule string) {
 	s.t.Errorf("seed %d batch %d (%.3f s): request %d (%s %s): %s", s.seed, s.batchSeq, s.now, req.id,
 		req.class.Idempotency, req.class.DedupeScope, rule)
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -64,8 +64,7 @@
 	s.after(s.ExpFloat64()*2, func() { s.sendNextRequest(c) })
 }
 
-// drawInterval draws the mean time between a customer's requests, from bursts of many a second to pauses of a
-// minute.
+// drawInterval draws the mean time between a customer's requests, from many a second to about one a minute.
 func (s *simulation) drawInterval(c *simCustomer) {
 	c.meanInterval = oneOf(s.randomSource, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
 }
@@ -116,7 +115,7 @@
 }
 
 // drawReachable reports whether to send a customer's request to an instance. All of the customer's gateways get
-// requests; other gateways get a few by mistake.
+// requests; other gateways get a few.
 func (s *simulation) drawReachable(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
 	offset := (inst.rank - c.firstGateway + fleet) % fleet
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -259,7 +259,7 @@
 		name, amount, ttl := r.u64(), r.f32(), r.f64()
 		s.callCounter(inst, name, amount, ttl)
 	case actionPollEndpoints:
-		r.u8() // 1: subscribe, which the adapter always sends
+		r.u8() // always 1: subscribe
 		s.answerPoll(inst)
 	case actionProbe:
 		s.answerProbe(inst, r.u32())
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -163,7 +163,8 @@
 	}
 }
 
-// classes draws one class for each combination of idempotency and dedupe scope, and a second idempotent class.
+// classes draws two idempotent classes, one that is not idempotent, and one for each dedupe scope of idempotency by
+// key.
 func (d randomSource) classes() []simClass {
 	var classes []simClass
 	for _, kind := range []struct{ idempotency, scope string }{
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,9 +1,9 @@
 // Package wire translates between the simulator's binary frames and the events and actions of package
 // policy, and parses the settings of a deployment. It converts names and units and makes no decisions.
 //
-// The specification of the simulator's protocol uses terms of its own. They occur in this package only: as
-// JSON keys in settings.go, as values of settings in settingsmap.go and as record names in the comments of
-// codes.go.
+// The specification of the simulator's protocol uses terms of its own, which this package alone translates to those
+// of package policy. They occur as JSON keys in settings.go, as values of settings in settingsmap.go and as record
+// names in the comments of codes.go.
 //
 // An instance is one simulated gateway. A batch is a frame with all events of one moment, for any number of
 // instances; each batch is answered by one reply frame with the actions of those instances.
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -24,10 +24,10 @@
 	codeCancelAttempt   = 81 // DropAttempt: cancel an attempt
 	codeSetTimer        = 82 // Sleep: set a timer
 	codeCounterAdd      = 85 // Count: add an amount to a total of the counter
-	codeRejectRequest   = 86 // Decline: final answer: rejected, and a retry is safe
+	codeRejectRequest   = 86 // Decline: final answer that rejects a request; a retry is safe
 	codeInstanceActions = 87 // Speaking: names the instance that the next records come from
 	codePollEndpoints   = 88 // StreamChanges: subscribe to the changes of the endpoint list, or unsubscribe
-	codeFailRequest     = 89 // Abort: final answer: failed, possibly after it took effect
+	codeFailRequest     = 89 // Abort: final answer that fails a request, which may have taken effect
 	codeSendAttempt     = 91 // PassOn: send an attempt to a backend
 	codeLog             = 92 // Log: a line for the simulator's report
 )
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -13,7 +13,7 @@
 	ErrTruncatedFrame = errors.New("the input ends within the frame")
 	// ErrInvalidClock reports a batch whose clock time is NaN or infinite.
 	ErrInvalidClock = errors.New("the clock time is not a finite number")
-	// ErrShortFrame reports a record that extends past the end of its frame.
+	// ErrTruncatedRecord reports a record that extends past the end of its frame.
 	ErrTruncatedRecord = errors.New("the record extends past the end of the frame")
 	// ErrUnknownCode reports a record code that the protocol does not define.
 	ErrUnknownCode = errors.New("unknown record code")
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -55,7 +55,7 @@
 	return records, nil
 }
 
-// decodeRecord decodes the fields of one record. The caller must discard the results if they leave c.truncated set.
+// decodeRecord decodes the fields of one record. The caller must discard the results if c.truncated is set afterwards.
 func (d *Decoder) decodeRecord(c *cursor, code uint8) (Record, error) {
 	switch code {
 	case codeInstanceEvents:
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -11,7 +11,7 @@
 const (
 	replyHeaderSize = 12 // bytes: length, number of records and sequence number
 	replyLengthSize = 4  // bytes of the length field, which the length does not include
-	pollOn          = 1  // the field of a codePollEndpoints record: subscribe
+	pollOn          = 1  // field value of a codePollEndpoints record: subscribe
 )
 
 // Reply encodes the actions of all instances in response to one batch. Reset must be called before any other
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,9 +7,9 @@
 	"amberlb/policy"
 )
 
-// Deployment holds everything that the settings state: the settings of the policy engine, and the names that
-// HTTP messages use for classes, plans, zones and kinds of machines. The policy engine refers to these by their
-// index in the name lists.
+// Deployment holds everything that the settings state: the settings of the policy engine, and the names by which
+// requests and endpoint lists refer to classes, plans, zones and kinds of machines. The policy engine refers to
+// these by their index in the lists of names.
 type Deployment struct {
 	policy.Settings
 	ClassNames  []string
@@ -44,8 +44,8 @@
 	return deployment, err
 }
 
-// settingsJSON mirrors the JSON of the settings. Its tags are the keys of the protocol's specification, which no
-// other package uses; unknown keys are ignored. Fields whose names end in S are in seconds.
+// settingsJSON mirrors the JSON of the settings. Its tags are the keys that the protocol defines; unknown keys are
+// ignored. Fields whose names end in S are in seconds.
 type settingsJSON struct {
 	Capabilities struct {
 		CanCancel         bool    `json:"cancel"`
--- a/internal/wire/settingsmap.go
+++ b/internal/wire/settingsmap.go
@@ -2,7 +2,7 @@
 
 import "amberlb/policy"
 
-// Values of the settings "discovery", "weights" and "how" of "loadReport" that are distinguished.
+// Values with which the settings "discovery", "weights" and "how" (in "loadReport") are compared.
 const (
 	discoveryByPolling = "ask"
 	weightsRough       = "rough"
