--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// simAttempt is one attempt of a request at a backend.
+// simAttempt is one attempt of a request at a backend. mayHaveExecuted stays true unless the attempt's status proves
+// that the backend did not execute it.
 type simAttempt struct {
 	backend         *simBackend
 	sentAt          float64
@@ -14,29 +15,29 @@
 	mayHaveExecuted bool
 }
 
-// drawOutcome draws how an attempt at a backend ends and after how long.
+// drawOutcome draws the status and the latency of an attempt at a backend.
 func (s *simulation) drawOutcome(b *simBackend) (status uint8, latency float64) {
 	latency = b.latency * s.between(0.5, 2) * (1 + float64(b.inFlight)/6)
-	luck := s.Float64()
+	roll := s.Float64()
 	switch {
 	case b.state == stateRemoved || b.condition == unreachable:
 		return statusConnectFailed, s.settings.Capabilities.ConnectTimeoutS
-	case b.state == stateDraining || b.condition == rejecting && luck < 0.8 || b.inFlight > 30:
+	case b.state == stateDraining || b.condition == rejecting && roll < 0.8 || b.inFlight > 30:
 		return statusRejected, 0.002
-	case b.condition == silent && luck < 0.9 || luck < 0.01:
+	case b.condition == silent && roll < 0.9 || roll < 0.01:
 		return statusTimeout, math.MaxFloat64
-	case b.condition == failing && luck < 0.5 || luck < 0.02:
-		return oneOf[uint8](s.draws, statusFailed, statusReset), latency * s.Float64()
-	case b.condition == failing && luck < 0.8 || luck < 0.04:
-		return statusReset, s.between(0, 2) // after the backend had begun
+	case b.condition == failing && roll < 0.5 || roll < 0.02:
+		return oneOf[uint8](s.randomSource, statusFailed, statusReset), latency * s.Float64()
+	case b.condition == failing && roll < 0.8 || roll < 0.04:
+		return statusReset, s.between(0, 2) // after the backend has started to execute the request
 	case b.condition == slow:
 		latency *= 8
 	}
 	return statusServed, latency
 }
 
-// startAttempt sends an attempt to a backend and schedules its end, if it gets one. A timeout of 0 is the
-// client's deadline.
+// startAttempt sends an attempt to a backend and schedules the attempt's end; in rare cases the end is never
+// reported. A timeout of 0 means that only the client's deadline limits the attempt.
 func (s *simulation) startAttempt(req *simRequest, timeout float64, backendID uint32) {
 	i := slices.IndexFunc(s.backends, func(b *simBackend) bool { return b.id == backendID })
 	if i < 0 {
@@ -55,7 +56,7 @@
 	switch {
 	case req.ended || req.streamedAttempt > 0:
 		s.after(0, func() { s.endAttempt(req, n, statusNotSent) })
-	case s.chance(0.01): // it never gets an end
+	case s.chance(0.01): // its end is never reported
 	case latency >= limit:
 		s.after(limit, func() { s.endAttempt(req, n, statusTimeout) })
 	case req.class.Streamed && status == statusServed:
@@ -65,21 +66,22 @@
 	}
 }
 
-// startResponse starts the streamed response of an attempt, unless another one of its request came first.
+// startResponse starts the streamed response of an attempt. It cancels the attempt instead if the request has ended
+// or another attempt's response has started.
 func (s *simulation) startResponse(req *simRequest, n int) {
 	a := req.attempts[n]
-	if !a.inFlight || !req.instanceRuns() || req.ended || req.streamedAttempt > 0 {
+	if !a.inFlight || !req.incarnationRuns() || req.ended || req.streamedAttempt > 0 {
 		s.endAttempt(req, n, statusCancelled)
 		return
 	}
 	req.streamedAttempt = n + 1
 	req.streamedInBatch = s.batchSeq
 	req.instance.events.responseStarted(req.id, a.backend.id, s.now-a.sentAt, n)
-	status := oneOf[uint8](s.draws, statusServed, statusServed, statusServed, statusReset)
+	status := oneOf[uint8](s.randomSource, statusServed, statusServed, statusServed, statusReset)
 	s.after(s.ExpFloat64(), func() { s.endAttempt(req, n, status) })
 }
 
-// responseStarted writes that the streamed response of attempt n has started.
+// responseStarted writes the record that the streamed response of attempt n has started.
 func (w *recordWriter) responseStarted(request, backend uint32, latency float64, n int) {
 	w.begin(eventResponseStarted)
 	w.u32(request)
@@ -88,8 +90,8 @@
 	w.u8(uint8(n))
 }
 
-// endAttempt ends an attempt that is still in flight. An attempt that is served ends its request, unless it
-// comes second.
+// endAttempt ends attempt n if it is still in flight. The request ends with the first attempt that is served, or with
+// the end of a streamed response. A second served attempt is reported as cancelled.
 func (s *simulation) endAttempt(req *simRequest, n int, status uint8) {
 	a := &req.attempts[n]
 	if !a.inFlight {
@@ -97,7 +99,7 @@
 	}
 	a.inFlight = false
 	a.backend.inFlight--
-	if !req.instanceRuns() {
+	if !req.incarnationRuns() {
 		return
 	}
 	streamed := req.streamedAttempt == n+1
@@ -115,7 +117,7 @@
 	s.writeAttemptEnd(&req.instance.events, req, n, status, actualUnits)
 }
 
-// writeAttemptEnd writes the end of attempt n of a request.
+// writeAttemptEnd writes the record that attempt n of a request has ended.
 func (s *simulation) writeAttemptEnd(w *recordWriter, req *simRequest, n int, status uint8, actualUnits int) {
 	a := &req.attempts[n]
 	w.begin(eventAttemptEnd)
@@ -125,15 +127,15 @@
 	w.u8(status)
 	w.f64(s.now - a.sentAt)
 	w.flag(req.ended, 1)
-	w.u16(s.IntN(150)) // the customer's use of its quota in percent
+	w.u16(s.IntN(150)) // 1 + the customer's use of its quota in percent; 0: not known
 	w.u16(actualUnits)
 	s.writeLoadReport(w, s.settings.LoadReport.Delivery == "inline", a.backend)
 }
 
-// cancelAttempt cancels attempt n of a request. One whose response has started goes on.
+// cancelAttempt cancels attempt n of a request. An attempt whose response has started continues.
 func (s *simulation) cancelAttempt(req *simRequest, n int) {
 	if !s.settings.Capabilities.CanCancel || n >= len(req.attempts) {
-		s.violation(req, fmt.Sprintf("attempt %d cannot be cancelled", n))
+		s.reportViolation(req, fmt.Sprintf("attempt %d cannot be cancelled", n))
 	} else if req.streamedAttempt != n+1 {
 		s.after(0, func() { s.endAttempt(req, n, statusCancelled) })
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,8 +11,8 @@
 	"amberlb/policy"
 )
 
-// unhex decodes hexadecimal digits, passing over white space.
-func unhex(t testing.TB, text string) []byte {
+// decodeHex decodes hexadecimal digits and ignores white space.
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -21,11 +21,11 @@
 	return b
 }
 
-// emptyBatch is the empty batch of the wire's description.
+// emptyBatch is the example of a batch without records in the protocol's specification.
 const emptyBatch = "4020d3126e978d50 00000008 00000000 00000001"
 
 func TestDecodeEvents(t *testing.T) {
-	in := unhex(t, `4020d3126e978d50 00000046 00000005 0000000c
+	in := decodeHex(t, `4020d3126e978d50 00000046 00000005 0000000c
 		1c 00000003
 		12 5d3a91c4 3f800000 0000 91f03b7c55d20a64 40400000 40000000 01 0000 40214df3b645a1cb
 		16 000000000000004d
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if b.Seq != 12 || len(b.Records) != 3 {
-		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
+		t.Fatalf("batch %d with %d records, want batch 12 with 3", b.Seq, len(b.Records))
 	}
 	r := b.Records[0].Event.(policy.Request)
 	want := policy.Request{ID: 0x5d3a91c4, FirstGateway: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
@@ -50,12 +50,12 @@
 	}
 }
 
-// A list that is defined again applies to the updates after it alone.
+// A list number can be defined again within a batch. Each update must refer to the latest definition before it.
 func TestEndpointUpdateRefersToLatestList(t *testing.T) {
 	first := "1b 00000000 00000001 03124a07 00 0000 0000 01 3f800000 0000000000000000"
 	second := "1b 00000000 00000001 2c9011f2 01 0000 0000 02 3fc00000 4018666666666666"
 	update := "11 01 00000029 00000000"
-	in := unhex(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+first+update+second+update)
+	in := decodeHex(t, "4020d3126e978d50 00000063 00000005 00000001 1c 00000003"+first+update+second+update)
 	in[11] = byte(len(in) - 12)
 	b, err := NewDecoder(bytes.NewReader(in)).Next()
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 func TestDecodeAttemptEndAndCounterReply(t *testing.T) {
-	in := unhex(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
+	in := decodeHex(t, `4020d3126e978d50 00000000 00000003 00000001 1c 00000003
 		14 5d3a91c4 00 03124a07 00 3f92f1a9fbe76c8b 01 0056 0003 02 40e0000040400000
 		1a 000000000089f690 00 42180000 3f619ce075f6fd22`)
 	in[11] = byte(len(in) - 12)
@@ -101,53 +101,57 @@
 	if err := r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}}); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
+	want := decodeHex(t, `00000048 00000005 0000000c 57 00000003 5b 5d3a91c4 3fb47ae147ae147b 03124a07
 		52 3fe0000000000000 000000000000004d 57 00000005 5c 0011 74776f2073657276657273206b6e6f776e`)
 	if !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", r.Bytes(), want)
 	}
 	r.Reset(1)
-	if want := unhex(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
+	if want := decodeHex(t, "00000008 00000000 00000001"); !bytes.Equal(r.Bytes(), want) {
 		t.Errorf("empty reply %x", r.Bytes())
 	}
 }
 
-// Malformed input has an error of its kind, with a text for standard error.
+// Each kind of malformed input has an error of its own, whose text names the fault.
 func TestMalformedInputIsAnError(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
 		text string
-		kind error // nil: checked by its text alone
+		kind error // nil: only the text is checked
 	}{
-		"short header":      {"4020d3126e978d50 0000", "within a header", ErrTruncatedHeader},
-		"impossible length": {"4020d3126e978d50 00000004 00000000 00000001", "impossible length", LengthError(4)},
-		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length", LengthError(0xffffffff)},
-		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
-		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known", ErrUnknownCode},
-		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short", ErrShortFrame},
+		"truncated header": {"4020d3126e978d50 0000", "within a batch header", ErrTruncatedHeader},
+		"length too small": {"4020d3126e978d50 00000004 00000000 00000001", "invalid frame length", LengthError(4)},
+		"length too large": {"4020d3126e978d50 ffffffff 00000000 00000001", "invalid frame length",
+			LengthError(0xffffffff)},
+		"truncated frame": {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame", ErrTruncatedFrame},
+		"unknown code": {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63",
+			"unknown record code", ErrUnknownCode},
+		"truncated record": {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000",
+			"past the end of the frame", ErrTruncatedRecord},
 		"no instance named": {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d",
-			"no instance was named", ErrNoInstance},
-		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record", TrailingBytesError(1)},
-		"missing list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
+			"no earlier record of the batch names an instance", ErrNoInstance},
+		"trailing byte": {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record",
+			TrailingBytesError(1)},
+		"undefined list": {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined",
 			UndefinedListError(4)},
 		"malformed settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
 			"settings", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := NewDecoder(bytes.NewReader(unhex(t, c.in))).Next()
+			_, err := NewDecoder(bytes.NewReader(decodeHex(t, c.in))).Next()
 			if err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("error %v, want one that says %q", err, c.text)
+				t.Errorf("error %v, want one that contains %q", err, c.text)
 			}
 			if c.kind != nil && !errors.Is(err, c.kind) {
-				t.Errorf("error %v is not of the kind of %q", err, c.kind)
+				t.Errorf("error %v, want one that wraps %q", err, c.kind)
 			}
 		})
 	}
 }
 
-// Input that ends between batches is no error.
+// Input that ends between batches is complete: Next returns io.EOF.
 func TestEndOfInputBetweenBatches(t *testing.T) {
-	d := NewDecoder(bytes.NewReader(unhex(t, emptyBatch)))
+	d := NewDecoder(bytes.NewReader(decodeHex(t, emptyBatch)))
 	if b, err := d.Next(); err != nil || len(b.Records) != 0 {
 		t.Errorf("empty batch: %v %v", b, err)
 	}
@@ -178,13 +182,13 @@
 	}
 	var unknown *UnknownNameError
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); !errors.As(err, &unknown) {
-		t.Errorf("an unknown effect was accepted, or has error %v", err)
+		t.Errorf("unknown effect: error %v, want an UnknownNameError", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(unhex(f, emptyBatch))
-	f.Add(unhex(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
+	f.Add(decodeHex(f, emptyBatch))
+	f.Add(decodeHex(f, "4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 19"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
