--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -22,15 +22,15 @@
 	return results
 }
 
-// delayReuse makes the first idle connection to backend 1 one that has been used just now, so that the next attempt
+// markRecentlyUsed makes the first idle connection to backend 1 one that has been used just now, so that the next attempt
 // surely comes within its reuseDelay.
-func delayReuse(p *connectionPools) {
+func markRecentlyUsed(p *connectionPools) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endpoints[1].idleConns[0].idleSince = time.Now().Add(reuseDelay)
 }
 
-func TestNoConnectionIsConnectFailed(t *testing.T) {
+func TestAttemptWithoutConnectionIsConnectFailed(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	backend.listener.Close()
@@ -73,7 +73,7 @@
 	conn, _ := backend.acceptRequest(t)
 	respondOK(conn, "first")
 	await(t, results, "result")
-	delayReuse(p)
+	markRecentlyUsed(p)
 	results = startRoundTrip(p, newAttempt(testTimeout))
 	other, _ := backend.acceptRequest(t)
 	respondOK(conn, "first")
@@ -92,7 +92,7 @@
 	conn, _ := backend.acceptRequest(t)
 	respondOK(conn, "first")
 	await(t, results, "result")
-	delayReuse(p)
+	markRecentlyUsed(p)
 	results = startRoundTrip(p, newAttempt(testTimeout))
 	other, _ := backend.acceptRequest(t)
 	respondOK(conn, "first")
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -31,7 +31,7 @@
 // and closes.
 type counterConn struct {
 	net.Conn
-	host            string
+	dialedAddress   string
 	responseTimeout time.Duration               // the connection is given up when an answer takes longer
 	idleEstimator   *idleLimitEstimator         // of the counter, shared by its connections
 	openConns       *atomic.Int64               // the stream's, this one among them until its reader ends
@@ -53,7 +53,7 @@
 	}
 	conn := &counterConn{
 		Conn:            netConn,
-		host:            address,
+		dialedAddress:   address,
 		responseTimeout: max(counterIOTimeout, c.timeout),
 		idleEstimator:   &c.idleEstimator,
 		openConns:       openConns,
@@ -109,7 +109,7 @@
 		return
 	}
 	request := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
-		countPath, call.key, strconv.FormatFloat(call.amount, 'f', -1, 64), call.ttl.Milliseconds(), c.host)
+		countPath, call.key, strconv.FormatFloat(call.amount, 'f', -1, 64), call.ttl.Milliseconds(), c.dialedAddress)
 	c.inFlight.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterIOTimeout))
 	if _, err := c.Write(request); err != nil {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -16,16 +16,16 @@
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := startTestGatewayWith(t, func(config string) string {
+	g := startTestGatewayWith(t, func(config string) string {
 		// So many gateways that local tokens pay for nothing while the counter answers.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
-	_, calls := counter.accept(t)
-	readRequest(t, calls)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
+	_, reader := counter.accept(t)
+	readRequest(t, reader)
 	serveOne(t, backend, "ok")
-	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, responses, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -35,31 +35,31 @@
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
-		if unfinishedCounterAnswerIsReconciled(t) {
+		if tryUnfinishedCounterAnswer(t) {
 			return
 		}
 	}
 	t.Error("the machine was too busy, each time, for the counter to answer within the calls' time")
 }
 
-// unfinishedCounterAnswerIsReconciled plays a counter whose first answer never ends. It returns false where the test was
+// tryUnfinishedCounterAnswer plays a counter whose first answer never ends. It returns false where the test was
 // held up so long that a call may have timed out before the counter said anything, which is another case.
-func unfinishedCounterAnswerIsReconciled(t *testing.T) bool {
+func tryUnfinishedCounterAnswer(t *testing.T) bool {
 	t.Helper()
 	const callTimeout = 500 * time.Millisecond // well under the 1 s after which a connection without progress is closed
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are too few to pay again.
-	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
+	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	began := time.Now()
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
-	conn, calls := counter.accept(t)
-	first, _ := readRequest(t, calls)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	conn, reader := counter.accept(t)
+	first, _ := readRequest(t, reader)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
 	if time.Since(began) >= callTimeout {
 		return false
 	}
-	conn, calls = counter.accept(t)
-	second, _ := readRequest(t, calls)
+	conn, reader = counter.accept(t)
+	second, _ := readRequest(t, reader)
 	added := 0.0
 	for _, call := range []*http.Request{first, second} {
 		n, err := strconv.ParseFloat(call.URL.Query().Get("add"), 64)
@@ -73,7 +73,7 @@
 		return false
 	}
 	serveOne(t, backend, "ok")
-	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	return true
@@ -83,17 +83,17 @@
 // by it.
 func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
-	const timeout = 200 * time.Millisecond
+	const callTimeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are too few to pay.
-	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, timeout), backend)
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
-	conn, calls := counter.accept(t)
-	first, _ := readRequest(t, calls)
-	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
+	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	conn, reader := counter.accept(t)
+	first, _ := readRequest(t, reader)
+	time.Sleep(callTimeout * 3 / 2) // the answer counts whenever it comes; here most likely late
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // and no other call is answered
-	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -103,21 +103,21 @@
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		failAnswer func(net.Conn)
-		lost       float64
+		failCall func(net.Conn)
+		wantLost float64
 	}{
 		"malformed": {func(c net.Conn) { writeResponse(c, http.StatusOK, "no number") }, 0},
 		"cut off":   {func(c net.Conn) { c.Close() }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const otherGateway = 2.0 // units that another gateway has added
+			const otherGatewayUnits = 2.0 // units that another gateway has added
 			counter := newPeer(t)
-			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
-			r.sendRequest(t, requestText("GET", "lookup", ""))
-			conn, calls := counter.accept(t)
+			g := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
+			g.sendRequest(t, requestText("GET", "lookup", ""))
+			conn, reader := counter.accept(t)
 			nextCall := func() (path string, added float64) {
-				req, _ := readRequest(t, calls)
+				req, _ := readRequest(t, reader)
 				n, err := strconv.ParseFloat(req.URL.Query().Get("add"), 64)
 				if err != nil {
 					t.Fatal(err)
@@ -125,16 +125,16 @@
 				return req.URL.Path, n
 			}
 			window, first := nextCall()
-			c.failAnswer(conn)
-			conn, calls = counter.accept(t)
+			c.failCall(conn)
+			conn, reader = counter.accept(t)
 			sameWindow, second := nextCall()
 			if sameWindow != window {
 				t.Skip("the window has just ended")
 			}
-			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGateway+second, 'f', -1, 64))
+			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGatewayUnits+second, 'f', -1, 64))
 			_, third := nextCall() // returns what was requested and not granted
-			if kept := first + second + third; first != 2 || math.Abs(kept-c.lost) > 0.1 {
-				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, kept, c.lost)
+			if remaining := first + second + third; first != 2 || math.Abs(remaining-c.wantLost) > 0.1 {
+				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, remaining, c.wantLost)
 			}
 		})
 	}
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -57,7 +57,9 @@
 }
 
 // addressChanged reports whether the connection leads to an old address of the counter.
-func (s *counterStream) addressChanged() bool { return s.conn.host != *s.client.address.Load() }
+func (s *counterStream) addressChanged() bool {
+	return s.conn.dialedAddress != *s.client.address.Load()
+}
 
 // retire leaves the connection; the next call dials.
 func (s *counterStream) retire() {
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -13,8 +13,8 @@
 	"amberlb/policy"
 )
 
-// maxTotalBytes bounds the body of an answer of the counter.
-const maxTotalBytes = 64
+// maxTotalBodyBytes bounds the body of an answer of the counter.
+const maxTotalBodyBytes = 64
 
 // Errors of an answer after which its connection can't be used any more.
 var (
@@ -59,11 +59,11 @@
 // readTotalBody reads and closes the body of an answer.
 func readTotalBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBodyBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > maxTotalBytes:
+	case len(body) > maxTotalBodyBytes:
 		return nil, errTotalTooLong
 	case !hasDelimitedBody(resp):
 		return nil, errUndelimitedBody
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -17,21 +17,21 @@
 	discoveryWarnInterval = 10 * time.Second // between log lines while discovery stays down
 )
 
-// unusableListError reports that discovery answered with something else than a usable list. The version
+// invalidListError reports that discovery answered with something else than a usable list. The version
 // that was asked from may be the cause, so the next poll asks for the full list.
-type unusableListError struct {
+type invalidListError struct {
 	status string // of the answer, if it is not 200
 	cause  error  // what is wrong with the body of one that is
 }
 
-func (e *unusableListError) Error() string {
+func (e *invalidListError) Error() string {
 	if e.cause == nil {
 		return "status " + e.status
 	}
 	return "list: " + e.cause.Error()
 }
 
-func (e *unusableListError) Unwrap() error { return e.cause }
+func (e *invalidListError) Unwrap() error { return e.cause }
 
 // discoveryWatcher follows discovery by long polls and hands on each answer. The goroutine that calls run
 // owns all of its fields.
@@ -42,11 +42,11 @@
 	onList   func(EndpointList)
 	log      *slog.Logger
 
-	generation   int64     // the version of the last list that arrived
-	hasList      bool      // a full list has arrived: the next poll is a watch from generation
-	listInUse    bool      // requests are routed by a list, possibly an older one
-	listTimeouts int       // polls for the full list, in a row, that timed out
-	warnedAt     time.Time // of the last log line about a failed poll
+	generation       int64     // the version of the last list that arrived
+	hasList          bool      // a full list has arrived: the next poll is a watch from generation
+	listInUse        bool      // requests are routed by a list, possibly an older one
+	fullListTimeouts int       // polls for the full list, in a row, that timed out
+	warnedAt         time.Time // of the last log line about a failed poll
 }
 
 // newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending
@@ -91,18 +91,18 @@
 	w.generation = list.Generation
 	w.hasList = true
 	w.listInUse = true
-	w.listTimeouts = 0
+	w.fullListTimeouts = 0
 	w.onList(list)
 }
 
 // handleFailure decides what the next poll asks for after one that failed, and logs the failure now and then.
 func (w *discoveryWatcher) handleFailure(ctx context.Context, err error) {
-	var unusable *unusableListError
-	if errors.As(err, &unusable) {
+	var invalidList *invalidListError
+	if errors.As(err, &invalidList) {
 		w.hasList = false
 	}
 	if !w.hasList && errors.Is(err, context.DeadlineExceeded) {
-		w.listTimeouts++
+		w.fullListTimeouts++
 	}
 	if ctx.Err() == nil && time.Since(w.warnedAt) > discoveryWarnInterval {
 		w.warnedAt = time.Now()
@@ -113,10 +113,10 @@
 // poll asks for the full list, or for the changes to the last one, and waits for the answer.
 func (w *discoveryWatcher) poll(ctx context.Context) (EndpointList, error) {
 	url := "http://" + w.address + endpointsPath
-	timeout := w.timeouts.fullList(w.listTimeouts, w.listInUse)
+	timeout := w.timeouts.fullListTimeout(w.fullListTimeouts, w.listInUse)
 	if w.hasList {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.timeouts.watch.Milliseconds())
-		timeout = w.timeouts.watchTotal()
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.timeouts.longPoll.Milliseconds())
+		timeout = w.timeouts.watchTimeout()
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -126,12 +126,12 @@
 	}
 	list, err := decodeEndpointList(body, !w.hasList)
 	if err != nil {
-		return EndpointList{}, &unusableListError{cause: err}
+		return EndpointList{}, &invalidListError{cause: err}
 	}
 	return list, nil
 }
 
-// get returns the body of an answer with status 200. Another status is an unusableListError.
+// get returns the body of an answer with status 200. Another status is an invalidListError.
 func (w *discoveryWatcher) get(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, &unusableListError{status: resp.Status}
+		return nil, &invalidListError{status: resp.Status}
 	}
 	return body, nil
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -21,29 +21,29 @@
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	r := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
-	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.calls <- q.URL.RawQuery
+	d := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
+	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		d.calls <- req.URL.RawQuery
 		select {
-		case <-q.Context().Done():
-		case a := <-r.answers:
-			switch a := a.(type) {
+		case <-req.Context().Done():
+		case response := <-d.answers:
+			switch response := response.(type) {
 			case EndpointList:
-				json.NewEncoder(w).Encode(a)
+				json.NewEncoder(w).Encode(response)
 			case string:
-				w.Write([]byte(a))
+				w.Write([]byte(response))
 			case nil:
 				panic(http.ErrAbortHandler)
 			case int:
-				w.WriteHeader(a)
+				w.WriteHeader(response)
 			}
 		}
 	}))
-	t.Cleanup(r.Server.Close)
-	return r
+	t.Cleanup(d.Server.Close)
+	return d
 }
 
-func (r *fakeDiscovery) address() string { return r.Listener.Addr().String() }
+func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
 // runWatcher runs a watcher until the test ends.
 func runWatcher(t *testing.T, w *discoveryWatcher) {
@@ -57,20 +57,20 @@
 // the next watch is as silent.
 func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
-		if total := newPollTimeouts(grace).watchTotal() + watchRetryDelay; total > grace*9/10 {
+		if total := newPollTimeouts(grace).watchTimeout() + watchRetryDelay; total > grace*9/10 {
 			t.Errorf("a watch lasts %v of a grace of %v", total, grace)
 		}
 	}
-	far := newPeer(t)
-	runWatcher(t, newDiscoveryWatcher(far.address(), 800*time.Millisecond, true, func(EndpointList) {}))
-	conn, r := far.accept(t)
-	readRequest(t, r)
+	discovery := newPeer(t)
+	runWatcher(t, newDiscoveryWatcher(discovery.address(), 800*time.Millisecond, true, func(EndpointList) {}))
+	conn, reader := discovery.accept(t)
+	readRequest(t, reader)
 	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	for range 3 { // none is answered
-		if req, _ := readRequest(t, r); req.URL.RawQuery != "since=41&timeout_ms=400" {
+		if req, _ := readRequest(t, reader); req.URL.RawQuery != "since=41&timeout_ms=400" {
 			t.Errorf("watch %q", req.URL.RawQuery)
 		}
-		_, r = far.accept(t)
+		_, reader = discovery.accept(t)
 	}
 }
 
@@ -78,15 +78,15 @@
 // drains.
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
-	r := startTestGateway(t, backend, other)
-	await(t, r.discovery.calls, "first list")
-	await(t, r.discovery.calls, "watch")
+	g := startTestGateway(t, backend, other)
+	await(t, g.discovery.calls, "first list")
+	await(t, g.discovery.calls, "watch")
 	unknownZone := endpointListOf(false, "Terminating", backend)
 	unknownZone.Entries[0].Zone = "nowhere"
 	unknownLifecycle := endpointListOf(false, "Leaving", other)
-	r.discovery.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
-	await(t, r.discovery.calls, "next watch")
-	_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	g.discovery.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
+	await(t, g.discovery.calls, "next watch")
+	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, connections %d and %d", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
@@ -95,18 +95,18 @@
 // A watch resumes from its last version. After an answer that is no usable list the watcher starts over
 // from the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
-	r := newFakeDiscovery(t)
+	discovery := newFakeDiscovery(t)
 	received := make(chan EndpointList, 64)
-	runWatcher(t, newDiscoveryWatcher(r.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
+	runWatcher(t, newDiscoveryWatcher(discovery.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
 	// Each step: the poll that is expected, its answer, and whether a list is handed on, and as a full one.
 	for _, step := range []struct {
-		name   string
-		query  string
-		answer any
-		reset  bool
-		none   bool
+		name      string
+		wantQuery string
+		response  any
+		wantReset bool
+		noList    bool
 	}{
 		{"discovery is not there yet", "", nil, false, true},
 		{"the first list", "", EndpointList{Generation: 41, Entries: empty}, true, false},
@@ -120,28 +120,28 @@
 		{"an array", "", "[]", false, true},
 		{"the full list after these", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
 	} {
-		if got := await(t, r.calls, "poll"); got != step.query {
-			t.Fatalf("%s: poll %q, want %q", step.name, got, step.query)
+		if got := await(t, discovery.calls, "poll"); got != step.wantQuery {
+			t.Fatalf("%s: poll %q, want %q", step.name, got, step.wantQuery)
 		}
-		r.answers <- step.answer
-		if step.none {
+		discovery.answers <- step.response
+		if step.noList {
 			continue
 		}
 		got := await(t, received, "list")
-		if got.Generation != step.answer.(EndpointList).Generation || got.Reset != step.reset {
+		if got.Generation != step.response.(EndpointList).Generation || got.Reset != step.wantReset {
 			t.Fatalf("%s: received %+v", step.name, got)
 		}
 	}
 }
 
 func TestEndpointEntryToBackend(t *testing.T) {
-	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
-	b, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
-		StartedAtMs: 1500}.toBackend(d)
+	deployment := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
+	backend, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
+		StartedAtMs: 1500}.toBackend(deployment)
 	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5,
 		StartedAt: 1.5}
-	if err != nil || b != want {
-		t.Errorf("%+v, %v; want %+v", b, err, want)
+	if err != nil || backend != want {
+		t.Errorf("%+v, %v; want %+v", backend, err, want)
 	}
 	if backendID("s-5be2a07c") != 0x4caec46a {
 		t.Errorf("the id of a name has changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
@@ -153,7 +153,7 @@
 		"negative start":    {ID: "s-1", Zone: "a", Lifecycle: "Ready", StartedAtMs: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := entry.toBackend(d); err == nil {
+			if _, err := entry.toBackend(deployment); err == nil {
 				t.Errorf("%+v was accepted", entry)
 			}
 		})
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -6,17 +6,17 @@
 // could be reached, whatever becomes of one poll. A silent watch, the delay after it and the answer to the
 // next one must therefore fit in 6 s; TestMissedChangeArrivesInTime adds them up.
 const (
-	watchTimeShare       = 0.5                     // share of the drain grace for which a watch stays open
+	longPollShare        = 0.5                     // share of the drain grace for which a watch stays open
 	responseTimeShare    = 0.25                    // share of the drain grace that an answer may take beside
 	minResponseTime      = 200 * time.Millisecond  // the lower bound of an answer's time
 	maxWatchResponseTime = 1400 * time.Millisecond // and its upper bound
-	maxListTimeout       = 4500 * time.Millisecond // for a full list while no older one is in use
+	maxFirstListTimeout  = 4500 * time.Millisecond // for a full list while no older one is in use
 	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll: discovery forgets a watch after 200 ms
 )
 
 // pollTimeouts bound the polls of discovery.
 type pollTimeouts struct {
-	watch    time.Duration // how long discovery may keep a watch open without a change
+	longPoll time.Duration // how long discovery may keep a watch open without a change
 	response time.Duration // how long an answer may take beside
 }
 
@@ -26,24 +26,24 @@
 func newPollTimeouts(drainGrace time.Duration) pollTimeouts {
 	response := min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
 	return pollTimeouts{
-		watch:    time.Duration(watchTimeShare / responseTimeShare * float64(response)),
+		longPoll: time.Duration(longPollShare / responseTimeShare * float64(response)),
 		response: response,
 	}
 }
 
-// watchTotal bounds a watch with its answer.
-func (p pollTimeouts) watchTotal() time.Duration { return p.watch + p.response }
+// watchTimeout bounds a watch with its answer.
+func (p pollTimeouts) watchTimeout() time.Duration { return p.longPoll + p.response }
 
-// fullList bounds a poll for the full list after a number of them, in a row, that timed out. Each time-out
+// fullListTimeout bounds a poll for the full list after a number of them, in a row, that timed out. Each time-out
 // doubles the bound: a list that is always cut off would never arrive. While requests are routed by an
 // older list (listInUse), no poll may outlast a watch.
-func (p pollTimeouts) fullList(timedOut int, listInUse bool) time.Duration {
-	maxTimeout := p.watchTotal()
+func (p pollTimeouts) fullListTimeout(timeoutsInRow int, listInUse bool) time.Duration {
+	maxTimeout := p.watchTimeout()
 	if !listInUse {
-		maxTimeout = max(maxTimeout, maxListTimeout)
+		maxTimeout = max(maxTimeout, maxFirstListTimeout)
 	}
 	timeout := p.response
-	for n := 0; n < timedOut && timeout < maxTimeout; n++ {
+	for n := 0; n < timeoutsInRow && timeout < maxTimeout; n++ {
 		timeout *= 2
 	}
 	return min(timeout, maxTimeout)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -32,7 +32,7 @@
 	if a.number > 0 {
 		l.metrics.add(attemptsRetried)
 	}
-	if !l.mayBegin(a) {
+	if !l.canStart(a) {
 		l.finishAttempt(a, attemptResult{outcome: policy.NotSent})
 		return
 	}
@@ -66,9 +66,9 @@
 	return a
 }
 
-// mayBegin reports whether an attempt may be sent: its request has no answer yet, a client that waits, attempts left
+// canStart reports whether an attempt may be sent: its request has no answer yet, a client that waits, attempts left
 // by the deployment's limit, and time.
-func (l *eventLoop) mayBegin(a *attempt) bool {
+func (l *eventLoop) canStart(a *attempt) bool {
 	req := a.request
 	clientWaits := req.unanswered && !req.disconnected.Load()
 	return clientWaits && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -43,10 +43,10 @@
 	g.publishBackends(t, backend.address)
 	_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
 	awaitCondition(t, "the backend is never dialled", func() bool { return isDialing(t, backend.address) })
-	listing := endpointListOf(true, "Ready", other)
-	listing.Entries = append(listing.Entries,
+	list := endpointListOf(true, "Ready", other)
+	list.Entries = append(list.Entries,
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
-	g.discovery.answers <- listing
+	g.discovery.answers <- list
 	serveOne(t, other, "ok")
 	if resp := await(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -8,7 +8,7 @@
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
 	for _, entry := range list.Entries {
-		backend, ok := l.readEntry(entry)
+		backend, ok := l.convertEntry(entry)
 		if !ok {
 			continue
 		}
@@ -25,9 +25,9 @@
 	}
 }
 
-// readEntry returns the backend that an entry describes, and false where the entry is to be passed over. An entry
+// convertEntry returns the backend that an entry describes, and false where the entry is to be passed over. An entry
 // that can't be read, for a backend in use, may say that it drains, and is taken to.
-func (l *eventLoop) readEntry(entry EndpointEntry) (backend policy.Backend, ok bool) {
+func (l *eventLoop) convertEntry(entry EndpointEntry) (backend policy.Backend, ok bool) {
 	backend, err := entry.toBackend(l.deployment)
 	if err != nil {
 		l.log.Warn("discovery: an entry can't be read", "error", err)
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -93,7 +93,7 @@
 }
 
 // Timers of what is over wake nobody, but none that is waited for may be lost.
-func TestTimersAreStaleOnceNobodyWaits(t *testing.T) {
+func TestTimersAreStaleOnceUnneeded(t *testing.T) {
 	l := &eventLoop{requests: map[policy.RequestID]*clientRequest{7: {}}}
 	for _, c := range []struct {
 		name  string
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -22,7 +22,7 @@
 }
 
 // runHollow runs a hollow gateway with one backend until the end of the test or a call of end.
-func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, end func()) {
+func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, stop func()) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
 	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{
@@ -37,20 +37,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { h.Run(ctx) })
-	end = func() { cancel(); running.Wait() }
-	t.Cleanup(end)
+	stop = func() { cancel(); running.Wait() }
+	t.Cleanup(stop)
 	await(t, h.Ready(), "list")
-	return h, end
+	return h, stop
 }
 
-// additionCounter is a counter that adds up the calls for each name.
-type additionCounter struct {
+// summingCounter is a counter that adds up the calls for each name.
+type summingCounter struct {
 	mu     sync.Mutex
 	totals map[string]float64
 	calls  uint64
 }
 
-func (c *additionCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *summingCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var add float64
 	fmt.Sscan(r.URL.Query().Get("add"), &add)
 	c.mu.Lock()
@@ -61,7 +61,7 @@
 }
 
 // callCount returns how many calls have been served.
-func (c *additionCounter) callCount() uint64 {
+func (c *summingCounter) callCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
@@ -74,7 +74,7 @@
 		burst   = 5
 		latency = 20 * time.Millisecond
 	)
-	calls := &additionCounter{totals: map[string]float64{}}
+	calls := &summingCounter{totals: map[string]float64{}}
 	counter := httptest.NewServer(calls)
 	t.Cleanup(counter.Close)
 	settings := strings.NewReplacer(`"pays": 1}`, fmt.Sprintf(`"pays": 1, "unitsPerS": 0.001, "depth": %d}`, burst),
@@ -113,8 +113,8 @@
 
 // A hollow gateway that ends answers the open requests and waits for no backend. One that has ended answers
 // too.
-func TestHollowAnswersAtItsEnd(t *testing.T) {
-	h, end := runHollow(t, testSettings, "127.0.0.1:1", constantLatency(time.Hour))
+func TestStoppedHollowAnswersRequests(t *testing.T) {
+	h, stop := runHollow(t, testSettings, "127.0.0.1:1", constantLatency(time.Hour))
 	answered := make(chan int, 2)
 	sent := make(chan struct{})
 	submit := func(id string, onSent func()) {
@@ -123,7 +123,7 @@
 	}
 	submit("one", func() { close(sent) })
 	await(t, sent, "send")
-	end()
+	stop()
 	submit("two", func() { t.Error("sent by a gateway that has ended") })
 	for range 2 {
 		if status := await(t, answered, "answer"); status != http.StatusInternalServerError {
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -14,7 +14,7 @@
 
 // What comes back decides whether a request may be retried: each row is one line of the protocol's table.
 func TestResponseOutcomes(t *testing.T) {
-	long := strings.Repeat("x", maxBodyBytes+1)
+	longBody := strings.Repeat("x", maxBodyBytes+1)
 	interim := "HTTP/1.1 100 Continue\r\n\r\n"
 	for _, c := range []struct {
 		name     string
@@ -69,10 +69,10 @@
 			"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 			policy.ConnectionReset, "", false},
 		{"body too long",
-			"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long,
+			"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + longBody,
 			policy.ConnectionReset, "", false},
 		{"endless headers",
-			"HTTP/1.1 200 OK\r\nX: " + long + long,
+			"HTTP/1.1 200 OK\r\nX: " + longBody + longBody,
 			policy.ConnectionReset, "", false},
 		{"an end told by the connection alone",
 			"HTTP/1.1 200 OK\r\n\r\nok",
@@ -157,7 +157,7 @@
 
 // A rejection promises that nothing was executed. A request that is not idempotent fails instead if it may have been,
 // and nothing below the engine retries it either.
-func TestConnectionResetAfterLastByteIsNoProof(t *testing.T) {
+func TestResetAfterLastByteIsRetriedOnlyWithIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		class  string
@@ -192,8 +192,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name string
-		end  func(*eventLoop, *clientRequest)
+		name       string
+		endAttempt func(*eventLoop, *clientRequest)
 	}{
 		{"the attempt's deadline", func(l *eventLoop, req *clientRequest) { attemptDeadline{req.attempts[0]}.fire(l) }},
 		{"a client that disconnects", func(l *eventLoop, req *clientRequest) { l.handleMessage(clientDisconnected{req}) }},
@@ -206,7 +206,7 @@
 			req := newLoopRequest(l, "POST", "/payment", policy.Request{Class: 2})
 			l.startRequest(req)
 			_, reader := backend.acceptRequest(t)
-			c.end(l, req)
+			c.endAttempt(l, req)
 			responses := len(req.response)
 			served := attemptResult{outcome: policy.Served, header: http.Header{}, body: []byte("late")}
 			l.handleMessage(attemptDone{req.attempts[0], served})
