--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -9,50 +9,52 @@
 	"amberlb/policy"
 )
 
-// attemptResult is what became of an attempt. Its header and body are set for policy.Served alone.
+// attemptResult is the result of an attempt. The header and body are set only if the outcome is policy.Served.
 type attemptResult struct {
 	outcome policy.Outcome
 	header  http.Header
 	body    []byte
 }
 
-// attempt is one sending of a request to a backend.
+// attempt is one try to send a request to a backend and get its response. The event loop and the transport's goroutine
+// share it.
 //
-// On the loop it is in flight until ended is set, by whichever comes first: the transport's result, its deadline, a
-// cancel by the engine or its client's leaving.
+// For the event loop, the attempt is in flight until ended is set. The first of these events sets it: the transport
+// reports the result, the deadline passes, the engine cancels the attempt, or the client disconnects before the request
+// has been fully written.
 //
-// On the transport's goroutine it waits for a connection, is attached to one, has been fully written, and is detached
-// again. The loop may cancel it in each of these states. mu makes that exact: a cancel comes before attach, which
-// then fails, or after it, and then closes the connection.
+// The transport's goroutine waits for a connection, attaches it to the attempt, writes the request, reads the response
+// and detaches the connection. The loop may cancel the attempt at any of these steps. mu orders the two: a cancel
+// before attach makes attach fail, and a cancel after attach closes the connection.
 type attempt struct {
-	// Set before the transport has the attempt, and constant from then on. The context and its cancel are nil for
-	// an attempt that ended without having begun.
+	// Set before the attempt is passed to the transport, and constant afterwards. ctx and cancelContext are nil for
+	// an attempt that ended before it was passed to the transport.
 	request        *clientRequest
-	number         int // among the request's attempts, from 0
+	number         int // index among the request's attempts, from 0
 	backend        policy.BackendID
-	sentAt         float64            // seconds of the loop's clock
-	deadline       float64            // seconds of the loop's clock
-	socketDeadline time.Time          // the deadline for sockets
-	ctx            context.Context    // of the wait for a connection
-	cancelContext  context.CancelFunc // may be called by any goroutine
+	sentAt         float64            // when the attempt was started, in seconds of the loop's clock
+	deadline       float64            // in seconds of the loop's clock
+	socketDeadline time.Time          // the same deadline, for socket operations
+	ctx            context.Context    // bounds the wait for a connection
+	cancelContext  context.CancelFunc // may be called from any goroutine
 
-	ended bool // the loop's own
+	ended bool // owned by the event loop
 
-	mu           sync.Mutex   // guards what follows
-	conn         *backendConn // while attached
-	cancelled    bool         // nothing may be sent any more
-	fullyWritten bool         // the request has been written to its last byte, and may be executed
+	mu           sync.Mutex   // guards the fields below
+	conn         *backendConn // nil while no connection is attached
+	cancelled    bool         // no more bytes of the request may be sent
+	fullyWritten bool         // the last byte of the request has been written, so the backend may execute it
 }
 
-// cancel ends the attempt's sending and waiting. Once it has returned, no byte of the request leaves any more: a
-// connection that is dialled later finds the attempt cancelled, and one in use is closed.
+// cancel stops the attempt. After it returns, no further byte of the request is sent: attach fails for a connection
+// that is obtained later, and an attached connection has been closed.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelLocked()
 }
 
-// cancelLocked is cancel for a caller that holds mu.
+// cancelLocked does what cancel does. The caller holds mu.
 func (a *attempt) cancelLocked() {
 	a.cancelContext()
 	a.cancelled = true
@@ -61,7 +63,8 @@
 	}
 }
 
-// cancelUnsent cancels the attempt unless its request has been fully written, and reports whether it did.
+// cancelUnsent cancels the attempt unless its request has been fully written. It reports whether it cancelled the
+// attempt.
 func (a *attempt) cancelUnsent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,8 +75,8 @@
 	return true
 }
 
-// attach ties a connection to the attempt, and reports whether the request may be written to it. It may not once the
-// attempt is cancelled or the client has disconnected.
+// attach makes conn the attempt's connection, so that a cancel closes it, and reports whether the request may be
+// written to it. It returns false, and attaches nothing, if the attempt was cancelled or the client has disconnected.
 func (a *attempt) attach(conn *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,14 +87,15 @@
 	return true
 }
 
-// markWritten records that nothing of the request is left to be written.
+// markWritten records that the request has been fully written.
 func (a *attempt) markWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fullyWritten = true
 }
 
-// detach gives the connection up, and reports whether it may be reused: a cancel would have closed it.
+// detach separates the connection from the attempt. It returns false if the attempt was cancelled: the connection has
+// then been closed and can't be reused.
 func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxResponseBytes    = 128 << 10 // bytes of a response with its headers and framing
-	maxInterimResponses = 8         // responses read for a request, until the first that is not of 1xx
+	maxResponseBytes    = 128 << 10 // maximum size of a response, with headers, framing and interim responses
+	maxInterimResponses = 8         // maximum number of responses read for a request, up to the first that is not 1xx
 )
 
-// errTooManyInterimResponses is returned where none of the first maxInterimResponses is final.
-var errTooManyInterimResponses = errors.New("no final response among as many as are read")
+// errTooManyInterimResponses is returned if the first maxInterimResponses responses to a request are all interim (1xx).
+var errTooManyInterimResponses = errors.New("too many interim responses without a final one")
 
-// backendConn is one connection to a backend, for one request at a time. Of its fields, the pools' mutex guards
-// idleSince; the others belong to the attempt that uses the connection.
+// backendConn is a connection to a backend. It carries one request at a time. The mutex of connectionPools guards
+// idleSince; the other fields belong to the attempt that uses the connection.
 type backendConn struct {
 	net.Conn
-	responseLimit *io.LimitedReader // bytes that a response may still take; reads from Conn
-	reader        *bufio.Reader     // of responseLimit
-	writer        *bufio.Writer     // of Conn
+	responseLimit *io.LimitedReader // reads from Conn and limits the size of a response
+	reader        *bufio.Reader     // reads from responseLimit
+	writer        *bufio.Writer     // writes to Conn
 	endpoint      *endpoint         // constant
 	idleSince     time.Time         // zero while an attempt uses the connection
-	idleFor       time.Duration     // before the present use; 0: the connection is new
+	idleFor       time.Duration     // how long the connection was idle before its current use; 0 for a new connection
 }
 
 func newBackendConn(conn net.Conn, e *endpoint) *backendConn {
@@ -46,7 +46,7 @@
 // isIdle reports whether no attempt uses the connection. The caller holds the mutex of connectionPools.
 func (c *backendConn) isIdle() bool { return !c.idleSince.IsZero() }
 
-// writeRequest writes a request. On an error its last byte has not been written.
+// writeRequest writes a request. If it returns an error, the last byte of the request has not been written.
 func (c *backendConn) writeRequest(r *http.Request) error {
 	if err := r.Write(c.writer); err != nil {
 		return err
@@ -54,8 +54,8 @@
 	return c.writer.Flush()
 }
 
-// readResponse reads the response to a request, its body to the end, and reports whether the connection may be
-// reused.
+// readResponse reads the complete response to a request that was sent with the given method. It also reports whether
+// the connection may be reused.
 func (c *backendConn) readResponse(method string) (result attemptResult, reusable bool) {
 	resp, body, err := c.readFinalResponse(&http.Request{Method: method})
 	if err != nil {
@@ -69,7 +69,7 @@
 	return attemptResult{outcome: outcome, header: resp.Header, body: body}, reusable
 }
 
-// readFinalResponse reads the first response that is not of 1xx, and its body.
+// readFinalResponse skips interim (1xx) responses and reads the final response and its body.
 func (c *backendConn) readFinalResponse(request *http.Request) (*http.Response, []byte, error) {
 	c.responseLimit.N = maxResponseBytes
 	for range maxInterimResponses {
@@ -93,12 +93,12 @@
 	return nil, nil, errTooManyInterimResponses
 }
 
-// noResponseYet reports whether not a byte of a response has come since readResponse began. It may be asked after
-// that has returned.
+// noResponseYet reports whether no byte of a response has arrived since the last call of readResponse began. It may
+// be called after readResponse has returned.
 func (c *backendConn) noResponseYet() bool { return c.responseLimit.N == maxResponseBytes }
 
-// responseOutcome returns what a complete response says of its request. Only a 503 or 504 with the header for it
-// proves that nothing was executed.
+// responseOutcome returns the outcome of an attempt that got a complete response. Only status 503 or 504 together with
+// unprocessedHeader proves that the backend executed nothing of the request.
 func responseOutcome(resp *http.Response) policy.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -111,12 +111,12 @@
 	return policy.Failed
 }
 
-// readErrorOutcome returns the outcome where no complete response could be read. None of these proves that nothing was
-// executed.
+// readErrorOutcome returns the outcome if reading a response failed with err. The request may have been executed in
+// each of these cases.
 func readErrorOutcome(err error) policy.Outcome {
 	switch {
 	case errors.Is(err, errTooManyInterimResponses):
-		return policy.Failed // the backend answers, though without end
+		return policy.Failed // the backend does respond, but never with a final response
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return policy.TimedOut
 	}
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	idleTimeoutMargin = time.Second            // a connection is not reused so close to the backend's own idle limit
-	reuseDelay        = 10 * time.Millisecond  // after a response, before its connection is reused
-	sweepInterval     = 500 * time.Millisecond // between searches for connections that have been idle too long
+	idleTimeoutMargin = time.Second            // a connection is not reused this close to the backend's own idle timeout
+	reuseDelay        = 10 * time.Millisecond  // minimum time between a response and the reuse of its connection
+	sweepInterval     = 500 * time.Millisecond // how often connections that have been idle too long are closed
 )
 
-// Why there is no connection for an attempt, beside a dial that failed.
+// Errors of getConn, besides those of a failed dial.
 var (
-	errNotListed       = errors.New("the backend is not listed")
-	errEndpointRetired = errors.New("the backend has been removed or has moved meanwhile")
-	errTooManyConns    = errors.New("too many connections are open, and none of them is idle")
+	errNotListed       = errors.New("backend is not in the endpoint list")
+	errEndpointRetired = errors.New("backend was removed, restarted or moved while its connection was dialed")
+	errTooManyConns    = errors.New("connection limit reached and no connection is idle")
 )
 
-// connectionPools holds the connections to all backends, a pool for each endpoint. It is the transport of a gateway
-// with sockets.
+// connectionPools holds the connections to all backends, one pool per endpoint. It is the transport of the real gateway;
+// a hollow gateway has a hollowTransport instead.
 //
-// A connection is in use by one attempt, or idle; both are in the table of its endpoint until they are closed. At most
-// maxConns are open or being dialled. Once the endpoint is retired, the one that uses a connection closes it.
+// A connection is either idle or in use by one attempt. In both states it is in endpoint.conns until it is closed. At
+// most maxConns connections are open or being dialed. When the endpoint is retired, its idle connections are closed at
+// once; a connection in use is closed at the latest when its attempt gives it back.
 type connectionPools struct {
 	connectTimeout time.Duration
-	idleLimit      time.Duration // an idle connection is reused for so long at most, and then closed
-	maxConns       int           // connections and dials, to all backends together
+	idleLimit      time.Duration // an idle connection is closed after this time
+	maxConns       int           // maximum number of connections and dials, over all backends
 	idleEstimator  idleLimitEstimator
 
-	mu        sync.Mutex // guards what follows, and the same for each endpoint and connection in it
+	mu        sync.Mutex // guards the fields below, and those fields of endpoint and backendConn that say so
 	endpoints map[policy.BackendID]*endpoint
-	openConns int // connections and dials, those of retired endpoints among them
+	openConns int // number of connections and dials; connections in use of retired endpoints are included
 }
 
-// newConnectionPools returns pools without endpoints. backendIdleTimeout is the time after which a backend closes an
-// idle connection.
+// newConnectionPools returns connectionPools without endpoints. backendIdleTimeout is the time after which a backend
+// closes an idle connection.
 func newConnectionPools(connectTimeout, backendIdleTimeout time.Duration, maxConns int) *connectionPools {
 	return &connectionPools{
 		connectTimeout: connectTimeout,
@@ -51,8 +52,8 @@
 	}
 }
 
-// getConn returns an idle connection to the backend, or a new one. It is the caller's until putIdle or discard. On an
-// error nothing has been sent.
+// getConn returns an idle connection to the backend, or dials a new one. The caller must give the connection back with
+// putIdle or discard. If getConn returns an error, nothing has been sent.
 func (p *connectionPools) getConn(ctx context.Context, id policy.BackendID) (*backendConn, error) {
 	e, idle, err := p.takeIdleOrReserve(id)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return p.dialReserved(ctx, e)
 }
 
-// takeIdleOrReserve returns the backend's endpoint and an idle connection to it. Where none may be reused, the
-// connection is nil, and a dial by the caller has been counted in openConns.
+// takeIdleOrReserve returns the backend's endpoint and an idle connection to it. If no idle connection can be reused, it
+// returns a nil connection and has reserved a place in openConns for the caller's dial.
 func (p *connectionPools) takeIdleOrReserve(id policy.BackendID) (*endpoint, *backendConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,16 +84,17 @@
 	return e, nil, nil
 }
 
-// takeIdle returns the most recently used idle connection that may be reused, and nil where there is none. It closes
-// those that it finds to be too old or closed by the backend. The caller holds mu.
+// takeIdle returns the most recently used of the idle connections that may be reused, or nil if there is none. It closes
+// the idle connections that it finds to be idle for too long, closed by the backend or holding unread bytes. The caller
+// holds mu.
 func (p *connectionPools) takeIdle(e *endpoint) *backendConn {
 	idleLimit := min(p.idleLimit, p.idleEstimator.limit(time.Now()))
 	for n := len(e.idleConns) - 1; n >= 0; n-- {
 		conn := e.idleConns[n]
 		age := time.Since(conn.idleSince)
-		// More than belonged to the last response may be on its way, and would be read as the next one.
+		// Surplus bytes after the last response may still arrive, and would be read as the next response.
 		if age < reuseDelay {
-			continue // at the limit of connections it may be evicted for a new one
+			continue // stays idle, and can be evicted at the connection limit
 		}
 		e.idleConns = slices.Delete(e.idleConns, n, n+1)
 		if age < idleLimit && isQuiet(conn.Conn) {
@@ -106,8 +108,9 @@
 	return nil
 }
 
-// evictOldestIdle closes the connection that has been idle for the longest, to whatever backend, so that those to
-// others don't keep a new one out. It returns false where none is idle. The caller holds mu.
+// evictOldestIdle closes the connection that has been idle the longest, to whichever backend, so that idle connections
+// to some backends don't prevent a new connection to another. It returns false if no connection is idle. The caller
+// holds mu.
 func (p *connectionPools) evictOldestIdle() bool {
 	var oldest *backendConn
 	for _, e := range p.endpoints {
@@ -124,8 +127,8 @@
 	return true
 }
 
-// dialReserved opens a connection that openConns counts already, and enters it in the table. If it fails, openConns
-// counts it no longer.
+// dialReserved opens a connection for which takeIdleOrReserve has reserved a place in openConns, and adds it to
+// endpoint.conns. If it fails, it releases the reserved place.
 func (p *connectionPools) dialReserved(ctx context.Context, e *endpoint) (*backendConn, error) {
 	conn, err := p.dial(ctx, e)
 	p.mu.Lock()
@@ -142,13 +145,13 @@
 	return conn, nil
 }
 
-// dial connects to an endpoint, unless the time for it, ctx or the endpoint ends first.
+// dial connects to an endpoint. It gives up when connectTimeout passes, ctx ends or the endpoint is retired.
 func (p *connectionPools) dial(ctx context.Context, e *endpoint) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	unlink := context.AfterFunc(e.ctx, cancel)
 	defer unlink()
-	dialer := net.Dialer{KeepAlive: -1} // keep-alive probes would not notice a silent machine in time
+	dialer := net.Dialer{KeepAlive: -1} // no TCP keep-alive: its probes would detect an unresponsive host too late
 	conn, err := dialer.DialContext(ctx, "tcp", e.address)
 	if err != nil {
 		return nil, err
@@ -156,7 +159,8 @@
 	return newBackendConn(conn, e), nil
 }
 
-// putIdle gives back a connection that may be reused by another attempt.
+// putIdle returns a connection to its pool, where other attempts can reuse it. If its endpoint has been retired, it
+// closes the connection.
 func (p *connectionPools) putIdle(conn *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +173,7 @@
 	conn.endpoint.idleConns = append(conn.endpoint.idleConns, conn)
 }
 
-// discard gives back a connection that may not be reused, and closes it.
+// discard closes a connection that must not be reused.
 func (p *connectionPools) discard(conn *backendConn) {
 	conn.Close()
 	p.mu.Lock()
@@ -177,7 +181,7 @@
 	p.untrack(conn)
 }
 
-// untrack takes a closed connection out of the table of its endpoint, if it is there. The caller holds mu.
+// untrack removes a closed connection from endpoint.conns, if it is there. The caller holds mu.
 func (p *connectionPools) untrack(conn *backendConn) {
 	if _, tracked := conn.endpoint.conns[conn]; tracked {
 		delete(conn.endpoint.conns, conn)
@@ -185,7 +189,8 @@
 	}
 }
 
-// sweepIdle closes connections that have been idle too long until ctx ends, and then all.
+// sweepIdle periodically closes connections that have been idle too long. When ctx ends, it closes all connections and
+// returns.
 func (p *connectionPools) sweepIdle(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -200,7 +205,7 @@
 	}
 }
 
-// retireAll retires all endpoints and closes their connections, those in use too.
+// retireAll retires all endpoints and closes their connections, including those in use.
 func (p *connectionPools) retireAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,7 +224,7 @@
 	}
 }
 
-// closeIdleBefore closes the connections of an endpoint that have been idle since before a time. The caller holds mu.
+// closeIdleBefore closes the connections of an endpoint that became idle before the given time. The caller holds mu.
 func (p *connectionPools) closeIdleBefore(e *endpoint, before time.Time) {
 	expired := 0
 	for expired < len(e.idleConns) && e.idleConns[expired].idleSince.Before(before) {
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -6,14 +6,14 @@
 	"amberlb/policy"
 )
 
-// Bounds of a call's TTL on the counter, which is given in whole milliseconds.
+// Bounds of the TTL that a call gives its key on the counter. The protocol has it in whole milliseconds.
 const (
 	minCounterTTL = time.Millisecond
-	maxCounterTTL = 60 * time.Second // the counter takes longer ones for this
+	maxCounterTTL = 60 * time.Second // the counter treats a longer TTL as 60 s
 )
 
-// callCounter makes a call to the counter. A call that can't be queued, or that the deployment has no counter for, is
-// rejected at once.
+// callCounter starts a call to the counter. The call ends at once as policy.Rejected if the deployment has no counter or
+// the queue of the call's stream is full.
 func (l *eventLoop) callCounter(action policy.CounterAdd) {
 	call := &counterCall{
 		id:     action.Call,
@@ -35,8 +35,9 @@
 	l.timers.schedule(call.sentAt+l.deployment.CounterTimeout, counterCallDeadline{call})
 }
 
-// finishCall handles the one end of a call. What becomes of a call that had timed out before is handed to the engine
-// all the same, since its amount may have been added.
+// finishCall ends a call with the given outcome; deliverReplies passes its reply to the engine when it is its turn. If
+// the call has already ended as policy.TimedOut, the engine gets a LateCounterReply with the outcome instead, since the
+// counter may have added the amount. If it has ended with another outcome, finishCall does nothing.
 func (l *eventLoop) finishCall(call *counterCall, outcome policy.Outcome, total float64) {
 	if call.ended {
 		if call.outcome == policy.TimedOut {
@@ -54,12 +55,12 @@
 	l.deliverReplies(call.key)
 }
 
-// deliverReplies hands the engine the replies for a key, up to the first call that has not ended. The engine takes
-// them in the order of the calls, but a call that is rejected here, or goes out on a new connection, may end before
-// an earlier one.
+// deliverReplies delivers the replies for a key to the engine, up to the first call that has not ended. The engine
+// expects them in the order of the calls, but a call that callCounter rejects, or that is sent on a new connection, can
+// end before an earlier call.
 func (l *eventLoop) deliverReplies(key uint64) {
 	for {
-		pending := l.pendingCalls[key] // read each time: the engine may call the counter for the key meanwhile
+		pending := l.pendingCalls[key] // read in each round: handling a reply may add a call for the same key
 		if len(pending) == 0 || !pending[0].ended {
 			return
 		}
@@ -78,10 +79,10 @@
 	}
 }
 
-// timeOutCall ends a call whose time is over. A response that has begun, and may never end, says as much as one that
-// can't be read: the amount was added. Handed to the engine as silence, it would count as an overloaded counter, and
-// what it added would be lost. A rejection that is cut to pieces on its way counts as added too; the amount that is
-// then taken back in error is that of one call.
+// timeOutCall ends a call at its deadline. If a part of the response has arrived, the call ends as policy.Failed, like a
+// call with a malformed response: the engine then assumes that the amount was added. With policy.TimedOut, the engine
+// would take the counter for overloaded, and the added amount would be lost. The assumption is wrong for a rejection of
+// which only a part arrives in time; the engine then takes back an amount that was never added, that of one call.
 func (l *eventLoop) timeOutCall(call *counterCall) {
 	call.abandoned.Store(true)
 	outcome := policy.TimedOut
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	counterStreams = 8   // the counter allows 32 connections of a gateway: this many streams with maxConnsPerStream each
-	maxQueuedCalls = 512 // calls that wait for one stream, and calls in flight on one connection
+	counterStreams = 8   // times maxConnsPerStream are the 32 connections that the counter allows a gateway
+	maxQueuedCalls = 512 // maximum number of calls queued for a stream, and of calls in a connection's pipeline
 )
 
-// counterCall is one addition on the counter. The event loop makes it. Once queued, it is owned by the
-// stream's goroutine until it is written, and then by its connection's reader; the owner at its end calls
-// report. Meanwhile the loop uses the atomic fields, its own ones, and those that don't change.
+// counterCall is a call to the counter service, which adds an amount to the total of a key and returns the new total.
+// The event loop makes the call. After enqueue, the stream's goroutine owns it until it has been written, and then the
+// reader of its connection does; whichever goroutine ends the call calls report. Meanwhile the loop may use the atomic
+// fields, the fields that it owns, and the fields that don't change.
 type counterCall struct {
-	id      uint64 // the engine's
-	key     uint64 // the counter's name
+	id      uint64 // policy.CounterAdd.Call
+	key     uint64 // names the total to add to
 	amount  float64
-	ttl     time.Duration // how long the counter keeps the name
-	sentAt  float64       // clock time at which the loop made the call
-	idleFor time.Duration // how long its connection was idle before it; 0: it was not
+	ttl     time.Duration // how long the counter keeps the key
+	sentAt  float64       // when the loop made the call, in seconds of its clock
+	idleFor time.Duration // how long the connection was idle before the call; 0 if it was new or in use
 
-	// report tells what became of the call, once, from the goroutine that owns it.
+	// report is called once, by the goroutine that owns the call, with the outcome. total is set if that is
+	// policy.Served.
 	report func(call *counterCall, outcome policy.Outcome, total float64)
 
-	abandoned       atomic.Bool // set by the loop: nobody waits for it, and it is not to be written any more
-	responseStarted atomic.Bool // set by the reader: its answer has begun to arrive
+	abandoned       atomic.Bool // set by the loop at the call's deadline: if it is still queued, it is not written
+	responseStarted atomic.Bool // set by the reader: the response has begun to arrive
 
-	// The loop's own:
+	// Owned by the loop:
 	ended   bool
 	outcome policy.Outcome
 	total   float64
 }
 
-// counterClient makes calls over a few pipelined connections. The calls for one name keep to one stream, so
-// they are sent in order; a stream leaves a connection that is stuck for a new one.
+// counterClient sends calls to the counter over a few streams, each of which pipelines its calls on one connection. All
+// calls for a key use the same stream, so they are sent in order. When a stream's connection is blocked by a response
+// that doesn't arrive, the stream opens a new one.
 type counterClient struct {
 	address       atomic.Pointer[string]
-	timeout       time.Duration // of a call, and of a dial
+	timeout       time.Duration // timeout of a call, and of a dial
 	idleEstimator idleLimitEstimator
-	queues        [counterStreams]chan *counterCall // one for each stream
-	readers       sync.WaitGroup                    // one for each connection
+	queues        [counterStreams]chan *counterCall // one per stream
+	readers       sync.WaitGroup                    // the reader goroutines, one per connection
 }
 
-// newCounterClient makes a client of the counter at an address. The timeout is that of a call.
+// newCounterClient returns a client for the counter at the given address. timeout is the timeout of a call.
 func newCounterClient(address string, timeout time.Duration) *counterClient {
 	c := &counterClient{timeout: timeout}
 	c.setAddress(address)
@@ -57,12 +60,12 @@
 	return c
 }
 
-// setAddress directs all further calls to another address. Calls in flight to the old one may still be
-// answered there.
+// setAddress makes further calls go to another address. Calls in flight to the old address may still get their
+// responses.
 func (c *counterClient) setAddress(address string) { c.address.Store(&address) }
 
-// enqueue queues a call without waiting. It returns false if the queue is full; the call stays the caller's
-// then.
+// enqueue passes a call to its stream without blocking. It returns false if the queue is full; the caller then still
+// owns the call.
 func (c *counterClient) enqueue(call *counterCall) bool {
 	select {
 	case c.queues[call.key%counterStreams] <- call:
@@ -72,7 +75,7 @@
 	}
 }
 
-// run runs the streams until ctx ends, and returns when all their connections have ended.
+// run runs the streams until ctx ends, and returns when all their connections are closed.
 func (c *counterClient) run(ctx context.Context) {
 	var streams sync.WaitGroup
 	for _, queue := range c.queues {
@@ -82,7 +85,7 @@
 	c.readers.Wait()
 }
 
-// runStream writes the calls of one queue until ctx ends.
+// runStream sends the calls of one queue until ctx ends.
 func (c *counterClient) runStream(ctx context.Context, queue <-chan *counterCall) {
 	stream := &counterStream{client: c, lastUsed: time.Now()}
 	defer stream.close()
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -17,33 +17,32 @@
 
 const (
 	countPath               = "/v1/count/"
-	counterIOTimeout        = 1 * time.Second // of a write, and of an answer unless calls have longer
-	maxCounterResponseBytes = 16 << 10        // bytes of an answer with its headers
+	counterIOTimeout        = 1 * time.Second // timeout of a write; of a response too, unless a call's timeout is longer
+	maxCounterResponseBytes = 16 << 10        // maximum size of a response, with its headers
 )
 
-// countRequest tells http.ReadResponse that an answer is to a POST, so that it has a body. It is never
-// changed.
+// countRequest tells http.ReadResponse that a response is to a POST request, and so may have a body. It is never
+// modified.
 var countRequest = &http.Request{Method: http.MethodPost}
 
-// counterConn is one pipelined connection: calls are written in order, and their answers arrive in the same
-// order. An abandoned call keeps its place in the pipeline, so that its late answer is not taken for the
-// next call's. The stream's goroutine writes; one reader goroutine, counted in counterClient.readers, reads
-// and closes.
+// counterConn is a pipelined connection to the counter: calls are written in order, without waiting for responses, and
+// the responses arrive in the same order. An abandoned call stays in the pipeline, so that its late response is not
+// mistaken for the next call's. The stream's goroutine writes calls; a reader goroutine, counted in
+// counterClient.readers, reads the responses and finally closes the connection.
 type counterConn struct {
 	net.Conn
 	dialedAddress   string
-	responseTimeout time.Duration               // the connection is given up when an answer takes longer
-	idleEstimator   *idleLimitEstimator         // of the counter, shared by its connections
-	openConns       *atomic.Int64               // the stream's, this one among them until its reader ends
+	responseTimeout time.Duration               // the connection is closed if a response takes longer
+	idleEstimator   *idleLimitEstimator         // shared by all connections to the counter
+	openConns       *atomic.Int64               // counterStream.openConns; counts this connection until its reader ends
 	pipeline        chan *counterCall           // calls that have been written, in order
-	inFlight        atomic.Int64                // calls without an answer
-	headCall        atomic.Pointer[counterCall] // the call whose answer is read next
-	failed          atomic.Bool                 // no further call may be written
+	inFlight        atomic.Int64                // number of calls without a response
+	headCall        atomic.Pointer[counterCall] // the call whose response is being awaited or read; nil if there is none
+	failed          atomic.Bool                 // set after an error: no further call may be written
 	retireOnce      sync.Once
 }
 
-// dial opens a connection and starts its reader. It counts the connection in openConns until the reader has
-// ended.
+// dial opens a connection and starts its reader. The connection is counted in openConns until the reader ends.
 func (c *counterClient) dial(ctx context.Context, openConns *atomic.Int64) (*counterConn, error) {
 	dialer := net.Dialer{Timeout: c.timeout, KeepAlive: -1}
 	address := *c.address.Load()
@@ -67,19 +66,19 @@
 	return conn, nil
 }
 
-// retire takes no more calls; the connection ends with its reader, once the calls in flight have been
-// answered or given up. Only the stream's goroutine calls it, so no call is added to the pipeline
-// afterwards.
+// retire stops the use of the connection for further calls. The reader closes the connection after the calls in flight
+// have ended. Only the stream's goroutine may call retire, so that no call is added to the pipeline afterwards.
 func (c *counterConn) retire() { c.retireOnce.Do(func() { close(c.pipeline) }) }
 
-// Close ends the connection at once; its reader reports the calls in flight.
+// Close retires the connection and closes it at once. The reader reports the calls in flight as failed.
 func (c *counterConn) Close() error {
 	c.retire()
 	return c.Conn.Close()
 }
 
-// reusable reports whether another call may be written after an idle time. The counter may close an idle
-// connection sooner than agreed, and it would be in doubt whether a call written then has been added.
+// reusable reports whether another call may be written to the connection, to which none has been written for idleFor.
+// The counter may close an idle connection earlier than the protocol says. For a call that is written then, it would be
+// unknown whether the amount was added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
 	if c.failed.Load() || idleFor > counterIdleTimeout {
 		return false
@@ -90,19 +89,20 @@
 	return idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn)
 }
 
-// headOfLineBlocked reports whether the stream should leave a connection, since the call whose answer is next
-// has been abandoned and another connection may be opened. An answer that never ends blocks all answers
-// behind it, and so calls that the counter has served would time out, for many customers, as if it were
-// overloaded. This covers a lost or silent connection as well. It could do harm with a counter that is slow
-// for all, which gets more connections from it, so these are few; an answer that arrives late is still read
-// on its connection.
+// headOfLineBlocked reports whether the stream should replace the connection: the call whose response comes next has
+// been abandoned, and the stream may open another connection.
+//
+// A response that never ends blocks all responses behind it. Calls that the counter has served would then time out, for
+// many customers, as if the counter were overloaded. The same holds for a connection that is lost without notice or
+// gets no responses at all. The drawback is that a counter that is slow on every connection gets more connections, which
+// is why maxConnsPerStream is low. A late response is still read on the old connection.
 func (c *counterConn) headOfLineBlocked() bool {
 	call := c.headCall.Load()
 	return call != nil && call.abandoned.Load() && c.openConns.Load() < maxConnsPerStream
 }
 
-// writeCall writes one call and adds it to the pipeline, from which its answer is read. Where the pipeline
-// is full the connection is stuck, and the call fails.
+// writeCall writes a call and adds it to the pipeline, so that the reader expects its response. If the pipeline is full,
+// the connection is stuck; the call is not written and ends as policy.ConnectFailed.
 func (c *counterConn) writeCall(call *counterCall) {
 	if len(c.pipeline) == cap(c.pipeline) {
 		call.report(call, policy.ConnectFailed, 0)
@@ -113,7 +113,7 @@
 	c.inFlight.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterIOTimeout))
 	if _, err := c.Write(request); err != nil {
-		// The last byte was not written, so nothing was added.
+		// The last byte was not written, so the amount was not added.
 		c.failed.Store(true)
 		call.report(call, policy.ConnectFailed, 0)
 		return
@@ -121,8 +121,8 @@
 	c.pipeline <- call
 }
 
-// readReplies reads the answers to the calls in the pipeline until it is closed. Calls behind a failed one
-// end as ConnectionReset: they may have been added.
+// readReplies reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the calls
+// behind the failed one end as policy.ConnectionReset, since their amounts may have been added.
 func (c *counterConn) readReplies() {
 	defer c.Conn.Close()
 	limited := &io.LimitedReader{R: c.Conn}
@@ -147,8 +147,8 @@
 	}
 }
 
-// readReply reads the answer to the call at the head of the pipeline, and lets the idle estimator learn
-// from it. After an error no further answer may be read from the connection.
+// readReply reads the response to the call at the head of the pipeline, and records for the idle estimator whether the
+// connection had survived its idle time. After an error, no further response may be read from the connection.
 func (c *counterConn) readReply(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
 	c.SetReadDeadline(time.Now().Add(c.responseTimeout))
 	if _, err := reader.Peek(1); err != nil {
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // connections of a stream at most, stuck ones among them
+	maxConnsPerStream       = 4               // limit for replacing a blocked connection; retired ones count until closed
 	counterIdleTimeout      = 5 * time.Second // well below the 10 s after which the counter closes an idle connection
-	counterIdlePollInterval = 1 * time.Second // between checks for an idle connection
+	counterIdlePollInterval = 1 * time.Second // how often a stream checks whether its connection has been idle too long
 )
 
-// counterStream writes the calls of one queue, in order, on one connection at a time. A connection that was
-// left ends by itself once its calls in flight have ended. The goroutine of runStream owns all fields but
-// openConns.
+// counterStream writes the calls of one queue, in order, to one connection at a time. A connection that the stream has
+// retired closes when its calls in flight have ended. The goroutine of runStream owns all fields but openConns.
 type counterStream struct {
 	client    *counterClient
-	conn      *counterConn // nil: the next call dials
+	conn      *counterConn // the connection in use; if nil, the next call dials
 	lastUsed  time.Time    // when the last call was written
-	openConns atomic.Int64 // connections of the stream that have not ended
+	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
 }
 
-// send writes a call on a connection that may be used for it. A call that is not written is reported here.
+// send writes a call, on a new connection if the current one can't be used. If the call can't be written, send reports
+// its outcome.
 func (s *counterStream) send(ctx context.Context, call *counterCall) {
 	if call.abandoned.Load() {
-		call.report(call, policy.TimedOut, 0) // never written, so never added
+		call.report(call, policy.TimedOut, 0) // not written, so nothing was added
 		return
 	}
 	idleFor := time.Since(s.lastUsed)
@@ -49,25 +49,25 @@
 	s.conn.writeCall(call)
 }
 
-// retireIdle leaves a connection that has been idle for long, or that leads to an old address.
+// retireIdle retires the connection if it has been idle for too long or goes to an old address of the counter.
 func (s *counterStream) retireIdle() {
 	if s.conn != nil && (time.Since(s.lastUsed) > counterIdleTimeout || s.addressChanged()) {
 		s.retire()
 	}
 }
 
-// addressChanged reports whether the connection leads to an old address of the counter.
+// addressChanged reports whether the connection goes to an old address of the counter.
 func (s *counterStream) addressChanged() bool {
 	return s.conn.dialedAddress != *s.client.address.Load()
 }
 
-// retire leaves the connection; the next call dials.
+// retire stops using the connection. The next call dials a new one.
 func (s *counterStream) retire() {
 	s.conn.retire()
 	s.conn = nil
 }
 
-// close ends the connection in use at once.
+// close closes the connection in use, if there is one, at once.
 func (s *counterStream) close() {
 	if s.conn != nil {
 		s.conn.Close()
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -13,25 +13,27 @@
 	"amberlb/policy"
 )
 
-// maxTotalBodyBytes bounds the body of an answer of the counter.
+// maxTotalBodyBytes is the maximum size of a response body from the counter.
 const maxTotalBodyBytes = 64
 
-// Errors of an answer after which its connection can't be used any more.
+// Errors of a malformed response. The connection must not be used after one.
 var (
-	errTotalTooLong   = errors.New("counter: the body is too long for a total")
-	errMalformedTotal = errors.New("counter: the body is no finite number")
+	errTotalTooLong   = errors.New("counter: response body is too long for a total")
+	errMalformedTotal = errors.New("counter: response body is not a finite number")
 )
 
-// counterStatusError reports a status that proves nothing: the amount may have been added or not.
+// counterStatusError reports an unexpected status, after which it is unknown whether the amount was added.
 type counterStatusError struct {
 	status string
 }
 
-func (e *counterStatusError) Error() string { return fmt.Sprintf("counter: status %s", e.status) }
+func (e *counterStatusError) Error() string {
+	return fmt.Sprintf("counter: unexpected status %s", e.status)
+}
 
-// readTotal reads the answer to a call, with the total where the outcome is Served. A malformed answer says
-// that the amount was added and no more. After an error, the connection can't be trusted with the next
-// call's answer.
+// readTotal reads the response to a call. It returns the total if the outcome is policy.Served. A malformed response
+// ends the call as policy.Failed: the amount is taken as added, and the total is unknown. After an error, no further
+// response can be read from the connection.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return policy.ConnectionReset, 0, &counterStatusError{resp.Status}
 }
 
-// readTotalBody reads and closes the body of an answer.
+// readTotalBody reads and closes the body of a response.
 func readTotalBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBodyBytes+1))
@@ -71,7 +73,7 @@
 	return body, nil
 }
 
-// parseTotal parses the body of an answer.
+// parseTotal parses the body of a response with status 200.
 func parseTotal(body []byte) (float64, error) {
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,29 +12,30 @@
 
 const (
 	endpointsPath         = "/registry/instances"
-	maxListBytes          = 4 << 20          // bytes of one answer
-	maxDiscoveryConns     = 2                // bounds the descriptors that discovery takes
-	discoveryWarnInterval = 10 * time.Second // between log lines while discovery stays down
+	maxListBytes          = 4 << 20          // maximum size of a response body
+	maxDiscoveryConns     = 2                // limits the file descriptors used for discovery
+	discoveryWarnInterval = 10 * time.Second // minimum time between log lines about failed polls
 )
 
-// invalidListError reports that discovery answered with something else than a usable list. The version
-// that was asked from may be the cause, so the next poll asks for the full list.
+// invalidListError reports a response from discovery that holds no valid list. The cause may be the version from which
+// the poll asked for changes, so the next poll asks for the full list.
 type invalidListError struct {
-	status string // of the answer, if it is not 200
-	cause  error  // what is wrong with the body of one that is
+	status string // the status of a response other than 200
+	cause  error  // the error in the body of a response with status 200, else nil
 }
 
 func (e *invalidListError) Error() string {
 	if e.cause == nil {
-		return "status " + e.status
+		return "unexpected status " + e.status
 	}
-	return "list: " + e.cause.Error()
+	return "invalid endpoint list: " + e.cause.Error()
 }
 
 func (e *invalidListError) Unwrap() error { return e.cause }
 
-// discoveryWatcher follows discovery by long polls and hands on each answer. The goroutine that calls run
-// owns all of its fields.
+// discoveryWatcher polls discovery for the endpoint list and passes each response to onList. The first poll asks for the
+// full list; each further poll is a watch, a long poll that asks for the changes since the last version. The goroutine
+// that calls run owns all fields.
 type discoveryWatcher struct {
 	address  string
 	timeouts pollTimeouts
@@ -42,16 +43,16 @@
 	onList   func(EndpointList)
 	log      *slog.Logger
 
-	generation       int64     // the version of the last list that arrived
-	hasList          bool      // a full list has arrived: the next poll is a watch from generation
-	listInUse        bool      // requests are routed by a list, possibly an older one
-	fullListTimeouts int       // polls for the full list, in a row, that timed out
-	warnedAt         time.Time // of the last log line about a failed poll
+	generation       int64     // the version of the last list received
+	hasList          bool      // the next poll is a watch from generation; if false, it asks for the full list
+	listInUse        bool      // the gateway routes requests by some list, possibly one from before this watcher
+	fullListTimeouts int       // number of polls for the full list that have timed out in a row
+	warnedAt         time.Time // when a failed poll was last logged
 }
 
-// newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending
-// to a draining backend for drainGrace. listInUse says that requests are routed by an older list
-// meanwhile. onList is called on the goroutine of run.
+// newDiscoveryWatcher returns a watcher for the discovery service at the given address. drainGrace is how long after
+// the start of a backend's drain the gateway may still send requests to it. listInUse says that the gateway already
+// routes requests by an older list. onList is called on the goroutine of run.
 func newDiscoveryWatcher(
 	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
 ) *discoveryWatcher {
@@ -66,9 +67,8 @@
 	}
 }
 
-// run polls until ctx ends: first for the full list, from then on for changes. A failed poll is repeated
-// soon, on a new connection, from the last version that arrived; what changed meanwhile comes with its
-// answer.
+// run polls until ctx ends. After watchRetryDelay, a failed poll is repeated on a new connection. A watch is repeated
+// from the last version received, so that its response includes all changes made in the meantime.
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// handleList notes the version of a list and hands it on.
+// handleList records the version of a list and passes the list to onList.
 func (w *discoveryWatcher) handleList(list EndpointList) {
 	w.generation = list.Generation
 	w.hasList = true
@@ -95,7 +95,8 @@
 	w.onList(list)
 }
 
-// handleFailure decides what the next poll asks for after one that failed, and logs the failure now and then.
+// handleFailure updates what the next poll asks for and how long it may take, after a failed one. It logs the failure at
+// most once in discoveryWarnInterval.
 func (w *discoveryWatcher) handleFailure(ctx context.Context, err error) {
 	var invalidList *invalidListError
 	if errors.As(err, &invalidList) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// poll asks for the full list, or for the changes to the last one, and waits for the answer.
+// poll asks for the full list, or for the changes since the last version, and waits for the response.
 func (w *discoveryWatcher) poll(ctx context.Context) (EndpointList, error) {
 	url := "http://" + w.address + endpointsPath
 	timeout := w.timeouts.fullListTimeout(w.fullListTimeouts, w.listInUse)
@@ -131,7 +132,7 @@
 	return list, nil
 }
 
-// get returns the body of an answer with status 200. Another status is an invalidListError.
+// get returns the body of a response with status 200. Any other status gives an invalidListError.
 func (w *discoveryWatcher) get(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -13,37 +13,38 @@
 	"amberlb/policy"
 )
 
-// EndpointList is a full list of backends from discovery, or the changes to the previous one.
+// EndpointList is a response from discovery: the full list of backends, or the changes since the previous version.
 type EndpointList struct {
 	Generation int64           `json:"generation"` // the version of the list; the next watch starts from it
-	Reset      bool            `json:"reset"`      // Entries are the full list, not changes alone
-	Entries    []EndpointEntry `json:"instances"`  // nil: the answer held no list, which is not an empty one
+	Reset      bool            `json:"reset"`      // Entries is the full list; if false, only the changes
+	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no list, as opposed to an empty one
 }
 
-// EndpointEntry is one backend in discovery's form.
+// EndpointEntry describes one backend, as discovery represents it.
 type EndpointEntry struct {
 	ID          string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
-	Zone        string  `json:"zone"`        // a name of Deployment.Zones
-	MachineType string  `json:"machineType"` // a name of Deployment.Kinds
+	Zone        string  `json:"zone"`        // one of Deployment.Zones
+	MachineType string  `json:"machineType"` // one of Deployment.Kinds
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"` // a key of backendStates
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // when the process started, as Unix time in milliseconds; 0: long ago
 }
 
-// backendStates maps discovery's lifecycles to the engine's states.
+// backendStates maps the lifecycle names of discovery to the backend states of the engine.
 var backendStates = map[string]policy.BackendState{
 	"Ready":       policy.Ready,
 	"Terminating": policy.Draining,
 	"Gone":        policy.Removed,
 }
 
-// errNoEntries reports an answer without a list. Taken for an empty list, it would end all service.
-var errNoEntries = errors.New("no instances in it")
+// errNoEntries is returned for a full list without entries, not even an empty array. If this were treated as an empty
+// list, the gateway would remove all its backends.
+var errNoEntries = errors.New("no instances in the response")
 
-// decodeEndpointList decodes the body of an answer. fullList says that the poll asked for the full list:
-// such an answer holds all entries, whether it says so or not.
+// decodeEndpointList decodes the body of a response. fullList says that the poll asked for the full list: Reset is then
+// set whether the response sets it or not.
 func decodeEndpointList(body []byte, fullList bool) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -58,29 +59,29 @@
 	return list, nil
 }
 
-// backendID derives the engine's id from the name alone, so that all gateways agree on it in whatever order
-// they learn of the backends.
+// backendID returns the engine's id for a backend. It is a hash of the instance id in discovery and of nothing else, so
+// all gateways have the same id for a backend, in whatever order they learn of the backends.
 func backendID(name string) policy.BackendID {
 	h := fnv.New32a()
 	io.WriteString(h, name)
 	return policy.BackendID(h.Sum32())
 }
 
-// toBackend translates an entry to the engine's form. The engine's clock is Unix time (see clock), so the
-// start needs a change of its unit only. It returns an error where the entry can't be understood, since a
-// wrong reading could route requests to a draining backend or repeat one in a zone that does not know of
-// the first attempt.
+// toBackend converts an entry to the engine's representation. The engine's clock is Unix time (see clock), so the start
+// time only changes its unit. toBackend returns an error for an entry with an unknown lifecycle or zone instead of
+// guessing: a wrong guess could route requests to a draining backend, or send a retry to a zone that doesn't know of the
+// first attempt and so executes the request twice.
 func (e EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := backendStates[e.Lifecycle]
 	zone := slices.Index(deployment.Zones, e.Zone)
 	switch {
 	case e.ID == "" || !known:
-		return policy.Backend{}, fmt.Errorf("instance %q: lifecycle %q is not known", e.ID, e.Lifecycle)
+		return policy.Backend{}, fmt.Errorf("instance %q: empty id or unknown lifecycle %q", e.ID, e.Lifecycle)
 	case zone < 0 && state != policy.Removed:
-		// Two unknown zones must not pass for a single one, in which repeats are discarded.
-		return policy.Backend{}, fmt.Errorf("instance %q: zone %q is not known", e.ID, e.Zone)
+		// Two unknown zones must not count as the same zone: within a zone, retries are deduplicated.
+		return policy.Backend{}, fmt.Errorf("instance %q: unknown zone %q", e.ID, e.Zone)
 	case math.IsNaN(e.Weight) || e.StartedAtMs < 0:
-		return policy.Backend{}, fmt.Errorf("instance %q: impossible weight or start", e.ID)
+		return policy.Backend{}, fmt.Errorf("instance %q: invalid weight or start time", e.ID)
 	}
 	return policy.Backend{
 		ID:        backendID(e.ID),
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Bounds of the polls of discovery. A change counts as known to a gateway 6 s after discovery had it and
-// could be reached, whatever becomes of one poll. A silent watch, the delay after it and the answer to the
-// next one must therefore fit in 6 s; TestMissedChangeArrivesInTime adds them up.
+// How long polls of discovery may take. A gateway is required to know a change of the endpoint list within 6 s from when
+// discovery has the change and can be reached, even if one poll fails. The timeout of a watch that gets no response,
+// the retry delay and the response to the next poll must therefore add up to 6 s at most;
+// TestMissedChangeArrivesInTime checks this.
 const (
-	longPollShare        = 0.5                     // share of the drain grace for which a watch stays open
-	responseTimeShare    = 0.25                    // share of the drain grace that an answer may take beside
-	minResponseTime      = 200 * time.Millisecond  // the lower bound of an answer's time
-	maxWatchResponseTime = 1400 * time.Millisecond // and its upper bound
-	maxFirstListTimeout  = 4500 * time.Millisecond // for a full list while no older one is in use
-	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll: discovery forgets a watch after 200 ms
+	longPollShare        = 0.5                     // pollTimeouts.longPoll as a share of the drain grace
+	responseTimeShare    = 0.25                    // pollTimeouts.response as a share of the drain grace
+	minResponseTime      = 200 * time.Millisecond  // lower bound of pollTimeouts.response
+	maxWatchResponseTime = 1400 * time.Millisecond // upper bound of pollTimeouts.response
+	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound for a full list if no older list is in use
+	watchRetryDelay      = 100 * time.Millisecond  // after a failed poll; below the 200 ms after which discovery forgets a watch
 )
 
-// pollTimeouts bound the polls of discovery.
+// pollTimeouts holds the timeouts for polls of discovery.
 type pollTimeouts struct {
-	longPoll time.Duration // how long discovery may keep a watch open without a change
-	response time.Duration // how long an answer may take beside
+	longPoll time.Duration // how long discovery may hold back the response to a watch while nothing changes
+	response time.Duration // how long a response may take otherwise
 }
 
-// newPollTimeouts computes the bounds for a gateway that may go on sending to a draining backend for
-// drainGrace. A watch that has fallen silent, or that discovery forgot while it was down, misses drains
-// that count as known. So each watch is over, and the next on its way, well within the grace.
+// newPollTimeouts returns the timeouts for a gateway that may send requests to a draining backend for drainGrace after
+// its drain began. A watch whose connection is dead, or that discovery lost in a restart, does not report drains.
+// Therefore each watch ends, and the next one begins, well within drainGrace.
 func newPollTimeouts(drainGrace time.Duration) pollTimeouts {
 	response := min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
 	return pollTimeouts{
@@ -31,12 +32,13 @@
 	}
 }
 
-// watchTimeout bounds a watch with its answer.
+// watchTimeout returns the timeout of a watch, including its response.
 func (p pollTimeouts) watchTimeout() time.Duration { return p.longPoll + p.response }
 
-// fullListTimeout bounds a poll for the full list after a number of them, in a row, that timed out. Each time-out
-// doubles the bound: a list that is always cut off would never arrive. While requests are routed by an
-// older list (listInUse), no poll may outlast a watch.
+// fullListTimeout returns the timeout of a poll for the full list after timeoutsInRow such polls in a row have timed
+// out. The timeout doubles each time, since a list that takes longer than a fixed timeout would never arrive. It is at
+// most watchTimeout if requests are routed by an older list (listInUse), and else the greater of that and
+// maxFirstListTimeout.
 func (p pollTimeouts) fullListTimeout(timeoutsInRow int, listInUse bool) time.Duration {
 	maxTimeout := p.watchTimeout()
 	if !listInUse {
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -7,25 +7,26 @@
 	"amberlb/policy"
 )
 
-// timeoutTolerance is in seconds: an attempt that is cancelled so close to its deadline has timed out.
+// timeoutTolerance is in seconds. An attempt that the engine cancels this close to its deadline counts as timed out.
 const timeoutTolerance = 0.001
 
-// transport carries out attempts. The loop calls its methods, which wait for nothing.
+// transport sends attempts to backends. The event loop calls its methods, which must not block.
 type transport interface {
-	// updateEndpoint tells where a ready backend is, and since when it has run.
+	// updateEndpoint sets the address of a ready backend and the time, in seconds, at which its process started.
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
-	// removeEndpoint ends all new sending to a backend.
+	// removeEndpoint makes further attempts at a backend fail until the next updateEndpoint.
 	removeEndpoint(id policy.BackendID)
-	// startAttempt starts an attempt, which ends by its socket deadline or when it is cancelled. onDone is then
-	// called once, on another goroutine than the caller's.
+	// startAttempt starts an attempt. The attempt ends with its result, at its socket deadline or when it is
+	// cancelled. onDone is then called once, on another goroutine than the caller's.
 	startAttempt(a *attempt, onDone func(attemptResult))
 }
 
-// startAttempt starts an attempt that the engine has decided on. It ends at once, unsent, where none may begin.
+// startAttempt carries out the engine's decision to send an attempt. If the attempt can't start any more, it ends at
+// once as policy.NotSent.
 func (l *eventLoop) startAttempt(action policy.SendAttempt) {
 	req := l.requests[action.Request]
 	if req == nil {
-		l.log.Error("an attempt for a request that is not known", "request", action.Request)
+		l.log.Error("attempt for an unknown request", "request", action.Request)
 		return
 	}
 	a := l.addAttempt(req, action)
@@ -46,8 +47,8 @@
 	})
 }
 
-// addAttempt adds the next attempt to a request. Its deadline is the request's, or the end of its own time if that
-// comes first.
+// addAttempt adds an attempt to its request. The attempt's deadline is the request's deadline, or the end of
+// action.Timeout if that is set and comes first.
 func (l *eventLoop) addAttempt(req *clientRequest, action policy.SendAttempt) *attempt {
 	now := l.clock.now()
 	a := &attempt{
@@ -66,15 +67,16 @@
 	return a
 }
 
-// canStart reports whether an attempt may be sent: its request has no answer yet, a client that waits, attempts left
-// by the deployment's limit, and time.
+// canStart reports whether an attempt may be sent: its request is unanswered, the client is connected, the deployment's
+// limit on attempts is not exceeded, and the deadline has not passed.
 func (l *eventLoop) canStart(a *attempt) bool {
 	req := a.request
 	clientWaits := req.unanswered && !req.disconnected.Load()
 	return clientWaits && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
 }
 
-// finishAttempt handles the one end of an attempt. What is reported of it afterwards is dropped.
+// finishAttempt ends an attempt: it sends a served response to the client and reports the outcome to the engine. An
+// attempt ends once; later results are ignored.
 func (l *eventLoop) finishAttempt(a *attempt, result attemptResult) {
 	if a.ended {
 		return
@@ -97,15 +99,15 @@
 	l.forget(req)
 }
 
-// respondServed passes a backend's response on to the client.
+// respondServed forwards a backend's response to the client.
 func (l *eventLoop) respondServed(req *clientRequest, result attemptResult) {
 	l.metrics.add(requestsServed)
 	header := forwardedHeaders(result.header)
-	header.Del(loadHeader) // for gateways, not for clients
+	header.Del(loadHeader) // meant for gateways only
 	l.respond(req.decoded.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
 }
 
-// cancelAttempt ends an attempt by the engine's decision.
+// cancelAttempt carries out the engine's decision to cancel an attempt. It does nothing if the attempt has ended.
 func (l *eventLoop) cancelAttempt(action policy.CancelAttempt) {
 	req := l.requests[action.Request]
 	if req == nil || action.Attempt >= len(req.attempts) || req.attempts[action.Attempt].ended {
@@ -115,13 +117,14 @@
 	a.cancel()
 	outcome := policy.Cancelled
 	if l.clock.now() >= a.deadline-timeoutTolerance {
-		outcome = policy.TimedOut // the engine learns from it
+		outcome = policy.TimedOut // a timeout, unlike a cancel, also adjusts the engine's concurrency limit
 	}
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsent ends the attempts of a request whose client has disconnected, as far as they have not been fully written.
-// Where a deployment lets no attempt be cancelled, one that waits for its connection would be forwarded for nobody.
+// cancelUnsent ends those attempts of a request that have not been fully written, after its client has disconnected. In
+// a deployment where the engine cancels no attempts, one that waits for a connection would otherwise still be sent,
+// though no client waits for its response.
 func (l *eventLoop) cancelUnsent(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -6,18 +6,19 @@
 	"amberlb/policy"
 )
 
-// endpoint is one incarnation of a backend at one address. All of its connections end with it.
+// endpoint is one incarnation of a backend, that is one run of its process, at one address. When the backend restarts,
+// moves or is removed, its endpoint is retired, and no new request uses the endpoint's connections.
 type endpoint struct {
 	address   string
 	startedAt float64 // when the backend's process started, in seconds of Unix time
 
-	ctx    context.Context // ends as the endpoint is retired; dials depend on it
+	ctx    context.Context // ends when the endpoint is retired, and with it the dials to the endpoint
 	cancel context.CancelFunc
 
-	// The mutex of connectionPools guards what follows.
-	conns     map[*backendConn]struct{} // the open ones, idle and in use
-	idleConns []*backendConn            // the idle ones among them, the most recently used last
-	retired   bool                      // no connection is added or put back any more
+	// The mutex of connectionPools guards the fields below.
+	conns     map[*backendConn]struct{} // open connections, idle or in use
+	idleConns []*backendConn            // the idle connections of conns, the most recently used last
+	retired   bool                      // no connection may be added to conns or idleConns
 }
 
 func newEndpoint(address string, startedAt float64) *endpoint {
@@ -26,7 +27,8 @@
 	return e
 }
 
-// updateEndpoint tells where a ready backend is. A new start or address retires the connections of the old one.
+// updateEndpoint sets the address of a ready backend and the time at which its process started. If the address is new or
+// the start is later, the old endpoint is retired.
 func (p *connectionPools) updateEndpoint(id policy.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,14 +37,14 @@
 		return
 	}
 	if old != nil {
-		restarted := old.startedAt < startedAt // what an earlier incarnation has in flight will never be answered
+		restarted := old.startedAt < startedAt // the old process is gone and responds to no request in flight
 		p.retire(old, restarted)
 	}
 	p.endpoints[id] = newEndpoint(address, startedAt)
 }
 
-// removeEndpoint ends all new sending to a backend that drains or is gone, and the dials to it. What is in flight
-// there may still be answered.
+// removeEndpoint retires the endpoint of a backend that is draining or gone. No new attempt is sent to it, and dials to
+// it end. Attempts that have a connection may still get their responses.
 func (p *connectionPools) removeEndpoint(id policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,8 +54,8 @@
 	}
 }
 
-// retire ends an endpoint's dials and its idle connections, and closes those in use if closeInUse is set. Those in use
-// stay in the table until their attempts discard them. The caller holds mu.
+// retire marks an endpoint as retired, ends its dials and closes its idle connections; with closeInUse, it also closes
+// the connections in use. Those stay in endpoint.conns until their attempts give them back. The caller holds mu.
 func (p *connectionPools) retire(e *endpoint, closeInUse bool) {
 	e.retired = true
 	e.cancel()
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -2,8 +2,8 @@
 
 import "amberlb/policy"
 
-// applyEndpointList takes in a list of backends, or changes to it. The transport follows it before the engine does,
-// so that nothing is sent to a backend that drains.
+// applyEndpointList applies a full list of backends, or changes to the list, to the transport and the engine. The
+// transport comes first: the engine's event may start attempts, which must not reach a draining backend.
 func (l *eventLoop) applyEndpointList(list EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
@@ -25,24 +25,24 @@
 	}
 }
 
-// convertEntry returns the backend that an entry describes, and false where the entry is to be passed over. An entry
-// that can't be read, for a backend in use, may say that it drains, and is taken to.
+// convertEntry converts an entry to the engine's representation, and returns false if the entry is to be ignored. An
+// invalid entry is ignored unless it is for a backend in use: that backend may be draining, and is treated as such.
 func (l *eventLoop) convertEntry(entry EndpointEntry) (backend policy.Backend, ok bool) {
 	backend, err := entry.toBackend(l.deployment)
 	if err != nil {
-		l.log.Warn("discovery: an entry can't be read", "error", err)
+		l.log.Warn("discovery: invalid endpoint entry", "error", err)
 		backend = policy.Backend{ID: backendID(entry.ID), State: policy.Draining}
 		return backend, l.backendNames[backend.ID] == entry.ID
 	}
-	// The engine's id is a hash of the instance's.
+	// The engine's id is a hash of the instance's id, so two instances can collide.
 	if name, known := l.backendNames[backend.ID]; known && name != entry.ID {
-		l.log.Warn("discovery: two instances have one id; the second is left out", "first", name, "second", entry.ID)
+		l.log.Warn("discovery: two instance ids have the same hash; the second is ignored", "first", name, "second", entry.ID)
 		return backend, false
 	}
 	return backend, true
 }
 
-// updateTransport has the transport follow an entry of the list: only ready backends get connections.
+// updateTransport applies an entry to the transport, which has endpoints for ready backends only.
 func (l *eventLoop) updateTransport(entry EndpointEntry, backend policy.Backend) {
 	if backend.State != policy.Ready {
 		l.removeBackend(backend.ID)
@@ -52,7 +52,7 @@
 	l.transport.updateEndpoint(backend.ID, entry.HostPort, backend.StartedAt)
 }
 
-// removeUnlisted removes the backends that are not in a full list.
+// removeUnlisted removes the backends that a full list doesn't contain.
 func (l *eventLoop) removeUnlisted(listed map[policy.BackendID]bool) {
 	for id := range l.backendNames {
 		if !listed[id] {
@@ -61,7 +61,7 @@
 	}
 }
 
-// removeBackend forgets a backend and ends all new sending to it.
+// removeBackend removes a backend, so that no new attempt is sent to it.
 func (l *eventLoop) removeBackend(id policy.BackendID) {
 	delete(l.backendNames, id)
 	l.transport.removeEndpoint(id)
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -12,15 +12,15 @@
 	"amberlb/policy"
 )
 
-// inboxSize is the number of messages that may wait for the loop before post has to wait.
+// inboxSize is the number of messages that can be queued for the loop before post blocks.
 const inboxSize = 1024
 
-// eventLoop is the one owner of the decision module. All that happens comes to it as messages and timers, one at a
-// time and in order. It runs the engine's actions and waits for no socket.
+// eventLoop owns the policy engine. It turns messages from other goroutines and due timers, one at a time and in order,
+// into events for the engine, and carries out the engine's actions. It never waits for a socket.
 //
-// Its methods and fields belong to the goroutine of run. Before run has begun and after it has ended, they belong to
-// whoever starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use metrics,
-// attempts and the two counts of counter calls.
+// Its methods and fields belong to the goroutine of run; before run begins and after it has returned, they belong to
+// the goroutine that starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use
+// metrics, attempts, counterCalls and counterCallsUnanswered.
 type eventLoop struct {
 	clock          clock
 	log            *slog.Logger
@@ -29,29 +29,29 @@
 	engine         *policy.Engine
 	transport      transport
 	counter        *counterClient // nil where the deployment has none
-	onEndpointList func()         // called after each list that has come from discovery
+	onEndpointList func()         // called after each list from discovery has been applied; not for the cached list
 
 	inbox    chan message
-	stopped  chan struct{}  // closed when run ends
-	attempts sync.WaitGroup // those that the transport has not reported done
-
-	counterCalls           atomic.Uint64 // made to the counter
-	counterCallsUnanswered atomic.Uint64 // of them, those that ended without its answer
-
-	requests           map[policy.RequestID]*clientRequest // until they are answered and their last attempt has ended
-	openCorrelationIDs map[string]struct{}                 // the clients' ids of requests
-	recentIDs          recentIDs                           // the clients' ids of requests that came lately
-	lastRequestID      policy.RequestID                    // the one given last
-	backendNames       map[policy.BackendID]string         // discovery's name of each ready backend
-	pendingCalls       map[uint64][]*counterCall           // by key, in order, until their replies are handed on
+	stopped  chan struct{}  // closed when run returns
+	attempts sync.WaitGroup // attempts for which the transport has not called onDone
+
+	counterCalls           atomic.Uint64 // calls to the counter
+	counterCallsUnanswered atomic.Uint64 // calls among them that ended without a response from the counter
+
+	requests           map[policy.RequestID]*clientRequest // open requests: unanswered, or with attempts in flight
+	openCorrelationIDs map[string]struct{}                 // correlation ids of the open requests
+	recentIDs          recentIDs                           // correlation ids of recent requests
+	lastRequestID      policy.RequestID                    // the last id assigned to a request
+	backendNames       map[policy.BackendID]string         // discovery's instance id of each ready backend
+	pendingCalls       map[uint64][]*counterCall           // calls by key, in order, whose replies the engine lacks
 	timers             timerQueue
 
-	actions       []policy.Action // memory for the actions of one event
-	pendingEvents []policy.Event  // the event being handled, and those that its actions brought about
+	actions       []policy.Action // buffer for the actions of one event
+	pendingEvents []policy.Event  // the event being handled, and the events that its actions have caused
 }
 
-// newEventLoop returns a loop that has handed the engine its settings and carried out its first actions. counter is
-// nil where the deployment has none.
+// newEventLoop returns an event loop with a new engine, whose initial actions have been carried out. counter is nil if
+// the deployment has none.
 func newEventLoop(config *Config, transport transport, counter *counterClient, onEndpointList func()) *eventLoop {
 	l := &eventLoop{
 		clock:              newClock(),
@@ -72,7 +72,7 @@
 	return l
 }
 
-// post hands the loop a message. It waits while the inbox is full, and returns false once the loop has ended.
+// post sends a message to the loop. It blocks while the inbox is full, and returns false if the loop has stopped.
 func (l *eventLoop) post(m message) bool {
 	select {
 	case l.inbox <- m:
@@ -82,7 +82,7 @@
 	}
 }
 
-// endpointsUpdated posts a response of discovery.
+// endpointsUpdated sends the loop a response from discovery.
 func (l *eventLoop) endpointsUpdated(list EndpointList) {
 	kind := policy.Delta
 	if list.Reset {
@@ -111,8 +111,8 @@
 	}
 }
 
-// fireDueTimers fires the timers whose time has come. The clock is read once, so that timers which set others can't
-// keep the loop from its inbox.
+// fireDueTimers fires all due timers. It reads the clock only once, so that timers that schedule further timers can't
+// prevent the loop from reading its inbox.
 func (l *eventLoop) fireDueTimers() {
 	now := l.clock.now()
 	for t := l.timers.popDue(l, now); t != nil; t = l.timers.popDue(l, now) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// handleMessage leads each message to what it is about.
+// handleMessage dispatches a message by its type.
 func (l *eventLoop) handleMessage(m message) {
 	switch m := m.(type) {
 	case requestArrived:
@@ -139,8 +139,8 @@
 	}
 }
 
-// handleEvent gives the engine an event and runs its actions. What these bring about follows as further events, in
-// order; a call from within an action only queues its event, since the engine takes one at a time.
+// handleEvent passes an event to the engine and carries out the resulting actions. The engine handles one event at a
+// time, so a call made while an action is carried out only queues its event; the outer call handles the queue in order.
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
@@ -154,7 +154,7 @@
 	l.pendingEvents = l.pendingEvents[:0]
 }
 
-// runActions carries out what the engine has decided.
+// runActions carries out the engine's actions.
 func (l *eventLoop) runActions(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -174,7 +174,7 @@
 			l.callCounter(a)
 		case policy.Log:
 			l.log.Info(a.Text)
-		case policy.PollEndpoints: // the watch always runs
+		case policy.PollEndpoints: // nothing to do: the discovery watcher polls all the time
 		}
 	}
 }
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -9,23 +9,23 @@
 	"amberlb/policy"
 )
 
-// SimulatedBackend decides how long an attempt of a hollow gateway takes at a backend and how it ends.
-// Serve is called on the gateway's event loop and must not block.
+// SimulatedBackend simulates the backends of a hollow gateway. Serve returns how long an attempt at a backend takes and
+// its outcome. It is called on the gateway's event loop and must not block.
 type SimulatedBackend interface {
 	Serve(id policy.BackendID) (time.Duration, policy.Outcome)
 }
 
-// Hollow is a gateway without sockets to clients and backends, so that many fit in a process. Its event
-// loop, its discovery watcher and its counter client are those of the real gateway.
+// Hollow is a hollow gateway: a gateway without sockets to clients and backends, of which many fit in one process, for
+// measurements of a large fleet. Its event loop, discovery watcher and counter client are those of the real gateway.
 type Hollow struct {
 	config  Config
 	loop    *eventLoop
-	counter *counterClient // nil where the deployment has none
-	ready   chan struct{}  // closed by the first list
+	counter *counterClient // nil if the deployment has none
+	ready   chan struct{}  // closed when the first endpoint list has arrived
 }
 
-// NewHollow makes a hollow gateway. It ignores Name, Listen, the cached endpoints and the limits of the
-// configuration, and returns an error where the rest is invalid.
+// NewHollow returns a hollow gateway. It ignores the configuration's Name, Listen, CachedEndpoints, Cores, MemoryMB and
+// Sockets, and returns an error if the rest is invalid.
 func NewHollow(c *Config, backend SimulatedBackend) (*Hollow, error) {
 	h := &Hollow{config: *c, ready: make(chan struct{})}
 	h.config.Listen = "127.0.0.1:0"
@@ -44,7 +44,7 @@
 	return h, nil
 }
 
-// Run runs the gateway until ctx ends. Requests that are open then are answered with 500.
+// Run runs the gateway until ctx ends. Requests that are still open are then answered with status 500.
 func (h *Hollow) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { h.loop.run(ctx) })
@@ -59,8 +59,7 @@
 	h.loop.attempts.Wait()
 }
 
-// cancelAttempts cancels the attempts that are still in flight. It may be called once the loop, which owns
-// them, has ended.
+// cancelAttempts cancels the attempts that are still in flight. The loop owns them, so it must have ended.
 func (h *Hollow) cancelAttempts() {
 	for _, req := range h.loop.requests {
 		for _, a := range req.attempts {
@@ -71,16 +70,16 @@
 	}
 }
 
-// Ready is closed once the first list of backends has arrived from discovery.
+// Ready returns a channel that is closed when the first endpoint list has arrived from discovery.
 func (h *Hollow) Ready() <-chan struct{} { return h.ready }
 
-// Submit gives the gateway a request under a client's correlation id, without waiting.
+// Submit sends the gateway a request with the given correlation id, without blocking.
 //
-// decoded.Deadline is the time that the client waits, in seconds from now; the class's own deadline bounds
-// it. The ID and SentAt of the request are set by the gateway. onSent is called once, on the event loop,
-// when the first attempt has reached a backend; it must not block. onAnswered is called once, on a
-// goroutine of its own, with the status and the seconds of Retry-After, 0 for none. A gateway that has
-// ended answers with 500; one that was never run does not answer.
+// decoded.Deadline is how long the client waits, in seconds from now; the deadline of the request's class is the upper
+// limit. Submit sets the request's SentAt, and the gateway its ID. onSent is called at most once, on the event loop,
+// when the first attempt has reached a backend; it must not block. onAnswered is called once, on its own goroutine, with the
+// status and the seconds of Retry-After, or 0 for none. A gateway that has stopped answers with status 500; a gateway
+// that was never run does not answer.
 func (h *Hollow) Submit(
 	decoded policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
 ) {
@@ -106,29 +105,28 @@
 	}()
 }
 
-// CounterCalls returns how many calls to the counter have been made, and how many of these ended without
-// its answer.
+// CounterCalls returns the number of calls to the counter, and how many of them ended without a response from it.
 func (h *Hollow) CounterCalls() (made, unanswered uint64) {
 	return h.loop.counterCalls.Load(), h.loop.counterCallsUnanswered.Load()
 }
 
-// hollowTransport takes the place of the real gateway's connection pools.
+// hollowTransport is the transport of a hollow gateway. It takes the results of attempts from a SimulatedBackend.
 type hollowTransport struct {
 	loop    *eventLoop
 	backend SimulatedBackend
 }
 
-// updateEndpoint does nothing: the loop's names of the listed backends tell which ones may be reached.
+// updateEndpoint does nothing: startAttempt reads the listed backends from the event loop.
 func (t *hollowTransport) updateEndpoint(policy.BackendID, string, float64) {}
 
-// removeEndpoint does nothing, as updateEndpoint.
+// removeEndpoint does nothing, for the same reason as updateEndpoint.
 func (t *hollowTransport) removeEndpoint(policy.BackendID) {}
 
-// startAttempt runs an attempt on a timer. The end of the attempt is reported by the timer or by the end of
-// the attempt's context, whichever stops the other.
+// startAttempt simulates an attempt with a timer. Its end is reported either when the timer fires or when the attempt's
+// context ends; the first of the two stops the other.
 func (t *hollowTransport) startAttempt(a *attempt, onDone func(attemptResult)) {
 	if _, listed := t.loop.backendNames[a.backend]; !listed {
-		go onDone(attemptResult{outcome: policy.ConnectFailed}) // onDone posts to the loop, which is the caller
+		go onDone(attemptResult{outcome: policy.ConnectFailed}) // not on the loop, to which onDone posts
 		return
 	}
 	a.markWritten()
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -2,39 +2,39 @@
 
 import "amberlb/policy"
 
-// message is what other goroutines send to the event loop. The types of this file are all that there are;
-// eventLoop.handleMessage names what each leads to.
+// message is a message from another goroutine to the event loop. All message types are in this file;
+// eventLoop.handleMessage handles them.
 type message interface {
 	isMessage()
 }
 
-// requestArrived hands a client's request, read to its last byte, to the loop. Its final answer comes on the
-// request's response channel.
+// requestArrived passes a completely read client request to the loop. The loop sends the final answer on the request's
+// response channel.
 type requestArrived struct{ request *clientRequest }
 
-// clientDisconnected reports that the client of a request has closed its connection or its sending. The sender has
-// set the request's disconnected flag before, since the loop may be behind.
+// clientDisconnected reports that the client of a request has closed its connection or the sending side of it. The
+// sender of the message sets the request's disconnected flag first, since the loop may handle the message late.
 type clientDisconnected struct{ request *clientRequest }
 
-// attemptDone reports the end of an attempt that the transport carried out.
+// attemptDone reports the result of an attempt from the transport.
 type attemptDone struct {
 	attempt *attempt
 	result  attemptResult
 }
 
-// counterCallDone reports the end of a call to the counter, also of one that the loop has timed out.
+// counterCallDone reports the outcome of a call to the counter, also if the loop has already timed the call out.
 type counterCallDone struct {
 	call    *counterCall
 	outcome policy.Outcome
-	total   float64 // of the key after the addition; 0 unless the call was served
+	total   float64 // the key's total after the addition; 0 unless the outcome is policy.Served
 }
 
-// shutdownStarted reports that the gateway has been asked to stop.
+// shutdownStarted reports that a graceful shutdown has begun.
 type shutdownStarted struct {
-	answerBy float64 // seconds of the loop's clock: by then all requests are to be answered
+	answerBy float64 // when all requests must have been answered, in seconds of the loop's clock
 }
 
-// endpointListReceived carries a response of discovery.
+// endpointListReceived passes a response from discovery to the loop.
 type endpointListReceived struct {
 	list EndpointList
 	kind policy.ListKind
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -13,15 +13,16 @@
 	"amberlb/policy"
 )
 
-var errAttemptCancelled = errors.New("the attempt was cancelled, or its client has left")
+var errAttemptCancelled = errors.New("attempt cancelled or client disconnected")
 
-// startAttempt runs an attempt on a goroutine of its own, which calls onDone as its last act.
+// startAttempt runs an attempt on a new goroutine, which calls onDone at its end.
 func (p *connectionPools) startAttempt(a *attempt, onDone func(attemptResult)) {
 	go func() { onDone(p.roundTrip(a)) }()
 }
 
-// roundTrip sends an attempt's request and waits for the response. An error before the last byte is written proves
-// that nothing was executed, and is policy.ConnectFailed; any later one proves nothing.
+// roundTrip sends an attempt's request and waits for the response. An error before the last byte is written gives
+// policy.ConnectFailed, since the backend can't have executed an incomplete request. After a later error, the request
+// may have been executed.
 func (p *connectionPools) roundTrip(a *attempt) attemptResult {
 	conn, err := p.sendRequest(a)
 	if err != nil {
@@ -31,7 +32,7 @@
 	result, reusable := conn.readResponse(a.request.method)
 	notCancelled := a.detach()
 	if notCancelled && conn.idleFor > 0 {
-		// A reset in place of any response may come of the time that the connection was idle.
+		// A reset before any byte of the response may be due to the time for which the connection was idle.
 		resetUnanswered := result.outcome == policy.ConnectionReset && conn.noResponseYet()
 		p.idleEstimator.observe(time.Now(), conn.idleFor, resetUnanswered)
 	}
@@ -43,12 +44,12 @@
 	return result
 }
 
-// sendRequest gets a connection for an attempt and writes its request there. The attempt is attached to the connection
-// that is returned. On an error the last byte has not been written, and the connection has been discarded.
+// sendRequest gets a connection, attaches it to the attempt and writes the request to it. If it returns an error, the
+// last byte has not been written, and the connection has been discarded.
 func (p *connectionPools) sendRequest(a *attempt) (*backendConn, error) {
 	conn, err := p.getConn(a.ctx, a.backend)
 	if err != nil {
-		return nil, fmt.Errorf("get a connection: %w", err)
+		return nil, fmt.Errorf("get connection: %w", err)
 	}
 	if !a.attach(conn) {
 		p.discard(conn)
@@ -58,12 +59,13 @@
 	if err := conn.writeRequest(a.request.outboundRequest(time.Until(a.socketDeadline))); err != nil {
 		a.detach()
 		p.discard(conn)
-		return nil, fmt.Errorf("write the request: %w", err)
+		return nil, fmt.Errorf("write request: %w", err)
 	}
 	return conn, nil
 }
 
-// outboundRequest returns what goes to a backend: the client's request, with the time that this attempt has.
+// outboundRequest returns the request to send to a backend: the client's request, with timeLeft instead of the time that
+// the client stated.
 func (req *clientRequest) outboundRequest(timeLeft time.Duration) *http.Request {
 	header := make(http.Header, len(req.header))
 	for name, values := range req.header {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -6,20 +6,20 @@
 	"amberlb/policy"
 )
 
-// timer is something that the loop does at a set time. The types of this file are all that there are. Their methods
-// are called on the loop.
+// timer is an action that the event loop takes at a scheduled time. All timer types are in this file. Their methods are
+// called on the loop.
 type timer interface {
-	// isStale reports whether nobody waits for the timer any more. Most timers become stale before their time, and
-	// the process is not woken for them.
+	// isStale reports whether the timer is no longer needed. Most timers become stale before they are due; stale
+	// timers are dropped without firing, so that the process doesn't wake up for them.
 	isStale(l *eventLoop) bool
-	// fire does what the timer was set for.
+	// fire takes the action.
 	fire(l *eventLoop)
 }
 
-// engineTimer hands the decision module a timer that it has set.
+// engineTimer is a timer that the engine has set. It gives the engine a TimerFired event.
 type engineTimer struct {
-	token   uint64           // the engine's
-	request policy.RequestID // without which the timer is stale; 0: it belongs to none
+	token   uint64           // policy.SetTimer.Token
+	request policy.RequestID // the timer is stale once this request is gone; 0: the timer belongs to no request
 }
 
 func (t engineTimer) isStale(l *eventLoop) bool {
@@ -30,7 +30,7 @@
 	l.handleEvent(policy.TimerFired{Token: t.token})
 }
 
-// attemptDeadline ends an attempt whose time is over.
+// attemptDeadline ends an attempt at its deadline.
 type attemptDeadline struct{ attempt *attempt }
 
 func (t attemptDeadline) isStale(*eventLoop) bool { return t.attempt.ended }
@@ -40,25 +40,25 @@
 	l.finishAttempt(t.attempt, attemptResult{outcome: policy.TimedOut})
 }
 
-// counterCallDeadline ends the loop's wait for a call to the counter.
+// counterCallDeadline ends a call to the counter at its deadline.
 type counterCallDeadline struct{ call *counterCall }
 
 func (t counterCallDeadline) isStale(*eventLoop) bool { return t.call.ended }
 
 func (t counterCallDeadline) fire(l *eventLoop) { l.timeOutCall(t.call) }
 
-// timerQueue holds the loop's timers in the order of their times. The zero value is an empty queue.
+// timerQueue holds the loop's timers, ordered by time. The zero value is an empty queue.
 type timerQueue struct {
 	entries timerHeap
 }
 
-// schedule has a timer fire at a time of the loop's clock, in seconds.
+// schedule adds a timer that fires at the given time, in seconds of the loop's clock.
 func (q *timerQueue) schedule(at float64, t timer) {
 	heap.Push(&q.entries, timerEntry{at: at, timer: t})
 }
 
-// popDue removes the earliest timer and returns it if it is due. Stale timers before it go unfired, whatever their
-// time. It returns nil where no timer is due.
+// popDue removes and returns the earliest timer that is not stale, if it is due, and else returns nil. It drops the
+// stale timers before that one, whether they are due or not.
 func (q *timerQueue) popDue(l *eventLoop, now float64) timer {
 	for len(q.entries) > 0 {
 		earliest := q.entries[0]
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// next returns the time of the earliest timer, and false where there is none.
+// next returns the time of the earliest timer, and false if the queue is empty.
 func (q *timerQueue) next() (at float64, scheduled bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -82,13 +82,13 @@
 	return q.entries[0].at, true
 }
 
-// timerEntry is a timer in the queue.
+// timerEntry is a timer in the queue with its time.
 type timerEntry struct {
 	at    float64 // seconds of the loop's clock
 	timer timer
 }
 
-// timerHeap implements heap.Interface with the earliest timer first.
+// timerHeap implements heap.Interface, with the earliest timer at the top.
 type timerHeap []timerEntry
 
 func (h timerHeap) Len() int { return len(h) }
@@ -97,14 +97,14 @@
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends an entry, as package heap asks for.
+// Push appends an entry, as heap.Interface requires.
 func (h *timerHeap) Push(entry any) { *h = append(*h, entry.(timerEntry)) }
 
-// Pop removes the last entry, as package heap asks for.
+// Pop removes and returns the last entry, as heap.Interface requires.
 func (h *timerHeap) Pop() any {
 	entries := *h
 	last := entries[len(entries)-1]
-	entries[len(entries)-1] = timerEntry{} // lets what it refers to go
+	entries[len(entries)-1] = timerEntry{} // for the garbage collector
 	*h = entries[:len(entries)-1]
 	return last
 }
