--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newAttempt returns an attempt at backend 1 that has a request to send and so long for it.
+// newAttempt returns an attempt at backend 1, with a request to send and the given timeout.
 func newAttempt(timeout time.Duration) *attempt {
 	a := &attempt{
 		backend:        1,
@@ -25,18 +25,18 @@
 	return a
 }
 
-// After cancel has returned the request has its final answer, and not a byte may leave for it: neither by a dial that
-// succeeds later, nor on a connection.
+// Once cancel has returned, the request can get its final answer, and no further byte of it may be sent: neither on a
+// connection that a pending dial opens later, nor on the attempt's current connection.
 func TestNothingIsSentAfterCancel(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	a := newAttempt(testTimeout)
 	a.cancel()
-	a.ctx = context.Background() // as if the dial had succeeded all the same
+	a.ctx = context.Background() // lets the dial succeed despite the cancel
 	p.roundTrip(a)
 	conn, reader := backend.accept(t)
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("sent after the cancel: %v", err)
+		t.Errorf("read from a connection dialed after the cancel: %v, want EOF", err)
 	}
 	conn.Close()
 
@@ -45,10 +45,10 @@
 	_, reader = backend.acceptRequest(t)
 	a.cancel()
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the connection after the cancel: %v", err)
+		t.Errorf("read from the connection in use after the cancel: %v, want EOF", err)
 	}
 	await(t, results, "result")
 	if p.openConns != 0 {
-		t.Errorf("%d connections open", p.openConns)
+		t.Errorf("%d connections are still open", p.openConns)
 	}
 }
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -7,7 +7,7 @@
 	"amberlb/policy"
 )
 
-// newPoolsFor returns pools with backend 1 at an address.
+// newPoolsFor returns connectionPools with backend 1 at the given address.
 func newPoolsFor(t *testing.T, address string) *connectionPools {
 	p := newConnectionPools(testTimeout, time.Minute, 8)
 	p.updateEndpoint(1, address, 0)
@@ -15,15 +15,15 @@
 	return p
 }
 
-// startRoundTrip runs an attempt on a goroutine of its own.
+// startRoundTrip runs an attempt on a new goroutine and returns a channel with its result.
 func startRoundTrip(p *connectionPools, a *attempt) <-chan attemptResult {
 	results := make(chan attemptResult, 1)
 	go func() { results <- p.roundTrip(a) }()
 	return results
 }
 
-// markRecentlyUsed makes the first idle connection to backend 1 one that has been used just now, so that the next attempt
-// surely comes within its reuseDelay.
+// markRecentlyUsed makes the first idle connection to backend 1 look as if it had just been used, so that the next
+// attempt is sure to come within its reuseDelay.
 func markRecentlyUsed(p *connectionPools) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,16 +35,16 @@
 	p := newPoolsFor(t, backend.address())
 	backend.listener.Close()
 	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
-		t.Errorf("refused: outcome %d", got.outcome)
+		t.Errorf("connection refused: outcome %d", got.outcome)
 	}
 	p.removeEndpoint(1)
 	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed || p.openConns != 0 {
-		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.openConns)
+		t.Errorf("backend not listed: outcome %d, %d connections open", got.outcome, p.openConns)
 	}
 }
 
-// A backend may close an idle connection. A request written to it would end as a reset and could not be retried; so the
-// socket is examined first.
+// A backend may close an idle connection. A request written to such a connection would end as a reset and could not be
+// retried, so the pool checks the socket before it reuses the connection.
 func TestIdleConnectionClosedByBackendIsNotReused(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -54,8 +54,8 @@
 	await(t, results, "result")
 	conn.Close()
 	idle := p.endpoints[1].idleConns[0]
-	// The end of the connection is on its way through the kernel.
-	awaitCondition(t, "the idle connection never ends", func() bool { return !isQuiet(idle.Conn) })
+	// The kernel may take a moment to deliver the close.
+	awaitCondition(t, "the idle connection was never closed", func() bool { return !isQuiet(idle.Conn) })
 	results = startRoundTrip(p, newAttempt(testTimeout))
 	conn, _ = backend.acceptRequest(t)
 	respondOK(conn, "")
@@ -64,8 +64,8 @@
 	}
 }
 
-// A duplicate of a response may follow a little later: no other request may be sent on the connection meanwhile, lest
-// the duplicate be read as its response.
+// A backend may send a duplicate of a response a little later. If another request were sent on the connection before
+// that, the duplicate would be read as its response.
 func TestDuplicateResponseIsNotReadAsTheNext(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -83,7 +83,7 @@
 	}
 }
 
-// At the limit of connections, one that may not be reused yet is evicted for a new one; it is not reused all the same.
+// At the connection limit, an idle connection within its reuseDelay is closed in favor of a new one, and not reused.
 func TestDuplicateResponseAtConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -98,11 +98,12 @@
 	respondOK(conn, "first")
 	respondOK(other, "second")
 	if got := await(t, results, "result"); string(got.body) != "second" || p.openConns != 1 {
-		t.Errorf("body %q, %d open", got.body, p.openConns)
+		t.Errorf("body %q, %d connections open", got.body, p.openConns)
 	}
 }
 
-// An idle connection outlives the deadlines of the attempts that it carried: a new one costs its backend work.
+// An idle connection can be reused after the deadlines of earlier attempts on it have passed. Otherwise connections
+// would be replaced needlessly, and each new one costs its backend work.
 func TestReuseAfterPastDeadline(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -114,14 +115,14 @@
 		if got := await(t, results, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
+		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as after the deadline of an earlier attempt
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
 			results = startRoundTrip(p, newAttempt(testTimeout))
 		}
 	}
 	if len(backend.conns) != 0 || p.openConns != 1 {
-		t.Errorf("%d more connections, %d open", len(backend.conns), p.openConns)
+		t.Errorf("%d additional connections accepted, %d open", len(backend.conns), p.openConns)
 	}
 }
 
@@ -132,11 +133,11 @@
 	results := startRoundTrip(p, newAttempt(testTimeout))
 	conn, _ := backend.acceptRequest(t)
 	if got := p.roundTrip(newAttempt(testTimeout)); got.outcome != policy.ConnectFailed {
-		t.Errorf("over the connection limit: outcome %d", got.outcome)
+		t.Errorf("at the connection limit: outcome %d", got.outcome)
 	}
 	respondOK(conn, "")
 	await(t, results, "result")
-	// An idle connection to another backend is evicted for one that is needed.
+	// An idle connection to another backend is evicted to make room.
 	other := newPeer(t)
 	p.updateEndpoint(2, other.address(), 0)
 	a := newAttempt(testTimeout)
@@ -144,7 +145,7 @@
 	results = startRoundTrip(p, a)
 	conn, _ = other.acceptRequest(t)
 	if len(p.endpoints[1].idleConns) != 0 || p.openConns != 1 {
-		t.Errorf("%d idle, %d open", len(p.endpoints[1].idleConns), p.openConns)
+		t.Errorf("%d connections idle, %d open", len(p.endpoints[1].idleConns), p.openConns)
 	}
 	respondOK(conn, "")
 	await(t, results, "result")
@@ -152,10 +153,10 @@
 	defer p.mu.Unlock()
 	p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour))
 	if p.openConns != 1 {
-		t.Errorf("a fresh connection was closed")
+		t.Errorf("a connection was closed before its idle timeout")
 	}
 	p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour))
 	if p.openConns != 0 || len(p.endpoints[2].idleConns) != 0 {
-		t.Errorf("%d open after the idle timeout", p.openConns)
+		t.Errorf("%d connections open after the idle timeout", p.openConns)
 	}
 }
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -14,15 +14,15 @@
 	"amberlb/policy"
 )
 
-// callResult is what a call of the given amount was reported with.
+// callResult is the reported result of a call with the given amount.
 type callResult struct {
 	amount  float64
 	outcome policy.Outcome
 	total   float64
 }
 
-// startCounterClient runs a client of the counter until the test ends. add queues a call whose reply is then in
-// replies.
+// startCounterClient runs a client for the counter at the given address until the test ends. add queues a call; its
+// result is sent to results.
 func startCounterClient(t *testing.T, address string) (
 	c *counterClient, add func(amount float64) *counterCall, results chan callResult,
 ) {
@@ -39,20 +39,20 @@
 			results <- callResult{call.amount, outcome, total}
 		}
 		if !c.enqueue(call) {
-			t.Fatal("the queue is full")
+			t.Fatal("the queue of calls is full")
 		}
 		return call
 	}
 	return c, add, results
 }
 
-// writeResponse writes an answer with a length.
+// writeResponse writes a response with a Content-Length.
 func writeResponse(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// Calls are pipelined in order. The answer to an abandoned one is not taken for the next call's, and a call
-// whose answer is cut off is in doubt.
+// Calls are pipelined in order. The late response to an abandoned call must not be mistaken for the next call's. A call
+// whose response is cut off ends as ConnectionReset, since its amount may have been added.
 func TestCounterCallsArePipelined(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -62,13 +62,13 @@
 	add(4)
 	conn, reader := counter.accept(t)
 	for i, want := range []string{"1", "-2.5", "3", "4"} {
-		req, _ := readRequest(t, reader) // all before the first answer: calls are pipelined
+		req, _ := readRequest(t, reader) // calls are pipelined, so all arrive before the first response
 		if uri := "/v1/count/0000000000000007?add=" + want + "&ttl_ms=60000"; req.RequestURI != uri {
 			t.Errorf("call %d: %s, want %s", i, req.RequestURI, uri)
 		}
 	}
-	// The loop abandons the first call. Its late answer keeps its place, lest each later call get the total of
-	// the one before.
+	// The loop abandons the first call. It must keep its place in the pipeline, or each later call would get the
+	// total of the previous one.
 	abandoned.abandoned.Store(true)
 	writeResponse(conn, 200, "1")
 	writeResponse(conn, 200, "-1.5\n")
@@ -80,25 +80,26 @@
 		{3, policy.Rejected, 0},
 		{4, policy.ConnectFailed, 0},
 	} {
-		if got := await(t, results, "reply"); got != want {
-			t.Errorf("reply %v, want %v", got, want)
+		if got := await(t, results, "result"); got != want {
+			t.Errorf("result %v, want %v", got, want)
 		}
 	}
-	// A call whose answer is cut off may have been added.
+	// The amount of a call whose response is cut off may have been added.
 	add(5)
 	readRequest(t, reader)
 	conn.Close()
-	if got := await(t, results, "reply"); got.outcome != policy.ConnectionReset {
-		t.Errorf("reply after the connection was closed: %v", got)
+	if got := await(t, results, "result"); got.outcome != policy.ConnectionReset {
+		t.Errorf("result after the connection was closed: %v", got)
 	}
-	// The next is sent on a new connection.
+	// The next call is sent on a new connection.
 	add(6)
 	_, reader = counter.accept(t)
 	readRequest(t, reader)
 }
 
-// A malformed answer says that the amount was added and no more: a call behind it is in doubt, and the
-// connection is not used any more.
+// A call with a malformed response ends as Failed, which counts its amount as added; one with an unexpected status ends
+// as ConnectionReset. In both cases the connection is closed, and a call behind it in the pipeline ends as
+// ConnectionReset.
 func TestMalformedCounterAnswerEndsConnection(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -121,26 +122,26 @@
 		conn, reader := counter.accept(t)
 		readRequest(t, reader)
 		add(2)
-		readRequest(t, reader) // written behind it
+		readRequest(t, reader) // the second call is pipelined behind the first
 		fmt.Fprint(conn, c.response, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n8")
-		if got := await(t, results, "reply"); got != (callResult{1, c.outcome, 0}) {
-			t.Errorf("%.60q: reply %v", c.response, got)
+		if got := await(t, results, "result"); got != (callResult{1, c.outcome, 0}) {
+			t.Errorf("%.60q: result %v", c.response, got)
 		}
-		if got := await(t, results, "reply"); got != (callResult{2, policy.ConnectionReset, 0}) {
-			t.Errorf("%.60q: reply to the call behind it %v", c.response, got)
+		if got := await(t, results, "result"); got != (callResult{2, policy.ConnectionReset, 0}) {
+			t.Errorf("%.60q: result of the call behind it %v", c.response, got)
 		}
 	}
 	add(3)
 	conn, reader := counter.accept(t)
 	readRequest(t, reader)
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // and no end but the connection's
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // only the close ends the body
 	conn.Close()
-	if got := await(t, results, "reply"); got.outcome != policy.Failed {
-		t.Errorf("reply with no length: %v", got)
+	if got := await(t, results, "result"); got.outcome != policy.Failed {
+		t.Errorf("response without a length: result %v", got)
 	}
 }
 
-// Where the settings give a call longer than the usual I/O time-out, its answer may take that long.
+// If the settings give a call a timeout above counterIOTimeout, its response may take that long.
 func TestCounterAnswerMayTakeCallTimeout(t *testing.T) {
 	t.Parallel()
 	counter := newPeer(t)
@@ -148,15 +149,15 @@
 	add(1)
 	conn, reader := counter.accept(t)
 	readRequest(t, reader)
-	time.Sleep(counterIOTimeout + 200*time.Millisecond) // the moment that is to be crossed
+	time.Sleep(counterIOTimeout + 200*time.Millisecond) // must exceed counterIOTimeout
 	writeResponse(conn, 200, "5")
-	if got := await(t, results, "reply"); got != (callResult{1, policy.Served, 5}) {
-		t.Errorf("reply %v", got)
+	if got := await(t, results, "result"); got != (callResult{1, policy.Served, 5}) {
+		t.Errorf("result %v", got)
 	}
 }
 
-// An answer that never ends blocks the calls behind it on its connection and no others: the next call gets
-// a new connection.
+// A response that never ends blocks only the calls that are already behind it on its connection: the next call is sent
+// on a new connection.
 func TestBlockedCounterConnectionIsReplaced(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -165,27 +166,27 @@
 	readRequest(t, reader)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
 	for deadline := time.Now().Add(testTimeout); !blocked.responseStarted.Load() && time.Now().Before(deadline); {
-		time.Sleep(time.Millisecond) // the answer's beginning is on its way
+		time.Sleep(time.Millisecond) // until the beginning of the response has arrived
 	}
 	blocked.abandoned.Store(true)
 	add(2)
 	conn, reader = counter.accept(t)
 	readRequest(t, reader)
 	writeResponse(conn, 200, "3")
-	for got := await(t, results, "reply"); got != (callResult{2, policy.Served, 3}); got = await(t, results, "reply") {
-		if got.amount != 1 { // the blocked connection ends at its time-out, and its call with it
-			t.Fatalf("reply on the new connection: %v", got)
+	for got := await(t, results, "result"); got != (callResult{2, policy.Served, 3}); got = await(t, results, "result") {
+		if got.amount != 1 { // the blocked call ends with its connection's timeout
+			t.Fatalf("result on the new connection: %v", got)
 		}
 	}
 }
 
-// A counter that is slow for all must not get connections without limit: at the limit, calls are sent on
-// the last one.
+// A counter that is slow on every connection must not get an unlimited number of connections: at the limit, a stream
+// keeps its last connection even if that is blocked.
 func TestCounterConnectionsAreLimited(t *testing.T) {
 	counter := newPeer(t)
 	client := newCounterClient(counter.address(), testTimeout)
 	var openConns atomic.Int64
-	openConns.Store(maxConnsPerStream - 1) // blocked already
+	openConns.Store(maxConnsPerStream - 1) // earlier connections, all blocked
 	conn, err := client.dial(context.Background(), &openConns)
 	if err != nil {
 		t.Fatal(err)
@@ -195,32 +196,32 @@
 	blockingCall.abandoned.Store(true)
 	conn.headCall.Store(blockingCall)
 	if conn.headOfLineBlocked() {
-		t.Error("another connection would be opened past the limit")
+		t.Error("a blocked connection is replaced at the limit")
 	}
 	openConns.Add(-1)
 	if !conn.headOfLineBlocked() {
-		t.Error("a blocked connection is kept below the limit")
+		t.Error("a blocked connection is not replaced below the limit")
 	}
 	openConns.Add(1)
 	conn.Close()
 	client.readers.Wait()
 	if n := openConns.Load(); n != maxConnsPerStream-1 {
-		t.Errorf("%d connections count as open after one has ended", n)
+		t.Errorf("%d connections are counted as open after one was closed", n)
 	}
 }
 
-// A call on a counter that can't be reached is not written, so nothing was added, and the outcome says so.
+// A call to an unreachable counter is not written, so it must end as ConnectFailed: nothing was added.
 func TestUnreachableCounterAddsNothing(t *testing.T) {
 	counter := newPeer(t)
 	counter.listener.Close()
 	_, add, results := startCounterClient(t, counter.address())
 	add(1)
-	if got := await(t, results, "reply"); got.outcome != policy.ConnectFailed {
-		t.Errorf("reply %v", got)
+	if got := await(t, results, "result"); got.outcome != policy.ConnectFailed {
+		t.Errorf("result %v", got)
 	}
 }
 
-// A call that was abandoned before it was written is never written.
+// A call that is abandoned while it is queued must not be written.
 func TestAbandonedCallIsNotWritten(t *testing.T) {
 	counter := newPeer(t)
 	client := newCounterClient(counter.address(), testTimeout)
@@ -236,15 +237,15 @@
 	go client.run(ctx)
 	_, reader := counter.accept(t)
 	if req, _ := readRequest(t, reader); req.URL.Query().Get("add") != "2" {
-		t.Errorf("written: %s", req.RequestURI)
+		t.Errorf("unexpected call written: %s", req.RequestURI)
 	}
 	if got := await(t, reported, "report"); got != policy.TimedOut {
 		t.Errorf("outcome %d", got)
 	}
 }
 
-// Something on the way to the counter drops idle connections: once that is known, a call is sent on a new
-// one and is not in doubt.
+// If connections break after an idle time, because something on the path to the counter drops them, a call after such
+// an idle time must be sent on a new connection. Otherwise it would be unknown whether its amount was added.
 func TestIdleConnectionIsReplacedAboveEstimatedLimit(t *testing.T) {
 	counter := newPeer(t)
 	client, add, results := startCounterClient(t, counter.address())
@@ -256,35 +257,36 @@
 		conn, reader := counter.accept(t)
 		readRequest(t, reader)
 		writeResponse(conn, 200, "1")
-		await(t, results, "reply")
-		time.Sleep(10 * minIdleBucket) // the idle time itself is what is tested
+		await(t, results, "result")
+		time.Sleep(10 * minIdleBucket) // above the estimated limit
 	}
 }
 
-// Calls that fail on connections that were idle teach the estimator a limit.
+// The idle limit is estimated from calls that end with a reset on connections that had been idle.
 func TestIdleLimitIsLearnedFromResets(t *testing.T) {
 	counter := newPeer(t)
 	client, add, results := startCounterClient(t, counter.address())
 	for round := 0; client.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
-			t.Fatal("no limit was learned")
+			t.Fatal("no idle limit was estimated")
 		}
 		add(1)
 		conn, reader := counter.accept(t)
 		readRequest(t, reader)
 		writeResponse(conn, 200, "1")
-		await(t, results, "reply")
+		await(t, results, "result")
 		time.Sleep(2 * minIdleBucket)
 		add(2)
 		readRequest(t, reader)
 		conn.Close()
-		if got := await(t, results, "reply"); got.outcome != policy.ConnectionReset {
-			t.Fatalf("reply %v", got)
+		if got := await(t, results, "result"); got.outcome != policy.ConnectionReset {
+			t.Fatalf("result %v", got)
 		}
 	}
 }
 
-// A connection that the counter closed while idle is not reused: a call written to it would be in doubt.
+// A connection that the counter has closed while it was idle must not be reused: it would be unknown whether the amount
+// of a call written to it was added.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	counter := newPeer(t)
 	client := newCounterClient(counter.address(), testTimeout)
@@ -295,16 +297,16 @@
 	}
 	defer conn.Close()
 	counterSide, _ := counter.accept(t)
-	conn.SetDeadline(time.Now().Add(-time.Second)) // of an earlier call
+	conn.SetDeadline(time.Now().Add(-time.Second)) // has passed, as after an earlier call
 	if !conn.reusable(0) {
-		t.Error("a healthy connection is not reusable")
+		t.Error("an open connection is not reusable")
 	}
 	if conn.reusable(counterIdleTimeout + time.Second) {
-		t.Error("reusable after the idle limit")
+		t.Error("reusable after the idle timeout")
 	}
 	counterSide.Close()
 	for deadline := time.Now().Add(testTimeout); isQuiet(conn.Conn) && time.Now().Before(deadline); {
-		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
+		time.Sleep(time.Millisecond) // the kernel may take a moment to deliver the close
 	}
 	if conn.reusable(0) {
 		t.Error("reusable after the counter closed it")
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// A silent counter must not block customers inside their quotas: the call times out and the gateway's local
-// tokens pay.
+// A counter that doesn't respond must not block customers who are within their quotas: the call times out, and the
+// request is paid with the gateway's local tokens.
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
 	g := startTestGatewayWith(t, func(config string) string {
-		// So many gateways that local tokens pay for nothing while the counter answers.
+		// With this many gateways, local tokens are not enough for any request while the counter responds.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
@@ -30,8 +30,8 @@
 	}
 }
 
-// An answer of the counter that begins and never ends is no time-out: the amount was added, so the
-// customer's total is requested again at once and the amount is written off.
+// A call whose response begins but never ends must not count as timed out, since its amount was added: the gateway asks
+// for the customer's total again at once, and takes the added units back.
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
@@ -39,16 +39,16 @@
 			return
 		}
 	}
-	t.Error("the machine was too busy, each time, for the counter to answer within the calls' time")
+	t.Error("the machine was too busy in each round for the counter to respond before the call timed out")
 }
 
-// tryUnfinishedCounterAnswer plays a counter whose first answer never ends. It returns false where the test was
-// held up so long that a call may have timed out before the counter said anything, which is another case.
+// tryUnfinishedCounterAnswer runs the test once, with a counter whose first response never ends. It returns false if the
+// test ran so slowly that a call may have timed out before the counter sent anything, which is a different case.
 func tryUnfinishedCounterAnswer(t *testing.T) bool {
 	t.Helper()
-	const callTimeout = 500 * time.Millisecond // well under the 1 s after which a connection without progress is closed
+	const callTimeout = 500 * time.Millisecond // well below the 1 s after which a connection without a response is closed
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are too few to pay again.
+	// The gateway's local tokens are not enough to admit the request.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	began := time.Now()
 	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
@@ -69,7 +69,7 @@
 		added += n
 	}
 	writeResponse(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
-	if time.Since(began) >= 2*callTimeout { // the second call began when the first had timed out, or later
+	if time.Since(began) >= 2*callTimeout { // the second call began when the first timed out or later
 		return false
 	}
 	serveOne(t, backend, "ok")
@@ -79,27 +79,27 @@
 	return true
 }
 
-// An answer that arrives after its call has timed out tells what was added: the queued request is admitted
-// by it.
+// A response that arrives after its call has timed out still shows that the amount was added, so the queued request
+// that needs it is admitted.
 func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
 	const callTimeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are too few to pay.
+	// The gateway's local tokens are not enough to admit the request.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := counter.accept(t)
 	first, _ := readRequest(t, reader)
-	time.Sleep(callTimeout * 3 / 2) // the answer counts whenever it comes; here most likely late
+	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; if not, it admits the request too
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
-	serveOne(t, backend, "ok") // and no other call is answered
+	serveOne(t, backend, "ok") // no other call to the counter has got a response
 	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// The units of a call whose answer holds no total are returned where the answer shows that they were added.
-// Where that is in doubt the customer loses them once, and no more.
+// If the response to a call has no valid total but shows that the units were added, a later call returns the units to
+// the counter. If it is unknown whether they were added, the customer loses them once, and no more.
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -111,7 +111,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const otherGatewayUnits = 2.0 // units that another gateway has added
+			const otherGatewayUnits = 2.0 // added by another gateway
 			counter := newPeer(t)
 			g := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
 			g.sendRequest(t, requestText("GET", "lookup", ""))
@@ -132,9 +132,9 @@
 				t.Skip("the window has just ended")
 			}
 			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGatewayUnits+second, 'f', -1, 64))
-			_, third := nextCall() // returns what was requested and not granted
+			_, third := nextCall() // returns the units that were added but not granted
 			if remaining := first + second + third; first != 2 || math.Abs(remaining-c.wantLost) > 0.1 {
-				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, remaining, c.wantLost)
+				t.Errorf("calls added %g + %g + %g: %g units remain added, want %g", first, second, third, remaining, c.wantLost)
 			}
 		})
 	}
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// maxChangeDelay is the time after which a change counts as known to a gateway, from when discovery had it and
-// could be reached.
+// maxChangeDelay is the time within which a gateway must know a change of the endpoint list, from when discovery has the
+// change and can be reached.
 const maxChangeDelay = 6 * time.Second
 
-// Whatever the drain grace is, a poll that falls silent, the delay after it and the answer to the next one
-// fit in the time after which a change counts as known.
+// For every drain grace, the timeout of a poll that gets no response, the retry delay and the response to the next poll
+// must add up to maxChangeDelay at most.
 func TestMissedChangeArrivesInTime(t *testing.T) {
 	for grace := time.Duration(0); grace <= time.Minute; grace += 100 * time.Millisecond {
 		timeouts := newPollTimeouts(grace)
 		if total := timeouts.watchTimeout() + watchRetryDelay + timeouts.response; total > maxChangeDelay {
-			t.Fatalf("with a grace of %v a change may arrive after %v", grace, total)
+			t.Fatalf("with a drain grace of %v, a change may arrive after %v", grace, total)
 		}
 		for timedOut := range 10 {
 			if total := timeouts.fullListTimeout(timedOut, false) + watchRetryDelay + timeouts.response; total > maxChangeDelay {
-				t.Fatalf("with a grace of %v and %d lists that timed out, one may arrive after %v", grace, timedOut, total)
+				t.Fatalf("with a drain grace of %v and %d timed-out polls, a list may arrive after %v", grace, timedOut, total)
 			}
 		}
 	}
 }
 
-// After polls that failed, in whatever way, the change comes with the next one: soon, and in full.
+// In whatever way polls fail, the next poll that succeeds must deliver all changes, within maxChangeDelay.
 func TestChangeAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	respond := func(status int, text string) func(net.Conn) {
@@ -74,7 +74,7 @@
 			writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 			await(t, received, "list")
 			var sentAt time.Time
-			for range 4 { // the first is a watch; after a malformed answer the next poll asks for the full list
+			for range 4 { // the first poll is a watch; after an invalid response the next one asks for the full list
 				readRequest(t, reader)
 				sentAt = time.Now()
 				failPoll(conn)
@@ -92,7 +92,7 @@
 	}
 }
 
-// The same holds after dials that hang and after refused ones.
+// After dials that hang or are refused, the next successful poll must deliver the list within maxChangeDelay.
 func TestChangeAfterFailedDials(t *testing.T) {
 	t.Parallel()
 	received := make(chan EndpointList, 8)
@@ -108,7 +108,7 @@
 	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > maxChangeDelay {
-		t.Errorf("after a dial that hung, received after %v", elapsed)
+		t.Errorf("list received %v after a dial hung", elapsed)
 	}
 
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -124,9 +124,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port) // where nobody listens yet
+	address := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port) // bound but not listening yet
 	runWatcher(t, newDiscoveryWatcher(address, 800*time.Millisecond, true, onList))
-	time.Sleep(2 * watchRetryDelay) // some dials are refused
+	time.Sleep(2 * watchRetryDelay) // meanwhile dials are refused
 	if err := syscall.Listen(fd, 8); err != nil {
 		t.Fatal(err)
 	}
@@ -144,12 +144,12 @@
 	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 	await(t, received, "list")
 	if elapsed := time.Since(sentAt); elapsed > maxChangeDelay {
-		t.Errorf("after refused dials, received after %v", elapsed)
+		t.Errorf("list received %v after dials were refused", elapsed)
 	}
 }
 
-// A full list that takes long to be written arrives all the same, also one slower than a watch may be where
-// no other list is in use.
+// A full list that discovery writes slowly must still arrive. If no older list is in use, it may take longer than the
+// timeout of a watch.
 func TestSlowFullListArrives(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -13,11 +13,11 @@
 	"amberlb/policy"
 )
 
-// fakeDiscovery is a discovery whose answers a test gives one by one.
+// fakeDiscovery is a discovery service whose responses a test supplies one by one.
 type fakeDiscovery struct {
 	*httptest.Server
 	calls   chan string // the query of each poll
-	answers chan any    // an EndpointList, a body, a status, or nil to break the connection
+	answers chan any    // an EndpointList, a body (string), a status (int), or nil to break the connection
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -53,12 +53,12 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// What a silent watch misses is polled for again, on a new connection, within the drain grace, also when
-// the next watch is as silent.
+// A watch that gets no response must be replaced by a new one, on a new connection, within the drain grace, also several
+// times in a row. Otherwise the gateway would miss drains and send requests to backends that have drained.
 func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
 		if total := newPollTimeouts(grace).watchTimeout() + watchRetryDelay; total > grace*9/10 {
-			t.Errorf("a watch lasts %v of a grace of %v", total, grace)
+			t.Errorf("a watch takes %v of a drain grace of %v", total, grace)
 		}
 	}
 	discovery := newPeer(t)
@@ -66,16 +66,16 @@
 	conn, reader := discovery.accept(t)
 	readRequest(t, reader)
 	writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
-	for range 3 { // none is answered
+	for range 3 { // no watch gets a response
 		if req, _ := readRequest(t, reader); req.URL.RawQuery != "since=41&timeout_ms=400" {
-			t.Errorf("watch %q", req.URL.RawQuery)
+			t.Errorf("watch with query %q", req.URL.RawQuery)
 		}
 		_, reader = discovery.accept(t)
 	}
 }
 
-// A backend in use whose entry can't be decoded gets no further request: what can't be read may be that it
-// drains.
+// A backend in use whose entry becomes invalid must get no further requests, since the entry may say that the backend is
+// draining.
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
 	g := startTestGateway(t, backend, other)
@@ -88,19 +88,19 @@
 	await(t, g.discovery.calls, "next watch")
 	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
-		t.Errorf("status %d, connections %d and %d", resp.StatusCode, len(backend.conns), len(other.conns))
+		t.Errorf("status %d, %d and %d connections to the backends", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
 
-// A watch resumes from its last version. After an answer that is no usable list the watcher starts over
-// from the full list.
+// A failed watch is repeated from the last version received. After a response without a valid list, the watcher asks for
+// the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	received := make(chan EndpointList, 64)
 	runWatcher(t, newDiscoveryWatcher(discovery.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
-	// Each step: the poll that is expected, its answer, and whether a list is handed on, and as a full one.
+	// Each step states the expected query of a poll, its response, and whether onList gets a list and a full one.
 	for _, step := range []struct {
 		name      string
 		wantQuery string
@@ -108,20 +108,20 @@
 		wantReset bool
 		noList    bool
 	}{
-		{"discovery is not there yet", "", nil, false, true},
-		{"the first list", "", EndpointList{Generation: 41, Entries: empty}, true, false},
-		{"a broken watch", "since=41&timeout_ms=1000", nil, false, true},
-		{"the same version again", "since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
-		{"a reset", "since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: empty}, true, false},
-		{"a rejected version", "since=2&timeout_ms=1000", 500, false, true},
-		{"the full list after it", "", EndpointList{Generation: 50, Reset: true, Entries: empty}, true, false},
+		{"discovery not available yet", "", nil, false, true},
+		{"first list", "", EndpointList{Generation: 41, Entries: empty}, true, false},
+		{"broken watch", "since=41&timeout_ms=1000", nil, false, true},
+		{"watch from the same version", "since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
+		{"list reset", "since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: empty}, true, false},
+		{"rejected version", "since=2&timeout_ms=1000", 500, false, true},
+		{"full list after the rejected version", "", EndpointList{Generation: 50, Reset: true, Entries: empty}, true, false},
 		{"malformed JSON", "since=50&timeout_ms=1000", "{", false, true},
-		{"no list at all must not pass for an empty one", "", "{}", false, true},
-		{"an array", "", "[]", false, true},
-		{"the full list after these", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
+		{"missing list, not to be treated as empty", "", "{}", false, true},
+		{"array instead of an object", "", "[]", false, true},
+		{"full list after invalid responses", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
 	} {
 		if got := await(t, discovery.calls, "poll"); got != step.wantQuery {
-			t.Fatalf("%s: poll %q, want %q", step.name, got, step.wantQuery)
+			t.Fatalf("%s: poll with query %q, want %q", step.name, got, step.wantQuery)
 		}
 		discovery.answers <- step.response
 		if step.noList {
@@ -144,7 +144,7 @@
 		t.Errorf("%+v, %v; want %+v", backend, err, want)
 	}
 	if backendID("s-5be2a07c") != 0x4caec46a {
-		t.Errorf("the id of a name has changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
+		t.Errorf("the id of an instance changed to %#x: gateways of two versions would not agree", backendID("s-5be2a07c"))
 	}
 	for name, entry := range map[string]EndpointEntry{
 		"no id":             {ID: "", Zone: "a", Lifecycle: "Ready"},
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -12,7 +12,7 @@
 	minResponseTime      = 200 * time.Millisecond  // lower bound of pollTimeouts.response
 	maxWatchResponseTime = 1400 * time.Millisecond // upper bound of pollTimeouts.response
 	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound for a full list if no older list is in use
-	watchRetryDelay      = 100 * time.Millisecond  // after a failed poll; below the 200 ms after which discovery forgets a watch
+	watchRetryDelay      = 100 * time.Millisecond  // after a failed poll; discovery forgets a watch after 200 ms
 )
 
 // pollTimeouts holds the timeouts for polls of discovery.
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -9,13 +9,13 @@
 	"amberlb/policy"
 )
 
-// A connection that a backend refuses costs no request; a backend that drains gets none.
+// A request whose connection is refused is sent to another backend. A draining backend gets no requests.
 func TestRefusedConnectionAndDrainingBackendGetNoRequest(t *testing.T) {
 	t.Parallel()
 	dead, backend := newPeer(t), newPeer(t)
 	g := startTestGateway(t, dead, backend)
 	dead.listener.Close()
-	for range 4 { // none is lost, whichever is picked first
+	for range 4 { // no request may fail, whichever backend is picked first
 		_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
 		conn, _ := backend.acceptRequest(t)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
@@ -23,7 +23,7 @@
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	// The poll after the one that told of the drain shows that it was taken in.
+	// The poll after the one that reported the drain shows that the gateway has received the drain.
 	await(t, g.discovery.calls, "first list")
 	await(t, g.discovery.calls, "watch")
 	g.discovery.answers <- endpointListOf(false, "Terminating", backend)
@@ -34,15 +34,15 @@
 	}
 }
 
-// A drain ends the dials to its backend: an attempt that waits for one goes elsewhere, or its request is rejected, and
-// nothing is sent when the connection is made.
+// When a backend begins to drain, dials to it must end at once. Otherwise an attempt that waits for a slow dial would be
+// sent to the draining backend, instead of its request being retried elsewhere or rejected.
 func TestDrainEndsDial(t *testing.T) {
 	t.Parallel()
 	backend, other := newFullBacklogBackend(t), newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 	g.publishBackends(t, backend.address)
 	_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
-	awaitCondition(t, "the backend is never dialled", func() bool { return isDialing(t, backend.address) })
+	awaitCondition(t, "the backend was never dialed", func() bool { return isDialing(t, backend.address) })
 	list := endpointListOf(true, "Ready", other)
 	list.Entries = append(list.Entries,
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
@@ -52,12 +52,12 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if isDialing(t, backend.address) {
-		t.Error("the dial to the draining backend goes on")
+		t.Error("the dial to the draining backend has not ended")
 	}
 }
 
-// The process behind an old connection is gone once its backend has started anew; a request written there is lost or in
-// doubt.
+// When a backend restarts or moves, its old connections must not be reused: the process behind them is gone. A request
+// written to one would be lost, or it would be unknown whether it was executed.
 func TestNewIncarnationOrAddressGetsNewConnections(t *testing.T) {
 	backend, moved := newPeer(t), newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -65,7 +65,7 @@
 	backend.acceptRequest(t)
 	p.updateEndpoint(1, backend.address(), 5)
 	if got := await(t, inFlight, "result"); got.outcome != policy.ConnectionReset {
-		t.Errorf("in flight at the old incarnation: outcome %d", got.outcome)
+		t.Errorf("attempt in flight at the old incarnation: outcome %d", got.outcome)
 	}
 	for n, current := range []*peer{backend, moved} {
 		p.updateEndpoint(1, current.address(), 5)
@@ -73,12 +73,12 @@
 		conn, _ := current.acceptRequest(t)
 		respondOK(conn, "")
 		if got := await(t, results, "result"); got.outcome != policy.Served || p.openConns != 1 {
-			t.Errorf("new endpoint %d: outcome %d, %d open", n, got.outcome, p.openConns)
+			t.Errorf("new endpoint %d: outcome %d, %d connections open", n, got.outcome, p.openConns)
 		}
 	}
 }
 
-// A draining backend gets nothing new, but may finish what it has in flight.
+// A draining backend gets no new attempts, but may finish its attempts in flight.
 func TestDrainingBackendFinishesAttemptsInFlight(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -90,6 +90,6 @@
 	}
 	respondOK(conn, "")
 	if got := await(t, inFlight, "result"); got.outcome != policy.Served || p.openConns != 0 {
-		t.Errorf("in flight: outcome %d, %d open", got.outcome, p.openConns)
+		t.Errorf("attempt in flight: outcome %d, %d connections open", got.outcome, p.openConns)
 	}
 }
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -9,11 +9,11 @@
 	"amberlb/policy"
 )
 
-// The engine takes replies for one key in the order of the calls, so a later call that ends first waits for the
-// earlier one.
+// The engine expects the replies for a key in the order of the calls, so the reply of a call that ends early must wait
+// for those of the calls before it.
 func TestCounterRepliesInCallOrder(t *testing.T) {
 	l := &eventLoop{pendingCalls: map[uint64][]*counterCall{}, engine: &policy.Engine{}}
-	l.pendingEvents = []policy.Event{nil} // an outer call handles events: replies are queued
+	l.pendingEvents = []policy.Event{nil} // as during an outer handleEvent, so replies are only queued
 	first := &counterCall{key: 1, amount: 1}
 	second := &counterCall{key: 1, amount: 2}
 	other := &counterCall{key: 2}
@@ -22,18 +22,18 @@
 	l.finishCall(second, policy.Rejected, 0)
 	l.finishCall(other, policy.Served, 3)
 	l.finishCall(first, policy.Served, 5)
-	l.finishCall(first, policy.TimedOut, 0) // it has ended
+	l.finishCall(first, policy.TimedOut, 0) // ignored: the call has ended
 	var got []policy.Outcome
 	for _, event := range l.pendingEvents[1:] {
 		got = append(got, event.(policy.CounterReply).Outcome)
 	}
 	want := []policy.Outcome{policy.Served, policy.Served, policy.Rejected}
 	if !slices.Equal(got, want) || len(l.pendingCalls) > 0 {
-		t.Errorf("replies %v, want %v; %d keys left", got, want, len(l.pendingCalls))
+		t.Errorf("replies %v, want %v; %d keys with pending calls", got, want, len(l.pendingCalls))
 	}
 }
 
-// Ids are remembered for as long as a request may be open, and not for good.
+// Correlation ids are remembered for as long as a request may be open, but not forever, so that memory stays bounded.
 func TestRecentIDsAreForgotten(t *testing.T) {
 	var ids recentIDs
 	for _, c := range []struct {
@@ -49,7 +49,7 @@
 		{"a", 2*recentIDWindow + 3, true},
 	} {
 		if got := ids.add(c.id, c.at); got != c.want {
-			t.Errorf("%s at %v: new %t", c.id, c.at, got)
+			t.Errorf("id %s at %v: added as new %t", c.id, c.at, got)
 		}
 	}
 	for i := range 3 * maxRecentIDs {
@@ -60,7 +60,7 @@
 	}
 }
 
-// The correlation id of an open request is never free, however long that lasts.
+// The correlation id of an open request must not be accepted for another request, however long the first stays open.
 func TestCorrelationIDOfOpenRequestIsReserved(t *testing.T) {
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
@@ -77,22 +77,23 @@
 	}
 	first := newRequest()
 	l.startRequest(first)
-	l.recentIDs = recentIDs{} // as if it had been long ago
+	l.recentIDs = recentIDs{} // as after the time for which ids are remembered
 	second := newRequest()
 	l.startRequest(second)
 	if len(second.response) != 1 || (<-second.response).status != http.StatusConflict {
-		t.Error("a second request was admitted under the id of an open one")
+		t.Error("a second request was admitted with the correlation id of an open one")
 	}
 	l.handleMessage(clientDisconnected{first})
 	third := newRequest()
 	if len(l.openCorrelationIDs) != 0 {
-		t.Errorf("%d ids are reserved for nothing", len(l.openCorrelationIDs))
+		t.Errorf("%d ids are still reserved without an open request", len(l.openCorrelationIDs))
 	} else if l.startRequest(third); len(third.response) != 0 {
-		t.Error("the id is not free again")
+		t.Error("the id can't be used again after its request has ended")
 	}
 }
 
-// Timers of what is over wake nobody, but none that is waited for may be lost.
+// A timer is stale once its request, attempt or call has ended, so that the process doesn't wake up for it. A timer that
+// is still needed must not be dropped.
 func TestTimersAreStaleOnceUnneeded(t *testing.T) {
 	l := &eventLoop{requests: map[policy.RequestID]*clientRequest{7: {}}}
 	for _, c := range []struct {
@@ -100,13 +101,13 @@
 		timer timer
 		want  bool
 	}{
-		{"the module's own", engineTimer{}, false},
-		{"of an open request", engineTimer{request: 7}, false},
-		{"of a request that is over", engineTimer{request: 8}, true},
-		{"of an attempt in flight", attemptDeadline{&attempt{}}, false},
-		{"of an attempt that has ended", attemptDeadline{&attempt{ended: true}}, true},
-		{"of a counter call in flight", counterCallDeadline{&counterCall{}}, false},
-		{"of an answered counter call", counterCallDeadline{&counterCall{ended: true}}, true},
+		{"engine timer without a request", engineTimer{}, false},
+		{"engine timer of an open request", engineTimer{request: 7}, false},
+		{"engine timer of a request that has ended", engineTimer{request: 8}, true},
+		{"deadline of an attempt in flight", attemptDeadline{&attempt{}}, false},
+		{"deadline of an attempt that has ended", attemptDeadline{&attempt{ended: true}}, true},
+		{"deadline of a counter call in flight", counterCallDeadline{&counterCall{}}, false},
+		{"deadline of a counter call that has ended", counterCallDeadline{&counterCall{ended: true}}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.timer.isStale(l); got != c.want {
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -77,9 +77,9 @@
 //
 // decoded.Deadline is how long the client waits, in seconds from now; the deadline of the request's class is the upper
 // limit. Submit sets the request's SentAt, and the gateway its ID. onSent is called at most once, on the event loop,
-// when the first attempt has reached a backend; it must not block. onAnswered is called once, on its own goroutine, with the
-// status and the seconds of Retry-After, or 0 for none. A gateway that has stopped answers with status 500; a gateway
-// that was never run does not answer.
+// when the first attempt has reached a backend; it must not block. onAnswered is called once, on its own goroutine, with
+// the status and the seconds of Retry-After, or 0 for none. A gateway that has stopped answers with status 500; a
+// gateway that was never run does not answer.
 func (h *Hollow) Submit(
 	decoded policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
 ) {
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -14,14 +14,14 @@
 	"amberlb/policy"
 )
 
-// constantLatency is a backend that serves every attempt after the same time.
+// constantLatency is a SimulatedBackend that serves every attempt after the same time.
 type constantLatency time.Duration
 
 func (l constantLatency) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
 	return time.Duration(l), policy.Served
 }
 
-// runHollow runs a hollow gateway with one backend until the end of the test or a call of end.
+// runHollow runs a hollow gateway with one backend until stop is called or the test ends.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, stop func()) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
@@ -43,7 +43,7 @@
 	return h, stop
 }
 
-// summingCounter is a counter that adds up the calls for each name.
+// summingCounter is a counter service that keeps a total for each key.
 type summingCounter struct {
 	mu     sync.Mutex
 	totals map[string]float64
@@ -67,8 +67,8 @@
 	return c.calls
 }
 
-// A hollow gateway serves what its customer's quota pays for, after the time that the backend takes, and
-// rejects the rest; the quota is kept by the counter.
+// A hollow gateway serves requests within the customer's quota, which the counter keeps, after the backend's latency. It
+// rejects the other requests.
 func TestHollowServesWithinQuota(t *testing.T) {
 	const (
 		burst   = 5
@@ -90,29 +90,29 @@
 		status := await(t, answered, "answer")
 		statusCounts[status]++
 		if elapsed := time.Since(submittedAt); status == http.StatusOK && elapsed < latency {
-			t.Errorf("served in %v", elapsed)
+			t.Errorf("served after %v, in less than the backend's latency", elapsed)
 		}
 	}
 	if statusCounts[200] < 1 || statusCounts[200] > burst || statusCounts[200]+statusCounts[429] != 3*burst {
-		t.Errorf("answers by status: %v, with a burst of %d", statusCounts, burst)
+		t.Errorf("requests by status: %v, with a burst of %d", statusCounts, burst)
 	}
 	if int(sent.Load()) != statusCounts[200] {
-		t.Errorf("%d reported as sent, %d served", sent.Load(), statusCounts[200])
+		t.Errorf("%d requests reported as sent, %d served", sent.Load(), statusCounts[200])
 	}
 	countsAgree := func() bool {
 		made, unanswered := h.CounterCalls()
 		return made > 0 && made == calls.callCount() && unanswered == 0
 	}
-	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
+	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may still be in flight
 		if time.Now().After(deadline) {
 			made, unanswered := h.CounterCalls()
-			t.Fatalf("%d calls reported, %d of them unanswered, and the counter had others", made, unanswered)
+			t.Fatalf("%d calls reported, %d of them unanswered; the counter had others", made, unanswered)
 		}
 	}
 }
 
-// A hollow gateway that ends answers the open requests and waits for no backend. One that has ended answers
-// too.
+// When a hollow gateway stops, it answers its open requests without waiting for backends. After that, it still answers
+// new requests.
 func TestStoppedHollowAnswersRequests(t *testing.T) {
 	h, stop := runHollow(t, testSettings, "127.0.0.1:1", constantLatency(time.Hour))
 	answered := make(chan int, 2)
@@ -124,22 +124,22 @@
 	submit("one", func() { close(sent) })
 	await(t, sent, "send")
 	stop()
-	submit("two", func() { t.Error("sent by a gateway that has ended") })
+	submit("two", func() { t.Error("request sent by a stopped gateway") })
 	for range 2 {
 		if status := await(t, answered, "answer"); status != http.StatusInternalServerError {
-			t.Errorf("answered %d", status)
+			t.Errorf("answered with status %d", status)
 		}
 	}
 }
 
-// Nothing is sent to a backend that discovery does not list.
+// An attempt at a backend that discovery does not list must fail without being sent.
 func TestHollowSendsNothingToUnlistedBackend(t *testing.T) {
 	transport := &hollowTransport{loop: &eventLoop{}, backend: constantLatency(0)}
 	a := newAttempt(time.Hour)
 	outcomes := make(chan policy.Outcome, 1)
-	a.request.onSent = func() { t.Error("reported as sent") }
+	a.request.onSent = func() { t.Error("the attempt was reported as sent") }
 	transport.startAttempt(a, func(r attemptResult) { outcomes <- r.outcome })
 	if got := await(t, outcomes, "outcome"); got != policy.ConnectFailed {
-		t.Errorf("ended as %v", got)
+		t.Errorf("outcome %v", got)
 	}
 }
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -12,7 +12,8 @@
 	"amberlb/policy"
 )
 
-// What comes back decides whether a request may be retried: each row is one line of the protocol's table.
+// The outcome of an attempt decides whether its request may be retried. Each row is one line of the protocol's table of
+// backend responses.
 func TestResponseOutcomes(t *testing.T) {
 	longBody := strings.Repeat("x", maxBodyBytes+1)
 	interim := "HTTP/1.1 100 Continue\r\n\r\n"
@@ -32,10 +33,10 @@
 		{"served, then closed",
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
 			policy.Served, "ok", false},
-		{"an interim response first",
+		{"interim response first",
 			interim + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 			policy.Served, "ok", true},
-		{"as many interim responses as are read",
+		{"as many interim responses as allowed",
 			strings.Repeat(interim, maxInterimResponses-1) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 			policy.Served, "ok", true},
 		{"too many interim responses",
@@ -56,13 +57,13 @@
 		{"504 without proof",
 			"HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
 			policy.Failed, "", true},
-		{"500 never proves it",
+		{"500 is never proof",
 			"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
 			policy.Failed, "", true},
-		{"closed without a word",
+		{"closed without a response",
 			"",
 			policy.ConnectionReset, "", false},
-		{"head cut short",
+		{"header cut short",
 			"HTTP/1.1 200 OK\r\nContent-Le",
 			policy.ConnectionReset, "", false},
 		{"body cut short",
@@ -74,25 +75,25 @@
 		{"endless headers",
 			"HTTP/1.1 200 OK\r\nX: " + longBody + longBody,
 			policy.ConnectionReset, "", false},
-		{"an end told by the connection alone",
+		{"body delimited by the close only",
 			"HTTP/1.1 200 OK\r\n\r\nok",
 			policy.ConnectionReset, "", false},
 		{"two lengths",
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
 			policy.ConnectionReset, "", false},
-		{"a length that is no number",
+		{"negative length",
 			"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok",
 			policy.ConnectionReset, "", false},
-		{"a bad chunk",
+		{"malformed chunk",
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok",
 			policy.ConnectionReset, "", false},
-		{"3 GB",
+		{"length of 3 GB",
 			"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
 			policy.ConnectionReset, "", false},
-		{"more than belongs to it",
+		{"surplus bytes after the response",
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n",
 			policy.Served, "ok", false},
-		{"no HTTP",
+		{"not HTTP",
 			"SSH-2.0\r\n\r\n",
 			policy.ConnectionReset, "", false},
 	} {
@@ -114,13 +115,13 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if reusable := len(p.endpoints[1].idleConns) == 1 && p.openConns == 1; reusable != c.reusable {
-				t.Errorf("connection pooled: %t, %d open", reusable, p.openConns)
+				t.Errorf("connection kept for reuse: %t, %d open", reusable, p.openConns)
 			}
 		})
 	}
 }
 
-// A backend gets the client's request as it is, but for the time that is left.
+// A backend gets the client's request unchanged except for the header with the time left.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -134,29 +135,30 @@
 		!bytes.Equal(body, a.request.body) ||
 		got.Header.Get(correlationIDHeader) != "id-1" || got.Header.Get(idempotencyKeyHeader) != "key-1" ||
 		got.Header.Get(timeLeftHeader) == "" {
-		t.Errorf("got %s %s with %d bytes and %v", got.Method, got.RequestURI, len(body), got.Header)
+		t.Errorf("backend got %s %s with %d bytes of body and header %v", got.Method, got.RequestURI, len(body), got.Header)
 	}
 	respondOK(conn, "")
 	await(t, results, "result")
 }
 
-// A machine that went silent keeps its connections open: only the attempt's deadline ends the wait, and the connection
-// with it.
+// The connections of a host that has stopped responding stay open, so only the attempt's deadline ends the wait. The
+// connection is then closed.
 func TestSilentBackendTimesOut(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	got := p.roundTrip(newAttempt(50 * time.Millisecond))
 	if got.outcome != policy.TimedOut || p.openConns != 0 {
-		t.Errorf("outcome %d, %d open", got.outcome, p.openConns)
+		t.Errorf("outcome %d, %d connections open", got.outcome, p.openConns)
 	}
 	conn, _ := backend.acceptRequest(t)
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the connection of a timed-out attempt: %v", err)
+		t.Errorf("read from the connection of a timed-out attempt: %v, want EOF", err)
 	}
 }
 
-// A rejection promises that nothing was executed. A request that is not idempotent fails instead if it may have been,
-// and nothing below the engine retries it either.
+// If a connection is reset after the last byte of a request, the backend may have executed the request. A request that
+// is not idempotent must then fail: neither the engine nor the pools may retry it, and it must not be answered
+// as rejected, which would promise that nothing was executed.
 func TestResetAfterLastByteIsRetriedOnlyWithIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -164,7 +166,7 @@
 		status int
 	}{
 		{"payment", http.StatusBadGateway},
-		{"booking", http.StatusOK}, // in its group and within its window a keyed request may be retried
+		{"booking", http.StatusOK}, // has an idempotency key, so it may be retried in its dedupe scope and window
 	} {
 		t.Run(c.class, func(t *testing.T) {
 			backend := newPeer(t)
@@ -179,13 +181,14 @@
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
 			if n := len(backend.conns); n > 0 {
-				t.Errorf("%d more connections", n)
+				t.Errorf("%d additional connections accepted", n)
 			}
 		})
 	}
 }
 
-// What comes of an attempt after its deadline or cancel reaches nobody: the request has its one answer.
+// A response that arrives after the attempt has timed out or the client has disconnected is dropped: a request gets one
+// final answer at most.
 func TestResponseAfterTimeoutOrDisconnectIsDropped(t *testing.T) {
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
@@ -195,8 +198,8 @@
 		name       string
 		endAttempt func(*eventLoop, *clientRequest)
 	}{
-		{"the attempt's deadline", func(l *eventLoop, req *clientRequest) { attemptDeadline{req.attempts[0]}.fire(l) }},
-		{"a client that disconnects", func(l *eventLoop, req *clientRequest) { l.handleMessage(clientDisconnected{req}) }},
+		{"attempt deadline", func(l *eventLoop, req *clientRequest) { attemptDeadline{req.attempts[0]}.fire(l) }},
+		{"client disconnects", func(l *eventLoop, req *clientRequest) { l.handleMessage(clientDisconnected{req}) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -211,12 +214,12 @@
 			served := attemptResult{outcome: policy.Served, header: http.Header{}, body: []byte("late")}
 			l.handleMessage(attemptDone{req.attempts[0], served})
 			if len(req.response) != responses || len(l.requests) != 0 || req.attemptsInFlight != 0 {
-				t.Errorf("%d responses for %d, %d open requests", len(req.response), responses, len(l.requests))
+				t.Errorf("%d responses, want %d; %d open requests", len(req.response), responses, len(l.requests))
 			}
 			if _, err := reader.ReadByte(); err != io.EOF {
-				t.Errorf("the attempt's connection: %v", err)
+				t.Errorf("read from the attempt's connection: %v, want EOF", err)
 			}
-			close(l.stopped) // lets the attempt end
+			close(l.stopped) // lets the transport's onDone return
 			l.attempts.Wait()
 		})
 	}
