--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -103,7 +103,7 @@
 		made, unanswered := h.CounterCalls()
 		return made > 0 && made == calls.callCount() && unanswered == 0
 	}
-	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may still be in flight
+	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
 		if time.Now().After(deadline) {
 			made, unanswered := h.CounterCalls()
 			t.Fatalf("%d calls reported, %d of them unanswered; the counter had others", made, unanswered)
