--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -100,7 +100,7 @@
 // A call with a malformed response ends as Failed, which counts its amount as added; one with an unexpected status ends
 // as ConnectionReset. In both cases the connection is closed, and a call behind it in the pipeline ends as
 // ConnectionReset.
-func TestMalformedCounterAnswerEndsConnection(t *testing.T) {
+func TestMalformedCounterResponseClosesConnection(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
 	for _, c := range []struct {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -35,16 +35,16 @@
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
-		if tryUnfinishedCounterAnswer(t) {
+		if tryUnfinishedCounterResponse(t) {
 			return
 		}
 	}
 	t.Error("the machine was too busy in each round for the counter to respond before the call timed out")
 }
 
-// tryUnfinishedCounterAnswer runs the test once, with a counter whose first response never ends. It returns false if the
+// tryUnfinishedCounterResponse runs the test once, with a counter whose first response never ends. It returns false if the
 // test ran so slowly that a call may have timed out before the counter sent anything, which is a different case.
-func tryUnfinishedCounterAnswer(t *testing.T) bool {
+func tryUnfinishedCounterResponse(t *testing.T) bool {
 	t.Helper()
 	const callTimeout = 500 * time.Millisecond // well below the 1 s after which a connection without a response is closed
 	backend, counter := newPeer(t), newPeer(t)
