--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -111,8 +111,8 @@
 	return policy.Failed
 }
 
-// readErrorOutcome returns the outcome if reading a response failed with err. The request may have been executed in
-// each of these cases.
+// readErrorOutcome returns the outcome if reading a response failed with err. In all of these cases the request may have
+// been executed.
 func readErrorOutcome(err error) policy.Outcome {
 	switch {
 	case errors.Is(err, errTooManyInterimResponses):
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -20,7 +20,7 @@
 // Errors of getConn, besides those of a failed dial.
 var (
 	errNotListed       = errors.New("backend is not in the endpoint list")
-	errEndpointRetired = errors.New("backend was removed, restarted or moved while its connection was dialed")
+	errEndpointRetired = errors.New("backend was removed, restarted or moved while it was dialed")
 	errTooManyConns    = errors.New("connection limit reached and no connection is idle")
 )
 
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// At the connection limit, an idle connection within its reuseDelay is closed in favor of a new one, and not reused.
+// At the connection limit, an idle connection within its reuseDelay is evicted for a new one, and not reused.
 func TestDuplicateResponseAtConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	counterStreams = 8   // times maxConnsPerStream are the 32 connections that the counter allows a gateway
+	counterStreams = 8   // 8 * maxConnsPerStream is 32, the number of connections that the counter allows a gateway
 	maxQueuedCalls = 512 // maximum number of calls queued for a stream, and of calls in a connection's pipeline
 )
 
@@ -26,8 +26,8 @@
 	sentAt  float64       // when the loop made the call, in seconds of its clock
 	idleFor time.Duration // how long the connection was idle before the call; 0 if it was new or in use
 
-	// report is called once, by the goroutine that owns the call, with the outcome. total is set if that is
-	// policy.Served.
+	// report is called once, by the goroutine that owns the call, with the outcome. total is 0 unless the outcome
+	// is policy.Served.
 	report func(call *counterCall, outcome policy.Outcome, total float64)
 
 	abandoned       atomic.Bool // set by the loop at the call's deadline: if it is still queued, it is not written
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
 	g := startTestGatewayWith(t, func(config string) string {
-		// With this many gateways, local tokens are not enough for any request while the counter responds.
+		// With this many gateways, local tokens pay for no request while the counter responds.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -33,9 +33,9 @@
 
 func (e *invalidListError) Unwrap() error { return e.cause }
 
-// discoveryWatcher polls discovery for the endpoint list and passes each response to onList. The first poll asks for the
-// full list; each further poll is a watch, a long poll that asks for the changes since the last version. The goroutine
-// that calls run owns all fields.
+// discoveryWatcher polls discovery for the endpoint list and passes each list or change to onList. It asks for the full
+// list first. Once that has arrived, each poll is a watch: a long poll for the changes since the last version. After an
+// invalidListError it starts over with the full list. The goroutine that calls run owns all fields.
 type discoveryWatcher struct {
 	address  string
 	timeouts pollTimeouts
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -100,7 +100,7 @@
 	runWatcher(t, newDiscoveryWatcher(discovery.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
-	// Each step states the expected query of a poll, its response, and whether onList gets a list and a full one.
+	// Each step has the expected query of a poll, its response, and whether onList gets a full list or no list.
 	for _, step := range []struct {
 		name      string
 		wantQuery string
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -22,7 +22,7 @@
 }
 
 // newPollTimeouts returns the timeouts for a gateway that may send requests to a draining backend for drainGrace after
-// its drain began. A watch whose connection is dead, or that discovery lost in a restart, does not report drains.
+// its drain began. A watch whose connection is dead, or that discovery forgot in an outage, does not report drains.
 // Therefore each watch ends, and the next one begins, well within drainGrace.
 func newPollTimeouts(drainGrace time.Duration) pollTimeouts {
 	response := min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -12,7 +12,7 @@
 
 // transport sends attempts to backends. The event loop calls its methods, which must not block.
 type transport interface {
-	// updateEndpoint sets the address of a ready backend and the time, in seconds, at which its process started.
+	// updateEndpoint sets the address of a ready backend and the time, in Unix seconds, at which its process started.
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
 	// removeEndpoint makes further attempts at a backend fail until the next updateEndpoint.
 	removeEndpoint(id policy.BackendID)
--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -55,7 +55,8 @@
 }
 
 // retire marks an endpoint as retired, ends its dials and closes its idle connections; with closeInUse, it also closes
-// the connections in use. Those stay in endpoint.conns until their attempts give them back. The caller holds mu.
+// the connections in use. Connections in use stay in endpoint.conns until their attempts give them back. The caller
+// holds mu.
 func (p *connectionPools) retire(e *endpoint, closeInUse bool) {
 	e.retired = true
 	e.cancel()
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -28,7 +28,7 @@
 	deployment     *wire.Deployment
 	engine         *policy.Engine
 	transport      transport
-	counter        *counterClient // nil where the deployment has none
+	counter        *counterClient // nil if the deployment has none
 	onEndpointList func()         // called after each list from discovery has been applied; not for the cached list
 
 	inbox    chan message
@@ -43,7 +43,7 @@
 	recentIDs          recentIDs                           // correlation ids of recent requests
 	lastRequestID      policy.RequestID                    // the last id assigned to a request
 	backendNames       map[policy.BackendID]string         // discovery's instance id of each ready backend
-	pendingCalls       map[uint64][]*counterCall           // calls by key, in order, whose replies the engine lacks
+	pendingCalls       map[uint64][]*counterCall           // by key, in order: calls whose replies the engine has not got
 	timers             timerQueue
 
 	actions       []policy.Action // buffer for the actions of one event
