--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -11,55 +11,55 @@
 	"time"
 )
 
-// A silent counter must not block customers inside their quotas: the call times out and the gateway's local
-// tokens pay.
+// A counter that doesn't respond must not block customers who are within their quotas: the call times out, and the
+// request is paid with the gateway's local tokens.
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
-	r := startTestGatewayWith(t, func(config string) string {
-		// So many gateways that local tokens pay for nothing while the counter answers.
+	g := startTestGatewayWith(t, func(config string) string {
+		// With this many gateways, local tokens pay for no request while the counter responds.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
-	_, calls := counter.accept(t)
-	readRequest(t, calls)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
+	_, reader := counter.accept(t)
+	readRequest(t, reader)
 	serveOne(t, backend, "ok")
-	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, responses, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// An answer of the counter that begins and never ends is no time-out: the amount was added, so the
-// customer's total is requested again at once and the amount is written off.
+// A call whose response begins but never ends must not count as timed out, since its amount was added: the gateway asks
+// for the customer's total again at once, and takes the added units back.
 func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
-		if unfinishedCounterAnswerIsReconciled(t) {
+		if tryUnfinishedCounterResponse(t) {
 			return
 		}
 	}
-	t.Error("the machine was too busy, each time, for the counter to answer within the calls' time")
+	t.Error("the machine was too busy in each round for the counter to respond before the call timed out")
 }
 
-// unfinishedCounterAnswerIsReconciled plays a counter whose first answer never ends. It returns false where the test was
-// held up so long that a call may have timed out before the counter said anything, which is another case.
-func unfinishedCounterAnswerIsReconciled(t *testing.T) bool {
+// tryUnfinishedCounterResponse runs the test once, with a counter whose first response never ends. It returns false if the
+// test ran so slowly that a call may have timed out before the counter sent anything, which is a different case.
+func tryUnfinishedCounterResponse(t *testing.T) bool {
 	t.Helper()
-	const callTimeout = 500 * time.Millisecond // well under the 1 s after which a connection without progress is closed
+	const callTimeout = 500 * time.Millisecond // well below the 1 s after which a connection without a response is closed
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are too few to pay again.
-	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
+	// The gateway's local tokens are not enough to admit the request.
+	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	began := time.Now()
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
-	conn, calls := counter.accept(t)
-	first, _ := readRequest(t, calls)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	conn, reader := counter.accept(t)
+	first, _ := readRequest(t, reader)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
 	if time.Since(began) >= callTimeout {
 		return false
 	}
-	conn, calls = counter.accept(t)
-	second, _ := readRequest(t, calls)
+	conn, reader = counter.accept(t)
+	second, _ := readRequest(t, reader)
 	added := 0.0
 	for _, call := range []*http.Request{first, second} {
 		n, err := strconv.ParseFloat(call.URL.Query().Get("add"), 64)
@@ -69,55 +69,55 @@
 		added += n
 	}
 	writeResponse(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
-	if time.Since(began) >= 2*callTimeout { // the second call began when the first had timed out, or later
+	if time.Since(began) >= 2*callTimeout { // the second call began when the first timed out or later
 		return false
 	}
 	serveOne(t, backend, "ok")
-	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	return true
 }
 
-// An answer that arrives after its call has timed out tells what was added: the queued request is admitted
-// by it.
+// A response that arrives after its call has timed out still shows that the amount was added, so the queued request
+// that needs it is admitted.
 func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
-	const timeout = 200 * time.Millisecond
+	const callTimeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are too few to pay.
-	r := startTestGatewayWith(t, withCounter(counter, 0.001, 2, timeout), backend)
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", ""))
-	conn, calls := counter.accept(t)
-	first, _ := readRequest(t, calls)
-	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
+	// The gateway's local tokens are not enough to admit the request.
+	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
+	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	conn, reader := counter.accept(t)
+	first, _ := readRequest(t, reader)
+	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; if not, it admits the request too
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
-	serveOne(t, backend, "ok") // and no other call is answered
-	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+	serveOne(t, backend, "ok") // no other call to the counter has got a response
+	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// The units of a call whose answer holds no total are returned where the answer shows that they were added.
-// Where that is in doubt the customer loses them once, and no more.
+// If the response to a call has no valid total but shows that the units were added, a later call returns the units to
+// the counter. If it is unknown whether they were added, the customer loses them once, and no more.
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		failAnswer func(net.Conn)
-		lost       float64
+		failCall func(net.Conn)
+		wantLost float64
 	}{
 		"malformed": {func(c net.Conn) { writeResponse(c, http.StatusOK, "no number") }, 0},
 		"cut off":   {func(c net.Conn) { c.Close() }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const otherGateway = 2.0 // units that another gateway has added
+			const otherGatewayUnits = 2.0 // added by another gateway
 			counter := newPeer(t)
-			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
-			r.sendRequest(t, requestText("GET", "lookup", ""))
-			conn, calls := counter.accept(t)
+			g := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), newPeer(t))
+			g.sendRequest(t, requestText("GET", "lookup", ""))
+			conn, reader := counter.accept(t)
 			nextCall := func() (path string, added float64) {
-				req, _ := readRequest(t, calls)
+				req, _ := readRequest(t, reader)
 				n, err := strconv.ParseFloat(req.URL.Query().Get("add"), 64)
 				if err != nil {
 					t.Fatal(err)
@@ -125,16 +125,16 @@
 				return req.URL.Path, n
 			}
 			window, first := nextCall()
-			c.failAnswer(conn)
-			conn, calls = counter.accept(t)
+			c.failCall(conn)
+			conn, reader = counter.accept(t)
 			sameWindow, second := nextCall()
 			if sameWindow != window {
 				t.Skip("the window has just ended")
 			}
-			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGateway+second, 'f', -1, 64))
-			_, third := nextCall() // returns what was requested and not granted
-			if kept := first + second + third; first != 2 || math.Abs(kept-c.lost) > 0.1 {
-				t.Errorf("%g + %g + %g: %g remain added, want %g", first, second, third, kept, c.lost)
+			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGatewayUnits+second, 'f', -1, 64))
+			_, third := nextCall() // returns the units that were added but not granted
+			if remaining := first + second + third; first != 2 || math.Abs(remaining-c.wantLost) > 0.1 {
+				t.Errorf("calls added %g + %g + %g: %g units remain added, want %g", first, second, third, remaining, c.wantLost)
 			}
 		})
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,29 +12,30 @@
 
 const (
 	endpointsPath         = "/registry/instances"
-	maxListBytes          = 4 << 20          // bytes of one answer
-	maxDiscoveryConns     = 2                // bounds the descriptors that discovery takes
-	discoveryWarnInterval = 10 * time.Second // between log lines while discovery stays down
+	maxListBytes          = 4 << 20          // maximum size of a response body
+	maxDiscoveryConns     = 2                // limits the file descriptors used for discovery
+	discoveryWarnInterval = 10 * time.Second // minimum time between log lines about failed polls
 )
 
-// unusableListError reports that discovery answered with something else than a usable list. The version
-// that was asked from may be the cause, so the next poll asks for the full list.
-type unusableListError struct {
-	status string // of the answer, if it is not 200
-	cause  error  // what is wrong with the body of one that is
+// invalidListError reports a response from discovery that holds no valid list. The cause may be the version from which
+// the poll asked for changes, so the next poll asks for the full list.
+type invalidListError struct {
+	status string // the status of a response other than 200
+	cause  error  // the error in the body of a response with status 200, else nil
 }
 
-func (e *unusableListError) Error() string {
+func (e *invalidListError) Error() string {
 	if e.cause == nil {
-		return "status " + e.status
+		return "unexpected status " + e.status
 	}
-	return "list: " + e.cause.Error()
+	return "invalid endpoint list: " + e.cause.Error()
 }
 
-func (e *unusableListError) Unwrap() error { return e.cause }
+func (e *invalidListError) Unwrap() error { return e.cause }
 
-// discoveryWatcher follows discovery by long polls and hands on each answer. The goroutine that calls run
-// owns all of its fields.
+// discoveryWatcher polls discovery for the endpoint list and passes each list or change to onList. It asks for the full
+// list first. Once that has arrived, each poll is a watch: a long poll for the changes since the last version. After an
+// invalidListError it starts over with the full list. The goroutine that calls run owns all fields.
 type discoveryWatcher struct {
 	address  string
 	timeouts pollTimeouts
@@ -42,16 +43,16 @@
 	onList   func(EndpointList)
 	log      *slog.Logger
 
-	generation   int64     // the version of the last list that arrived
-	hasList      bool      // a full list has arrived: the next poll is a watch from generation
-	listInUse    bool      // requests are routed by a list, possibly an older one
-	listTimeouts int       // polls for the full list, in a row, that timed out
-	warnedAt     time.Time // of the last log line about a failed poll
+	generation       int64     // the version of the last list received
+	hasList          bool      // the next poll is a watch from generation; if false, it asks for the full list
+	listInUse        bool      // the gateway routes requests by some list, possibly one from before this watcher
+	fullListTimeouts int       // number of polls for the full list that have timed out in a row
+	warnedAt         time.Time // when a failed poll was last logged
 }
 
-// newDiscoveryWatcher makes a watcher of the discovery at an address, for a gateway that may go on sending
-// to a draining backend for drainGrace. listInUse says that requests are routed by an older list
-// meanwhile. onList is called on the goroutine of run.
+// newDiscoveryWatcher returns a watcher for the discovery service at the given address. drainGrace is how long after
+// the start of a backend's drain the gateway may still send requests to it. listInUse says that the gateway already
+// routes requests by an older list. onList is called on the goroutine of run.
 func newDiscoveryWatcher(
 	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
 ) *discoveryWatcher {
@@ -66,9 +67,8 @@
 	}
 }
 
-// run polls until ctx ends: first for the full list, from then on for changes. A failed poll is repeated
-// soon, on a new connection, from the last version that arrived; what changed meanwhile comes with its
-// answer.
+// run polls until ctx ends. After watchRetryDelay, a failed poll is repeated on a new connection. A watch is repeated
+// from the last version received, so that its response includes all changes made in the meantime.
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -86,23 +86,24 @@
 	}
 }
 
-// handleList notes the version of a list and hands it on.
+// handleList records the version of a list and passes the list to onList.
 func (w *discoveryWatcher) handleList(list EndpointList) {
 	w.generation = list.Generation
 	w.hasList = true
 	w.listInUse = true
-	w.listTimeouts = 0
+	w.fullListTimeouts = 0
 	w.onList(list)
 }
 
-// handleFailure decides what the next poll asks for after one that failed, and logs the failure now and then.
+// handleFailure updates what the next poll asks for and how long it may take, after a failed one. It logs the failure at
+// most once in discoveryWarnInterval.
 func (w *discoveryWatcher) handleFailure(ctx context.Context, err error) {
-	var unusable *unusableListError
-	if errors.As(err, &unusable) {
+	var invalidList *invalidListError
+	if errors.As(err, &invalidList) {
 		w.hasList = false
 	}
 	if !w.hasList && errors.Is(err, context.DeadlineExceeded) {
-		w.listTimeouts++
+		w.fullListTimeouts++
 	}
 	if ctx.Err() == nil && time.Since(w.warnedAt) > discoveryWarnInterval {
 		w.warnedAt = time.Now()
@@ -110,13 +111,13 @@
 	}
 }
 
-// poll asks for the full list, or for the changes to the last one, and waits for the answer.
+// poll asks for the full list, or for the changes since the last version, and waits for the response.
 func (w *discoveryWatcher) poll(ctx context.Context) (EndpointList, error) {
 	url := "http://" + w.address + endpointsPath
-	timeout := w.timeouts.fullList(w.listTimeouts, w.listInUse)
+	timeout := w.timeouts.fullListTimeout(w.fullListTimeouts, w.listInUse)
 	if w.hasList {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.timeouts.watch.Milliseconds())
-		timeout = w.timeouts.watchTotal()
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.timeouts.longPoll.Milliseconds())
+		timeout = w.timeouts.watchTimeout()
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -126,12 +127,12 @@
 	}
 	list, err := decodeEndpointList(body, !w.hasList)
 	if err != nil {
-		return EndpointList{}, &unusableListError{cause: err}
+		return EndpointList{}, &invalidListError{cause: err}
 	}
 	return list, nil
 }
 
-// get returns the body of an answer with status 200. Another status is an unusableListError.
+// get returns the body of a response with status 200. Any other status gives an invalidListError.
 func (w *discoveryWatcher) get(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -147,7 +148,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, &unusableListError{status: resp.Status}
+		return nil, &invalidListError{status: resp.Status}
 	}
 	return body, nil
 }
