--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -13,7 +13,7 @@
 	set      Settings
 	gateways []*engineDriver
 	totals   map[uint64]float64 // of the counter, by name
-	store    float64
+	bucket   float64
 	now      float64
 	lastID   RequestID
 }
@@ -24,7 +24,7 @@
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 		set:    testSettings(),
 		totals: map[uint64]float64{},
-		store:  plan.CeilingBurst,
+		bucket: plan.CeilingBurst,
 	}
 	f.set.Plans[0] = plan
 	for range []int{3, 8, 11}[seed%3] { // an exact store, and short windows
@@ -38,7 +38,7 @@
 	t.Helper()
 	plan := f.set.Plans[0]
 	f.now = 100 + float64(step)*0.002
-	f.store = min(f.store+plan.CeilingRate*0.002, plan.CeilingBurst)
+	f.bucket = min(f.bucket+plan.CeilingRate*0.002, plan.CeilingBurst)
 	n := f.rng.IntN(len(f.gateways))
 	d := f.gateways[n]
 	d.now = f.now
@@ -63,7 +63,7 @@
 		actions = actions[1:]
 		switch action := action.(type) {
 		case SendAttempt:
-			f.store--
+			f.bucket--
 			actions = append(actions, d.handle(AttemptEnded{Request: action.Request, Backend: action.Backend, Latency: 0.01,
 				RequestOver: true})...)
 		case CounterAdd:
@@ -95,8 +95,8 @@
 		f := newCeilingFleet(t, seed, plan)
 		for step := range 40000 {
 			f.step(t, step)
-			if f.store < -plan.CeilingSlack {
-				t.Fatalf("seed %d: the ceiling's store is at %.2f after %.1f s", seed, f.store, f.now-100)
+			if f.bucket < -plan.CeilingSlack {
+				t.Fatalf("seed %d: the ceiling's store is at %.2f after %.1f s", seed, f.bucket, f.now-100)
 			}
 		}
 	}
--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -21,9 +21,9 @@
 	b.until = now + b.pause
 }
 
-// delayRepeated begins a pause as long as the failures before this one call for: after the first there is
+// delayIfRepeated begins a pause as long as the failures before this one call for: after the first there is
 // none at all.
-func (b *backoff) delayRepeated(now float64) {
+func (b *backoff) delayIfRepeated(now float64) {
 	b.until = now + b.pause
 	b.grow()
 }
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -9,20 +9,20 @@
 
 // counterCall is a CounterAdd whose reply is due. Its amounts are in units; the counter adds their sum.
 type counterCall struct {
-	id          uint64
-	customer    *customer
-	name        uint64  // of the total
-	window      float64 // number of the window that the total is for
-	refill      float64 // the total at which the store is full
-	spent       float64 // what has been spent already; below 0: returned
-	writeOff    float64 // refill that nobody has used and that expires; below 0: taken back
-	leaseUnits  float64 // what is to be granted
-	isLease     bool    // requests may wait for the reply; leaseUnits may still be 0
-	carriedOver bool    // writeOff is the level that a window takes over from the one before
+	id             uint64
+	customer       *customer
+	name           uint64  // of the total
+	window         float64 // number of the window that the total is for
+	refill         float64 // the total at which the store is full
+	spent          float64 // what has been spent already; below 0: returned
+	adjustment     float64 // refill that nobody has used and that expires; below 0: taken back
+	leaseUnits     float64 // what is to be granted
+	isLeaseRequest bool    // requests may wait for the reply; leaseUnits may still be 0
+	carriedOver    bool    // adjustment is the level that a window takes over from the one before
 }
 
 // amount returns what the counter is to add.
-func (call *counterCall) amount() float64 { return call.spent + call.writeOff + call.leaseUnits }
+func (call *counterCall) amount() float64 { return call.spent + call.adjustment + call.leaseUnits }
 
 // counterState is what is known of the counter service, and the calls to it.
 type counterState struct {
@@ -34,15 +34,15 @@
 
 // pendingCalls counts the calls of one customer to the counter whose replies are due.
 type pendingCalls struct {
-	pending       int // of any kind
-	pendingLeases int // of these, calls for a lease
+	pending              int // of any kind
+	pendingLeaseRequests int // of these, calls for a lease
 }
 
 // add counts a call (n is 1), or its reply (n is -1).
 func (p *pendingCalls) add(call counterCall, n int) {
 	p.pending += n
-	if call.isLease {
-		p.pendingLeases += n
+	if call.isLeaseRequest {
+		p.pendingLeaseRequests += n
 	}
 }
 
@@ -62,7 +62,7 @@
 
 // newCorrection returns a call that adds units to the total of an earlier call.
 func (call *counterCall) newCorrection(units float64) counterCall {
-	return counterCall{customer: call.customer, name: call.name, window: call.window, writeOff: units}
+	return counterCall{customer: call.customer, name: call.name, window: call.window, adjustment: units}
 }
 
 // callCounter makes a call. Replies for one name come in the order of the calls.
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -53,7 +53,7 @@
 
 // A malformed reply is no sign of overload: the counter is called again at once, and what was added without a grant is
 // taken back with that. Only when all replies are malformed do calls become rare.
-func TestMalformedReplyIsTakenBack(t *testing.T) {
+func TestUnitsAddedWithAMalformedReplyAreTakenBack(t *testing.T) {
 	d := startEngine(t, seldomSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
 	second := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -22,7 +22,7 @@
 func (e *Engine) shedCounterCall(c *customer) bool {
 	shedShare := min(shedFactor*e.counter.failureRate, maxShedShare)
 	if !c.quota.smallGatewaySet {
-		shedShare = e.shedShareInOrder(c.waiting[0], shedShare)
+		shedShare = e.shedShareFor(c.waiting[0], shedShare)
 	}
 	if e.rng.Float64() >= shedShare {
 		return false
@@ -31,24 +31,24 @@
 	return true
 }
 
-// shedShareInOrder returns the share of calls to shed among those for requests like this one, where
+// shedShareFor returns the share of calls to shed among those for requests like this one, where
 // shedShare of all are to be shed: retries first, each in order of their levels.
-func (e *Engine) shedShareInOrder(req *request, shedShare float64) float64 {
+func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
 	// The calls for requests like this one are a part of all, from a share of all that is shed before them.
-	from, part := 0.0, e.retries.clientShare
+	shedBefore, callShare := 0.0, e.retries.clientShare
 	if !req.IsRetry {
-		from, part = e.retries.clientShare, 1-e.retries.clientShare
+		shedBefore, callShare = e.retries.clientShare, 1-e.retries.clientShare
 	}
-	all, below := 0.0, 0.0
+	totalRate, lowerRate := 0.0, 0.0
 	for level, rate := range e.queue.arrivalRates {
-		all += rate
+		totalRate += rate
 		if level < req.level {
-			below += rate
+			lowerRate += rate
 		}
 	}
-	if all > 0 {
-		from += part * below / all
-		part = part * e.queue.arrivalRates[req.level] / all
+	if totalRate > 0 {
+		shedBefore += callShare * lowerRate / totalRate
+		callShare = callShare * e.queue.arrivalRates[req.level] / totalRate
 	}
-	return min((shedShare-from)/max(part, counterFailureGain/2), maxShedShare)
+	return min((shedShare-shedBefore)/max(callShare, counterFailureGain/2), maxShedShare)
 }
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -16,32 +16,32 @@
 	}
 	switch event.Outcome {
 	case Served:
-		if c.usesTotalOf(call) {
+		if c.needsTotal(call) {
 			c.backoff.reset()
 			e.applyTotal(c, call, event.Total)
 		}
 	case Failed, ConnectionReset:
-		e.counterReplyMalformed(c, call, event.Outcome)
+		e.handleMalformedReply(c, call, event.Outcome)
 	default:
-		e.counterOverloaded(c, call, event.Outcome)
+		e.handleCounterOverload(c, call, event.Outcome)
 	}
 	e.admit(c)
 }
 
-// counterReplyMalformed handles a reply that can't be read, or a connection that broke. Neither is a sign of
+// handleMalformedReply handles a reply that can't be read, or a connection that broke. Neither is a sign of
 // overload. Were it taken for one, calls would be shed that the counter can bear, and customers rejected
 // inside their quotas.
-func (e *Engine) counterReplyMalformed(c *customer, call counterCall, outcome Outcome) {
+func (e *Engine) handleMalformedReply(c *customer, call counterCall, outcome Outcome) {
 	if outcome == Failed {
 		c.reclaimLease(call)
 	}
-	c.backoff.delayRepeated(e.now)
+	c.backoff.delayIfRepeated(e.now)
 }
 
-// counterOverloaded handles a call that was rejected or had no reply. A unit that is not returned is missing
-// at all gateways. So a rejected call, which has changed nothing, is made again; one that timed out may have
-// been added, and is not.
-func (e *Engine) counterOverloaded(c *customer, call counterCall, outcome Outcome) {
+// handleCounterOverload handles a call that was rejected or had no reply. A unit that is not returned is
+// missing at all gateways. So a rejected call, which has changed nothing, is made again;
+// one that timed out may have been added, and is not.
+func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
 	}
@@ -68,7 +68,7 @@
 	}
 	switch event.Outcome {
 	case Served:
-		if c.usesTotalOf(call) {
+		if c.needsTotal(call) {
 			c.backoff.end(e.now)
 			e.applyTotal(c, call, event.Total)
 		}
@@ -80,18 +80,18 @@
 	e.admit(c)
 }
 
-// usesTotalOf reports whether the total that a call returns matters: it does for a lease, and each one does
+// needsTotal reports whether the total that a call returns matters: it does for a lease, and each one does
 // for a store kept by reports.
-func (c *customer) usesTotalOf(call counterCall) bool {
-	return call.leaseUnits > 0 || c.quota.reportedStore
+func (c *customer) needsTotal(call counterCall) bool {
+	return call.leaseUnits > 0 || c.quota.deferredReporting
 }
 
 // applyTotal takes from the total that a call returned what the lease gets, and corrects it at the counter.
 func (e *Engine) applyTotal(c *customer, call counterCall, total float64) {
-	if c.quota.reportedStore {
-		e.reconcileReportedStore(c, call, total)
+	if c.quota.deferredReporting {
+		e.reconcileDeferred(c, call, total)
 	} else {
-		e.reconcileWindowedStore(c, call, total)
+		e.reconcileUpfront(c, call, total)
 	}
 }
 
@@ -102,26 +102,26 @@
 func (c *customer) reclaimLease(call counterCall) {
 	if call.leaseUnits > 0 && call.window == c.window.number {
 		c.unreportedUnits -= call.leaseUnits
-		if c.quota.reportedStore {
-			c.unreportedUnits -= call.writeOff
+		if c.quota.deferredReporting {
+			c.unreportedUnits -= call.adjustment
 		}
 	}
 }
 
 // requeueReport has the next call report what a call that was not added was to report.
 func (c *customer) requeueReport(call counterCall) {
-	if c.quota.reportedStore {
+	if c.quota.deferredReporting {
 		// Spending counts from an earlier window too; what was written off there says nothing of this one.
 		c.unreportedUnits += call.spent
 		if call.window == c.window.number {
-			c.unreportedUnits += min(call.writeOff, 0)
+			c.unreportedUnits += min(call.adjustment, 0)
 		}
 		return
 	}
 	if call.window == c.window.number && call.name == c.window.name {
 		c.unreportedUnits += call.spent
 		if call.leaseUnits == 0 {
-			c.unreportedUnits += call.writeOff
+			c.unreportedUnits += call.adjustment
 		}
 	}
 }
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -20,7 +20,7 @@
 	c.window.number = number
 	c.window.name = splitMix64(splitMix64(uint64(c.id)) + uint64(int64(number)))
 	c.window.lastTotal = 0
-	if !c.quota.reportedStore {
+	if !c.quota.deferredReporting {
 		c.unreportedUnits = 0
 		c.exhaustedUntil = 0
 	}
@@ -29,7 +29,7 @@
 // windowRefill returns the units that the store has earned since the window that was entered last began:
 // the total at which the store is full. It is 0 where the quota of a window is granted at its start.
 func (c *customer) windowRefill(now float64) float64 {
-	if !c.quota.refillsWithinWindow {
+	if !c.quota.refillingWindow {
 		return 0
 	}
 	return c.quota.rate * (now - (c.window.number-c.windowPhase())*c.quota.windowDuration)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -7,7 +7,7 @@
 // requests that wait for units.
 type customer struct {
 	id       CustomerID
-	quota    quotaAttributes // as of the newest request
+	quota    quotaParameters // as of the newest request
 	lastSeen float64         // when the newest request came
 
 	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
@@ -17,11 +17,11 @@
 	lease  lease
 	local  tokenBucket
 
-	counterSeen     bool    // a total of a windowed store has been applied
+	totalSeen       bool    // a total of a windowed store has been applied
 	exhaustedUntil  float64 // the store has too few units until then, as far as is known here
 	unreportedUnits float64 // units spent and not reported to the counter; below 0: to be returned
 	window          counterWindow
-	store           reportedStore
+	shared          sharedBucket
 	calls           pendingCalls
 	backoff         backoff
 }
@@ -83,7 +83,7 @@
 		c.local.fallback = max(c.local.tokens-burstPerGateway-e.rng.Float64(), 0)
 		c.local.tokens -= c.local.fallback
 	}
-	if quota.reportedStore && !quota.smallGatewaySet {
+	if quota.deferredReporting && !quota.smallGatewaySet {
 		// The counter's store is full when they first call: local tokens would be a burst more.
 		c.local.tokens = 0
 	}
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -21,7 +21,7 @@
 	d.newestUnits = units
 }
 
-// withinFairRate reports whether no more comes to this gateway than its part of the customer's rate.
-func (c *customer) withinFairRate() bool {
+// withinFairShare reports whether no more comes to this gateway than its part of the customer's rate.
+func (c *customer) withinFairShare() bool {
 	return c.demand.sustainedRate*c.quota.gatewayCount < c.quota.rate
 }
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -44,20 +44,20 @@
 	c.enterWindow(e.now)
 	refill := c.windowRefill(e.now)
 	call := c.newReport(refill)
-	call.isLease = true
-	if c.quota.reportedStore {
-		call.writeOff = c.reportedWriteOff(refill)
-		call.leaseUnits = c.reportedLeaseUnits(e.now)
+	call.isLeaseRequest = true
+	if c.quota.deferredReporting {
+		call.adjustment = c.deferredOverflow(refill)
+		call.leaseUnits = c.deferredLeaseUnits(e.now)
 	} else {
-		call.writeOff = c.windowedWriteOff(refill)
-		call.leaseUnits = c.windowedLeaseUnits()
+		call.adjustment = c.upfrontOverflow(refill)
+		call.leaseUnits = c.upfrontLeaseUnits()
 	}
 	e.callCounter(call)
 }
 
 // expireLease drops the units of a lease that no request came for.
 func (c *customer) expireLease() {
-	if c.quota.reportedStore {
+	if c.quota.deferredReporting {
 		c.unreportedUnits -= max(c.lease.units, 0) // the next call returns them
 	}
 	c.lease.units = min(c.lease.units, 0) // the next window makes up for the rest
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -33,19 +33,19 @@
 
 // A total that is far too high, since another gateway has yet to take something back, must not make a customer's
 // store count as exhausted for longer than it takes to earn some units.
-func TestExhaustedStoreIsSoonCalledForAgain(t *testing.T) {
+func TestExhaustedBucketIsSoonCalledForAgain(t *testing.T) {
 	d := startEngine(t, exactSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
 	onlyAction[Reject](t, out)
 	d.handle(CounterReply{Name: onlyAction[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
-	d.now += (maxExhaustedUnits + 0.1) / d.engine.settings.Plans[1].Rate
+	d.now += (maxRefillWait + 0.1) / d.engine.settings.Plans[1].Rate
 	next := onlyAction[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	full := d.windowRefill(1) // what was too much has been taken back, and the store is full
 	onlyAction[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
-func TestLeaseHoldsNoUnitThatNoRequestComesFor(t *testing.T) {
+func TestLeaseForRareRequestsPrefetchesNothing(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(4)...)
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
 		d.now += 10
--- a/policy/localtokens.go
+++ b/policy/localtokens.go
@@ -1,7 +1,7 @@
 package policy
 
 // tokenBucket holds the units of a customer's quota that this gateway may spend without the counter: its own
-// part of the quota. quotaAttributes has the rate and the burst. The zero value is an empty bucket.
+// part of the quota. quotaParameters has the rate and the burst. The zero value is an empty bucket.
 type tokenBucket struct {
 	tokens    float64 // units, as of updatedAt; below 0: spent ahead
 	updatedAt float64
@@ -23,8 +23,8 @@
 	return true
 }
 
-// giveBack returns units that were taken, as far as the burst has capacity for them.
-func (b *tokenBucket) giveBack(units, burst float64) { b.tokens = min(b.tokens+units, burst) }
+// add returns units that were taken, as far as the burst has capacity for them.
+func (b *tokenBucket) add(units, burst float64) { b.tokens = min(b.tokens+units, burst) }
 
 // releaseFallback adds the units that were withheld.
 func (b *tokenBucket) releaseFallback() {
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -76,15 +76,15 @@
 	c.enterWindow(e.now)
 	switch {
 	case c.lease.take(req.Units):
-		if !c.quota.reportedStore {
+		if !c.quota.deferredReporting {
 			c.chargeLocalTokens(e.now, req.Units)
 		}
 		return admitNow
-	case c.quota.reportedStore && c.takeLocalTokens(e.now, req.Units):
+	case c.quota.deferredReporting && c.takeLocalTokens(e.now, req.Units):
 		c.unreportedUnits += req.Units
-		e.reportSpent(c)
+		e.reportIfDue(c)
 		return admitNow
-	case c.calls.pendingLeases > 0:
+	case c.calls.pendingLeaseRequests > 0:
 		return deferRequest
 	case e.now < c.exhaustedUntil:
 		return e.decideWhileExhausted(c, req)
@@ -129,7 +129,7 @@
 // customer is inside its quota. It is not so where all of the rate would be too little for what comes here,
 // nor in a short window that is used up.
 func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
-	return c.quota.reportedStore && c.demand.sustainedRate < c.quota.rate &&
+	return c.quota.deferredReporting && c.demand.sustainedRate < c.quota.rate &&
 		c.exhaustedUntil < req.SentAt+min(retryAfter, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
@@ -137,10 +137,10 @@
 // local tokens, and the next call takes them out of the total: a lease lasts long, and they would be missing
 // at the other gateways meanwhile.
 func (c *customer) refund(units float64) {
-	if !c.quota.reportedStore {
+	if !c.quota.deferredReporting {
 		c.lease.units += units
 		return
 	}
 	c.unreportedUnits -= units
-	c.local.giveBack(units, c.quota.localBurst)
+	c.local.add(units, c.quota.localBurst)
 }
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -2,14 +2,14 @@
 
 // Each of these holds for any deployment.
 const (
-	maxSmallGatewaySet = 5.0  // gateways of a customer that count as few
-	longWindow         = 50.0 // seconds of a long window; less than counterNameTTL
+	maxSmallGatewaySet      = 5.0  // gateways of a customer that count as few
+	refillingWindowDuration = 50.0 // seconds of a long window; less than counterNameTTL
 
 	// A reported store.
-	minUnitsPerGateway = 4.0 // units of refill a window and gateway, lest reports come too late
-	localUnits         = 5.0 // local burst of each of many gateways, within as many bursts for them all
-	smallSetOverdraft  = 0.8 // of the burst, where gateways are few
-	largeSetOverdraft  = 2.0 // where they are many: what these lease ahead would pass for exhaustion
+	minRefillPerGateway = 4.0 // units of refill a window and gateway, lest reports come too late
+	largeSetLocalBurst  = 5.0 // local burst of each of many gateways, within as many bursts for them all
+	smallSetTolerance   = 0.8 // of the burst, where gateways are few
+	largeSetTolerance   = 2.0 // where they are many: what these lease ahead would pass for exhaustion
 
 	// A ceiling.
 	ceilingLeaseShare = 0.22 // of its burst: what a window may lease; local tokens have the rest
@@ -19,21 +19,21 @@
 	concurrencyRateWindow  = 1.0  // seconds of its window
 )
 
-// quotaAttributes is what a plan comes to for one customer at one gateway. The zero value is a plan without
+// quotaParameters is what a plan comes to for one customer at one gateway. The zero value is a plan without
 // limits.
-type quotaAttributes struct {
+type quotaParameters struct {
 	gatewayCount    float64 // gateways of the customer, at least 1
 	smallGatewaySet bool    // gatewayCount is at most maxSmallGatewaySet
 
-	rate             float64 // units a second, over all gateways; 0: no quota of units
-	allowance        float64 // units that the store holds at most, or that a short window grants
-	initialAllowance float64 // units that the store begins with where nothing is known of it
-	initialLease     float64 // units of this gateway's part, which its leases take ahead at most
+	rate           float64 // units a second, over all gateways; 0: no quota of units
+	burst          float64 // units that the store holds at most, or that a short window grants
+	initialBalance float64 // units that the store begins with where nothing is known of it
+	maxPrefetch    float64 // units of this gateway's part, which its leases take ahead at most
 
-	windowDuration      float64 // seconds of a window of the counter
-	refillsWithinWindow bool    // the allowance grows with time in a window; else it is granted at its start
-	reportedStore       bool    // the store is kept by reports of what local tokens have paid for
-	overdraft           float64 // units that a reported store lends beyond its refill
+	windowDuration    float64 // seconds of a window of the counter
+	refillingWindow   bool    // the allowance grows with time in a window; else it is granted at its start
+	deferredReporting bool    // the store is kept by reports of what local tokens have paid for
+	burstTolerance    float64 // units that a reported store lends beyond its refill
 
 	localRate       float64 // units a second that this gateway may spend without the counter
 	localBurst      float64 // units of that at once
@@ -48,18 +48,18 @@
 // A store is kept by reports wherever a customer has few gateways, or these see enough of it. Under a
 // ceiling, it is kept by calls alone: few gateways each see the totals often enough for an exact store, a
 // long window whose allowance grows with time. Else each window is short and stands for itself.
-func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaAttributes {
-	q := newQuotaAttributes(p, gateways, index)
-	if e.settings.Counter && q.suitsReportedStore(p) {
-		q.useReportedStore(p)
+func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaParameters {
+	q := newQuotaParameters(p, gateways, index)
+	if e.settings.Counter && q.allowsDeferredReporting(p) {
+		q.useDeferredReporting(p)
 	}
-	q.refillsWithinWindow = q.smallGatewaySet || q.reportedStore
+	q.refillingWindow = q.smallGatewaySet || q.deferredReporting
 	if p.CeilingRate > 0 {
 		q.applyCeiling(p)
 	}
-	q.windowDuration = longWindow
-	if !q.refillsWithinWindow {
-		q.windowDuration = q.allowance / max(q.rate, minRate)
+	q.windowDuration = refillingWindowDuration
+	if !q.refillingWindow {
+		q.windowDuration = q.burst / max(q.rate, minRate)
 	}
 	if !q.smallGatewaySet && q.concurrencyLimit > 0 {
 		q.useConcurrencyRate(p, e.latency.mean)
@@ -67,17 +67,17 @@
 	return q
 }
 
-// newQuotaAttributes returns what a plan comes to without a counter and a ceiling: an equal part for each
+// newQuotaParameters returns what a plan comes to without a counter and a ceiling: an equal part for each
 // gateway. The parts of the concurrency limit add up to it.
-func newQuotaAttributes(p *Plan, gateways, index int) quotaAttributes {
+func newQuotaParameters(p *Plan, gateways, index int) quotaParameters {
 	n := float64(max(gateways, 1))
-	return quotaAttributes{
+	return quotaParameters{
 		gatewayCount:     n,
 		smallGatewaySet:  n <= maxSmallGatewaySet,
 		rate:             p.Rate,
-		allowance:        p.Burst,
-		initialAllowance: p.Burst,
-		initialLease:     p.Burst / n,
+		burst:            p.Burst,
+		initialBalance:   p.Burst,
+		maxPrefetch:      p.Burst / n,
 		localRate:        p.Rate / n,
 		localBurst:       max(p.Burst/n, 1),
 		concurrencyLimit: p.MaxConcurrent,
@@ -85,77 +85,81 @@
 	}
 }
 
-// suitsReportedStore reports whether the store can be kept by reports: there is no ceiling to hold, and
+// allowsDeferredReporting reports whether the store can be kept by reports: there is no ceiling to hold, and
 // reports come soon enough.
-func (q *quotaAttributes) suitsReportedStore(p *Plan) bool {
+func (q *quotaParameters) allowsDeferredReporting(p *Plan) bool {
 	return p.CeilingRate <= 0 && p.Rate > 0 &&
-		(q.smallGatewaySet || p.Rate*longWindow >= minUnitsPerGateway*q.gatewayCount)
+		(q.smallGatewaySet || p.Rate*refillingWindowDuration >= minRefillPerGateway*q.gatewayCount)
 }
 
-// useReportedStore has the store kept by reports.
-func (q *quotaAttributes) useReportedStore(p *Plan) {
-	q.reportedStore = true
+// useDeferredReporting has the store kept by reports.
+func (q *quotaParameters) useDeferredReporting(p *Plan) {
+	q.deferredReporting = true
 	if q.smallGatewaySet {
-		q.overdraft = smallSetOverdraft * p.Burst
+		q.burstTolerance = smallSetTolerance * p.Burst
 		return
 	}
-	q.overdraft = largeSetOverdraft * p.Burst
-	q.localBurst = max(p.Burst/q.gatewayCount, min(localUnits, localUnits*p.Burst/q.gatewayCount), 1)
+	q.burstTolerance = largeSetTolerance * p.Burst
+	q.localBurst = max(
+		p.Burst/q.gatewayCount,
+		min(largeSetLocalBurst, largeSetLocalBurst*p.Burst/q.gatewayCount),
+		1,
+	)
 }
 
 // applyCeiling divides a plan's ceiling between leases and local tokens, which together never exceed it.
 //
-// An exact store spends in any time L allowance*(1+leaseLifeShare) + rate*L at most, and twice the initial
-// allowance if the counter comes back empty; short windows spend allowance*(2+leaseLifeShare) + rate*L. Local
-// tokens have the rest of burst and rate. Where a plan gains by what is served beyond its quota, they also
-// pay for that, at the lowest level; without a ceiling nothing would bound it.
-func (q *quotaAttributes) applyCeiling(p *Plan) {
+// An exact store spends in any time L allowance*(1+leaseLifetimeShare) + rate*L at most, and twice the
+// initial allowance if the counter comes back empty; short windows spend
+// allowance*(2+leaseLifetimeShare) + rate*L. Local tokens have the rest of burst and rate. Where a plan gains
+// by what is served beyond its quota, they also pay for that, at the lowest level; without a ceiling nothing would bound it.
+func (q *quotaParameters) applyCeiling(p *Plan) {
 	q.rate = min(p.Rate, p.CeilingRate)
 	if q.smallGatewaySet {
-		q.divideCeilingOfExactStore(p)
+		q.divideCeilingForRefillingWindow(p)
 	} else {
-		q.divideCeilingOfShortWindows(p)
+		q.divideCeilingForFixedWindows(p)
 	}
-	q.initialLease = q.allowance / q.gatewayCount
+	q.maxPrefetch = q.burst / q.gatewayCount
 	q.localRate = (p.CeilingRate - q.rate) / q.gatewayCount
 	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// divideCeilingOfExactStore divides a ceiling's burst for a store that few gateways keep.
-func (q *quotaAttributes) divideCeilingOfExactStore(p *Plan) {
-	q.allowance = min(p.Burst, p.CeilingBurst/(1+leaseLifeShare))
-	q.initialAllowance = (p.CeilingBurst - (1+leaseLifeShare)*q.allowance) / 2
-	q.localBurst = q.initialAllowance / q.gatewayCount
+// divideCeilingForRefillingWindow divides a ceiling's burst for a store that few gateways keep.
+func (q *quotaParameters) divideCeilingForRefillingWindow(p *Plan) {
+	q.burst = min(p.Burst, p.CeilingBurst/(1+leaseLifetimeShare))
+	q.initialBalance = (p.CeilingBurst - (1+leaseLifetimeShare)*q.burst) / 2
+	q.localBurst = q.initialBalance / q.gatewayCount
 }
 
-// divideCeilingOfShortWindows divides a ceiling's burst for many gateways.
-func (q *quotaAttributes) divideCeilingOfShortWindows(p *Plan) {
-	q.allowance = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
-	if q.ceilingBurstLeft(p) < 1 {
+// divideCeilingForFixedWindows divides a ceiling's burst for many gateways.
+func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
+	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
+	if q.localCeilingBurst(p) < 1 {
 		// A local burst that never holds a unit pays for nothing, and is lost to the customer. So leases
 		// have what they can use of it.
-		q.allowance = min(p.Burst, p.CeilingBurst/(2+leaseLifeShare))
+		q.burst = min(p.Burst, p.CeilingBurst/(2+leaseLifetimeShare))
 	}
-	q.initialAllowance = q.allowance
-	q.localBurst = q.ceilingBurstLeft(p)
+	q.initialBalance = q.burst
+	q.localBurst = q.localCeilingBurst(p)
 }
 
-// ceilingBurstLeft returns what leases in short windows leave to this gateway of a ceiling's burst.
-func (q *quotaAttributes) ceilingBurstLeft(p *Plan) float64 {
-	return (p.CeilingBurst - (2+leaseLifeShare)*q.allowance) / q.gatewayCount
+// localCeilingBurst returns what leases in short windows leave to this gateway of a ceiling's burst.
+func (q *quotaParameters) localCeilingBurst(p *Plan) float64 {
+	return (p.CeilingBurst - (2+leaseLifetimeShare)*q.burst) / q.gatewayCount
 }
 
 // useConcurrencyRate replaces a concurrency limit by the rate that it admits on average, where the plan
 // has no rate and a mean latency is known. Concurrency that many gateways share would be two calls a request,
 // and the count would drift.
-func (q *quotaAttributes) useConcurrencyRate(p *Plan, meanLatency float64) {
+func (q *quotaParameters) useConcurrencyRate(p *Plan, meanLatency float64) {
 	q.concurrencyLimit = 0
 	if q.rate == 0 && meanLatency > 0 {
 		q.rate = concurrencyUtilization * float64(p.MaxConcurrent) / meanLatency
 		q.windowDuration = concurrencyRateWindow
-		q.allowance = q.rate * concurrencyRateWindow
-		q.initialAllowance = q.rate * concurrencyRateWindow
-		q.initialLease = 1
+		q.burst = q.rate * concurrencyRateWindow
+		q.initialBalance = q.rate * concurrencyRateWindow
+		q.maxPrefetch = 1
 		q.localRate = q.rate / q.gatewayCount
 	}
 }
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -29,17 +29,17 @@
 // quotaLoadResult is what came of a load. A request is inside its quota where a store that refills at the plan's rate
 // has the units when the request is first sent or rejected.
 type quotaLoadResult struct {
-	requests       int
-	sent           int
-	sentBeyond     int // sent though beyond the quota
-	rejectedInside int // rejected though inside the quota
-	calls          int // to the counter
+	requests            int
+	sent                int
+	sentBeyondQuota     int // sent though beyond the quota
+	rejectedInsideQuota int // rejected though inside the quota
+	calls               int // to the counter
 }
 
 func (r *quotaLoadResult) callsPerRequest() float64 { return float64(r.calls) / float64(r.requests) }
 
-func (r *quotaLoadResult) rejectedInsideShare() float64 {
-	return float64(r.rejectedInside) / float64(r.requests)
+func (r *quotaLoadResult) rejectedInsideQuotaShare() float64 {
+	return float64(r.rejectedInsideQuota) / float64(r.requests)
 }
 
 // quotaLoadRun simulates a load on a made-up clock.
@@ -55,8 +55,8 @@
 	nextRequest float64
 	lastID      RequestID
 	totals      map[uint64]float64 // of the counter, by name
-	store       float64            // units that the customer has by its plan, as of storeAt
-	storeAt     float64
+	bucket      float64            // units that the customer has by its plan, as of bucketAt
+	bucketAt    float64
 	result      quotaLoadResult
 }
 
@@ -70,8 +70,8 @@
 		weights:    make([]float64, load.gateways),
 		peakFactor: 16,
 		totals:     map[uint64]float64{},
-		store:      load.plan.Burst,
-		storeAt:    quotaLoadStart,
+		bucket:     load.plan.Burst,
+		bucketAt:   quotaLoadStart,
 	}
 	if load.rateFactor == nil {
 		run.load.rateFactor = func(float64) float64 { return 1 }
@@ -171,8 +171,8 @@
 	if run.now > run.nextWeights {
 		run.drawWeights()
 	}
-	run.store = min(run.store+run.load.plan.Rate*(run.now-run.storeAt), run.load.plan.Burst)
-	run.storeAt = run.now
+	run.bucket = min(run.bucket+run.load.plan.Rate*(run.now-run.bucketAt), run.load.plan.Burst)
+	run.bucketAt = run.now
 	run.carryOut(event.gateway, run.gateways[event.gateway].Handle(run.now, event.event, nil))
 }
 
@@ -184,30 +184,30 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case SetTimer:
-			run.later(action.Delay, gateway, TimerFired{Token: action.Token})
+			run.schedule(action.Delay, gateway, TimerFired{Token: action.Token})
 		case SendAttempt:
-			run.later(quotaLoadServiceTime, gateway, AttemptEnded{Request: action.Request, Backend: action.Backend,
+			run.schedule(quotaLoadServiceTime, gateway, AttemptEnded{Request: action.Request, Backend: action.Backend,
 				Latency: quotaLoadServiceTime, RequestOver: true})
 			run.result.sent += counted
-			if run.store >= 1 {
-				run.store--
+			if run.bucket >= 1 {
+				run.bucket--
 			} else {
-				run.result.sentBeyond += counted
+				run.result.sentBeyondQuota += counted
 			}
 		case Reject:
-			if run.store >= 1 {
-				run.result.rejectedInside += counted
+			if run.bucket >= 1 {
+				run.result.rejectedInsideQuota += counted
 			}
 		case CounterAdd:
 			run.result.calls += counted
 			run.totals[action.Name] += action.Amount
-			run.later(run.load.counterDelay, gateway, CounterReply{Name: action.Name, Total: run.totals[action.Name]})
+			run.schedule(run.load.counterDelay, gateway, CounterReply{Name: action.Name, Total: run.totals[action.Name]})
 		}
 	}
 }
 
-// later has a gateway handle an event after a delay.
-func (run *quotaLoadRun) later(delay float64, gateway int, event Event) {
+// schedule has a gateway handle an event after a delay.
+func (run *quotaLoadRun) schedule(delay float64, gateway int, event Event) {
 	heap.Push(&run.pending, scheduledEvent{at: run.now + delay, gateway: gateway, event: event})
 }
 
@@ -225,18 +225,18 @@
 			load := quotaLoad{gateways: gateways, plan: planOf(6.8/test.quotaUse, 3), rate: 6.8, unevenWeights: i%2 == 1,
 				counterDelay: 0.003, warmUp: 60, end: 180, seed: 1}
 			result := load.run(t)
-			if result.callsPerRequest() > test.calls || result.rejectedInsideShare() > test.rejected {
+			if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > test.rejected {
 				t.Errorf("%d gateways, %g of the quota, uneven weights %t: "+
 					"%.3f calls a request, %.4f rejected though inside; want %g and %g",
 					gateways, test.quotaUse, load.unevenWeights,
-					result.callsPerRequest(), result.rejectedInsideShare(), test.calls, test.rejected)
+					result.callsPerRequest(), result.rejectedInsideQuotaShare(), test.calls, test.rejected)
 			}
 		}
 	}
 }
 
 // What sixty gateways lease ahead is not missing at the others: over some customers, few requests are rejected.
-func TestUnitsLeasedAheadAreNotMissingElsewhere(t *testing.T) {
+func TestPrefetchedUnitsAreNotMissingElsewhere(t *testing.T) {
 	t.Parallel()
 	var running sync.WaitGroup
 	var results [8]quotaLoadResult
@@ -252,11 +252,11 @@
 	for _, result := range results {
 		sum.requests += result.requests
 		sum.calls += result.calls
-		sum.rejectedInside += result.rejectedInside
+		sum.rejectedInsideQuota += result.rejectedInsideQuota
 	}
-	if sum.rejectedInsideShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
+	if sum.rejectedInsideQuotaShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
 		t.Errorf("%.4f of %d requests rejected though inside, %d calls; want 0.005 and a call for four requests",
-			sum.rejectedInsideShare(), sum.requests, sum.calls)
+			sum.rejectedInsideQuotaShare(), sum.requests, sum.calls)
 	}
 }
 
@@ -265,22 +265,22 @@
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
 	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
 	result := load.run(t)
-	if maxSent := largeSetOverdraft*load.plan.Burst + load.plan.Rate*load.end + 5; float64(result.sent) > maxSent {
+	if maxSent := largeSetTolerance*load.plan.Burst + load.plan.Rate*load.end + 5; float64(result.sent) > maxSent {
 		t.Errorf("%d units at once, want %.0f at most", result.sent, maxSent)
 	}
 }
 
 // A customer that its gateways see only now and then costs few calls too, and the fewer the more seldom it is.
-func TestCustomerSeenSeldomCostsFewCalls(t *testing.T) {
+func TestCustomerWithRareRequestsCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
 		load := quotaLoad{gateways: 5, plan: Plan{WeightFactor: 1, Rate: test.rate / 0.3, Burst: 4, OverQuotaCost: 1},
 			rate: test.rate, unevenWeights: true, counterDelay: 0.003, end: 200 / test.rate, seed: 4}
 		result := load.run(t)
-		if result.callsPerRequest() > test.calls || result.rejectedInsideShare() > 0.01 ||
-			result.sentBeyond > result.requests/50 {
+		if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > 0.01 ||
+			result.sentBeyondQuota > result.requests/50 {
 			t.Errorf("a request in %g s: %.2f calls a request, %.3f rejected though inside, %d of %d beyond",
-				1/test.rate, result.callsPerRequest(), result.rejectedInsideShare(), result.sentBeyond, result.requests)
+				1/test.rate, result.callsPerRequest(), result.rejectedInsideQuotaShare(), result.sentBeyondQuota, result.requests)
 		}
 	}
 }
@@ -315,8 +315,8 @@
 			}}
 		result := load.run(t)
 		// The burst, the refill meanwhile, what local tokens hold, and what may not have been written off.
-		maxSent := load.plan.Burst*(2+maxUnusedRefill+maxReportSlack) + load.plan.Rate*burstTime +
-			localUnits*float64(gateways)
+		maxSent := load.plan.Burst*(2+maxOverflow+maxReportLag) + load.plan.Rate*burstTime +
+			largeSetLocalBurst*float64(gateways)
 		if float64(result.sent) > maxSent {
 			t.Errorf("%d gateways admitted %d units of %d at once, want %.0f at most",
 				gateways, result.sent, result.requests, maxSent)
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// startReportedPair starts two gateways of one customer with a reported store, whose calls a test answers by hand. It
+// startDeferredPair starts two gateways of one customer with a reported store, whose calls a test answers by hand. It
 // returns the counter's totals too.
-func startReportedPair(t *testing.T) (gateways [2]*engineDriver, totals map[uint64]float64) {
+func startDeferredPair(t *testing.T) (gateways [2]*engineDriver, totals map[uint64]float64) {
 	t.Helper()
 	set := testSettings()
 	for index := range gateways {
@@ -67,22 +67,22 @@
 
 // Two gateways that find the same refill unused both write it off; the second takes its own back, or their customer
 // would find an empty store.
-func TestUnusedRefillIsWrittenOffOnce(t *testing.T) {
-	gateways, totals := startReportedPair(t) // 20 units a second, a burst of 40
+func TestOverflowIsDiscardedOnce(t *testing.T) {
+	gateways, totals := startDeferredPair(t) // 20 units a second, a burst of 40
 	for _, d := range gateways {
 		d.now += 25 // no window begins meanwhile
 	}
-	var writeOffs [2]CounterAdd
+	var corrections [2]CounterAdd
 	for i, d := range gateways {
 		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // its local tokens, reported at once
-		writeOffs[i] = onlyAction[CounterAdd](t, asActions(d.answer(totals, report)))
-		if writeOffs[i].Amount <= 0 {
-			t.Fatalf("nothing is written off: %v", writeOffs[i])
+		corrections[i] = onlyAction[CounterAdd](t, asActions(d.answer(totals, report)))
+		if corrections[i].Amount <= 0 {
+			t.Fatalf("nothing is written off: %v", corrections[i])
 		}
 	}
-	name, calls := writeOffs[0].Name, 0
+	name, calls := corrections[0].Name, 0
 	for i, d := range gateways {
-		for pending := []CounterAdd{writeOffs[i]}; len(pending) > 0; calls++ {
+		for pending := []CounterAdd{corrections[i]}; len(pending) > 0; calls++ {
 			pending = append(pending[1:], d.answer(totals, pending[0])...)
 		}
 	}
@@ -90,7 +90,7 @@
 		t.Errorf("%d calls for it", calls)
 	}
 	refill := gateways[0].windowRefill(1)
-	if total := totals[name]; math.Abs(total-refill) > 40*(maxReportSlack+0.01) {
+	if total := totals[name]; math.Abs(total-refill) > 40*(maxReportLag+0.01) {
 		t.Errorf("the counter stands at %.1f, a full store at %.1f", total, refill)
 	}
 }
@@ -98,11 +98,11 @@
 // What was spent at the end of a window and could not be reported is reported in the next one: else a customer would be
 // admitted that much more each time.
 func TestUnreportedUnitsAreReportedInTheNextWindow(t *testing.T) {
-	gateways, _ := startReportedPair(t)
+	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
 	report := onlyAction[CounterAdd](t, asActions(d.spend(20)))
 	d.handle(CounterReply{Name: report.Name, Outcome: Rejected}) // nothing was added
-	d.now += longWindow
+	d.now += refillingWindowDuration
 	calls := d.spend(1)
 	for range 60 { // the local tokens are there again, and spent
 		if len(calls) > 0 {
@@ -116,8 +116,8 @@
 }
 
 // What local tokens pay for a request that is never sent is not missing at the other gateways.
-func TestUnsentRequestIsTakenOutOfTheNextReport(t *testing.T) {
-	gateways, _ := startReportedPair(t)
+func TestUnitsOfAnUnsentRequestAreNotReported(t *testing.T) {
+	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
 	d.engine.limiter.limit = 0 // nothing is sent
 	for range 5 {
@@ -132,7 +132,7 @@
 
 // A request of a customer inside its quota waits where an exhausted store has units again soon, and is then admitted;
 // its client would be back no sooner. Where that takes longer it is rejected at once.
-func TestRequestWaitsForAStoreThatRefillsSoon(t *testing.T) {
+func TestRequestWaitsForABucketThatRefillsSoon(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		plan  int
