--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -112,7 +112,8 @@
 // An exact store spends in any time L allowance*(1+leaseLifetimeShare) + rate*L at most, and twice the
 // initial allowance if the counter comes back empty; short windows spend
 // allowance*(2+leaseLifetimeShare) + rate*L. Local tokens have the rest of burst and rate. Where a plan gains
-// by what is served beyond its quota, they also pay for that, at the lowest level; without a ceiling nothing would bound it.
+// by what is served beyond its quota, they also pay
+// for that, at the lowest level; without a ceiling nothing would bound it.
 func (q *quotaParameters) applyCeiling(p *Plan) {
 	q.rate = min(p.Rate, p.CeilingRate)
 	if q.smallGatewaySet {
