--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -1,40 +1,40 @@
 package policy
 
-// The pause after a failed call, in seconds.
+// Pauses after failed calls, in seconds.
 const (
-	minCounterBackoff = 0.25 // the first pause; each failure in a row doubles it
+	minCounterBackoff = 0.25 // the first pause; it doubles with each further failure in a row
 	maxCounterBackoff = 2.0  // the longest pause
 )
 
-// backoff is the pause of one customer's calls to the counter after failed ones. The zero value is no pause.
+// backoff is the exponential backoff of one customer's calls to the counter. The zero value is no backoff.
 type backoff struct {
 	pause float64 // seconds; grows with each failure in a row
-	until float64 // no call before then
+	until float64 // clock time before which no call is made
 }
 
-// active reports whether no call may be made yet.
+// active reports whether a pause is in progress: no call may be made yet.
 func (b *backoff) active(now float64) bool { return now < b.until }
 
-// delayNext begins a pause that is longer than the last.
+// delayNext lengthens the pause and begins it.
 func (b *backoff) delayNext(now float64) {
 	b.grow()
 	b.until = now + b.pause
 }
 
-// delayIfRepeated begins a pause as long as the failures before this one call for: after the first there is
-// none at all.
+// delayIfRepeated begins the pause and then lengthens it for the next failure. After the first failure in a
+// row there is thus no pause.
 func (b *backoff) delayIfRepeated(now float64) {
 	b.until = now + b.pause
 	b.grow()
 }
 
-// delayOnce begins the shortest pause and leaves the next one as it is.
+// delayOnce begins the shortest pause. The pause after the next failure is not changed.
 func (b *backoff) delayOnce(now float64) { b.until = now + minCounterBackoff }
 
-// reset starts anew after a call that did not fail. A pause that has begun goes on.
+// reset sets the pause back to 0 after a call that did not fail. A pause in progress goes on.
 func (b *backoff) reset() { b.pause = 0 }
 
-// end is reset, and ends a pause that has begun.
+// end sets the pause back to 0 and ends a pause in progress.
 func (b *backoff) end(now float64) {
 	b.pause = 0
 	b.until = now
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -1,24 +1,26 @@
 package policy
 
-// While calls to the counter fail, some are shed. Each value holds for any deployment.
+// Some calls are shed while calls to the counter fail, so that an overloaded counter recovers. These values
+// suit any deployment.
 const (
-	counterFailureGain = 0.05 // weight of the newest call in the share of calls that fail
-	shedFactor         = 4.0  // so many times that share of calls is shed, so that the counter recovers
-	maxShedShare       = 0.9  // of the calls, however many fail
+	counterFailureGain = 0.05 // weight of the newest call in the failure rate
+	shedFactor         = 4.0  // the share of calls to shed is this many times the failure rate
+	maxShedShare       = 0.9  // of the calls, however high the failure rate
 )
 
-// recordReply counts a reply in the share of calls that fail, as one that is no sign of overload.
+// recordReply counts the outcome of a call in the failure rate as no sign of overload.
 func (s *counterState) recordReply() { s.failureRate -= counterFailureGain * s.failureRate }
 
-// recordOverload counts the reply that was recorded last as a failure.
+// recordOverload changes the outcome that recordReply counted last to a failure.
 func (s *counterState) recordOverload() { s.failureRate += counterFailureGain }
 
-// shedCounterCall reports whether the call for a customer's first waiting request is shed, and delays the
-// next one then. Calls are shed the more often the more of late have failed.
+// shedCounterCall decides whether to shed the call for a customer's first waiting request, and reports it. A
+// shed call delays the customer's next one. The higher the failure rate, the more calls are shed.
 //
-// Each of many gateways learns for itself that a quota is used up, and a client that was rejected for it
-// retries at another, so most calls in an overload are for retries, and are granted nothing. Those are shed
-// first, and the lowest level before others. Of few gateways, each knows what is used up.
+// In a large gateway set, each gateway finds out by a call of its own that a quota is exhausted, and a
+// rejected client retries at another gateway. Most calls in an overload are therefore for retries and are
+// granted nothing. They are shed first, and among retries and among first requests the lowest level is shed
+// first. In a small set each gateway knows which quotas are exhausted, and all calls are shed alike.
 func (e *Engine) shedCounterCall(c *customer) bool {
 	shedShare := min(shedFactor*e.counter.failureRate, maxShedShare)
 	if !c.quota.smallGatewaySet {
@@ -31,10 +33,11 @@
 	return true
 }
 
-// shedShareFor returns the share of calls to shed among those for requests like this one, where
-// shedShare of all are to be shed: retries first, each in order of their levels.
+// shedShareFor returns the share to shed of the calls for requests like this one, if shedShare of all calls
+// are shed: calls for retries before those for first requests, and lower levels before higher ones.
 func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
-	// The calls for requests like this one are a part of all, from a share of all that is shed before them.
+	// shedBefore is the share of all calls that are shed before those for requests like this one, which are
+	// callShare of all calls.
 	shedBefore, callShare := 0.0, e.retries.clientShare
 	if !req.IsRetry {
 		shedBefore, callShare = e.retries.clientShare, 1-e.retries.clientShare
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// demandAveragingTime is how many seconds demand.rate is a mean over.
+// demandAveragingTime is the time in seconds over which demand.rate is averaged.
 const demandAveragingTime = 2.0
 
-// demand is what a customer asks for at this gateway.
+// demand is the rate at which a customer requests units at this gateway.
 type demand struct {
-	rate          float64 // units a second, mean over demandAveragingTime
-	sustainedRate float64 // units a second, mean over leaseTargetDuration, without the newest request
+	rate          float64 // units a second, exponential mean over demandAveragingTime
+	sustainedRate float64 // units a second, exponential mean over leaseTargetDuration, newest request excluded
 	newestUnits   float64 // units of the newest request
 }
 
-// record counts a request that comes elapsed seconds after the one before. sustainedRate leaves it out: what
-// comes just now says nothing of what is to come after it.
+// record counts a request that arrives elapsed seconds after the one before. sustainedRate excludes it, since
+// the arrival of this request does not predict the requests after it.
 func (d *demand) record(elapsed, units float64) {
 	d.rate = d.rate*math.Exp(-elapsed/demandAveragingTime) + units/demandAveragingTime
 	d.sustainedRate = (d.sustainedRate + d.newestUnits/leaseTargetDuration) *
@@ -21,7 +21,8 @@
 	d.newestUnits = units
 }
 
-// withinFairShare reports whether no more comes to this gateway than its part of the customer's rate.
+// withinFairShare reports whether the sustained demand at this gateway is below its fair share of the
+// customer's rate: the rate divided by the number of gateways.
 func (c *customer) withinFairShare() bool {
 	return c.demand.sustainedRate*c.quota.gatewayCount < c.quota.rate
 }
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -1,24 +1,25 @@
 package policy
 
-// Admission by quota is the first step of a request. A request is paid for by the customer's lease from the
-// counter, or by this gateway's local tokens where the counter grants nothing.
+// Admission by quota is the first step of a request. The request's units are spent from the customer's lease,
+// or from this gateway's local tokens where the counter grants no lease.
 
-// maxQuotaWaitShare is the part of its time that a request may wait until an exhausted store has units again.
+// maxQuotaWaitShare is the largest share of a request's time that it may wait for an exhausted bucket to
+// refill.
 const maxQuotaWaitShare = 0.4
 
-// admissionDecision is what becomes of the first waiting request of a customer.
+// admissionDecision is the decision on the first waiting request of a customer.
 type admissionDecision int
 
 const (
-	admitNow             admissionDecision = iota // its units are paid
+	admitNow             admissionDecision = iota // its units have been spent
 	deferRequest                                  // it and those behind it wait for capacity, units or a reply
-	needsLease                                    // the counter is to be called, and the decision made again
+	needsLease                                    // call the counter for a lease, then decide again
 	rejectForQuota                                // its customer has no units left
 	rejectForConcurrency                          // its customer has no concurrency at this gateway
 )
 
-// admit admits a customer's waiting requests, as far as its quota allows, and rejects those that need not
-// wait.
+// admit admits a customer's waiting requests in order, as far as the quota allows. It rejects requests for
+// which waiting is of no use, and stops at the first request that has to wait.
 func (e *Engine) admit(c *customer) {
 	for len(c.waiting) > 0 {
 		req := c.waiting[0]
@@ -47,7 +48,8 @@
 	e.dispatch()
 }
 
-// decideAdmission decides on the first waiting request. Where it is admitted, its units have been spent.
+// decideAdmission decides on the first waiting request. If it returns admitNow, it has spent the request's
+// units.
 func (e *Engine) decideAdmission(c *customer, req *request) admissionDecision {
 	if c.quota.concurrencyLimit > 0 && c.openAttempts >= c.quota.localConcurrency {
 		return c.decideAtConcurrencyLimit()
@@ -59,11 +61,11 @@
 }
 
 // decideAtConcurrencyLimit decides on a request that would exceed this gateway's part of the concurrency
-// limit. One attempt may end before the request's time is over.
+// limit. The request waits if the gateway has a part at all, since an attempt may end in time.
 //
-// Were concurrency leased, the calls of each gateway would look to the others like concurrency in use, and
-// overload the counter. So each gateway has its own part, and a client that is rejected where that is 0 comes
-// to another.
+// The limit is divided among the gateways, not leased from the counter: a pending call would look to the
+// other gateways like concurrency in use, and the calls would overload the counter. A client that is rejected
+// by a gateway whose part is 0 retries at another gateway.
 func (c *customer) decideAtConcurrencyLimit() admissionDecision {
 	if c.quota.localConcurrency > 0 {
 		return deferRequest
@@ -71,7 +73,8 @@
 	return rejectForConcurrency
 }
 
-// decideByUnits decides on a request whose customer has a quota of units, and spends what admits it.
+// decideByUnits decides on a request whose customer has a quota of units. If it admits the request, it has
+// spent the units.
 func (e *Engine) decideByUnits(c *customer, req *request) admissionDecision {
 	c.enterWindow(e.now)
 	switch {
@@ -94,8 +97,9 @@
 	return needsLease
 }
 
-// decideWhileExhausted decides on a request whose customer's store has too few units. Local tokens may admit
-// it at the lowest level: as far as is known here, it is beyond the quota.
+// decideWhileExhausted decides on a request while the shared bucket has too few units. Where the plan allows
+// requests over quota, local tokens admit it at the lowest level, since as far as this gateway knows it is
+// beyond the quota.
 func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
 	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
 		return deferRequest
@@ -107,9 +111,9 @@
 	return rejectForQuota
 }
 
-// decideWithoutCounter decides on a request while the counter is not called: local tokens admit it. Where
-// there are too few, it waits if the pause ends in time, since an overloaded counter may have capacity by
-// then.
+// decideWithoutCounter decides on a request while the counter cannot be called. Local tokens admit it. If
+// there are too few, a request of a small gateway set waits if the backoff ends in time, since an overloaded
+// counter may have capacity by then.
 func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
 	if c.takeLocalTokens(e.now, req.Units) {
 		c.unreportedUnits += req.Units
@@ -121,21 +125,22 @@
 	return rejectForQuota
 }
 
-// refillsSoon reports whether a request may wait until an exhausted store has units again. retryAfter is how
-// long its client would stay away after a rejection, in seconds.
+// refillsSoon reports whether a request should wait for the exhausted shared bucket to refill. retryAfter is
+// the number of seconds after which a rejected client retries.
 //
-// The wait is not longer than that, for a rejection would bring the request again, and no large part of its
-// time. A store is exhausted for a moment where other gateways hold what they leased ahead, though the
-// customer is inside its quota. It is not so where all of the rate would be too little for what comes here,
-// nor in a short window that is used up.
+// The wait must be shorter than retryAfter, after which the client would send the request again anyway, and
+// shorter than maxQuotaWaitShare of the request's time. Waiting helps where the bucket is exhausted only for
+// a moment: the customer is inside its quota, and other gateways hold units that they have prefetched. It
+// does not help where the demand at this gateway alone exceeds the whole rate, nor in a fixed window, which
+// stays exhausted until it ends.
 func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
 	return c.quota.deferredReporting && c.demand.sustainedRate < c.quota.rate &&
 		c.exhaustedUntil < req.SentAt+min(retryAfter, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
-// refund returns the units of a request that was admitted and never sent. Of a reported store they go to the
-// local tokens, and the next call takes them out of the total: a lease lasts long, and they would be missing
-// at the other gateways meanwhile.
+// refund returns the units of a request that was admitted but never sent. Under upfront leasing they go back
+// to the lease. Under deferred reporting they go to the local tokens, and the next call subtracts them from
+// the total: a lease lasts long, and meanwhile the units would be missing at the other gateways.
 func (c *customer) refund(units float64) {
 	if !c.quota.deferredReporting {
 		c.lease.units += units
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -1,53 +1,69 @@
 package policy
 
-// Each of these holds for any deployment.
+// These values suit any deployment.
 const (
-	maxSmallGatewaySet      = 5.0  // gateways of a customer that count as few
-	refillingWindowDuration = 50.0 // seconds of a long window; less than counterNameTTL
+	maxSmallGatewaySet      = 5.0  // gateways; a larger gateway set is not small
+	refillingWindowDuration = 50.0 // seconds; less than counterNameTTL
 
-	// A reported store.
-	minRefillPerGateway = 4.0 // units of refill a window and gateway, lest reports come too late
-	largeSetLocalBurst  = 5.0 // local burst of each of many gateways, within as many bursts for them all
-	smallSetTolerance   = 0.8 // of the burst, where gateways are few
-	largeSetTolerance   = 2.0 // where they are many: what these lease ahead would pass for exhaustion
+	// Deferred reporting.
+	minRefillPerGateway = 4.0 // units a window, for each gateway of a large set; else reports come too late
+	largeSetLocalBurst  = 5.0 // most local units of a gateway in a large set, and most bursts of the whole set
+	smallSetTolerance   = 0.8 // of the burst: burstTolerance of a small gateway set
+	largeSetTolerance   = 2.0 // of a large one; with less, its prefetched units would look like exhaustion
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // of its burst: what a window may lease; local tokens have the rest
+	ceilingLeaseShare = 0.22 // of its burst: what a fixed window may lease; local tokens get the rest
 
 	// A concurrency limit that is applied as a rate.
 	concurrencyUtilization = 0.65 // mean use of the limit
 	concurrencyRateWindow  = 1.0  // seconds of its window
 )
 
-// quotaParameters is what a plan comes to for one customer at one gateway. The zero value is a plan without
+// quotaParameters is a plan as it applies to one customer at one gateway. The zero value is a plan without
 // limits.
+//
+// The requests of a customer arrive at the gateways of its gateway set. Its quota of units is one token
+// bucket for the whole set, the shared bucket. The counter holds the bucket's state as one total for each
+// window (see counterWindow). The gateways charge the units that they spend to the total in one of two ways:
+//
+//   - Deferred reporting: a gateway spends its local tokens without a call and reports them later. It calls
+//     for a lease only when its local tokens are too few. A customer inside its quota thus costs few calls.
+//   - Upfront leasing: a gateway spends only units that it has leased before. Its local tokens are for times
+//     when the counter does not reply, and for requests over quota under a ceiling. In a deployment without
+//     a counter they admit all requests.
+//
+// There are two kinds of windows. A refilling window is long, and the shared bucket earns units all through
+// it. A fixed window is short, grants its units at the start, and is independent of the window before it.
+// Deferred reporting always uses refilling windows. Upfront leasing uses them in a small gateway set, and
+// fixed windows in a large one.
 type quotaParameters struct {
-	gatewayCount    float64 // gateways of the customer, at least 1
+	gatewayCount    float64 // size of the gateway set, at least 1
 	smallGatewaySet bool    // gatewayCount is at most maxSmallGatewaySet
 
 	rate           float64 // units a second, over all gateways; 0: no quota of units
-	burst          float64 // units that the store holds at most, or that a short window grants
-	initialBalance float64 // units that the store begins with where nothing is known of it
-	maxPrefetch    float64 // units of this gateway's part, which its leases take ahead at most
+	burst          float64 // size of the shared bucket in units, or the units that a fixed window grants
+	initialBalance float64 // units in the shared bucket where the counter has no total
+	maxPrefetch    float64 // units that a lease may add to those that requests wait for (upfront leasing)
 
-	windowDuration    float64 // seconds of a window of the counter
-	refillingWindow   bool    // the allowance grows with time in a window; else it is granted at its start
-	deferredReporting bool    // the store is kept by reports of what local tokens have paid for
-	burstTolerance    float64 // units that a reported store lends beyond its refill
+	windowDuration    float64 // seconds
+	refillingWindow   bool    // the windows are refilling windows; else fixed windows
+	deferredReporting bool    // units are charged by deferred reporting; else by upfront leasing
+	burstTolerance    float64 // units by which the total may exceed the refill (deferred reporting)
 
-	localRate       float64 // units a second that this gateway may spend without the counter
-	localBurst      float64 // units of that at once
-	admitsOverQuota bool    // what local tokens admit beyond the quota earns more than it costs
+	localRate       float64 // units a second that the local tokens earn
+	localBurst      float64 // size of the bucket of local tokens in units
+	admitsOverQuota bool    // local tokens admit requests over quota, since these earn more than they cost
 
 	concurrencyLimit int // attempts in flight over all gateways; 0: no limit
 	localConcurrency int // this gateway's part of concurrencyLimit
 }
 
-// quotaFor works out what a plan comes to for a customer of so many gateways, at the one of an index from 0.
+// quotaFor returns the parameters of a plan for a customer whose gateway set has the given size, at the
+// gateway with the given index in the set.
 //
-// A store is kept by reports wherever a customer has few gateways, or these see enough of it. Under a
-// ceiling, it is kept by calls alone: few gateways each see the totals often enough for an exact store, a
-// long window whose allowance grows with time. Else each window is short and stands for itself.
+// Deferred reporting is used if there is no ceiling and reports come soon enough. Upfront leasing in a small
+// gateway set can use refilling windows, since each gateway sees the total often enough to keep the shared
+// bucket exact. A large set uses fixed windows.
 func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaParameters {
 	q := newQuotaParameters(p, gateways, index)
 	if e.settings.Counter && q.allowsDeferredReporting(p) {
@@ -67,8 +83,8 @@
 	return q
 }
 
-// newQuotaParameters returns what a plan comes to without a counter and a ceiling: an equal part for each
-// gateway. The parts of the concurrency limit add up to it.
+// newQuotaParameters returns the parameters without deferred reporting and without a ceiling. Rate and burst
+// are divided equally among the gateways. The local parts of the concurrency limit add up to the limit.
 func newQuotaParameters(p *Plan, gateways, index int) quotaParameters {
 	n := float64(max(gateways, 1))
 	return quotaParameters{
@@ -85,14 +101,14 @@
 	}
 }
 
-// allowsDeferredReporting reports whether the store can be kept by reports: there is no ceiling to hold, and
-// reports come soon enough.
+// allowsDeferredReporting reports whether the plan has no ceiling, which deferred reports could exceed, and
+// the gateways of the set earn enough for reports to come soon.
 func (q *quotaParameters) allowsDeferredReporting(p *Plan) bool {
 	return p.CeilingRate <= 0 && p.Rate > 0 &&
 		(q.smallGatewaySet || p.Rate*refillingWindowDuration >= minRefillPerGateway*q.gatewayCount)
 }
 
-// useDeferredReporting has the store kept by reports.
+// useDeferredReporting sets the parameters of deferred reporting.
 func (q *quotaParameters) useDeferredReporting(p *Plan) {
 	q.deferredReporting = true
 	if q.smallGatewaySet {
@@ -109,11 +125,12 @@
 
 // applyCeiling divides a plan's ceiling between leases and local tokens, which together never exceed it.
 //
-// An exact store spends in any time L allowance*(1+leaseLifetimeShare) + rate*L at most, and twice the
-// initial allowance if the counter comes back empty; short windows spend
-// allowance*(2+leaseLifetimeShare) + rate*L. Local tokens have the rest of burst and rate. Where a plan gains
-// by what is served beyond its quota, they also pay
-// for that, at the lowest level; without a ceiling nothing would bound it.
+// In any time L, leases in refilling windows spend at most burst*(1+leaseLifetimeShare) + rate*L, and twice
+// initialBalance more if the counter loses its totals. Leases in fixed windows spend at most
+// burst*(2+leaseLifetimeShare) + rate*L. Local tokens get the rest of the ceiling's burst and rate.
+//
+// If requests over quota earn more than they cost, local tokens admit them too, at the lowest level. Only
+// plans with a ceiling permit this, since nothing else would bound such requests.
 func (q *quotaParameters) applyCeiling(p *Plan) {
 	q.rate = min(p.Rate, p.CeilingRate)
 	if q.smallGatewaySet {
@@ -126,33 +143,33 @@
 	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// divideCeilingForRefillingWindow divides a ceiling's burst for a store that few gateways keep.
+// divideCeilingForRefillingWindow divides a ceiling's burst where leases use refilling windows.
 func (q *quotaParameters) divideCeilingForRefillingWindow(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst/(1+leaseLifetimeShare))
 	q.initialBalance = (p.CeilingBurst - (1+leaseLifetimeShare)*q.burst) / 2
 	q.localBurst = q.initialBalance / q.gatewayCount
 }
 
-// divideCeilingForFixedWindows divides a ceiling's burst for many gateways.
+// divideCeilingForFixedWindows divides a ceiling's burst where leases use fixed windows.
 func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
 	if q.localCeilingBurst(p) < 1 {
-		// A local burst that never holds a unit pays for nothing, and is lost to the customer. So leases
-		// have what they can use of it.
+		// A local bucket that never holds a whole unit admits nothing, and its units would be lost to the
+		// customer. So leases get as much of the ceiling's burst as they can use.
 		q.burst = min(p.Burst, p.CeilingBurst/(2+leaseLifetimeShare))
 	}
 	q.initialBalance = q.burst
 	q.localBurst = q.localCeilingBurst(p)
 }
 
-// localCeilingBurst returns what leases in short windows leave to this gateway of a ceiling's burst.
+// localCeilingBurst returns this gateway's part of the ceiling's burst that leases in fixed windows leave.
 func (q *quotaParameters) localCeilingBurst(p *Plan) float64 {
 	return (p.CeilingBurst - (2+leaseLifetimeShare)*q.burst) / q.gatewayCount
 }
 
-// useConcurrencyRate replaces a concurrency limit by the rate that it admits on average, where the plan
-// has no rate and a mean latency is known. Concurrency that many gateways share would be two calls a request,
-// and the count would drift.
+// useConcurrencyRate drops the concurrency limit of a large gateway set. If the plan has no rate and the mean
+// latency is known, the rate that the limit allows on average takes its place. Shared concurrency would need
+// two counter calls for each request, and the count of attempts in flight would drift.
 func (q *quotaParameters) useConcurrencyRate(p *Plan, meanLatency float64) {
 	q.concurrencyLimit = 0
 	if q.rate == 0 && meanLatency > 0 {
