--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -3,42 +3,43 @@
 import "slices"
 
 const (
-	counterNameTTL     = 60.0 // seconds for which the counter keeps a name: longer than its window
-	maxUnansweredCalls = 64   // calls without a reply that are remembered, in case one comes late
+	counterNameTTL     = 60.0 // seconds for which the counter keeps a name: longer than a window
+	maxUnansweredCalls = 64   // timed-out calls that are remembered, in case the reply comes late
 )
 
-// counterCall is a CounterAdd whose reply is due. Its amounts are in units; the counter adds their sum.
+// counterCall is a pending CounterAdd. Its amounts are in units, and the counter adds their sum to the
+// total of a window.
 type counterCall struct {
 	id             uint64
 	customer       *customer
-	name           uint64  // of the total
-	window         float64 // number of the window that the total is for
-	refill         float64 // the total at which the store is full
-	spent          float64 // what has been spent already; below 0: returned
-	adjustment     float64 // refill that nobody has used and that expires; below 0: taken back
-	leaseUnits     float64 // what is to be granted
-	isLeaseRequest bool    // requests may wait for the reply; leaseUnits may still be 0
-	carriedOver    bool    // adjustment is the level that a window takes over from the one before
+	name           uint64  // of the window's total at the counter
+	window         float64 // number of the window
+	refill         float64 // of the window when the call was made
+	spent          float64 // the report: units that have been spent; below 0: units returned
+	adjustment     float64 // overflow, or a correction of the total, which may be below 0
+	leaseUnits     float64 // the lease that is requested, charged in advance
+	isLeaseRequest bool    // requests wait for the reply; leaseUnits is 0 in a call that only reads the total
+	carriedOver    bool    // adjustment carries the balance of the window before into this window
 }
 
-// amount returns what the counter is to add.
+// amount returns the units that the counter is to add.
 func (call *counterCall) amount() float64 { return call.spent + call.adjustment + call.leaseUnits }
 
-// counterState is what is known of the counter service, and the calls to it.
+// counterState holds the calls to the counter service and their recent failure rate.
 type counterState struct {
 	pending     map[uint64][]counterCall // by name, in the order of the calls
 	lastCallID  uint64
 	unanswered  []counterCall // calls that timed out lately, oldest first
-	failureRate float64       // share of recent calls that failed
+	failureRate float64       // share of recent calls that failed through overload
 }
 
-// pendingCalls counts the calls of one customer to the counter whose replies are due.
+// pendingCalls counts the pending calls of one customer.
 type pendingCalls struct {
 	pending              int // of any kind
-	pendingLeaseRequests int // of these, calls for a lease
+	pendingLeaseRequests int // of these, requests for a lease
 }
 
-// add counts a call (n is 1), or its reply (n is -1).
+// add counts a call that begins (n is 1) or ends (n is -1).
 func (p *pendingCalls) add(call counterCall, n int) {
 	p.pending += n
 	if call.isLeaseRequest {
@@ -46,8 +47,8 @@
 	}
 }
 
-// newReport returns a call for the window that was entered last, which reports what has been spent. What it
-// reports counts as reported from now on.
+// newReport returns a call for the present window that reports the unreported units, and marks them as
+// reported.
 func (c *customer) newReport(refill float64) counterCall {
 	call := counterCall{
 		customer: c,
@@ -60,12 +61,12 @@
 	return call
 }
 
-// newCorrection returns a call that adds units to the total of an earlier call.
+// newCorrection returns a call that corrects by units the total to which an earlier call added.
 func (call *counterCall) newCorrection(units float64) counterCall {
 	return counterCall{customer: call.customer, name: call.name, window: call.window, adjustment: units}
 }
 
-// callCounter makes a call. Replies for one name come in the order of the calls.
+// callCounter makes a call. Replies for one name arrive in the order of the calls.
 func (e *Engine) callCounter(call counterCall) {
 	e.counter.lastCallID++
 	call.id = e.counter.lastCallID
@@ -74,8 +75,8 @@
 	e.emit(CounterAdd{Call: call.id, Name: call.name, Amount: call.amount(), TTL: counterNameTTL})
 }
 
-// takePendingCall removes and returns the oldest call for a name: the one that a reply answers. ok is false
-// where none is pending.
+// takePendingCall removes and returns the oldest pending call for a name, which the next reply answers. ok is
+// false if none is pending.
 func (e *Engine) takePendingCall(name uint64) (call counterCall, ok bool) {
 	pending := e.counter.pending[name]
 	if len(pending) == 0 {
@@ -91,15 +92,15 @@
 	return call, true
 }
 
-// rememberUnanswered keeps a call that timed out, in case its reply comes late. The oldest goes where there
-// are too many.
+// rememberUnanswered keeps a call that timed out, in case its reply comes late. Beyond maxUnansweredCalls it
+// drops the oldest.
 func (s *counterState) rememberUnanswered(call counterCall) {
 	excess := max(len(s.unanswered)+1-maxUnansweredCalls, 0)
 	s.unanswered = append(s.unanswered[excess:], call)
 }
 
-// takeUnanswered removes and returns the call of an id that timed out. ok is false where it isn't known any
-// more.
+// takeUnanswered removes and returns the timed-out call with the given id. ok is false if it has been
+// dropped.
 func (s *counterState) takeUnanswered(id uint64) (call counterCall, ok bool) {
 	at := slices.IndexFunc(s.unanswered, func(call counterCall) bool { return call.id == id })
 	if at < 0 {
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -1,9 +1,11 @@
 package policy
 
-// handleCounterReply applies the outcome of a call and admits what it allows.
+// handleCounterReply applies the outcome of a call, and then decides again on the customer's waiting
+// requests.
 //
-// A call without a reply grants nothing: it may have been added, and the next totals will show it. Neither
-// does one whose reply is malformed, but that one was added, so the next call takes it back.
+// A call without a reply grants nothing. The counter may have added its amount; if so, the next total
+// includes it. A call with a malformed reply grants nothing either, but its amount was added, and the next
+// call takes it back.
 func (e *Engine) handleCounterReply(event CounterReply) {
 	call, ok := e.takePendingCall(event.Name)
 	if !ok {
@@ -28,9 +30,9 @@
 	e.admit(c)
 }
 
-// handleMalformedReply handles a reply that can't be read, or a connection that broke. Neither is a sign of
-// overload. Were it taken for one, calls would be shed that the counter can bear, and customers rejected
-// inside their quotas.
+// handleMalformedReply handles a reply that cannot be read, or a connection that broke. Neither is a sign of
+// overload. To treat them as overload would shed calls that the counter can handle, and reject requests of
+// customers inside their quotas.
 func (e *Engine) handleMalformedReply(c *customer, call counterCall, outcome Outcome) {
 	if outcome == Failed {
 		c.reclaimLease(call)
@@ -38,9 +40,9 @@
 	c.backoff.delayIfRepeated(e.now)
 }
 
-// handleCounterOverload handles a call that was rejected or had no reply. A unit that is not returned is
-// missing at all gateways. So a rejected call, which has changed nothing, is made again;
-// one that timed out may have been added, and is not.
+// handleCounterOverload handles a call that was rejected or had no reply. A rejected call has changed
+// nothing: it is reported again, since units that it was to return would be missing at all gateways. A call
+// that timed out may have been added, and is not reported again.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
@@ -54,9 +56,10 @@
 
 // handleLateCounterReply applies the outcome of a call that had timed out before.
 //
-// A counter that is slow for a moment adds all the same, and what it added and nobody uses is missing at all
-// gateways. So a late total grants what one in time would, and ends the pause. The pause goes on where the
-// counter is slow for every call, or the network was silent. A total of a window that is over is of no use.
+// A counter that is slow for a moment still adds the amount, and units that are added and not granted are
+// missing at all gateways. So a late total grants the same units as one in time, and ends the backoff. The
+// backoff goes on where the counter is slow for every call or the network is silent. The total of a window
+// that is over is ignored.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
 	call, ok := e.counter.takeUnanswered(event.Call)
 	if !ok {
@@ -80,13 +83,14 @@
 	e.admit(c)
 }
 
-// needsTotal reports whether the total that a call returns matters: it does for a lease, and each one does
-// for a store kept by reports.
+// needsTotal reports whether the total that a call returns is used: under deferred reporting always, under
+// upfront leasing if the call requested a lease.
 func (c *customer) needsTotal(call counterCall) bool {
 	return call.leaseUnits > 0 || c.quota.deferredReporting
 }
 
-// applyTotal takes from the total that a call returned what the lease gets, and corrects it at the counter.
+// applyTotal grants the lease that a call requested, as far as the total that it returned allows, and
+// corrects the total at the counter.
 func (e *Engine) applyTotal(c *customer, call counterCall, total float64) {
 	if c.quota.deferredReporting {
 		e.reconcileDeferred(c, call, total)
@@ -95,10 +99,10 @@
 	}
 }
 
-// reclaimLease has the next call take back what a call added without a grant. Of a store kept by reports
-// that includes what it wrote off, which the next call writes off again. Under a ceiling that stays: the
-// first call of a window must not find less there than it reported. A short window has no refill to write
-// off.
+// reclaimLease makes the next call take back the units that a call added to the total and that were not
+// granted. Under deferred reporting this includes the call's adjustment; the next call adds the overflow
+// again. In the refilling windows of upfront leasing the adjustment stays: the first call of a window must
+// not find a smaller total than it reported. A fixed window has no overflow.
 func (c *customer) reclaimLease(call counterCall) {
 	if call.leaseUnits > 0 && call.window == c.window.number {
 		c.unreportedUnits -= call.leaseUnits
@@ -108,10 +112,10 @@
 	}
 }
 
-// requeueReport has the next call report what a call that was not added was to report.
+// requeueReport makes the next call report the units of a call that was not added.
 func (c *customer) requeueReport(call counterCall) {
 	if c.quota.deferredReporting {
-		// Spending counts from an earlier window too; what was written off there says nothing of this one.
+		// Spent units count in any window, while overflow and corrections concern only their own.
 		c.unreportedUnits += call.spent
 		if call.window == c.window.number {
 			c.unreportedUnits += min(call.adjustment, 0)
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -2,16 +2,23 @@
 
 import "math"
 
-// counterWindow is the window of a customer's quota that this gateway entered last. Each window has a total
-// of its own at the counter, under a name of its own.
+// counterWindow is the window of a customer's quota that this gateway entered last.
+//
+// The counter keeps a total of units for each window, under a name of its own. The total holds all units
+// that the gateways have charged since the window began: units spent, units leased, and overflow. The
+// refill is the units that the shared bucket has earned in the same time. The bucket is full where the
+// total is equal to the refill, and empty where the total exceeds the refill by the burst (by
+// burstTolerance under deferred reporting). A fixed window has no refill. Overflow is refill that arrives
+// while the bucket is full: the gateways add it to the total, so that the total does not fall behind the
+// refill.
 type counterWindow struct {
-	number    float64 // a whole number that grows with time; -1: none was entered yet
+	number    float64 // a whole number that grows with time; -1: no window was entered yet
 	name      uint64  // of the window's total at the counter
 	lastTotal float64 // units: the total as last seen; 0: not seen yet
 }
 
-// enterWindow moves to the window that contains now. What an exact store has not reported, and that it is
-// exhausted, ends with its window.
+// enterWindow enters the window that contains now. Under upfront leasing it drops the unreported units and
+// the exhaustion of the window before, which do not concern this one.
 func (c *customer) enterWindow(now float64) {
 	number := math.Floor(now/c.quota.windowDuration + c.windowPhase())
 	if number == c.window.number {
@@ -26,8 +33,8 @@
 	}
 }
 
-// windowRefill returns the units that the store has earned since the window that was entered last began:
-// the total at which the store is full. It is 0 where the quota of a window is granted at its start.
+// windowRefill returns the refill of the present window: the total at which the shared bucket is full. It is
+// 0 in a fixed window, which grants its units at the start.
 func (c *customer) windowRefill(now float64) float64 {
 	if !c.quota.refillingWindow {
 		return 0
@@ -35,17 +42,17 @@
 	return c.quota.rate * (now - (c.window.number-c.windowPhase())*c.quota.windowDuration)
 }
 
-// windowEnd returns the time at which the window of a number ends.
+// windowEnd returns the time at which the window with the given number ends.
 func (c *customer) windowEnd(number float64) float64 {
 	return (number + 1 - c.windowPhase()) * c.quota.windowDuration
 }
 
-// windowPhase returns the part of a window, from 0 to 1, by which the customer's windows begin early.
-// Windows of different customers end at different times, so that not all are called for at once.
+// windowPhase returns the share of a window, from 0 to 1, by which the customer's windows begin early.
+// Windows of different customers thus begin at different times, which spreads the calls for new windows.
 func (c *customer) windowPhase() float64 { return float64(splitMix64(uint64(c.id))%1024) / 1024 }
 
-// splitMix64 mixes the bits of a number, since names at the counter must not collide. It is one step of the
-// generator SplitMix64 by Sebastiano Vigna (https://prng.di.unimi.it/splitmix64.c).
+// splitMix64 hashes a number, so that names at the counter do not collide. It is one step of the generator
+// SplitMix64 by Sebastiano Vigna (https://prng.di.unimi.it/splitmix64.c).
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -1,14 +1,14 @@
 package policy
 
-// customerIdleTimeout is how many seconds a customer without requests is remembered.
+// customerIdleTimeout is the time in seconds after which a customer without requests is forgotten.
 const customerIdleTimeout = 60.0
 
-// customer is what this gateway knows of one customer: its quota, the counter's replies for it, and the
-// requests that wait for units.
+// customer is this gateway's state of one customer: its quota, its account at the counter, and its waiting
+// requests.
 type customer struct {
 	id       CustomerID
 	quota    quotaParameters // as of the newest request
-	lastSeen float64         // when the newest request came
+	lastSeen float64         // arrival of the newest request
 
 	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
 	openAttempts int        // admitted requests that are not over, and retries in flight
@@ -17,23 +17,23 @@
 	lease  lease
 	local  tokenBucket
 
-	totalSeen       bool    // a total of a windowed store has been applied
-	exhaustedUntil  float64 // the store has too few units until then, as far as is known here
-	unreportedUnits float64 // units spent and not reported to the counter; below 0: to be returned
+	totalSeen       bool    // a reply of the counter has been applied under upfront leasing
+	exhaustedUntil  float64 // the shared bucket has too few units until then, as far as is known here
+	unreportedUnits float64 // units spent that the next call reports; below 0: units that it returns
 	window          counterWindow
 	shared          sharedBucket
 	calls           pendingCalls
 	backoff         backoff
 }
 
-// customerSet is every customer that was seen lately.
+// customerSet holds the customers that have sent requests lately.
 type customerSet struct {
 	byID    map[CustomerID]*customer
-	ordered []*customer // by first request
+	ordered []*customer // in order of their first requests
 }
 
-// customerFor returns the customer of a request, with its quota and demand as of now. It adds one that is not
-// known.
+// customerFor returns the customer of a request and updates its quota and demand. It adds an unknown
+// customer.
 func (e *Engine) customerFor(r Request) *customer {
 	c := e.customers.byID[r.Customer]
 	if c == nil {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// indexInGatewaySet returns this gateway's place, from 0, among those of a request's customer.
+// indexInGatewaySet returns this gateway's index, from 0, in the gateway set of a request's customer.
 func (e *Engine) indexInGatewaySet(r Request) int {
 	fleetSize := max(e.settings.FleetSize, 1)
 	index := (e.settings.GatewayIndex - r.FirstGateway + fleetSize) % fleetSize
@@ -54,8 +54,9 @@
 
 // addCustomer adds the customer of a request.
 //
-// A gateway that starts again may have spent its local tokens in its last incarnation. Under a ceiling it
-// earns them anew; elsewhere a full bucket costs little.
+// The gateway may have been restarted, and may have spent the customer's local tokens before. Under a
+// ceiling the bucket of local tokens therefore starts empty, with the tokens earned since the gateway
+// started. Without a ceiling it starts full, which costs little.
 func (e *Engine) addCustomer(r Request) *customer {
 	c := &customer{id: r.Customer, lastSeen: e.now}
 	c.local.updatedAt = e.startedAt
@@ -71,10 +72,11 @@
 
 // fillLocalTokens fills the local tokens of a customer that is new to this gateway.
 //
-// Of many gateways each has less than a unit. Were each to begin with one, a counter that rejects calls for a
-// moment would admit a unit for each gateway. So they begin at random, and together have the burst; the rest
-// of the unit is for a counter that does not reply. Where there is no counter, nothing else admits a
-// customer.
+// In a large gateway set, a gateway's part of the burst is less than a unit. If each gateway started with a
+// whole unit, each would admit one while the counter rejects calls for a moment. So each starts with its
+// part and a random addition, which lets the set as a whole admit about the burst. The rest of the unit
+// becomes the fallback, for a counter that does not reply. Without a counter there is no such split, since
+// nothing but local tokens admits requests.
 func (e *Engine) fillLocalTokens(c *customer, plan *Plan, gateways int) {
 	quota := e.quotaFor(plan, gateways, 0)
 	c.local.tokens = quota.localBurst
@@ -84,13 +86,13 @@
 		c.local.tokens -= c.local.fallback
 	}
 	if quota.deferredReporting && !quota.smallGatewaySet {
-		// The counter's store is full when they first call: local tokens would be a burst more.
+		// The shared bucket is full at the first call. Local tokens would add another burst to it.
 		c.local.tokens = 0
 	}
 }
 
-// maintainCustomers expires leases, returns unused units, forgets idle customers and admits the waiting
-// requests of the others where that is possible now.
+// maintainCustomers expires leases, forgets idle customers, and for the others returns unused units to the
+// counter and decides again on waiting requests.
 func (e *Engine) maintainCustomers() {
 	active := e.customers.ordered[:0]
 	for _, c := range e.customers.ordered {
@@ -110,7 +112,8 @@
 	e.customers.ordered = active
 }
 
-// isIdle reports whether a customer can be forgotten.
+// isIdle reports whether a customer can be forgotten: it has sent nothing for customerIdleTimeout, and has no
+// open attempt, pending call or waiting request.
 func (e *Engine) isIdle(c *customer) bool {
 	return e.now-c.lastSeen > customerIdleTimeout &&
 		c.openAttempts == 0 && c.calls.pending == 0 && len(c.waiting) == 0
