--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -2,41 +2,43 @@
 
 import "math"
 
-// The reported store: each gateway spends its local tokens without a call and reports them later. A customer
-// that stays within its quota costs few calls so.
+// Deferred reporting: the gateways spend local tokens first and report them to the counter later. See
+// quotaParameters for the terms, and counterWindow for total, refill and overflow.
 
-// Each of these holds for any deployment.
+// These values suit any deployment.
 const (
-	reportThresholdShare = 1.0 / 3 // of the burst: what a gateway may have spent and not reported
-	minReportThreshold   = 2.0     // units that it may have, however small the burst, lest each cost a call
-	reportGain           = 0.2     // weight of the newest report in their mean
+	reportThresholdShare = 1.0 / 3 // of the burst: unreported units at which a gateway reports
+	minReportThreshold   = 2.0     // units: the lowest such threshold, so that not each request costs a call
+	reportGain           = 0.2     // weight of the newest report in the mean report
 
-	maxOverflow     = 0.75 // of the burst: refill that nobody has used is written off once it is so much
-	maxReportLag    = 0.25 // of the burst: refill left for spending that has not been reported yet
-	maxCarryOverAge = 30.0 // seconds for which the level of the last window stands in a new one
+	maxOverflow     = 0.75 // of the burst: more overflow than this is worth a call of its own
+	maxReportLag    = 0.25 // of the burst: the most refill that is kept for unreported units
+	maxCarryOverAge = 30.0 // seconds: an older balance is not carried over into a new window
 
-	maxPrefetchShare      = 0.25 // of what the last call left in the store: what one lease takes ahead
-	leaseTargetDuration   = 45.0 // seconds that a lease is to last, at the mean demand of so long
+	maxPrefetchShare      = 0.25 // of the bucket's balance: the largest prefetch of a lease
+	leaseTargetDuration   = 45.0 // seconds of sustained demand that a prefetch should cover
 	deferredLeaseLifetime = 2 * leaseTargetDuration
-	exhaustedReadPeriod   = 1.0 // seconds after an exhaustion in which a call only looks
+	exhaustedReadPeriod   = 1.0 // seconds after exhaustedUntil in which a call only reads the total
 )
 
-// sharedBucket is what this gateway knows of a reported store. A windowed store doesn't use it.
+// sharedBucket is this gateway's view of the shared bucket under deferred reporting. Upfront leasing does not
+// use it.
 type sharedBucket struct {
-	overflow   float64 // units of refill that nobody had used at the last call
-	meanReport float64 // units that a call reports as spent, exponential mean
-	balance    float64 // units that the last call left in the store
-	balanceAt  float64 // when remaining was seen
+	overflow   float64 // units found at the last call and not added to the total yet
+	meanReport float64 // units that a report holds, exponential mean
+	balance    float64 // units left in the bucket after the last call
+	balanceAt  float64 // clock time at which balance was determined
 	exhausted  bool    // the last call found too few units
 }
 
-// deferredLeaseUnits returns the size of the next lease: what waits, and what is to be taken ahead. It is 0
-// where a call is to look first.
+// deferredLeaseUnits returns the units of the next lease: those of the waiting requests and a prefetch. It
+// returns 0 if the next call should only read the total.
 //
-// Of a customer beyond its quota most calls are granted nothing, and what they added is missing at the other
-// gateways until it is taken back. So the next call after such a one only looks, and a further one takes. Of
-// many gateways, one that gets no more than its part of the rate was exhausted by the others' leases: it
-// needs no look.
+// If a customer is beyond its quota, most calls are granted nothing, and the units that they added to the
+// total are missing at the other gateways until they are taken back. So after a call that was granted too
+// little, the next call only reads the total, and a lease is requested again once there are units. In a large
+// gateway set, a gateway whose demand is within its fair share found the bucket exhausted because of the
+// others' leases. It requests its lease at once, without a prefetch.
 func (c *customer) deferredLeaseUnits(now float64) float64 {
 	switch {
 	case !c.shared.exhausted || now > c.exhaustedUntil+exhaustedReadPeriod:
@@ -48,8 +50,8 @@
 	return 0
 }
 
-// reportIfDue reports to the counter what was spent from local tokens, once it is much. Less goes with the
-// next lease.
+// reportIfDue reports the unreported units to the counter once they reach the threshold. Fewer units are
+// reported with the next lease request.
 func (e *Engine) reportIfDue(c *customer) {
 	threshold := max(c.quota.localBurst, reportThresholdShare*c.quota.burst, minReportThreshold)
 	if c.unreportedUnits < threshold || c.calls.pending > 0 || c.backoff.active(e.now) {
@@ -62,36 +64,43 @@
 	e.callCounter(call)
 }
 
-// deferredOverflow returns the refill that the next call writes off since nobody has used it: as much as this
-// gateway found at its last call, for all gateways together call about as often as before.
+// deferredOverflow returns an estimate of the overflow, which the next call adds to the total: the overflow
+// that this gateway found at its last call. That had built up since the call before, of any gateway, and the
+// gateways together call about as often as before.
 func (c *customer) deferredOverflow(refill float64) float64 {
 	return min(c.shared.overflow, max(refill-c.window.lastTotal, 0))
 }
 
-// reconcileDeferred takes a lease from the total that a call returned, and corrects the total.
+// reconcileDeferred grants the lease that a call requested, as far as the returned total allows, and corrects
+// the total at the counter.
 //
-// The total is what all gateways have reported, and lags behind what they have spent by about half a mean
-// report for each. The store is full where the total lies below the refill by no more than that (the slack).
-// What lies further below has not been used, and is written off, lest a burst find it all at once.
+// The total lags behind the units spent by about half a mean report for each gateway. While the total is
+// below the refill by no more than this report lag, the bucket counts as full and nothing has overflowed.
+// Refill further above the total is overflow, and is added to the total so that it cannot be spent in one
+// burst later.
 //
-// In any time L a customer gets at most rate*L, the overdraft, maxOverflow+maxReportLag bursts that
-// were not written off yet, what was leased before, and what each gateway has spent and not reported: its
-// local tokens, reportThresholdShare of a burst or minReportThreshold, whichever is most. Over long times
-// that is the rate.
+// In any time L a customer gets at most rate*L units, plus:
+//   - burstTolerance,
+//   - maxOverflow+maxReportLag bursts of refill that was not added as overflow yet,
+//   - the units leased before, and
+//   - for each gateway its unreported units: at most its local tokens, reportThresholdShare of a burst or
+//     minReportThreshold, whichever is largest.
+//
+// Over a long time this is the rate.
 func (e *Engine) reconcileDeferred(c *customer, call counterCall, total float64) {
 	reported := call.totalWithoutEstimates(total)
 	c.shared.recordReport(call.spent)
 	requestUnits := c.nextRequestUnits()
 	capacity := c.quota.burst
-	// A request that a full store can pay for is admitted.
+	// The tolerance must let a full bucket admit any request of at most its size.
 	burstTolerance := max(c.quota.burstTolerance, min(requestUnits, capacity))
 
 	corrected := c.totalAfterOverflow(call, reported)
 	c.shared.overflow = corrected - reported
 	carriedOver := reported-call.spent < minCorrection && e.now-c.shared.balanceAt < maxCarryOverAge
 	if carriedOver {
-		// A window begins with a full store. One that was empty a moment ago goes on from there, or
-		// each window would admit a burst more.
+		// The total of a new window is 0, which stands for a full bucket. A recent balance is carried over
+		// from the window before, or each window would admit another burst.
 		corrected = max(corrected, call.refill+burstTolerance-c.shared.balance)
 	}
 	c.shared.balance = min(burstTolerance-(corrected-call.refill), capacity)
@@ -101,12 +110,12 @@
 	}
 }
 
-// totalWithoutEstimates returns what the gateways had reported before a call's lease and write-off were
-// added.
+// totalWithoutEstimates returns a total without the lease and the estimated overflow of the call that
+// returned it.
 //
-// Two gateways may write off the same refill. Each takes its own as a guess, and who came second finds too
-// much there and takes it back. What a call takes back is no such guess, nor the level carried over from the
-// window before.
+// Two gateways may add the same overflow. As each leaves its own estimate out here, the second one finds
+// the total too high, and takes its estimate back. A negative adjustment and a balance carried over from
+// the window before are not estimates, and stay in the total.
 func (call *counterCall) totalWithoutEstimates(total float64) float64 {
 	reported := total - call.leaseUnits
 	if !call.carriedOver {
@@ -115,21 +124,21 @@
 	return reported
 }
 
-// recordReport counts a report in the mean of reports.
+// recordReport updates the mean report with the units of a report, if it holds any.
 func (b *sharedBucket) recordReport(spent float64) {
 	if spent > 0 {
 		b.meanReport += reportGain * (spent - b.meanReport)
 	}
 }
 
-// totalAfterOverflow returns what the total should be once the refill that nobody has used is written off,
-// but for the slack.
+// totalAfterOverflow returns the total with all overflow added. Refill within the report lag is no overflow.
 func (c *customer) totalAfterOverflow(call counterCall, reported float64) float64 {
 	lag := min(c.shared.meanReport/2*c.quota.gatewayCount, maxReportLag*c.quota.burst)
 	return max(reported, call.refill-lag)
 }
 
-// grantDeferred adds to the lease what the remaining units of the store pay for, and returns it.
+// grantDeferred grants the lease that a call requested, as far as the bucket's balance allows, and returns
+// the units granted. If they are too few, it sets the time until which the bucket is exhausted.
 func (e *Engine) grantDeferred(c *customer, call counterCall, requestUnits float64) float64 {
 	granted := affordableUnits(call.leaseUnits, c.shared.balance, requestUnits)
 	c.shared.exhausted = granted < call.leaseUnits || call.leaseUnits == 0 && c.shared.balance < requestUnits
@@ -144,8 +153,9 @@
 	return granted
 }
 
-// maxRefillWaitRequests returns the requests whose units an exhausted store earns before it is called for
-// again, at most. The more gateways call for what comes free, the later there is some for this one.
+// maxRefillWaitRequests returns how many requests' units an exhausted bucket must earn, at most, before this
+// gateway calls again. The more gateways compete for the refill, the later there is some left for this one,
+// unless its demand is within its fair share.
 func (c *customer) maxRefillWaitRequests() float64 {
 	if c.withinFairShare() {
 		return maxRefillWait
@@ -153,8 +163,8 @@
 	return max(maxRefillWait, c.quota.gatewayCount/2)
 }
 
-// correctTotal moves the counter's total to a target, where they differ by enough to be worth a call:
-// by refill that nobody used, or by what a call for a lease was not granted.
+// correctTotal corrects the counter's total to a target if the difference is worth a call. The difference is
+// overflow, units that were requested and not granted, or the balance carried over into a new window.
 func (e *Engine) correctTotal(
 	c *customer, call counterCall, total, target float64, carriedOver bool,
 ) {
--- a/policy/windowedstore.go
+++ b/policy/windowedstore.go
@@ -2,22 +2,24 @@
 
 import "math"
 
-// The windowed store: each gateway calls the counter for all that it spends. Few gateways keep it exactly,
-// over long windows in which the allowance grows. Of many, the windows are short, and each stands for itself.
+// Upfront leasing: the gateways lease units from the counter before they spend them. See quotaParameters for
+// the terms, and counterWindow for total, refill and overflow.
 
 const (
-	maxRefillWait      = 3.0 // units of refill after which an empty store is called for again
-	leaseLifetimeShare = 0.5 // a lease lives this part of the time in which the allowance is earned
+	maxRefillWait      = 3.0 // requests whose units an exhausted bucket earns, at most, until the next call
+	leaseLifetimeShare = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
 )
 
-// upfrontLeaseUnits returns the size of the next lease: what waits, and what the demand of a second needs.
-// It is a whole number, since a unit that no request comes for is missing at the other gateways.
+// upfrontLeaseUnits returns the units of the next lease, a whole number: those of the waiting requests, and a
+// prefetch. The prefetch is rounded down, since a unit that no request comes for would be missing at the
+// other gateways.
 func (c *customer) upfrontLeaseUnits() float64 {
 	units := math.Ceil(c.waitingUnits()) + math.Floor(c.upfrontPrefetch())
 	return max(min(units, c.quota.burst), 1)
 }
 
-// upfrontPrefetch returns what to lease for requests to come: at first all of this gateway's part.
+// upfrontPrefetch returns the units to lease for requests to come: maxPrefetch until a reply of the counter
+// has been applied, then the demand of one second, but at most maxPrefetch.
 func (c *customer) upfrontPrefetch() float64 {
 	if !c.totalSeen {
 		return c.quota.maxPrefetch
@@ -25,27 +27,28 @@
 	return min(c.demand.rate, c.quota.maxPrefetch)
 }
 
-// upfrontOverflow returns the refill that the next call writes off, since this gateway hasn't seen it used.
+// upfrontOverflow returns the overflow that the next call adds to the total: all refill above the total that
+// this gateway has seen.
 func (c *customer) upfrontOverflow(refill float64) float64 {
 	if c.window.lastTotal == 0 {
-		// A window that is new to this gateway may be new to all. The call that starts it must report, in
-		// one step, that not all of the store is there; who was not the first takes it back.
+		// The window may be new to all gateways. The first call of a window must lower the bucket to its
+		// initial balance in the same step. A gateway that finds it was not the first takes this back.
 		return refill + c.quota.burst - c.quota.initialBalance
 	}
 	return max(refill-c.window.lastTotal, 0)
 }
 
-// reconcileUpfront takes a lease from the total that a call returned, as far as the store can pay for
-// it. An exact store gets the rest back. In a short window it is left there: nobody gets more until the next
-// one, and the calls to return it would be as many as those for leases.
+// reconcileUpfront grants the lease that a call requested, as far as the returned total allows. In a
+// refilling window it takes the units that were not granted out of the total again. In a fixed window they
+// stay: no gateway gets more until the next window, and returning them would double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
 	corrected := c.correctedTotal(call, total)
 	requestUnits := c.nextRequestUnits()
 	available := c.quota.burst - (corrected - call.refill)
 	granted := affordableUnits(call.leaseUnits, available, requestUnits)
 	if granted < call.leaseUnits {
-		// Another gateway may be about to take back what both wrote off. Until it has, the store looks
-		// emptier than it is.
+		// Another gateway may have added the same overflow, and be about to take it back. Until then the
+		// bucket looks emptier than it is, so the wait is bounded.
 		missing := min(2*requestUnits-available+granted, maxRefillWait*requestUnits)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
@@ -57,31 +60,34 @@
 		c.window.lastTotal = corrected + granted
 	}
 	c.totalSeen = true
-	// What was not granted, or what a counter has lost that came back empty.
+	// The difference is units that were not granted, or a total that the counter has lost.
 	correction := corrected + granted - total
 	if c.quota.smallGatewaySet && math.Abs(correction) > minCorrection*requestUnits {
 		e.callCounter(call.newCorrection(correction))
 	}
 }
 
-// correctedTotal returns what the total should have been before a call's lease was added.
+// correctedTotal returns what the total should have been before a call's lease was added. It takes out the
+// adjustment that the call made, and then raises the total to the refill. If the window is new to the
+// counter, it raises the total also to the last one seen here, and to the one that leaves the initial
+// balance.
 func (c *customer) correctedTotal(call counterCall, total float64) float64 {
 	before := total - call.adjustment - call.leaseUnits
 	corrected := max(before, call.refill)
-	if before-call.spent < minCorrection { // the window is new, or the counter has lost it
+	if before-call.spent < minCorrection { // the window is new, or the counter has lost its total
 		corrected = max(corrected, c.window.lastTotal, call.refill+c.quota.burst-c.quota.initialBalance)
 	}
 	return corrected
 }
 
-// returnUnusedUnits returns units to a windowed store, where they are enough to be worth a call.
+// returnUnusedUnits returns units to the shared bucket under upfront leasing, if they are worth a call.
 func (e *Engine) returnUnusedUnits(c *customer) {
 	if c.unreportedUnits >= -minCorrection || c.quota.deferredReporting ||
 		c.calls.pending > 0 || c.backoff.active(e.now) {
 		return
 	}
 	c.enterWindow(e.now)
-	if c.unreportedUnits < 0 { // else they were of a window that is over
+	if c.unreportedUnits < 0 { // else they belonged to a window that is over
 		e.callCounter(c.newReport(0))
 	}
 }
