--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// ceilingFleet is the gateways of one customer under a ceiling, and what the customer may spend at most: a store that
-// refills at the ceiling's rate.
+// ceilingFleet simulates the gateway set of one customer under a ceiling. bucket is the ceiling itself: a token bucket
+// that refills at the ceiling's rate and is charged for each attempt.
 type ceilingFleet struct {
 	rng      *rand.Rand
 	set      Settings
@@ -27,13 +27,14 @@
 		bucket: plan.CeilingBurst,
 	}
 	f.set.Plans[0] = plan
-	for range []int{3, 8, 11}[seed%3] { // an exact store, and short windows
+	for range []int{3, 8, 11}[seed%3] { // refilling windows in the first, fixed windows in the others
 		f.gateways = append(f.gateways, startEngine(t, f.set, readyBackends(30)...))
 	}
 	return f
 }
 
-// step has one gateway handle a request or do its maintenance, or replaces it by one that knows nothing.
+// step has one gateway handle a request or run its maintenance. Now and then it replaces the gateway by a new one,
+// which has lost all state.
 func (f *ceilingFleet) step(t *testing.T, step int) {
 	t.Helper()
 	plan := f.set.Plans[0]
@@ -49,14 +50,14 @@
 	} else if step%9 == 0 {
 		actions = d.handle(timerFired(maintenanceTimer, 0))
 	}
-	if f.rng.IntN(8000) == 0 { // killed, with all it knew
+	if f.rng.IntN(8000) == 0 { // the gateway is killed, and its state is lost
 		f.gateways[n] = startEngine(t, f.set, readyBackends(30)...)
 		return
 	}
 	f.carryOut(d, actions)
 }
 
-// carryOut answers attempts and calls at once, and what comes of that.
+// carryOut answers at once the attempts and counter calls among the actions, and those that follow from them.
 func (f *ceilingFleet) carryOut(d *engineDriver, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -72,7 +73,8 @@
 	}
 }
 
-// reply is the counter's: it is silent for some seconds and then comes back empty, and some replies are lost.
+// reply returns the counter's reply to a call. For some seconds the counter does not reply, and afterwards it has lost
+// its totals. Some replies are lost at other times.
 func (f *ceilingFleet) reply(call CounterAdd) CounterReply {
 	outcome := Served
 	if math.Mod(f.now, 19) < 4 {
@@ -81,7 +83,7 @@
 	}
 	f.totals[call.Name] += call.Amount
 	if f.rng.IntN(50) == 0 {
-		outcome = TimedOut // added, but the gateway isn't notified
+		outcome = TimedOut // the amount was added, but the reply is lost
 	}
 	return CounterReply{Name: call.Name, Outcome: outcome, Total: f.totals[call.Name]}
 }
@@ -89,21 +91,21 @@
 func TestCeilingHoldsInAnyOrderOfCounterCalls(t *testing.T) {
 	for seed := range uint64(20) {
 		plan := Plan{WeightFactor: 1, Rate: 10, Burst: 10, OverQuotaCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
-		if seed%2 == 1 { // local tokens admit beyond the quota too
+		if seed%2 == 1 { // local tokens also admit requests over quota
 			plan.OverQuotaWeight, plan.OverQuotaCost = 0.3, 0
 		}
 		f := newCeilingFleet(t, seed, plan)
 		for step := range 40000 {
 			f.step(t, step)
 			if f.bucket < -plan.CeilingSlack {
-				t.Fatalf("seed %d: the ceiling's store is at %.2f after %.1f s", seed, f.bucket, f.now-100)
+				t.Fatalf("seed %d: the ceiling's token bucket is at %.2f after %.1f s", seed, f.bucket, f.now-100)
 			}
 		}
 	}
 }
 
-// Under a ceiling, what is set aside for local tokens too few to pay for a unit goes to leases: a burst finds most of
-// what the ceiling has capacity for, all of it through the counter.
+// With many gateways under a ceiling, each one's local bucket may be too small to ever hold a whole unit. Leases then
+// get that part of the ceiling's burst, which would otherwise be lost to the customer.
 func TestLeasesGetTheCeilingThatLocalTokensCannotUse(t *testing.T) {
 	set := testSettings()
 	set.Plans[0] = Plan{WeightFactor: 1, Rate: 1.6, Burst: 9, OverQuotaCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
@@ -118,21 +120,23 @@
 			return total
 		})))
 	}
-	if sent != 7 { // of a burst of 9: two windows and a lease of the last may meet, and the ceiling has 18
-		t.Errorf("%d units of a burst of 9 at once, want 7", sent)
+	// The ceiling's 18 units must cover the bursts of two adjacent windows and leases of half a burst that are not
+	// expired yet. So a window grants at most 18/2.5 = 7.2 units, not 9.
+	if sent != 7 {
+		t.Errorf("%d units of a burst of 9 sent at once, want 7", sent)
 	}
 }
 
-// What a ceiling has capacity for beyond the quota is admitted where the plan gains by it, as far as the ceiling goes,
-// and is sent after all that is inside a quota. Elsewhere it is rejected.
+// If requests over quota earn more than they cost, they are admitted as far as the ceiling allows, and sent after all
+// requests within a quota. Otherwise they are rejected.
 func TestCeilingAdmitsBeyondTheQuotaAtTheLowestLevel(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		overQuotaCost float64
 		admits        bool
-		rejected      int // of ten requests beyond the quota
+		rejected      int // of ten requests over quota
 	}{
-		// Local bursts are half of 14 - 1.5*4, for two gateways.
+		// The local tokens of two gateways are half of 14 - 1.5*4 units, 2 at each gateway.
 		{name: "plan gains by it", overQuotaCost: 0, admits: true, rejected: 8},
 		{name: "plan loses by it", overQuotaCost: 0.5, admits: false, rejected: 10},
 	} {
@@ -141,12 +145,12 @@
 			set.Plans[1] = Plan{WeightFactor: 1.5, Rate: 2, Burst: 4, OverQuotaWeight: 0.3, OverQuotaCost: test.overQuotaCost,
 				CeilingRate: 4, CeilingBurst: 14, CeilingSlack: 1}
 			d := startEngine(t, set, readyBackends(4)...)
-			d.now += 30 // its local tokens are earned
+			d.now += 30 // the local tokens refill
 			d.engine.limiter.limit = 0
 			request := func(plan int) []Action {
 				d.nextID++
 				out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 2, Deadline: d.now + 2})
-				return d.answerAll(out, func(call CounterAdd) float64 { // others have used up all of plan 1
+				return d.answerAll(out, func(call CounterAdd) float64 { // other gateways have used up the quota of plan 1
 					if plan == 1 {
 						return 1000
 					}
@@ -159,19 +163,20 @@
 				rejected += len(actionsOf[Reject](request(1)))
 			}
 			if rejected != test.rejected {
-				t.Errorf("%d of 10 rejected beyond the quota, want %d", rejected, test.rejected)
+				t.Errorf("%d of 10 requests over quota rejected, want %d", rejected, test.rejected)
 			}
 			if !test.admits {
 				return
 			}
 			if out := request(0); len(actionsOf[Reject](out)) > 0 {
-				t.Fatalf("a request inside its quota was rejected: %v", out)
+				t.Fatalf("a request within its quota was rejected: %v", out)
 			}
 			inside := d.nextID
 			d.engine.limiter.limit = 1000
 			sent := actionsOf[SendAttempt](d.handle(timerFired(maintenanceTimer, 0)))
 			if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
-				t.Errorf("sent %v, want request %d of the cheaper plan, inside its quota, before %d", sent, inside, beyond)
+				t.Errorf("sent %v, want request %d, within the quota of its cheaper plan, before request %d over quota",
+					sent, inside, beyond)
 			}
 		})
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// All gateways of a customer together hold its concurrency limit without a counter call: a few dozen of them calling
-// for concurrency would overload the counter.
+// The gateways of a small gateway set hold the customer's concurrency limit without counter calls, each with its own
+// part of the limit. If even a few dozen gateways leased concurrency, their calls would overload the counter.
 func TestConcurrencyLimitOfFewGatewaysNeedsNoCalls(t *testing.T) {
 	set := testSettings()
 	set.FleetSize = 80
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 3}
 	var gateways []*engineDriver
 	for index := range 4 {
-		set.GatewayIndex = (78 + index) % 80 // the customer's set is 78, 79, 0, 1
+		set.GatewayIndex = (78 + index) % 80 // the customer's gateway set is 78, 79, 0, 1
 		gateways = append(gateways, startEngine(t, set, readyBackends(60)...))
 	}
 	sent, rejected, id := []SendAttempt{}, 0, RequestID(0)
@@ -19,7 +19,7 @@
 			id++
 			out := d.handle(Request{ID: id, Units: 1, FirstGateway: 78, Gateways: 4, Customer: 5, Deadline: d.now + 2})
 			if calls := actionsOf[CounterAdd](out); len(calls) > 0 {
-				t.Fatalf("calls for concurrency: %v", calls)
+				t.Fatalf("counter calls for a concurrency limit: %v", calls)
 			}
 			sent = append(sent, actionsOf[SendAttempt](out)...)
 			for _, reject := range actionsOf[Reject](out) {
@@ -34,13 +34,13 @@
 		}
 	}
 	if len(sent) != 3 || rejected != 3 {
-		t.Fatalf("%d attempts in flight and %d rejected, want the limit of 3, and the 3 at the gateway without concurrency",
+		t.Fatalf("%d attempts in flight and %d rejected, want the limit of 3, and 3 rejected by the gateway whose part is 0",
 			len(sent), rejected)
 	}
 	for i, d := range gateways[:3] {
 		d.now += 0.1
 		out := d.handle(AttemptEnded{Request: sent[i].Request, Backend: sent[i].Backend, Outcome: Served, Latency: 0.1})
-		onlyAction[SendAttempt](t, out) // of a request that was held
+		onlyAction[SendAttempt](t, out) // of a request that was waiting
 	}
 }
 
@@ -50,7 +50,7 @@
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
 	sent := 0
 	for index := range 3 {
-		set.GatewayIndex = (4 + index) % 5 // the customer's set is 4, 0, 1
+		set.GatewayIndex = (4 + index) % 5 // the customer's gateway set is 4, 0, 1
 		d := startEngine(t, set, readyBackends(8)...)
 		for i := range 3 {
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstGateway: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
@@ -58,7 +58,7 @@
 		}
 	}
 	if sent != 2 {
-		t.Errorf("%d attempts of the customer in flight at three gateways, want its limit of 2", sent)
+		t.Errorf("%d attempts of the customer in flight at three gateways, want the limit of 2", sent)
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		sent += len(actionsOf[SendAttempt](out))
 	}
-	// Two attempts at a time, a tenth of a second each: 20 a second at most, in two windows at most.
+	// Two attempts at a time, a tenth of a second each: at most 20 a second, or 20 in each window of one second.
 	if sent < 10 || sent > 20*len(names) {
 		t.Errorf("%d requests admitted, want about 13", sent)
 	}
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -20,14 +20,15 @@
 		rejected += len(actionsOf[Reject](out))
 	}
 	if sent != 2 || rejected != 0 {
-		t.Errorf("sent %d and rejected %d at once, want burst/gateways = 2, the rest held for the counter", sent, rejected)
+		t.Errorf("sent %d and rejected %d at once, want burst/gateways = 2 sent and the rest waiting for the counter",
+			sent, rejected)
 	}
 	d.now += 0.79
 	for i := range 10 {
 		rejected += len(actionsOf[Reject](d.handle(timerFired(answerDeadlineTimer, RequestID(i+1)))))
 	}
 	if rejected != 8 {
-		t.Errorf("sent %d and rejected %d, want burst/gateways = 2 and 8", sent, rejected)
+		t.Errorf("sent %d and rejected %d, want burst/gateways = 2 sent and 8 rejected", sent, rejected)
 	}
 }
 
@@ -47,12 +48,12 @@
 	}
 	healthy, failing := calls(Served), calls(TimedOut)
 	if healthy < 400 || failing > healthy/2 || failing == 0 {
-		t.Errorf("%d calls to a counter that replies, %d to one that does not", healthy, failing)
+		t.Errorf("%d calls to a counter that replies, %d to a counter that does not reply", healthy, failing)
 	}
 }
 
-// A malformed reply is no sign of overload: the counter is called again at once, and what was added without a grant is
-// taken back with that. Only when all replies are malformed do calls become rare.
+// A malformed reply is no sign of overload: the counter is called again at once, and that call takes back the units
+// that were added and not granted. Calls become rare only while all replies are malformed.
 func TestUnitsAddedWithAMalformedReplyAreTakenBack(t *testing.T) {
 	d := startEngine(t, seldomSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
@@ -68,7 +69,7 @@
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were leased", total-refill, refill, leased)
 	}
 	if d.engine.counter.failureRate > 0 {
-		t.Errorf("an overload of %v was seen", d.engine.counter.failureRate)
+		t.Errorf("the failure rate is %v, want 0: a malformed reply is no sign of overload", d.engine.counter.failureRate)
 	}
 	calls := 0
 	for i := range 200 {
@@ -81,27 +82,27 @@
 		d.now += 0.01
 	}
 	if calls < 3 || calls > 10 {
-		t.Errorf("%d calls in 2 s to a counter whose every reply is malformed", calls)
+		t.Errorf("%d calls in 2 s to a counter whose replies are all malformed, want 3 to 10", calls)
 	}
 }
 
-// What a rejected call was to report or take back goes out with a later one.
+// Units that a rejected call was to report or take back are sent with a later call.
 func TestRejectedCallIsReportedLater(t *testing.T) {
 	d := startEngine(t, exactSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	// Another gateway has begun the window: what this one wrote off is there twice and is taken back.
+	// Another gateway has begun the window: the overflow is in the total twice, and this gateway takes its own back.
 	correction := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
 	if correction.Amount > -1 {
-		t.Fatalf("nothing was taken back: %v", correction)
+		t.Fatalf("the call takes nothing back: %v", correction)
 	}
 	d.handle(CounterReply{Name: correction.Name, Outcome: Rejected})
 	d.now += maxCounterBackoff
 	again := onlyAction[CounterAdd](t, d.handle(timerFired(maintenanceTimer, 0)))
 	if again.Amount != correction.Amount || again.Name != correction.Name {
-		t.Errorf("%v was rejected, reported later: %v", correction, again)
+		t.Errorf("%v was rejected, and the later call is %v, want the same name and amount", correction, again)
 	}
 	if more := d.handle(CounterReply{Name: again.Name}); len(actionsOf[CounterAdd](more)) > 0 {
-		t.Errorf("reported again: %v", more)
+		t.Errorf("the units were sent twice: %v", more)
 	}
 }
 
@@ -113,16 +114,17 @@
 			out = append(out, d.handle(CounterReply{Name: call.Name, Outcome: TimedOut})...)
 		}
 		if i == 0 {
-			onlyAction[SendAttempt](t, out) // the local tokens of this gateway
+			onlyAction[SendAttempt](t, out) // admitted by local tokens
 		} else {
 			onlyAction[Reject](t, out)
 		}
 	}
 }
 
-// overloadedCallShares has new customers of so many gateways make requests of two kinds in turn, while one call in ten
-// times out. It returns the share of each kind's requests that led to a call, once the gateway has learnt of the
-// overload. Only with maintenance does the gateway know how many requests of each level come.
+// overloadedCallShares sends requests of two kinds in turn, each from a new customer whose gateway set has the given
+// size, while one counter call in ten times out. It returns the share of each kind's requests that led to a call in the
+// second half of the run, when the gateway has measured the failure rate. The gateway measures the arrival rate of each
+// level only with maintenance.
 func overloadedCallShares(d *engineDriver, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
 	var requests, called [2]int
 	calls := 0
@@ -162,14 +164,15 @@
 	return shares
 }
 
-// A client that was rejected for an exhausted quota retries at a gateway that doesn't know of it. In an overload, calls
-// for retries are shed before those for first requests.
+// A client that was rejected because its quota is exhausted retries at another gateway, which does not know that yet
+// and calls the counter. In an overload, calls for retries are therefore shed before calls for first requests.
 func TestOverloadShedsCallsForRetriesFirst(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(30)...)
 	shares := overloadedCallShares(d, 50, false, func(kind int) Request { return Request{IsRetry: kind == 1} })
 	first, retry := shares[0], shares[1]
 	if first < 0.9 || retry > 0.5 || retry == 0 {
-		t.Errorf("calls for %.2f of the first requests and %.2f of the retries, want nearly all and a few", first, retry)
+		t.Errorf("calls for %.2f of the first requests and %.2f of the retries, want >= 0.9 and > 0 but <= 0.5",
+			first, retry)
 	}
 }
 
@@ -178,12 +181,14 @@
 	shares := overloadedCallShares(d, 300, true, func(kind int) Request { return Request{Plan: kind} })
 	low, top := shares[0], shares[1]
 	if top < 0.9 || low > 0.6 || low == 0 {
-		t.Errorf("calls for %.2f of the requests of the top level and %.2f of the low one, want nearly all and a part", top, low)
+		t.Errorf("calls for %.2f of the top level's requests and %.2f of the low level's, want >= 0.9 and > 0 but <= 0.6",
+			top, low)
 	}
 }
 
-// Of many gateways, each has less than a unit of a customer's burst for itself. While the counter rejects calls they
-// admit about the burst together, and not a unit each; while it does not reply at all, each admits a unit.
+// In a large gateway set, each gateway's part of a customer's burst is less than a unit. While the counter rejects
+// calls, the gateways together must admit about the burst, and not a unit each. While it does not reply, each admits
+// a unit.
 func TestRejectedCallsAdmitAboutTheBurst(t *testing.T) {
 	const gateways = 300
 	set := testSettings()
@@ -210,11 +215,12 @@
 				admitted += len(actionsOf[SendAttempt](g.Handle(100, reply, nil)))
 			}
 			if admitted < test.min || admitted > test.max {
-				t.Errorf("%d gateways admitted one, want %d to %d for a burst of %g", admitted, test.min, test.max, set.Plans[0].Burst)
+				t.Errorf("%d gateways admitted a request, want %d to %d for a burst of %g",
+					admitted, test.min, test.max, set.Plans[0].Burst)
 			}
 		})
 	}
-	t.Run("no counter", func(t *testing.T) { // then a gateway's local tokens are all there is
+	t.Run("no counter", func(t *testing.T) { // only local tokens admit requests
 		set.Counter = false
 		for index := range gateways {
 			_, out := firstRequest(index)
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -6,13 +6,13 @@
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
 	call := onlyAction[CounterAdd](t, out)
-	// Other gateways have used the window up.
+	// Other gateways have exhausted the window.
 	out = d.handle(CounterReply{Name: call.Name, Total: 100})
 	if r := onlyAction[Reject](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
 		t.Errorf("Retry-After %v, want MaxRetryAfter at most", r.RetryAfter)
 	}
 	if n := len(actionsOf[CounterAdd](out)); n > 0 {
-		t.Errorf("%d more calls for a window that is used up", n)
+		t.Errorf("%d more calls for an exhausted window", n)
 	}
 	calledForNext := false
 	for range 40 { // a window is a few seconds long
@@ -23,7 +23,7 @@
 			calledForNext = true
 			break
 		} else if len(calls) > 0 {
-			t.Fatal("called again for a window that is used up")
+			t.Fatal("called again for an exhausted window")
 		}
 	}
 	if !calledForNext {
@@ -31,27 +31,28 @@
 	}
 }
 
-// A total that is far too high, since another gateway has yet to take something back, must not make a customer's
-// store count as exhausted for longer than it takes to earn some units.
+// A total may be far too high for a moment, until another gateway takes back units that it added. The shared bucket
+// must then count as exhausted only for the time in which it earns a few units.
 func TestExhaustedBucketIsSoonCalledForAgain(t *testing.T) {
 	d := startEngine(t, exactSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
 	onlyAction[Reject](t, out)
-	d.handle(CounterReply{Name: onlyAction[CounterAdd](t, out).Name, Total: 1000}) // its own double write-off
+	// The correction takes back the overflow that both gateways have added.
+	d.handle(CounterReply{Name: onlyAction[CounterAdd](t, out).Name, Total: 1000})
 	d.now += (maxRefillWait + 0.1) / d.engine.settings.Plans[1].Rate
 	next := onlyAction[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.windowRefill(1) // what was too much has been taken back, and the store is full
+	full := d.windowRefill(1) // the other gateway has taken its units back, and the bucket is full
 	onlyAction[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
 func TestLeaseForRareRequestsPrefetchesNothing(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(4)...)
-	for i := range 20 { // a customer seen once in ten seconds at this gateway
+	for i := range 20 { // a request every ten seconds at this gateway
 		d.now += 10
 		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, Gateways: 300, Customer: 5, Deadline: d.now + 2})
 		if call := onlyAction[CounterAdd](t, out); call.Amount != 1 {
-			t.Fatalf("took %v units for one request", call.Amount)
+			t.Fatalf("leased %v units for one request, want 1", call.Amount)
 		}
 		for _, s := range actionsOf[SendAttempt](d.grantCounterCalls(out)) {
 			d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true})
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	quotaLoadStart       = 1000.0 // when the simulated clock starts, in seconds
-	quotaLoadServiceTime = 0.05   // seconds
+	quotaLoadStart       = 1000.0 // clock time at which a simulation starts, in seconds
+	quotaLoadServiceTime = 0.05   // seconds that an attempt takes
 )
 
-// quotaLoad is the load that one customer puts on a fleet of gateways, and its quota.
+// quotaLoad describes a simulation: one customer with a quota, whose requests arrive at a fleet of gateways at random.
 type quotaLoad struct {
 	gateways      int
 	plan          Plan
-	rate          float64                       // requests a second, of a unit each
-	rateFactor    func(elapsed float64) float64 // factor on rate, 16 at most; nil: 1
-	unevenWeights bool                          // gateways get uneven parts of it, which change every 7 to 18 s
+	rate          float64                       // requests a second, of one unit each
+	rateFactor    func(elapsed float64) float64 // factor on rate, at most 16; nil: always 1
+	unevenWeights bool                          // gateways get uneven shares of the load, which change every 7 to 18 s
 	counterDelay  float64                       // seconds until the counter's reply
-	warmUp        float64                       // seconds from the start that are not counted
-	end           float64                       // seconds from the start
+	warmUp        float64                       // seconds from the start that the result leaves out
+	end           float64                       // seconds from the start to the end of the simulation
 	seed          uint64
 }
 
-// quotaLoadResult is what came of a load. A request is inside its quota where a store that refills at the plan's rate
-// has the units when the request is first sent or rejected.
+// quotaLoadResult counts the events of a simulation after its warm-up. A request is inside the quota if an ideal token
+// bucket of the plan's rate and burst has a unit at the time when the request is sent or rejected.
 type quotaLoadResult struct {
 	requests            int
 	sent                int
-	sentBeyondQuota     int // sent though beyond the quota
-	rejectedInsideQuota int // rejected though inside the quota
+	sentBeyondQuota     int // sent, but beyond the quota
+	rejectedInsideQuota int // rejected, but inside the quota
 	calls               int // to the counter
 }
 
@@ -42,25 +42,25 @@
 	return float64(r.rejectedInsideQuota) / float64(r.requests)
 }
 
-// quotaLoadRun simulates a load on a made-up clock.
+// quotaLoadRun is a running simulation of a quotaLoad. Its clock is simulated.
 type quotaLoadRun struct {
 	load        quotaLoad
 	rng         *rand.Rand
 	now         float64
 	pending     scheduledEvents
 	gateways    []*Engine
-	weights     []float64 // part of the load that each gateway gets
-	nextWeights float64   // when the weights change
-	peakFactor  float64   // requests are thinned from so many times the rate
+	weights     []float64 // share of the load that each gateway gets
+	nextWeights float64   // clock time at which the weights change
+	peakFactor  float64   // requests are drawn at this many times the rate, and then thinned
 	nextRequest float64
 	lastID      RequestID
 	totals      map[uint64]float64 // of the counter, by name
-	bucket      float64            // units that the customer has by its plan, as of bucketAt
+	bucket      float64            // units in the ideal token bucket, as of bucketAt
 	bucketAt    float64
 	result      quotaLoadResult
 }
 
-// run simulates a load from its start to its end.
+// run runs the simulation of a load.
 func (load quotaLoad) run(t testing.TB) quotaLoadResult {
 	t.Helper()
 	run := &quotaLoadRun{
@@ -104,7 +104,7 @@
 	}
 }
 
-// drawWeights draws the part of the load that each gateway gets, and when they change.
+// drawWeights draws the share of the load that each gateway gets, and the time of the next change.
 func (run *quotaLoadRun) drawWeights() {
 	sum := 0.0
 	for i := range run.weights {
@@ -124,7 +124,7 @@
 	return run.rng.ExpFloat64() / (run.load.rate * run.peakFactor)
 }
 
-// nextEvent moves the clock to the next event, or to a request that is thinned out: ok is false then.
+// nextEvent moves the clock to the next event and returns it. ok is false if that is a request that is thinned out.
 func (run *quotaLoadRun) nextEvent() (event scheduledEvent, ok bool) {
 	if len(run.pending) > 0 && run.pending[0].at <= run.nextRequest {
 		event = heap.Pop(&run.pending).(scheduledEvent)
@@ -163,7 +163,7 @@
 	}
 }
 
-// counts reports whether what happens now counts in the result.
+// counts reports whether the warm-up is over, and events count in the result.
 func (run *quotaLoadRun) counts() bool { return run.now > quotaLoadStart+run.load.warmUp }
 
 // handle has a gateway handle an event and carries out its actions.
@@ -206,18 +206,18 @@
 	}
 }
 
-// schedule has a gateway handle an event after a delay.
+// schedule schedules an event for a gateway after a delay in seconds.
 func (run *quotaLoadRun) schedule(delay float64, gateway int, event Event) {
 	heap.Push(&run.pending, scheduledEvent{at: run.now + delay, gateway: gateway, event: event})
 }
 
-// planOf returns a plan whose burst is its rate for some seconds, and 2 units at least.
+// planOf returns a plan with a rate, and a burst of the units of the given seconds, but at least 2.
 func planOf(rate, seconds float64) Plan {
 	return Plan{WeightFactor: 1, Rate: rate, Burst: max(rate*seconds, 2), OverQuotaCost: 1}
 }
 
-// A customer inside its quota costs few calls to the counter and is hardly ever rejected, through however many gateways
-// it comes, and however its load is spread over them.
+// A customer inside its quota costs few counter calls and is hardly ever rejected, whatever the number of its gateways,
+// and whether its load is spread evenly over them or not.
 func TestCustomerInsideItsQuotaCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for i, gateways := range []int{2, 5, 10, 60} {
@@ -227,7 +227,7 @@
 			result := load.run(t)
 			if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > test.rejected {
 				t.Errorf("%d gateways, %g of the quota, uneven weights %t: "+
-					"%.3f calls a request, %.4f rejected though inside; want %g and %g",
+					"%.3f calls a request, %.4f rejected inside the quota; want %g and %g at most",
 					gateways, test.quotaUse, load.unevenWeights,
 					result.callsPerRequest(), result.rejectedInsideQuotaShare(), test.calls, test.rejected)
 			}
@@ -235,7 +235,8 @@
 	}
 }
 
-// What sixty gateways lease ahead is not missing at the others: over some customers, few requests are rejected.
+// Units that some of sixty gateways have prefetched must not be missing at the others: few requests of a customer
+// inside its quota are rejected. The test takes the mean of eight customers.
 func TestPrefetchedUnitsAreNotMissingElsewhere(t *testing.T) {
 	t.Parallel()
 	var running sync.WaitGroup
@@ -255,22 +256,23 @@
 		sum.rejectedInsideQuota += result.rejectedInsideQuota
 	}
 	if sum.rejectedInsideQuotaShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
-		t.Errorf("%.4f of %d requests rejected though inside, %d calls; want 0.005 and a call for four requests",
+		t.Errorf("%.4f of %d requests rejected inside the quota, %d calls; want at most 0.005, and a call for four requests",
 			sum.rejectedInsideQuotaShare(), sum.requests, sum.calls)
 	}
 }
 
-// A customer that is new to its gateways, and that asks for all it can get, finds what the counter lends and no second
-// burst in local tokens.
+// A customer that is new to its gateways and far beyond its quota gets the shared bucket's burst tolerance, and no
+// further burst from local tokens.
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
 	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
 	result := load.run(t)
 	if maxSent := largeSetTolerance*load.plan.Burst + load.plan.Rate*load.end + 5; float64(result.sent) > maxSent {
-		t.Errorf("%d units at once, want %.0f at most", result.sent, maxSent)
+		t.Errorf("%d units sent, want %.0f at most", result.sent, maxSent)
 	}
 }
 
-// A customer that its gateways see only now and then costs few calls too, and the fewer the more seldom it is.
+// A customer that sends requests only now and then also costs few calls for each request, and the fewer the lower its
+// rate.
 func TestCustomerWithRareRequestsCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
@@ -279,13 +281,13 @@
 		result := load.run(t)
 		if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > 0.01 ||
 			result.sentBeyondQuota > result.requests/50 {
-			t.Errorf("a request in %g s: %.2f calls a request, %.3f rejected though inside, %d of %d beyond",
+			t.Errorf("one request in %g s: %.2f calls a request, %.3f rejected inside the quota, %d of %d sent beyond it",
 				1/test.rate, result.callsPerRequest(), result.rejectedInsideQuotaShare(), result.sentBeyondQuota, result.requests)
 		}
 	}
 }
 
-// A customer that asks for five times its quota gets the quota, no more, over many windows.
+// A customer that sends five times its quota gets its quota and no more, over several windows.
 func TestCustomerBeyondItsQuotaGetsTheQuota(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 5, 20} {
@@ -294,13 +296,13 @@
 		result := load.run(t)
 		share := float64(result.sent) / (load.plan.Rate * (load.end - load.warmUp))
 		if share < 0.95 || share > 1.08 {
-			t.Errorf("%d gateways admitted %.3f of the quota", gateways, share)
+			t.Errorf("%d gateways sent %.3f of the quota, want 0.95 to 1.08", gateways, share)
 		}
 	}
 }
 
-// A burst after an hour of low demand finds the burst of its plan and what is unreported beside it, not all the refill
-// of the hour.
+// A burst after a time of low demand gets the burst of its plan and the units that may be unreported, not all the
+// refill of that time.
 func TestBurstAfterLowDemandIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 20} {
@@ -314,11 +316,12 @@
 				return 1
 			}}
 		result := load.run(t)
-		// The burst, the refill meanwhile, what local tokens hold, and what may not have been written off.
+		// Two bursts, the overflow and report lag that may not have been added to the total, the refill meanwhile, and
+		// the local tokens.
 		maxSent := load.plan.Burst*(2+maxOverflow+maxReportLag) + load.plan.Rate*burstTime +
 			largeSetLocalBurst*float64(gateways)
 		if float64(result.sent) > maxSent {
-			t.Errorf("%d gateways admitted %d units of %d at once, want %.0f at most",
+			t.Errorf("%d gateways sent %d of %d requests, want %.0f at most",
 				gateways, result.sent, result.requests, maxSent)
 		}
 	}
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// startDeferredPair starts two gateways of one customer with a reported store, whose calls a test answers by hand. It
-// returns the counter's totals too.
+// startDeferredPair starts the two gateways of a customer under deferred reporting. It returns them and an empty map
+// for the counter's totals, by name; a test replies to the calls itself.
 func startDeferredPair(t *testing.T) (gateways [2]*engineDriver, totals map[uint64]float64) {
 	t.Helper()
 	set := testSettings()
@@ -17,7 +17,7 @@
 	return gateways, map[uint64]float64{}
 }
 
-// spend has a gateway serve requests of a unit and returns the calls that these led to.
+// spend sends a gateway requests of one unit each, and returns the calls that they led to.
 func (d *engineDriver) spend(units int) (calls []CounterAdd) {
 	for range units {
 		d.nextID++
@@ -31,14 +31,14 @@
 	return calls
 }
 
-// answer adds a call to the counter's totals, replies to it and returns the calls that the reply led to.
+// answer adds a call's amount to the counter's totals, replies to it, and returns the calls that the reply led to.
 func (d *engineDriver) answer(totals map[uint64]float64, call CounterAdd) []CounterAdd {
 	totals[call.Name] += call.Amount
 	return actionsOf[CounterAdd](d.handle(CounterReply{Name: call.Name, Total: totals[call.Name]}))
 }
 
-// answerAll replies to the calls among actions, and to those that come of it, and returns all actions. It ends after a
-// thousand, should one call always lead to another.
+// answerAll replies to the calls among the actions and to the calls that follow from them, and returns all actions. It
+// stops after a thousand actions, in case each call leads to another.
 func (d *engineDriver) answerAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
 	for n := 0; n < 1000 && len(actions) > 0; n++ {
 		action := actions[0]
@@ -51,7 +51,7 @@
 	return all
 }
 
-// windowRefill returns the refill of a customer's present window, as of the last event.
+// windowRefill returns the refill of a customer's present window as of the last event.
 func (d *engineDriver) windowRefill(id CustomerID) float64 {
 	c := d.engine.customers.byID[id]
 	c.enterWindow(d.engine.now)
@@ -65,8 +65,8 @@
 	return actions
 }
 
-// Two gateways that find the same refill unused both write it off; the second takes its own back, or their customer
-// would find an empty store.
+// Two gateways that find the same overflow both add it to the total. The second one must take its own back, or the
+// shared bucket would look empty.
 func TestOverflowIsDiscardedOnce(t *testing.T) {
 	gateways, totals := startDeferredPair(t) // 20 units a second, a burst of 40
 	for _, d := range gateways {
@@ -74,10 +74,10 @@
 	}
 	var corrections [2]CounterAdd
 	for i, d := range gateways {
-		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // its local tokens, reported at once
+		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // spends the local tokens, which are reported at once
 		corrections[i] = onlyAction[CounterAdd](t, asActions(d.answer(totals, report)))
 		if corrections[i].Amount <= 0 {
-			t.Fatalf("nothing is written off: %v", corrections[i])
+			t.Fatalf("no overflow is added: %v", corrections[i])
 		}
 	}
 	name, calls := corrections[0].Name, 0
@@ -87,16 +87,16 @@
 		}
 	}
 	if calls > 4 {
-		t.Errorf("%d calls for it", calls)
+		t.Errorf("%d calls, want 4 at most", calls)
 	}
 	refill := gateways[0].windowRefill(1)
 	if total := totals[name]; math.Abs(total-refill) > 40*(maxReportLag+0.01) {
-		t.Errorf("the counter stands at %.1f, a full store at %.1f", total, refill)
+		t.Errorf("the total is %.1f, want about %.1f, that of a full bucket", total, refill)
 	}
 }
 
-// What was spent at the end of a window and could not be reported is reported in the next one: else a customer would be
-// admitted that much more each time.
+// Units that were spent at the end of a window and could not be reported must be reported in the next window. Otherwise
+// the customer would get that many units beyond its quota each time.
 func TestUnreportedUnitsAreReportedInTheNextWindow(t *testing.T) {
 	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
@@ -104,18 +104,18 @@
 	d.handle(CounterReply{Name: report.Name, Outcome: Rejected}) // nothing was added
 	d.now += refillingWindowDuration
 	calls := d.spend(1)
-	for range 60 { // the local tokens are there again, and spent
+	for range 60 { // the local tokens have refilled and are spent
 		if len(calls) > 0 {
 			break
 		}
 		calls = d.spend(1)
 	}
 	if next := onlyAction[CounterAdd](t, asActions(calls)); next.Name == report.Name || next.Amount < 20 {
-		t.Errorf("the next window's first call is %v, after %v was rejected", next, report)
+		t.Errorf("the next window's first call is %v, want the units of %v, which was rejected", next, report)
 	}
 }
 
-// What local tokens pay for a request that is never sent is not missing at the other gateways.
+// A request that is never sent must not be reported, or its units would be missing at the other gateways.
 func TestUnitsOfAnUnsentRequestAreNotReported(t *testing.T) {
 	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
@@ -126,12 +126,12 @@
 		d.handle(ClientDisconnected{Request: d.nextID})
 	}
 	if units := d.engine.customers.byID[1].unreportedUnits; units != 0 {
-		t.Errorf("%g units would be reported", units)
+		t.Errorf("%g units would be reported, want 0", units)
 	}
 }
 
-// A request of a customer inside its quota waits where an exhausted store has units again soon, and is then admitted;
-// its client would be back no sooner. Where that takes longer it is rejected at once.
+// If an exhausted bucket refills soon, a request of a customer within its quota waits for that and is then admitted:
+// its client would not retry any sooner. If the refill takes longer, the request is rejected at once.
 func TestRequestWaitsForABucketThatRefillsSoon(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -150,31 +150,32 @@
 				return d.handle(Request{ID: d.nextID, Plan: test.plan, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2})
 			}
 			var out []Action
-			for sent := -1; sent < len(actionsOf[SendAttempt](out)); out = append(out, request()...) { // local tokens pay
+			// Spend all local tokens.
+			for sent := -1; sent < len(actionsOf[SendAttempt](out)); out = append(out, request()...) {
 				sent = len(actionsOf[SendAttempt](out))
 			}
-			// answer replies with the total at which so much of the burst is used.
+			// answer replies with the total at which the given share of the burst is used.
 			answer := func(out []Action, used float64) []Action {
 				return d.answerAll(out, func(call CounterAdd) float64 {
 					return d.windowRefill(1) + used*set.Plans[test.plan].Burst + call.Amount
 				})
 			}
-			// What was spent is reported, and the request needs a lease; others have used up all there is.
+			// The spent units are reported, and the request needs a lease. Other gateways have used up the burst.
 			if rejected := len(actionsOf[Reject](answer(out, 1))) > 0; rejected == test.waits {
-				t.Errorf("rejected %t while the store is exhausted", rejected)
+				t.Errorf("rejected %t while the bucket is exhausted", rejected)
 			}
 			if !test.waits {
 				return
 			}
 			d.now += 0.2
 			if n := len(actionsOf[SendAttempt](answer(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
-				t.Errorf("%d sends once the store has units again, want the request that waited", n)
+				t.Errorf("%d requests sent after the bucket has refilled, want the one that waited", n)
 			}
 		})
 	}
 }
 
-// Where a deployment has no counter, local tokens are all there is, and nothing is reported.
+// Without a counter, local tokens alone admit requests, and nothing is reported.
 func TestLocalTokensWithoutACounterMakeNoCalls(t *testing.T) {
 	set := testSettings()
 	set.Counter = false
