--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -129,7 +129,7 @@
 
 // If requests over quota earn more than they cost, they are admitted as far as the ceiling allows, and sent after all
 // requests within a quota. Otherwise they are rejected.
-func TestCeilingAdmitsBeyondTheQuotaAtTheLowestLevel(t *testing.T) {
+func TestCeilingAdmitsOverQuotaAtTheLowestLevel(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		overQuotaCost float64
@@ -157,7 +157,7 @@
 					return call.Amount
 				})
 			}
-			beyond := d.nextID + 1
+			overQuota := d.nextID + 1
 			rejected := 0
 			for range 10 {
 				rejected += len(actionsOf[Reject](request(1)))
@@ -171,12 +171,12 @@
 			if out := request(0); len(actionsOf[Reject](out)) > 0 {
 				t.Fatalf("a request within its quota was rejected: %v", out)
 			}
-			inside := d.nextID
+			withinQuota := d.nextID
 			d.engine.limiter.limit = 1000
 			sent := actionsOf[SendAttempt](d.handle(timerFired(maintenanceTimer, 0)))
-			if len(sent) < 2 || sent[0].Request != inside || sent[1].Request != beyond {
+			if len(sent) < 2 || sent[0].Request != withinQuota || sent[1].Request != overQuota {
 				t.Errorf("sent %v, want request %d, within the quota of its cheaper plan, before request %d over quota",
-					sent, inside, beyond)
+					sent, withinQuota, overQuota)
 			}
 		})
 	}
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestRequestsBeyondQuotaAreRejectedUntilTheWindowEnds(t *testing.T) {
+func TestRequestsOverQuotaAreRejectedUntilTheWindowEnds(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
 	call := onlyAction[CounterAdd](t, out)
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -31,15 +31,15 @@
 type quotaLoadResult struct {
 	requests            int
 	sent                int
-	sentBeyondQuota     int // sent, but beyond the quota
-	rejectedInsideQuota int // rejected, but inside the quota
+	sentOverQuota       int // sent, but beyond the quota
+	rejectedWithinQuota int // rejected, but inside the quota
 	calls               int // to the counter
 }
 
 func (r *quotaLoadResult) callsPerRequest() float64 { return float64(r.calls) / float64(r.requests) }
 
-func (r *quotaLoadResult) rejectedInsideQuotaShare() float64 {
-	return float64(r.rejectedInsideQuota) / float64(r.requests)
+func (r *quotaLoadResult) rejectedWithinQuotaShare() float64 {
+	return float64(r.rejectedWithinQuota) / float64(r.requests)
 }
 
 // quotaLoadRun is a running simulation of a quotaLoad. Its clock is simulated.
@@ -192,11 +192,11 @@
 			if run.bucket >= 1 {
 				run.bucket--
 			} else {
-				run.result.sentBeyondQuota += counted
+				run.result.sentOverQuota += counted
 			}
 		case Reject:
 			if run.bucket >= 1 {
-				run.result.rejectedInsideQuota += counted
+				run.result.rejectedWithinQuota += counted
 			}
 		case CounterAdd:
 			run.result.calls += counted
@@ -218,18 +218,18 @@
 
 // A customer inside its quota costs few counter calls and is hardly ever rejected, whatever the number of its gateways,
 // and whether its load is spread evenly over them or not.
-func TestCustomerInsideItsQuotaCostsFewCalls(t *testing.T) {
+func TestCustomerWithinItsQuotaCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for i, gateways := range []int{2, 5, 10, 60} {
 		for _, test := range []struct{ quotaUse, calls, rejected float64 }{{0.3, 0.1, 0.001}, {0.9, 0.25, 0.01}} {
 			load := quotaLoad{gateways: gateways, plan: planOf(6.8/test.quotaUse, 3), rate: 6.8, unevenWeights: i%2 == 1,
 				counterDelay: 0.003, warmUp: 60, end: 180, seed: 1}
 			result := load.run(t)
-			if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > test.rejected {
+			if result.callsPerRequest() > test.calls || result.rejectedWithinQuotaShare() > test.rejected {
 				t.Errorf("%d gateways, %g of the quota, uneven weights %t: "+
 					"%.3f calls a request, %.4f rejected inside the quota; want %g and %g at most",
 					gateways, test.quotaUse, load.unevenWeights,
-					result.callsPerRequest(), result.rejectedInsideQuotaShare(), test.calls, test.rejected)
+					result.callsPerRequest(), result.rejectedWithinQuotaShare(), test.calls, test.rejected)
 			}
 		}
 	}
@@ -253,11 +253,11 @@
 	for _, result := range results {
 		sum.requests += result.requests
 		sum.calls += result.calls
-		sum.rejectedInsideQuota += result.rejectedInsideQuota
+		sum.rejectedWithinQuota += result.rejectedWithinQuota
 	}
-	if sum.rejectedInsideQuotaShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
+	if sum.rejectedWithinQuotaShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
 		t.Errorf("%.4f of %d requests rejected inside the quota, %d calls; want at most 0.005, and a call for four requests",
-			sum.rejectedInsideQuotaShare(), sum.requests, sum.calls)
+			sum.rejectedWithinQuotaShare(), sum.requests, sum.calls)
 	}
 }
 
@@ -279,16 +279,16 @@
 		load := quotaLoad{gateways: 5, plan: Plan{WeightFactor: 1, Rate: test.rate / 0.3, Burst: 4, OverQuotaCost: 1},
 			rate: test.rate, unevenWeights: true, counterDelay: 0.003, end: 200 / test.rate, seed: 4}
 		result := load.run(t)
-		if result.callsPerRequest() > test.calls || result.rejectedInsideQuotaShare() > 0.01 ||
-			result.sentBeyondQuota > result.requests/50 {
+		if result.callsPerRequest() > test.calls || result.rejectedWithinQuotaShare() > 0.01 ||
+			result.sentOverQuota > result.requests/50 {
 			t.Errorf("one request in %g s: %.2f calls a request, %.3f rejected inside the quota, %d of %d sent beyond it",
-				1/test.rate, result.callsPerRequest(), result.rejectedInsideQuotaShare(), result.sentBeyondQuota, result.requests)
+				1/test.rate, result.callsPerRequest(), result.rejectedWithinQuotaShare(), result.sentOverQuota, result.requests)
 		}
 	}
 }
 
 // A customer that sends five times its quota gets its quota and no more, over several windows.
-func TestCustomerBeyondItsQuotaGetsTheQuota(t *testing.T) {
+func TestCustomerOverItsQuotaGetsTheQuota(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 5, 20} {
 		load := quotaLoad{gateways: gateways, plan: planOf(6.8, 3), rate: 34, unevenWeights: true, counterDelay: 0.003,
