--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -66,7 +66,7 @@
 	}
 	refill := d.windowRefill(1)
 	if leased := d.engine.customers.byID[1].lease.units + 1; math.Abs(total-refill-leased) > 1 {
-		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were leased", total-refill, refill, leased)
+		t.Errorf("the total exceeds by %.1f the refill of %.1f, but %.1f units were leased", total-refill, refill, leased)
 	}
 	if d.engine.counter.failureRate > 0 {
 		t.Errorf("the failure rate is %v, want 0: a malformed reply is no sign of overload", d.engine.counter.failureRate)
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -31,8 +31,8 @@
 }
 
 // handleMalformedReply handles a reply that cannot be read, or a connection that broke. Neither is a sign of
-// overload. To treat them as overload would shed calls that the counter can handle, and reject requests of
-// customers inside their quotas.
+// overload: to treat them as overload would shed calls that the counter can handle, and reject requests of
+// customers within their quotas. So the counter may be called again at once, unless failures repeat.
 func (e *Engine) handleMalformedReply(c *customer, call counterCall, outcome Outcome) {
 	if outcome == Failed {
 		c.reclaimLease(call)
@@ -40,9 +40,12 @@
 	c.backoff.delayIfRepeated(e.now)
 }
 
-// handleCounterOverload handles a call that was rejected or had no reply. A rejected call has changed
-// nothing: it is reported again, since units that it was to return would be missing at all gateways. A call
-// that timed out may have been added, and is not reported again.
+// handleCounterOverload handles a call that was rejected or had no reply.
+//
+// A rejected call has changed nothing. The next call repeats its report, since units that it was to return
+// would be missing at all gateways. A call that timed out may have been added, and its report is not
+// repeated. A counter that does not reply, and does not reject the call either, releases the fallback of
+// the local tokens.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -8,9 +8,11 @@
 // that the gateways have charged since the window began: units spent, units leased, and overflow. The
 // refill is the units that the shared bucket has earned in the same time. The bucket is full where the
 // total is equal to the refill, and empty where the total exceeds the refill by the burst (by
-// burstTolerance under deferred reporting). A fixed window has no refill. Overflow is refill that arrives
-// while the bucket is full: the gateways add it to the total, so that the total does not fall behind the
+// burstTolerance under deferred reporting): its balance is burst + refill - total. A fixed window has no
 // refill.
+//
+// Overflow is refill that arrives while the bucket is full. A token bucket discards it. Here the gateways add
+// it to the total, so that the total does not fall behind the refill.
 type counterWindow struct {
 	number    float64 // a whole number that grows with time; -1: no window was entered yet
 	name      uint64  // of the window's total at the counter
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -11,7 +11,7 @@
 	lastSeen float64         // arrival of the newest request
 
 	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
-	openAttempts int        // admitted requests that are not over, and retries in flight
+	openAttempts int        // admitted requests whose first attempt has not ended, and further open attempts
 
 	demand demand
 	lease  lease
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -99,7 +99,7 @@
 
 // decideWhileExhausted decides on a request while the shared bucket has too few units. Where the plan allows
 // requests over quota, local tokens admit it at the lowest level, since as far as this gateway knows it is
-// beyond the quota.
+// over quota.
 func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
 	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
 		return deferRequest
@@ -130,7 +130,7 @@
 //
 // The wait must be shorter than retryAfter, after which the client would send the request again anyway, and
 // shorter than maxQuotaWaitShare of the request's time. Waiting helps where the bucket is exhausted only for
-// a moment: the customer is inside its quota, and other gateways hold units that they have prefetched. It
+// a moment: the customer is within its quota, and other gateways hold units that they have prefetched. It
 // does not help where the demand at this gateway alone exceeds the whole rate, nor in a fixed window, which
 // stays exhausted until it ends.
 func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -6,13 +6,13 @@
 	refillingWindowDuration = 50.0 // seconds; less than counterNameTTL
 
 	// Deferred reporting.
-	minRefillPerGateway = 4.0 // units a window, for each gateway of a large set; else reports come too late
-	largeSetLocalBurst  = 5.0 // most local units of a gateway in a large set, and most bursts of the whole set
-	smallSetTolerance   = 0.8 // of the burst: burstTolerance of a small gateway set
-	largeSetTolerance   = 2.0 // of a large one; with less, its prefetched units would look like exhaustion
+	minRefillPerGateway = 4.0 // units a window; if each gateway of a large set earns less, reports come too late
+	largeSetLocalBurst  = 5.0 // large set: units in a local bucket and bursts in all of them, at most
+	smallSetTolerance   = 0.8 // of the burst: the burstTolerance of a small gateway set
+	largeSetTolerance   = 2.0 // of the burst, in a large set; with less, prefetched units look like exhaustion
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // of its burst: what a fixed window may lease; local tokens get the rest
+	ceilingLeaseShare = 0.22 // of the ceiling's burst: the burst of a fixed window, at most
 
 	// A concurrency limit that is applied as a rate.
 	concurrencyUtilization = 0.65 // mean use of the limit
@@ -27,10 +27,10 @@
 // window (see counterWindow). The gateways charge the units that they spend to the total in one of two ways:
 //
 //   - Deferred reporting: a gateway spends its local tokens without a call and reports them later. It calls
-//     for a lease only when its local tokens are too few. A customer inside its quota thus costs few calls.
+//     for a lease only when its local tokens are too few. A customer within its quota thus costs few calls.
 //   - Upfront leasing: a gateway spends only units that it has leased before. Its local tokens are for times
 //     when the counter does not reply, and for requests over quota under a ceiling. In a deployment without
-//     a counter they admit all requests.
+//     a counter, nothing is leased and local tokens admit all requests.
 //
 // There are two kinds of windows. A refilling window is long, and the shared bucket earns units all through
 // it. A fixed window is short, grants its units at the start, and is independent of the window before it.
@@ -143,14 +143,16 @@
 	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// divideCeilingForRefillingWindow divides a ceiling's burst where leases use refilling windows.
+// divideCeilingForRefillingWindow divides a ceiling's burst where leases use refilling windows. Of the units
+// that leases leave, one half is the initial balance, and the other half is the gateways' local bursts.
 func (q *quotaParameters) divideCeilingForRefillingWindow(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst/(1+leaseLifetimeShare))
 	q.initialBalance = (p.CeilingBurst - (1+leaseLifetimeShare)*q.burst) / 2
 	q.localBurst = q.initialBalance / q.gatewayCount
 }
 
-// divideCeilingForFixedWindows divides a ceiling's burst where leases use fixed windows.
+// divideCeilingForFixedWindows divides a ceiling's burst where leases use fixed windows. The gateways' local
+// bursts are the units that leases leave.
 func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
 	if q.localCeilingBurst(p) < 1 {
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -26,13 +26,13 @@
 	seed          uint64
 }
 
-// quotaLoadResult counts the events of a simulation after its warm-up. A request is inside the quota if an ideal token
+// quotaLoadResult counts the events of a simulation after its warm-up. A request is within the quota if an ideal token
 // bucket of the plan's rate and burst has a unit at the time when the request is sent or rejected.
 type quotaLoadResult struct {
 	requests            int
 	sent                int
-	sentOverQuota       int // sent, but beyond the quota
-	rejectedWithinQuota int // rejected, but inside the quota
+	sentOverQuota       int // sent, but over the quota
+	rejectedWithinQuota int // rejected, but within the quota
 	calls               int // to the counter
 }
 
@@ -216,7 +216,7 @@
 	return Plan{WeightFactor: 1, Rate: rate, Burst: max(rate*seconds, 2), OverQuotaCost: 1}
 }
 
-// A customer inside its quota costs few counter calls and is hardly ever rejected, whatever the number of its gateways,
+// A customer within its quota costs few counter calls and is hardly ever rejected, whatever the number of its gateways,
 // and whether its load is spread evenly over them or not.
 func TestCustomerWithinItsQuotaCostsFewCalls(t *testing.T) {
 	t.Parallel()
@@ -227,7 +227,7 @@
 			result := load.run(t)
 			if result.callsPerRequest() > test.calls || result.rejectedWithinQuotaShare() > test.rejected {
 				t.Errorf("%d gateways, %g of the quota, uneven weights %t: "+
-					"%.3f calls a request, %.4f rejected inside the quota; want %g and %g at most",
+					"%.3f calls a request, %.4f rejected within the quota; want %g and %g at most",
 					gateways, test.quotaUse, load.unevenWeights,
 					result.callsPerRequest(), result.rejectedWithinQuotaShare(), test.calls, test.rejected)
 			}
@@ -236,7 +236,7 @@
 }
 
 // Units that some of sixty gateways have prefetched must not be missing at the others: few requests of a customer
-// inside its quota are rejected. The test takes the mean of eight customers.
+// within its quota are rejected. The test takes the mean of eight customers.
 func TestPrefetchedUnitsAreNotMissingElsewhere(t *testing.T) {
 	t.Parallel()
 	var running sync.WaitGroup
@@ -256,12 +256,12 @@
 		sum.rejectedWithinQuota += result.rejectedWithinQuota
 	}
 	if sum.rejectedWithinQuotaShare() > 0.005 || float64(sum.calls) > 0.25*float64(sum.requests) {
-		t.Errorf("%.4f of %d requests rejected inside the quota, %d calls; want at most 0.005, and a call for four requests",
+		t.Errorf("%.4f of %d requests rejected within the quota, %d calls; want at most 0.005, and a call for four requests",
 			sum.rejectedWithinQuotaShare(), sum.requests, sum.calls)
 	}
 }
 
-// A customer that is new to its gateways and far beyond its quota gets the shared bucket's burst tolerance, and no
+// A customer that is new to its gateways and far over its quota gets the shared bucket's burst tolerance, and no
 // further burst from local tokens.
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
 	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
@@ -281,7 +281,7 @@
 		result := load.run(t)
 		if result.callsPerRequest() > test.calls || result.rejectedWithinQuotaShare() > 0.01 ||
 			result.sentOverQuota > result.requests/50 {
-			t.Errorf("one request in %g s: %.2f calls a request, %.3f rejected inside the quota, %d of %d sent beyond it",
+			t.Errorf("one request in %g s: %.2f calls a request, %.3f rejected within the quota, %d of %d sent over it",
 				1/test.rate, result.callsPerRequest(), result.rejectedWithinQuotaShare(), result.sentOverQuota, result.requests)
 		}
 	}
--- a/policy/reportedstore.go
+++ b/policy/reportedstore.go
@@ -34,7 +34,7 @@
 // deferredLeaseUnits returns the units of the next lease: those of the waiting requests and a prefetch. It
 // returns 0 if the next call should only read the total.
 //
-// If a customer is beyond its quota, most calls are granted nothing, and the units that they added to the
+// If a customer is over its quota, most calls are granted nothing, and the units that they added to the
 // total are missing at the other gateways until they are taken back. So after a call that was granted too
 // little, the next call only reads the total, and a lease is requested again once there are units. In a large
 // gateway set, a gateway whose demand is within its fair share found the bucket exhausted because of the
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -96,7 +96,7 @@
 }
 
 // Units that were spent at the end of a window and could not be reported must be reported in the next window. Otherwise
-// the customer would get that many units beyond its quota each time.
+// the customer would get that many units over its quota each time.
 func TestUnreportedUnitsAreReportedInTheNextWindow(t *testing.T) {
 	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
