--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -44,8 +44,7 @@
 //
 // A rejected call has changed nothing. The next call repeats its report, since units that it was to return
 // would be missing at all gateways. A call that timed out may have been added, and its report is not
-// repeated. A counter that does not reply, and does not reject the call either, releases the fallback of
-// the local tokens.
+// repeated. A call that fails in any way but a rejection releases the fallback of the local tokens.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -12,7 +12,7 @@
 	largeSetTolerance   = 2.0 // of the burst, in a large set; with less, prefetched units look like exhaustion
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // of the ceiling's burst: the burst of a fixed window, at most
+	ceilingLeaseShare = 0.22 // of the ceiling's burst: what a fixed window may lease; local tokens get the rest
 
 	// A concurrency limit that is applied as a rate.
 	concurrencyUtilization = 0.65 // mean use of the limit
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -124,7 +124,7 @@
 	return run.rng.ExpFloat64() / (run.load.rate * run.peakFactor)
 }
 
-// nextEvent moves the clock to the next event and returns it. ok is false if that is a request that is thinned out.
+// nextEvent moves the clock to the next event and returns it. ok is false if that is a thinned-out request.
 func (run *quotaLoadRun) nextEvent() (event scheduledEvent, ok bool) {
 	if len(run.pending) > 0 && run.pending[0].at <= run.nextRequest {
 		event = heap.Pop(&run.pending).(scheduledEvent)
