--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// wrapIn puts way between the gateway and its listener.
-func wrapIn(way *gatedListener) func(net.Listener) net.Listener {
+// wrapWith puts way between the gateway and its listener.
+func wrapWith(gated *gatedListener) func(net.Listener) net.Listener {
 	return func(listener net.Listener) net.Listener {
-		way.Listener = listener
-		return way
+		gated.Listener = listener
+		return gated
 	}
 }
 
@@ -26,10 +26,10 @@
 	backend := newPeer(t)
 	silent := make(chan net.Conn, 100) // more than the limit, which is below 50
 	fewSockets := strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace
-	_, conn := startRace(t, false, fewSockets, backend, func(r *testGateway, c *gatedConn) {
+	_, conn := startRace(t, false, fewSockets, backend, func(g *testGateway, c *gatedConn) {
 		c.armed.Store(true)
 		for range cap(silent) {
-			if conn, err := net.Dial("tcp", r.address); err == nil {
+			if conn, err := net.Dial("tcp", g.address); err == nil {
 				silent <- conn
 			}
 		}
@@ -66,14 +66,14 @@
 			t.Parallel()
 			backend := newPeer(t)
 			var remaining atomic.Int64 // failures to come
-			way := &gatedListener{acceptError: func() error {
+			gated := &gatedListener{acceptError: func() error {
 				if remaining.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 				}
 				return nil
 			}}
-			r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
-			_, openAnswers := r.sendRequest(t, requestText("POST", "payment", "held"))
+			g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
+			_, openAnswers := g.sendRequest(t, requestText("POST", "payment", "held"))
 			openConn, reader := backend.accept(t)
 			readRequest(t, reader)
 			serve := func() { // on a connection of its own
@@ -83,13 +83,13 @@
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
 			remaining.Store(failures) // the accept that is under way comes first
-			_, first := r.sendRequest(t, requestText("GET", "lookup", ""))
+			_, first := g.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
 			if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			began := time.Now()
-			_, second := r.sendRequest(t, requestText("GET", "lookup", ""))
+			_, second := g.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
 			if resp := await(t, second, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d after the failures", resp.StatusCode)
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -73,7 +73,7 @@
 	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
 		table.mu.Lock()
 		defer table.mu.Unlock()
-		table.forget(first)
+		table.remove(first)
 	})
 	third := accept()
 	waited := time.Since(began)
@@ -82,7 +82,7 @@
 	}
 	// There is a place again, and nobody waits: the next one comes while the acceptor has waited for a while.
 	table.mu.Lock()
-	table.forget(third)
+	table.remove(third)
 	table.mu.Unlock()
 	next := arrive()
 	arrived.onAccept = func() {
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -73,13 +73,13 @@
 	now := time.Now()
 	evicted := 0
 	for e := c.idle.Front(); e != nil && evicted < evictionsPerAccept; e = e.Next() {
-		staying := len(c.conns) - c.closing
-		if staying <= softLimit {
+		remaining := len(c.conns) - c.closing
+		if remaining <= softLimit {
 			return
 		}
 		conn := e.Value.(*clientConn)
 		idleFor := now.Sub(conn.lastActive)
-		if idleFor < minEvictionGrace || idleFor < evictionGrace && staying < c.maxConns {
+		if idleFor < minEvictionGrace || idleFor < evictionGrace && remaining < c.maxConns {
 			return // all others have been idle for less
 		}
 		if c.evict(conn) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// forget takes a closed connection out of the table.
-func (c *clientConnections) forget(conn *clientConn) {
+// remove takes a closed connection out of the table.
+func (c *clientConnections) remove(conn *clientConn) {
 	c.markActive(conn)
 	delete(c.conns, conn)
 	select {
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -10,20 +10,20 @@
 )
 
 // Connections that say nothing, however many, must not keep a usual client from being served, and are closed.
-func TestSilentConnectionsKeepNoClientOut(t *testing.T) {
+func TestSilentConnectionsDoNotKeepClientsOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend)
+	g := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
 	for range 100 { // the limit is 48
-		conn, err := net.Dial("tcp", r.address)
+		conn, err := net.Dial("tcp", g.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		silent = append(silent, conn)
 	}
-	_, answers := r.sendRequest(t, requestText("POST", "booking", "x"))
+	_, answers := g.sendRequest(t, requestText("POST", "booking", "x"))
 	serveOne(t, backend, "ok")
 	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
@@ -47,13 +47,13 @@
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	_, openAnswers := r.sendRequest(t, requestText("GET", "lookup", ""))
+	g := startTestGateway(t, backend)
+	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	complete := requestText("POST", "booking", "pickup")
 	for _, text := range []string{complete[:10], complete[:len(complete)-1]} {
-		client, _ := net.Dial("tcp", r.address)
+		client, _ := net.Dial("tcp", g.address)
 		defer client.Close()
 		io.WriteString(client, text)
 		client.SetReadDeadline(time.Now().Add(testTimeout))
@@ -106,9 +106,9 @@
 	return conn
 }
 
-// addNewcomer tries to enter one more connection, for long enough if it is expected to be. It reports whether it was
+// canAdd tries to enter one more connection, for long enough if it is expected to be. It reports whether it was
 // entered, and takes it out again.
-func (e *evictionTable) addNewcomer(t *testing.T, expected bool) bool {
+func (e *evictionTable) canAdd(t *testing.T, expected bool) bool {
 	t.Helper()
 	near, _ := e.newConn(t)
 	conn := e.tryAdd(near)
@@ -160,7 +160,7 @@
 		incomplete.lastActive = time.Now() // however long the steps before have taken
 		fresh.lastActive = incomplete.lastActive
 		table.mu.Unlock()
-		if added := table.addNewcomer(t, step.added); added != step.added {
+		if added := table.canAdd(t, step.added); added != step.added {
 			t.Errorf("%s: newcomer added %t", step.name, added)
 		}
 		table.expectKept(t, step.name, step.kept)
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -167,8 +167,8 @@
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	conn, _ := r.sendRequest(t, requestText("POST", "booking", "x"))
+	g := startTestGateway(t, backend)
+	conn, _ := g.sendRequest(t, requestText("POST", "booking", "x"))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
 	conn.Close()
@@ -185,9 +185,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			r := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
+			g := startTestGatewayWith(t, withCounter(counter, 0.001, 3, 30*time.Second), backend)
 			id := fmt.Sprintf("disconnected-%d", extra)
-			conn, answers := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
+			conn, answers := g.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
 			counterConn, counterReader := counter.accept(t)
 			call, _ := readRequest(t, counterReader) // the request waits for its units
 			io.WriteString(conn, strings.Repeat("x", extra))
@@ -196,7 +196,7 @@
 				t.Errorf("the disconnected one: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
 			writeResponse(counterConn, http.StatusOK, call.URL.Query().Get("add"))
-			_, answers = r.sendRequest(t, requestText("GET", "lookup", ""))
+			_, answers = g.sendRequest(t, requestText("GET", "lookup", ""))
 			backendConn, backendReader := backend.accept(t)
 			if req, _ := readRequest(t, backendReader); req.Header.Get(correlationIDHeader) == id {
 				t.Error("the request of the disconnected client was forwarded")
@@ -217,10 +217,10 @@
 		t.Run(fmt.Sprintf("cancel %t", canCancel), func(t *testing.T) {
 			t.Parallel()
 			backend := newFullBacklogBackend(t)
-			r := startTestGatewayWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
+			g := startTestGatewayWith(t, strings.NewReplacer(`"cancel": true`, fmt.Sprintf(`"cancel": %t`, canCancel),
 				`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
-			r.publishBackends(t, backend.address)
-			conn, answers := r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "disconnected"))
+			g.publishBackends(t, backend.address)
+			conn, answers := g.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, "disconnected"))
 			awaitDialing(t, backend.address)
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
@@ -231,7 +231,7 @@
 					t.Fatal("its dial goes on")
 				}
 			}
-			_, answers = r.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, stayingID))
+			_, answers = g.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, stayingID))
 			backendConn, reader := backend.accept(t)
 			if req, _ := readRequest(t, reader); req.Header.Get(correlationIDHeader) != stayingID {
 				t.Errorf("request %q was forwarded", req.Header.Get(correlationIDHeader))
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -56,7 +56,7 @@
 	case http.StateIdle:
 		c.markAnswered(conn)
 	case http.StateClosed, http.StateHijacked:
-		c.forget(conn)
+		c.remove(conn)
 	}
 }
 
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -16,8 +16,8 @@
 func TestServedResponseReachesClient(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	_, answers := r.sendRequest(t, requestText("POST", "booking", "pickup"))
+	g := startTestGateway(t, backend)
+	_, answers := g.sendRequest(t, requestText("POST", "booking", "pickup"))
 	serveOne(t, backend, "booked\n")
 	resp := await(t, answers, "answer")
 	body, err := io.ReadAll(resp.Body)
@@ -31,7 +31,7 @@
 // retry what must not execute twice. Statuses and bodies are what operators and clients know; body "" is one of net/http's.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	r := startTestGateway(t, newPeer(t))
+	g := startTestGateway(t, newPeer(t))
 	const quotaOutOfRange = "X-Call-Terms: units, spread or first is missing or out of range"
 	for _, c := range []struct {
 		name    string
@@ -73,7 +73,7 @@
 		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, answers := r.sendRequest(t, c.request)
+			_, answers := g.sendRequest(t, c.request)
 			resp := await(t, answers, "answer")
 			if resp.StatusCode != c.status || !resp.Close {
 				t.Errorf("status %d, want %d; closed %t", resp.StatusCode, c.status, resp.Close)
@@ -89,9 +89,9 @@
 func TestRequestHiddenByChunksIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
+	g := startTestGateway(t, backend)
 	hidden := requestText("POST", "booking", "hidden")
-	conn, answers := r.sendRequest(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked",
+	conn, answers := g.sendRequest(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked",
 		"Content-Length", fmt.Sprint(5+len(hidden)))+"0\r\n\r\n"+hidden)
 	if resp := await(t, answers, "answer"); resp.StatusCode != 411 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
@@ -109,13 +109,13 @@
 func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	_, first := r.sendRequest(t, requestText("POST", "booking", "mine", correlationIDHeader, "one"))
+	g := startTestGateway(t, backend)
+	_, first := g.sendRequest(t, requestText("POST", "booking", "mine", correlationIDHeader, "one"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
 	expectConflict := func() {
 		t.Helper()
-		_, second := r.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, "one"))
+		_, second := g.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, "one"))
 		if resp := await(t, second, "answer to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
@@ -135,8 +135,8 @@
 func TestSilentBackendHoldsNoRequestBeyondItsObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	conn, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+	g := startTestGateway(t, backend)
+	conn, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
 	resp := await(t, answers, "answer")
@@ -162,8 +162,8 @@
 func TestFloodBehindOpenRequestClosesConnection(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	conn, _ := r.sendRequest(t, requestText("GET", "lookup", ""))
+	g := startTestGateway(t, backend)
+	conn, _ := g.sendRequest(t, requestText("GET", "lookup", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
 	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
@@ -176,8 +176,8 @@
 func TestPipelinedRequestIsServedNext(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	conn, first := r.sendRequest(t, requestText("GET", "lookup", ""))
+	g := startTestGateway(t, backend)
+	conn, first := g.sendRequest(t, requestText("GET", "lookup", ""))
 	backendConn, reader := backend.accept(t)
 	readRequest(t, reader)
 	second := requestText("POST", "booking", strings.Repeat("y", 6000))
@@ -199,15 +199,15 @@
 	t.Parallel()
 	const bufferBytes = 4096 // of each socket, less than the answer
 	backend := newPeer(t)
-	way := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
+	gated := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
 	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
-	r := startTestGatewayBehind(t, wrapIn(way), shortDeadlines, backend)
+	g := startTestGatewayBehind(t, wrapWith(gated), shortDeadlines, backend)
 	dialer := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bufferBytes)
 		})
 	}}
-	slow, err := dialer.Dial("tcp", r.address)
+	slow, err := dialer.Dial("tcp", g.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,14 +215,14 @@
 	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
 	for range 2 { // on a connection of its own, or on the first again
-		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	r.stop()
-	if err := await(t, r.serveErr, "end"); err == nil {
+	g.stop()
+	if err := await(t, g.serveErr, "end"); err == nil {
 		t.Error("the answer that nobody read was not held at all")
 	}
 }
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -38,23 +38,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &fullBacklogBackend{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
+	b := &fullBacklogBackend{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
 	for {
-		conn, err := net.DialTimeout("tcp", c.address, 200*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", b.address, 200*time.Millisecond)
 		if err != nil {
-			return c
+			return b
 		}
 		t.Cleanup(func() { conn.Close() })
-		c.fillers = append(c.fillers, conn)
+		b.fillers = append(b.fillers, conn)
 	}
 }
 
 // accept returns the next connection that is none of those that filled the backlog.
-func (c *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
+func (b *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
-		conn := c.acceptAny(t)
-		if !c.isFiller(conn) {
+		conn := b.acceptAny(t)
+		if !b.isFiller(conn) {
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			return conn, bufio.NewReader(conn)
 		}
@@ -62,9 +62,9 @@
 }
 
 // acceptAny returns the next connection of the backlog.
-func (c *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
+func (b *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
 	t.Helper()
-	fd, _, err := syscall.Accept(c.fd)
+	fd, _, err := syscall.Accept(b.fd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,8 +79,8 @@
 }
 
 // isFiller reports whether an accepted connection is one of those that filled the backlog.
-func (c *fullBacklogBackend) isFiller(conn net.Conn) bool {
-	return slices.ContainsFunc(c.fillers, func(filler net.Conn) bool {
+func (b *fullBacklogBackend) isFiller(conn net.Conn) bool {
+	return slices.ContainsFunc(b.fillers, func(filler net.Conn) bool {
 		return filler.LocalAddr().String() == conn.RemoteAddr().String()
 	})
 }
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -82,17 +82,17 @@
 
 // holdAccept returns a listener on which the next accept, once shut is set, says so on waiting and is held until gate
 // is closed.
-func holdAccept() (listener *gatedListener, shut *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
-	shut = &atomic.Bool{}
+func holdAccept() (listener *gatedListener, gateClosed *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
+	gateClosed = &atomic.Bool{}
 	held := make(chan struct{}, 1)
-	opened := make(chan struct{})
+	gateOpened := make(chan struct{})
 	listener = &gatedListener{onAccept: func() {
-		if shut.CompareAndSwap(true, false) {
+		if gateClosed.CompareAndSwap(true, false) {
 			held <- struct{}{}
-			<-opened
+			<-gateOpened
 		}
 	}}
-	return listener, shut, held, opened
+	return listener, gateClosed, held, gateOpened
 }
 
 // startRace starts a gateway and opens a connection on which onRead is called once the gateway has read the next
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -98,14 +98,14 @@
 // publishBackends has discovery list ready backends at these addresses, and waits until the gateway has the list.
 func (g *testGateway) publishBackends(t *testing.T, addresses ...string) {
 	t.Helper()
-	listing := EndpointList{Generation: 2, Reset: true}
+	list := EndpointList{Generation: 2, Reset: true}
 	for _, address := range addresses {
-		listing.Entries = append(listing.Entries,
+		list.Entries = append(list.Entries,
 			EndpointEntry{ID: address, HostPort: address, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
 	await(t, g.discovery.calls, "first list")
 	await(t, g.discovery.calls, "watch")
-	g.discovery.answers <- listing
+	g.discovery.answers <- list
 	await(t, g.discovery.calls, "next watch")
 }
 
@@ -192,9 +192,9 @@
 
 // endpointListOf returns a response of discovery in which all these backends are in one lifecycle.
 func endpointListOf(reset bool, lifecycle string, backends ...*peer) EndpointList {
-	listing := EndpointList{Generation: 1, Reset: reset, Entries: []EndpointEntry{}}
+	list := EndpointList{Generation: 1, Reset: reset, Entries: []EndpointEntry{}}
 	for _, backend := range backends {
-		listing.Entries = append(listing.Entries, EndpointEntry{
+		list.Entries = append(list.Entries, EndpointEntry{
 			ID:          backend.address(),
 			HostPort:    backend.address(),
 			Zone:        "a",
@@ -203,7 +203,7 @@
 			Weight:      1,
 		})
 	}
-	return listing
+	return list
 }
 
 // unchangedConfig is the change of a configuration that leaves it as it is.
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -44,9 +44,9 @@
 	httpServer        *http.Server
 	serveErr          chan error // the end of the HTTP server's accepting
 
-	partsContext context.Context // of all parts but the HTTP server; it ends after the last client connection
-	stopParts    context.CancelFunc
-	parts        sync.WaitGroup
+	componentsContext context.Context // of all parts but the HTTP server; it ends after the last client connection
+	stopComponents    context.CancelFunc
+	components        sync.WaitGroup
 
 	cachedListTimer  *time.Timer
 	discoveryAddress string // the address that is watched
@@ -67,7 +67,7 @@
 	}
 	loop := newEventLoop(config, s.pools, s.counter, func() { s.markReady("discovery") })
 	s.frontend.loop = loop
-	s.partsContext, s.stopParts = context.WithCancel(context.Background())
+	s.componentsContext, s.stopComponents = context.WithCancel(context.Background())
 
 	s.clientConnections = newClientConnections(listener, config.maxClientConns())
 	s.clientConnections.metrics = &loop.metrics
@@ -82,11 +82,11 @@
 func (s *server) start() {
 	loop := s.frontend.loop
 	loop.applyEndpointList(s.config.CachedEndpoints, policy.CachedList)
-	s.parts.Go(func() { loop.run(s.partsContext) })
-	s.parts.Go(func() { s.pools.sweepIdle(s.partsContext) })
-	s.parts.Go(func() { loop.metrics.logPeriodically(s.partsContext, s.log) })
+	s.components.Go(func() { loop.run(s.componentsContext) })
+	s.components.Go(func() { s.pools.sweepIdle(s.componentsContext) })
+	s.components.Go(func() { loop.metrics.logPeriodically(s.componentsContext, s.log) })
 	if s.counter != nil {
-		s.parts.Go(func() { s.counter.run(s.partsContext) })
+		s.components.Go(func() { s.counter.run(s.componentsContext) })
 	}
 	hasCachedList := len(s.config.CachedEndpoints.Entries) > 0
 	s.watchDiscovery(s.config.Discovery, hasCachedList)
@@ -95,7 +95,7 @@
 			s.markReady("cached")
 		}
 	})
-	s.parts.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
+	s.components.Go(func() { s.serveErr <- s.httpServer.Serve(s.clientConnections) })
 	s.log.Info("started", "listen", s.clientConnections.Addr().String(), "discovery", s.config.Discovery,
 		"counter", s.config.Counter, "cached_backends", len(s.config.CachedEndpoints.Entries),
 		"max_client_connections", s.clientConnections.maxConns)
@@ -122,8 +122,8 @@
 // the pools ends them.
 func (s *server) stop() {
 	s.cachedListTimer.Stop()
-	s.stopParts()
-	s.parts.Wait()
+	s.stopComponents()
+	s.components.Wait()
 	s.frontend.loop.attempts.Wait()
 }
 
@@ -136,11 +136,11 @@
 
 // watchDiscovery follows discovery at an address. listInUse says that requests are forwarded by an older list meanwhile.
 func (s *server) watchDiscovery(address string, listInUse bool) {
-	ctx, cancel := context.WithCancel(s.partsContext)
+	ctx, cancel := context.WithCancel(s.componentsContext)
 	ended := make(chan struct{})
 	watcher := newDiscoveryWatcher(address, seconds(s.config.DrainGrace), listInUse, s.frontend.loop.endpointsUpdated)
 	watcher.log = s.log
-	s.parts.Go(func() {
+	s.components.Go(func() {
 		defer close(ended)
 		watcher.run(ctx)
 	})
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -13,24 +13,24 @@
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
-	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	g := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
 		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list times out meanwhile
-	defer r.stop() // before the new discovery is closed, which would wait for the end of its watch
-	_, openAnswers := r.sendRequest(t, requestText("GET", "lookup", ""))
+	defer g.stop() // before the new discovery is closed, which would wait for the end of its watch
+	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
 	call, _ := readRequest(t, counterReader) // not answered yet
 
-	valid := *r.config.Load()
+	valid := *g.config.Load()
 	invalid := valid[:len(valid)/2]
-	r.config.Store(&invalid)
-	r.reloadSignal <- syscall.SIGHUP
+	g.config.Store(&invalid)
+	g.reloadSignal <- syscall.SIGHUP
 	newDiscovery := newFakeDiscovery(t)
-	next := strings.NewReplacer(r.discovery.address(), newDiscovery.address(),
+	next := strings.NewReplacer(g.discovery.address(), newDiscovery.address(),
 		counter.address(), newCounter.address()).Replace(valid)
-	r.config.Store(&next)
-	r.reloadSignal <- syscall.SIGHUP
+	g.config.Store(&next)
+	g.reloadSignal <- syscall.SIGHUP
 	if query := await(t, newDiscovery.calls, "call of the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
@@ -46,7 +46,7 @@
 	if _, err := counterReader.ReadByte(); err != io.EOF {
 		t.Errorf("the old counter's connection: %v", err)
 	}
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
+	_, answers := g.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
 	counterConn, counterReader = newCounter.accept(t)
 	call, _ = readRequest(t, counterReader)
 	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -9,9 +9,9 @@
 
 // What the protocol says of a shutdown (section "Figures").
 const (
-	killDelay           = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline plus this after SIGTERM
-	maxKillDeadline     = 3 * time.Second        // a longer deadline counts as this
-	lateConnectionDelay = 400 * time.Millisecond // new connections come for so long after SIGTERM
+	killDelay            = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline plus this after SIGTERM
+	maxKillDeadline      = 3 * time.Second        // a longer deadline counts as this
+	lateConnectionPeriod = 400 * time.Millisecond // new connections come for so long after SIGTERM
 )
 
 // The margins of the schedule.
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -18,23 +18,23 @@
 // answered: served on a connection that was idle, and rejected on a new one, which is closed later.
 func TestShutdownRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
-	for name, fresh := range map[string]bool{"on an idle connection": false, "on a new one": true} {
+	for name, newConnection := range map[string]bool{"on an idle connection": false, "on a new one": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			crossed := make(chan struct{})
-			_, conn := startRace(t, fresh, unchangedConfig, backend, func(r *testGateway, c *gatedConn) {
+			idleWaitEnded := make(chan struct{})
+			_, conn := startRace(t, newConnection, unchangedConfig, backend, func(g *testGateway, c *gatedConn) {
 				c.armed.Store(true)
-				r.stop()
+				g.stop()
 				<-c.readEnded
-				close(crossed)
+				close(idleWaitEnded)
 			})
 			text := requestText("POST", "payment", "cash")
 			io.WriteString(conn, text[:40])
-			await(t, crossed, "crossing")
+			await(t, idleWaitEnded, "crossing")
 			io.WriteString(conn, text[40:])
 			want := http.StatusServiceUnavailable
-			if !fresh {
+			if !newConnection {
 				want = http.StatusOK
 				serveOne(t, backend, "paid")
 			}
@@ -60,16 +60,16 @@
 			var gateClosed atomic.Bool
 			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
 			// Connections of readiness checks wait for requests as well, and must not be held at the gate.
-			own := freeAddress(t)
-			way := &gatedListener{beforeRead: func(c *gatedConn) {
-				if c.RemoteAddr().String() == own.String() && gateClosed.CompareAndSwap(true, false) {
+			clientAddress := freeAddress(t)
+			gated := &gatedListener{beforeRead: func(c *gatedConn) {
+				if c.RemoteAddr().String() == clientAddress.String() && gateClosed.CompareAndSwap(true, false) {
 					waiting <- c
 					<-gate
 				}
 			}}
-			r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
+			g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
 			gateClosed.Store(!idle)
-			conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
+			conn, err := (&net.Dialer{LocalAddr: clientAddress}).Dial("tcp", g.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,8 +89,8 @@
 			held := await(t, waiting, "read")
 			io.WriteString(conn, requestText("GET", "glance", ""))
 			awaitBytes(t, held.TCPConn)
-			r.stop()
-			r.awaitListenerClosed(t)
+			g.stop()
+			g.awaitListenerClosed(t)
 			close(gate)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -99,7 +99,7 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			if err := await(t, r.serveErr, "end"); err != nil {
+			if err := await(t, g.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -111,26 +111,26 @@
 func TestShutdownRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	var r *testGateway
+	var g *testGateway
 	var armed atomic.Bool // the next wait for a request begins the shutdown
 	shutdownBegun := make(chan struct{})
-	own := freeAddress(t)
-	way := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
+	clientAddress := freeAddress(t)
+	gated := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
 		// The server sets the longest deadline for the wait between two requests.
 		isIdleWait := time.Until(at) > idleTimeout/2
-		if c.RemoteAddr().String() == own.String() && isIdleWait && armed.CompareAndSwap(true, false) {
+		if c.RemoteAddr().String() == clientAddress.String() && isIdleWait && armed.CompareAndSwap(true, false) {
 			c.armed.Store(true)
-			r.stop()
+			g.stop()
 			select {
 			case <-c.readEnded: // the shutdown has closed idle connections
-			case <-time.After(lateConnectionDelay / 4): // or waits for this one
+			case <-time.After(lateConnectionPeriod / 4): // or waits for this one
 			}
 			close(shutdownBegun)
 		}
 	}}
-	r = startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
+	g = startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
 	armed.Store(true)
-	conn, err := (&net.Dialer{LocalAddr: own}).Dial("tcp", r.address)
+	conn, err := (&net.Dialer{LocalAddr: clientAddress}).Dial("tcp", g.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	if _, err := io.Copy(io.Discard, conn); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took > lateConnectionDelay/2 {
+	if took := time.Since(began); took > lateConnectionPeriod/2 {
 		t.Errorf("closed %.3f s after the other idle ones", took.Seconds())
 	}
 }
@@ -151,16 +151,16 @@
 // accepted, and their requests rejected. A close of the listener would reset them.
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
-	way, gateClosed, waiting, gate := holdAccept()
-	r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, newPeer(t))
+	gated, gateClosed, waiting, gate := holdAccept()
+	g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, newPeer(t))
 	gateClosed.Store(true)
 	var allAnswers []<-chan *http.Response
 	for range 20 {
-		_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		allAnswers = append(allAnswers, answers)
 	}
 	await(t, waiting, "connection")
-	r.stop()
+	g.stop()
 	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
 	close(gate)
 	for _, answers := range allAnswers {
@@ -168,7 +168,7 @@
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 		}
 	}
-	if err := await(t, r.serveErr, "end"); err != nil {
+	if err := await(t, g.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -176,13 +176,13 @@
 // The times of a shutdown count from the signal, also where a reload is under way then.
 func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
-	r := startTestGateway(t, newPeer(t))
+	g := startTestGateway(t, newPeer(t))
 	const readTime = 500 * time.Millisecond // of the configuration
-	r.reloadDelay.Store(int64(readTime))
-	r.reloadSignal <- syscall.SIGHUP
+	g.reloadDelay.Store(int64(readTime))
+	g.reloadSignal <- syscall.SIGHUP
 	began := time.Now()
-	r.stop()
-	if err := await(t, r.serveErr, "end"); err != nil {
+	g.stop()
+	if err := await(t, g.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	maxTime := newShutdownSchedule(time.Second).listenUntil + readTime/2
@@ -196,19 +196,19 @@
 func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	way, gateClosed, waiting, gate := holdAccept()
-	r := startTestGatewayBehind(t, wrapIn(way), unchangedConfig, backend)
+	gated, gateClosed, waiting, gate := holdAccept()
+	g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
 	gateClosed.Store(true)
-	_, answers := r.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
+	_, answers := g.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
 	await(t, waiting, "connection")
-	r.stop()
+	g.stop()
 	close(gate)
 	resp := await(t, answers, "answer")
 	rejectedLate := resp.StatusCode == http.StatusServiceUnavailable
 	if !rejectedLate && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
 		t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	if err := await(t, r.serveErr, "end"); err != nil {
+	if err := await(t, g.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -227,15 +227,15 @@
 				change = withCounter(counter, 0.1, 3, 30*time.Second)
 				silent = counter
 			}
-			r := startTestGatewayWith(t, change, backend)
-			_, answers := r.sendRequest(t, requestText("GET", "glance", ""))
+			g := startTestGatewayWith(t, change, backend)
+			_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 			_, reader := silent.accept(t)
 			readRequest(t, reader) // and no answer
-			r.stop()
+			g.stop()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if err := await(t, r.serveErr, "end"); err != nil {
+			if err := await(t, g.serveErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -246,34 +246,34 @@
 func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := startTestGateway(t, backend)
-	_, openAnswers := r.sendRequest(t, requestText("POST", "booking", "held"))
+	g := startTestGateway(t, backend)
+	_, openAnswers := g.sendRequest(t, requestText("POST", "booking", "held"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
-	unused, err := net.Dial("tcp", r.address) // must not delay the end
+	unused, err := net.Dial("tcp", g.address) // must not delay the end
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	idle, first := r.sendRequest(t, readinessRequest)
+	idle, first := g.sendRequest(t, readinessRequest)
 	await(t, first, "answer") // leaves an idle connection behind
 	idle.SetReadDeadline(time.Now().Add(testTimeout))
-	r.stop()
+	g.stop()
 	if _, err := io.ReadAll(idle); err != nil {
 		t.Errorf("the idle connection after the signal: %v", err)
 	}
-	r.awaitReadiness(t, http.StatusServiceUnavailable)
-	_, late := r.sendRequest(t, requestText("POST", "booking", "late"))
+	g.awaitReadiness(t, http.StatusServiceUnavailable)
+	_, late := g.sendRequest(t, requestText("POST", "booking", "late"))
 	serveOne(t, backend, "late")
 	if resp := await(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	r.awaitListenerClosed(t)
+	g.awaitListenerClosed(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	if err := await(t, r.serveErr, "end"); err != nil {
+	if err := await(t, g.serveErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/gateway/socket.go
+++ b/internal/gateway/socket.go
@@ -31,11 +31,11 @@
 // keep it from waiting. It returns 0 without an error at the connection's end, and EAGAIN where nothing has come or the
 // connection has no socket.
 func receive(conn net.Conn, buffer []byte, flags int) (n int, err error) {
-	withSocket, ok := conn.(syscall.Conn)
+	socketConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, syscall.EAGAIN
 	}
-	raw, err := withSocket.SyscallConn()
+	raw, err := socketConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -26,7 +26,7 @@
 }
 
 // newStallableGateway starts a gateway before as many backends as there are disconnecting clients, all at one address.
-func newStallableGateway(t *testing.T, backend string, way func(net.Listener) net.Listener) *stallableGateway {
+func newStallableGateway(t *testing.T, backend string, wrapListener func(net.Listener) net.Listener) *stallableGateway {
 	t.Helper()
 	text := strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)
 	config, err := parseConfig([]byte(text))
@@ -36,29 +36,29 @@
 	g := &stallableGateway{stalled: make(chan struct{})}
 	pools := newConnectionPools(testTimeout, time.Minute, 100)
 	g.loop = newEventLoop(&config, pools, nil, g.waitAtGate)
-	listing := EndpointList{Reset: true}
+	list := EndpointList{Reset: true}
 	for i := range disconnectingClients {
 		instance := EndpointEntry{ID: fmt.Sprint(i), HostPort: backend, Zone: "a", Lifecycle: "Ready", Weight: 1}
-		listing.Entries = append(listing.Entries, instance)
+		list.Entries = append(list.Entries, instance)
 	}
-	g.loop.applyEndpointList(listing, policy.FullList)
+	g.loop.applyEndpointList(list, policy.FullList)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.address = listener.Addr().String()
 	front := &frontend{loop: g.loop, deployment: &config.Deployment}
-	clients := newClientConnections(way(listener), maxStallableClients)
+	clients := newClientConnections(wrapListener(listener), maxStallableClients)
 	server := front.newHTTPServer(clients, testTimeout)
 	ctx, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { g.loop.run(ctx) })
-	parts.Go(func() { pools.sweepIdle(ctx) })
-	parts.Go(func() { server.Serve(clients) })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { g.loop.run(ctx) })
+	goroutines.Go(func() { pools.sweepIdle(ctx) })
+	goroutines.Go(func() { server.Serve(clients) })
 	t.Cleanup(func() {
 		server.Close()
 		stop()
-		parts.Wait()
+		goroutines.Wait()
 		g.loop.attempts.Wait()
 	})
 	return g
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -85,7 +85,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &testGateway{address: listener.Addr().String()}
+			g := &testGateway{address: listener.Addr().String()}
 			ctx, stop := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			startedAt := time.Now()
@@ -97,7 +97,7 @@
 				stop()
 				<-ended
 			})
-			r.awaitReadiness(t, http.StatusOK)
+			g.awaitReadiness(t, http.StatusOK)
 			if took := time.Since(startedAt); took > maxReadyTime {
 				t.Errorf("ready after %v", took)
 			}
