--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// capacityPollInterval is the time between two looks whether the table has capacity.
+// capacityPollInterval is how often awaitCapacity checks whether the table has a free slot.
 const capacityPollInterval = 10 * time.Millisecond
 
-// The backoff between accepts that fail.
+// The backoff after a failed accept, which doubles from the minimum to the maximum.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 )
 
-// How the kernel's accept queue is emptied before the listener closes.
+// Limits on emptying the kernel's accept queue before the listener closes.
 const (
-	drainAcceptAttempts = 3                      // accepts in a row that find no connection
-	drainAcceptTimeout  = 5 * time.Millisecond   // of each
-	maxDrainAcceptTime  = 100 * time.Millisecond // in all, where new connections keep coming
+	drainAcceptAttempts = 3                      // consecutive accepts without a connection that end the wait
+	drainAcceptTimeout  = 5 * time.Millisecond   // timeout of each of these accepts
+	maxDrainAcceptTime  = 100 * time.Millisecond // in total, in case new connections keep arriving
 )
 
-// Accept returns the next connection that there is capacity for. One for which there is none, and none comes soon, is
-// closed. Its only error is net.ErrClosed.
+// Accept returns the next client connection, once the table has a slot for it. It closes a connection that gets no
+// slot in time. The only error it returns is net.ErrClosed.
 func (c *clientConnections) Accept() (net.Conn, error) {
 	for {
 		netConn, err := c.acceptWithRetry()
@@ -44,8 +44,8 @@
 	}
 }
 
-// awaitCapacity enters a connection in the table, once it has capacity. It returns nil if there is none within the
-// time that an eviction may take.
+// awaitCapacity adds a connection to the table as soon as there is a free slot. It returns nil if there is none
+// within minEvictionGrace, the time that evicting an idle connection may take.
 func (c *clientConnections) awaitCapacity(netConn net.Conn) *clientConn {
 	for remaining := minEvictionGrace; ; remaining -= capacityPollInterval {
 		conn := c.tryAdd(netConn)
@@ -59,10 +59,10 @@
 	}
 }
 
-// acceptWithRetry returns the next connection of the kernel's queue. Accepting fails for a while where the machine or
-// the process lacks something, and for one connection where that has ended in the queue; neither is an end of the
-// listener, and a gateway that took it for one would end under its open requests. So it goes on until the listener is
-// closed, with a short backoff.
+// acceptWithRetry returns the next connection from the kernel's accept queue. An accept fails if the machine or the
+// process temporarily lacks a resource, or if the connection has already ended in the queue. In neither case has the
+// listener failed, and ending the gateway would lose its open requests. So the accept is retried, with a short
+// backoff, until the listener is closed.
 func (c *clientConnections) acceptWithRetry() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		netConn, err := c.acceptOnce()
@@ -78,7 +78,8 @@
 	}
 }
 
-// acceptOnce accepts a connection, or notices that stopAccepting was called and goes on with the queue alone.
+// acceptOnce accepts a connection. Once stopAccepting has been called, it accepts only those that wait in the
+// kernel's queue.
 func (c *clientConnections) acceptOnce() (net.Conn, error) {
 	c.acceptDelay.acceptCalled(time.Now())
 	netConn, err := c.Listener.Accept()
@@ -88,8 +89,8 @@
 	return netConn, err
 }
 
-// stopAccepting ends Accept, once the connections that wait in the kernel's queue have been accepted, and closes the
-// listener. To close it at once would reset them.
+// stopAccepting closes the listener and ends Accept, after the connections that wait in the kernel's queue have been
+// accepted. Closing the listener at once would reset these connections.
 func (c *clientConnections) stopAccepting() {
 	if listener, ok := c.Listener.(deadlineListener); ok {
 		listener.SetDeadline(aLongTimeAgo) // wakes Accept
@@ -98,11 +99,11 @@
 	c.Close()
 }
 
-// deadlineListener is a listener whose Accept can time out, such as TCP's.
+// deadlineListener is a listener whose Accept can time out, such as *net.TCPListener.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// acceptQueued returns a connection that waits in the queue, or closes the listener if there is none. Accept alone
-// calls it.
+// acceptQueued returns a connection that waits in the kernel's queue, or closes the listener if the queue is empty.
+// Only the goroutine that calls Accept may call it.
 func (c *clientConnections) acceptQueued() (net.Conn, error) {
 	if c.drainStarted.IsZero() {
 		c.drainStarted = time.Now()
--- a/internal/gateway/acceptdelay.go
+++ b/internal/gateway/acceptdelay.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// emptyQueueThreshold is how long Accept has to take for the kernel's queue to have been empty when it was called.
+// emptyQueueThreshold is the shortest duration of an Accept call that shows that the kernel's accept queue was empty
+// when the call began.
 const emptyQueueThreshold = time.Millisecond
 
-// acceptDelay bounds how long a connection has waited in the kernel's queue before it was accepted. The kernel does not
-// say when a connection came; but one that Accept returns at once can have come at any moment since the queue was last
-// empty, and what counts of that is the time that the acceptor spent elsewhere. It is owned by the goroutine that
-// accepts; the zero value is that of an acceptor that begins.
+// acceptDelay computes an upper bound on the time that a connection has waited in the kernel's accept queue. The
+// kernel does not report when a connection arrived. A connection that Accept returns at once may have arrived at any
+// time since the queue was last empty. It can't have waited during earlier Accept calls, so only the time between the
+// calls counts. An acceptDelay is owned by the goroutine that accepts; the zero value is ready to use.
 type acceptDelay struct {
 	lastReturn time.Time     // when Accept last returned; zero: never
 	lastCall   time.Time     // when Accept was last called
-	busyTime   time.Duration // spent outside of Accept since the queue was last known to be empty
+	busyTime   time.Duration // time between Accept calls since the queue was last known to be empty
 }
 
-// acceptCalled notes that Accept is called.
+// acceptCalled records that Accept is about to be called.
 func (d *acceptDelay) acceptCalled(now time.Time) {
 	if !d.lastReturn.IsZero() {
 		d.busyTime += now.Sub(d.lastReturn)
@@ -26,11 +27,11 @@
 	d.lastCall = now
 }
 
-// acceptFailed notes that Accept has returned no connection, whatever the queue holds.
+// acceptFailed records that Accept has returned an error, which says nothing about the queue.
 func (d *acceptDelay) acceptFailed(now time.Time) { d.lastReturn = now }
 
-// acceptReturned notes that Accept has returned a connection, and returns the earliest moment at which that can have
-// come.
+// acceptReturned records that Accept has returned a connection, and returns the earliest time at which that
+// connection can have arrived.
 func (d *acceptDelay) acceptReturned(now time.Time) (earliest time.Time) {
 	if now.Sub(d.lastCall) >= emptyQueueThreshold {
 		d.busyTime = 0
@@ -39,8 +40,8 @@
 	return now.Add(-d.busyTime)
 }
 
-// unreadDelay returns how long bytes that have come on a connection may have waited by now, given when the connection
-// can have come at the earliest; 0 if none have come.
+// unreadDelay returns how long the unread bytes of a connection can have waited, if the connection arrived at the
+// earliest time given. It returns 0 if there are no unread bytes.
 func unreadDelay(conn net.Conn, earliest time.Time) time.Duration {
 	if isQuiet(conn) {
 		return 0
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10 // bytes of a body, of a request or of a response
-	maxPreallocatedBody = 4 << 10  // bytes of a stated length for which memory is taken at once
+	maxBodyBytes        = 64 << 10 // bytes of the body of a request or a response
+	maxPreallocatedBody = 4 << 10  // bytes of a stated length that are allocated before they arrive
 )
 
 var (
 	// errBodyTooLong is returned for a body of more than maxBodyBytes.
 	errBodyTooLong = errors.New("the body is too long")
-	// errUndelimitedBody is returned for a body without hasDelimitedBody where the end matters.
-	errUndelimitedBody = errors.New("the end of the body is that of its connection")
+	// errUndelimitedBody is returned for a body without a marked end (see hasDelimitedBody), where the caller has to
+	// know that the body is complete.
+	errUndelimitedBody = errors.New("the body has neither a length nor chunks")
 )
 
-// readBody reads a complete body of the stated length, or to its end where the length is negative. It returns
-// errBodyTooLong for one over the limit, and io.ErrUnexpectedEOF for one that is shorter than stated. A length is but
-// a claim: memory for a long body is taken only as the bytes come.
+// readBody reads a complete body of the stated length, or up to EOF if the length is negative. It returns
+// errBodyTooLong for a body of more than maxBodyBytes, and io.ErrUnexpectedEOF for a body that is shorter than
+// stated. The stated length is not trusted: memory for a body of more than maxPreallocatedBody is allocated only as
+// its bytes arrive.
 func readBody(r io.Reader, length int64) ([]byte, error) {
 	if length > maxBodyBytes {
 		return nil, errBodyTooLong
@@ -40,8 +42,8 @@
 	return body, err
 }
 
-// hasDelimitedBody reports whether a length or chunks mark the end of a body. One that ends with its connection looks
-// complete when it was cut off.
+// hasDelimitedBody reports whether a Content-Length or chunked encoding marks the end of a response's body. A body
+// that ends with its connection looks complete even if it was cut off.
 func hasDelimitedBody(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// maxPipelinedBytes is how many bytes a client may send behind a request that is open.
+// maxPipelinedBytes is the number of bytes that a client may send behind an open request, before its answer.
 const maxPipelinedBytes = 16 << 10
 
-// The bounds of what is read after an incomplete request has been rejected.
+// Limits on reading from a connection after its incomplete request has been rejected.
 const (
 	lingerTime     = 250 * time.Millisecond
 	maxLingerBytes = 16 << 10 // bytes
@@ -25,41 +25,44 @@
 
 // clientConn is one connection of a client.
 //
-// It is closed by the server's goroutine that reads it, and by nobody else, since only that one knows what has been
-// read: when the client has ended it, when an answer says so, and when a wait for bytes has timed out. Whoever wants an
-// idle connection to end sets closing, which ends the wait; a request that comes meanwhile is served all the same. At
-// the very end of a graceful shutdown the server closes what is left.
+// Only the HTTP server's goroutine that reads a connection closes it, because no other goroutine knows what has been
+// read. It closes the connection when the client has ended it, when the response says so, and when a wait for bytes
+// has timed out. Other goroutines end an idle connection by setting closing, which ends the wait for a request. If a
+// request arrives at the same time, it is served all the same. At the very end of a graceful shutdown the server
+// closes the connections that are left.
 type clientConn struct {
 	net.Conn
 	table *clientConnections
 
-	phase     atomicConnPhase // changed under table.mu
-	pipelined []byte          // bytes that came behind a request that is open; owned by the reader
+	phase     atomicConnPhase // written under table.mu
+	pipelined []byte          // bytes received behind an open request; owned by the reading goroutine
 
-	// firstRequestDelay is how long the first request may have waited before the connection was accepted; 0 for those
-	// after it. The server reads it in order: it is set before the connection is served.
+	// firstRequestDelay is how long the first request may have waited before the connection was accepted; 0 for later
+	// requests. It needs no lock: it is set before the connection is served, and then used only by the goroutine that
+	// serves it.
 	firstRequestDelay time.Duration
 
-	// request is the one that is open, for the log; nil: none.
+	// request is the open request, for the log; nil if none is open.
 	request atomic.Pointer[clientRequest]
 
 	// Guarded by table.mu:
 	idleElement  *list.Element // in table.idle; nil while a request is open
-	lastActive   time.Time     // when bytes last came or an answer was completed
-	isNew        bool          // no request has come on it yet
-	closing      bool          // its wait for a request is to end
-	readDeadline time.Time     // as the server set it; zero: none
+	lastActive   time.Time     // when it was accepted, began to send a request or got its answer, whichever was last
+	isNew        bool          // no request has been read from it yet
+	closing      bool          // its wait for a request is to end, so that the server closes it
+	readDeadline time.Time     // set by the server, extended by markReading; zero: none
 }
 
-// aLongTimeAgo is a deadline that ends a wait at once.
+// aLongTimeAgo is a deadline in the past, which ends a wait at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-var errPipelineTooLong = errors.New("too much behind an open request")
+var errPipelineTooLong = errors.New("too many bytes behind an open request")
 
-// Read notes when a request begins, and keeps the bytes that come behind one that is open: the server watches for a
-// client that disconnects by reading one byte, and bytes behind the request would end that watch; its request would
-// then be forwarded for nobody. So they are buffered here and the watch goes on, up to a bound, beyond which the
-// connection counts as ended.
+// Read records when a request begins, and buffers the bytes that arrive behind an open request. While a request is
+// open, the server reads a single byte to notice a client that disconnects. A byte sent behind the request would end
+// that read, and the server would not notice a later disconnect: the request would be forwarded although nobody waits
+// for it. So such bytes are buffered here and the watch continues. A client that sends maxPipelinedBytes is treated
+// as disconnected.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.phase.load() == phaseOpen {
 		return 0, c.watchForClose(p)
@@ -79,8 +82,9 @@
 	return n, err
 }
 
-// readTimedOut looks once more, without waiting, for bytes that came as a wait ended; to close over them would reset the
-// connection. If there are none, and a part of a request has come, the client gets an answer.
+// readTimedOut reads once more, without blocking, in case bytes arrived as the wait timed out: closing a connection
+// with unread bytes would reset it. If nothing has arrived but a part of a request had been read before, the client
+// gets an error response.
 func (c *clientConn) readTimedOut(p []byte, timeout error) (int, error) {
 	n, err := receive(c.Conn, p, syscall.MSG_DONTWAIT)
 	switch {
@@ -95,7 +99,7 @@
 	return n, err
 }
 
-// watchForClose waits for the end of the connection and buffers the bytes that come before it.
+// watchForClose blocks until the connection ends, and buffers the bytes that arrive before that.
 func (c *clientConn) watchForClose(p []byte) error {
 	n, err := c.Conn.Read(p)
 	c.pipelined = append(c.pipelined, p[:n]...)
@@ -112,8 +116,8 @@
 	return err
 }
 
-// SetReadDeadline is what the server calls before it waits for bytes. See applyReadDeadline for what else bounds the
-// wait.
+// SetReadDeadline is called by the HTTP server before it waits for bytes. The wait may end earlier; see
+// applyReadDeadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -121,10 +125,10 @@
 	return c.applyReadDeadline()
 }
 
-// applyReadDeadline sets the deadline that holds: the server's, a moment in the past for a connection that is closing,
-// or a shutdown's for a request that is being read. It is called under table.mu whenever one of them changes, so that
-// none undoes another. The server has no deadline while it watches for a client that disconnects, and then no other
-// holds either.
+// applyReadDeadline sets the read deadline of the socket. This is the server's deadline, unless the connection is
+// closing (a time in the past) or a shutdown's readCutoff ends the reading of a request earlier. It is called under
+// table.mu whenever one of these changes, so that no deadline overwrites another. While the server watches for a
+// client that disconnects, it has no deadline, and the others don't apply either.
 func (c *clientConn) applyReadDeadline() error {
 	readCutoff := c.table.readCutoff
 	switch {
@@ -136,18 +140,20 @@
 	return c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-// rejectIncomplete answers a request whose head is not waited for any longer; the server would close without an answer,
-// and a client that has just sent the last byte could not tell that from a loss. What still comes is read for a while,
-// since a close over unread bytes would reset the connection under the answer.
+// rejectIncomplete answers a request whose header the gateway no longer waits for. The server would close the
+// connection without a response, and a client that has just sent the last byte could not tell that from a lost
+// request. Bytes that still arrive are read for lingerTime, because closing a connection with unread bytes resets it,
+// and the client might lose the response.
 func (c *clientConn) rejectIncomplete(status int) {
 	c.table.metrics.add(requestsIncomplete)
 	c.Conn.SetDeadline(time.Now().Add(lingerTime))
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 	c.CloseWrite()
-	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // an error is the end of it
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // an error only ends the reading
 }
 
-// CloseWrite lets the server end an answer in good order before it closes.
+// CloseWrite closes the sending side of the connection. The HTTP server calls it after a response, before it closes
+// the connection, so that the client receives the whole response.
 func (c *clientConn) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
@@ -155,7 +161,7 @@
 	return nil
 }
 
-// takeFirstRequestDelay returns firstRequestDelay for the connection's first request, and 0 for those after it.
+// takeFirstRequestDelay returns firstRequestDelay at the first call, and 0 at later calls.
 func (c *clientConn) takeFirstRequestDelay() time.Duration {
 	delay := c.firstRequestDelay
 	c.firstRequestDelay = 0
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// When idle connections are closed for newcomers.
+// When idle connections are evicted for new ones.
 const (
-	softLimitShare     = 0.8                    // of maxConns; above it newcomers replace idle connections
-	evictionGrace      = 2 * time.Second        // a connection is left alone for so long after its last activity
-	minEvictionGrace   = 100 * time.Millisecond // and for so long where all maxConns are in use
-	evictionsPerAccept = 2                      // for each newcomer, at most
+	softLimitShare     = 0.8                    // of maxConns; above it new connections replace idle ones
+	evictionGrace      = 2 * time.Second        // a connection is not evicted for so long after its last activity
+	minEvictionGrace   = 100 * time.Millisecond // the same while all maxConns are in use
+	evictionsPerAccept = 2                      // for each new connection, at most
 )
 
-// clientConnections is a listener that keeps the number of client connections bounded. A listener that only stopped
-// accepting at its bound would hand the gateway over to whoever connects and says nothing; usual clients would wait in
-// the backlog behind them. Here a newcomer takes the place of the connection that has been without an open request for
-// the longest.
+// clientConnections is a listener that limits the number of client connections. If it only stopped accepting at the
+// limit, clients that connect and send nothing could take all connections, and other clients would wait in the
+// backlog behind them. Instead, a new connection replaces the one that has been without an open request for the
+// longest time.
 type clientConnections struct {
 	net.Listener
 	maxConns  int
 	metrics   *metrics
 	log       *slog.Logger
-	slotFreed chan struct{} // has an element when a connection has ended
+	slotFreed chan struct{} // has an element when a connection has been removed
 
 	// Owned by the goroutine that calls Accept:
-	drainStarted time.Time // when it began to empty the accept queue of a listener that is to close; zero: it has not
+	drainStarted time.Time // when it began to empty the accept queue before closing the listener; zero: it has not
 	acceptDelay  acceptDelay
 
 	mu         sync.Mutex
@@ -36,11 +36,11 @@
 	idle       list.List // of *clientConn without an open request, the longest idle first
 	closing    int       // number of connections with closing set
 	draining   bool      // connections are closed once they are idle
-	readCutoff time.Time // of a graceful shutdown: a request that is not complete by then is rejected; zero: none
+	readCutoff time.Time // of a graceful shutdown: a request that is incomplete then is rejected; zero: none
 }
 
-// newClientConnections returns a table of at most maxConns connections of listener. The caller may replace its metrics
-// and log before the first Accept.
+// newClientConnections returns a table for at most maxConns connections accepted from listener. The caller may
+// replace its metrics and log before the first Accept.
 func newClientConnections(listener net.Listener, maxConns int) *clientConnections {
 	return &clientConnections{
 		Listener:  listener,
@@ -52,7 +52,8 @@
 	}
 }
 
-// tryAdd enters a new connection in the table, and makes capacity for further ones. It returns nil if the table is full.
+// tryAdd adds a new connection to the table, after evicting idle connections where needed. It returns nil if the
+// table is full.
 func (c *clientConnections) tryAdd(netConn net.Conn) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +67,8 @@
 	return conn
 }
 
-// evictIdle ends connections that have been idle for long enough, if the table is above its soft limit. Their places are
-// free when the server has closed them.
+// evictIdle evicts connections that have been idle for long enough, if the table is above its soft limit. Their slots
+// are free once the server has closed them.
 func (c *clientConnections) evictIdle() {
 	softLimit := int(softLimitShare * float64(c.maxConns))
 	now := time.Now()
@@ -80,7 +81,7 @@
 		conn := e.Value.(*clientConn)
 		idleFor := now.Sub(conn.lastActive)
 		if idleFor < minEvictionGrace || idleFor < evictionGrace && remaining < c.maxConns {
-			return // all others have been idle for less
+			return // the other connections have been idle for a shorter time
 		}
 		if c.evict(conn) {
 			evicted++
@@ -88,8 +89,8 @@
 	}
 }
 
-// evict ends a connection without an open request to make capacity, unless it is ending already or bytes have come that
-// the server has not read. It reports whether it did.
+// evict closes a connection without an open request to free its slot. It does nothing if the connection is already
+// closing, or if bytes have arrived that the server has not read. It reports whether it evicted the connection.
 func (c *clientConnections) evict(conn *clientConn) bool {
 	if conn.closing || !isQuiet(conn.Conn) {
 		return false
@@ -99,7 +100,8 @@
 	return true
 }
 
-// closeWhenIdle ends a connection's wait for a request, or for the rest of one, now or as soon as it is idle.
+// closeWhenIdle ends the server's wait for a request, or for the rest of a request, on a connection: at once, or as
+// soon as the wait begins. The server then closes the connection.
 func (c *clientConnections) closeWhenIdle(conn *clientConn) {
 	if !conn.closing {
 		conn.closing = true
@@ -108,7 +110,7 @@
 	conn.applyReadDeadline()
 }
 
-// cancelClose takes a closeWhenIdle back.
+// cancelClose undoes closeWhenIdle.
 func (c *clientConnections) cancelClose(conn *clientConn) {
 	if conn.closing {
 		conn.closing = false
@@ -117,12 +119,12 @@
 	}
 }
 
-// remove takes a closed connection out of the table.
+// remove removes a closed connection from the table.
 func (c *clientConnections) remove(conn *clientConn) {
 	c.markActive(conn)
 	delete(c.conns, conn)
 	select {
 	case c.slotFreed <- struct{}{}:
-	default: // nobody has taken the last one yet
+	default: // an element is already in the channel
 	}
 }
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// connPhase is what a client's connection is doing.
+// connPhase is the phase of a client's connection.
 type connPhase int32
 
 // The phases of a connection.
 const (
-	phaseIdle      connPhase = iota // nothing has come since it was accepted or last answered
-	phaseReading                    // a part of a request has come
+	phaseIdle      connPhase = iota // nothing has arrived since the accept or the last answer
+	phaseReading                    // a part of a request has arrived
 	phaseOpen                       // a request is open
 	connPhaseCount                  // the number of phases
 )
 
-// String returns the name of a phase, as in log lines.
+// String returns the name of a phase that log lines use.
 func (p connPhase) String() string {
 	switch p {
 	case phaseIdle:
@@ -32,7 +32,7 @@
 	return "connPhase(" + strconv.Itoa(int(p)) + ")"
 }
 
-// atomicConnPhase is a connPhase that many goroutines may use. The zero value is phaseIdle.
+// atomicConnPhase is a connPhase for concurrent use. The zero value is phaseIdle.
 type atomicConnPhase struct{ value atomic.Int32 }
 
 // load returns the phase.
@@ -41,7 +41,7 @@
 // store sets the phase.
 func (a *atomicConnPhase) store(p connPhase) { a.value.Store(int32(p)) }
 
-// onConnState follows what the HTTP server does with a connection.
+// onConnState updates the table when the HTTP server reports a new state of a connection.
 func (c *clientConnections) onConnState(netConn net.Conn, connState http.ConnState) {
 	conn := netConn.(*clientConn)
 	c.mu.Lock()
@@ -60,15 +60,15 @@
 	}
 }
 
-// markIdle puts a connection behind all others that are idle.
+// markIdle adds a connection to the end of the idle list.
 func (c *clientConnections) markIdle(conn *clientConn) {
 	conn.lastActive = time.Now()
 	conn.idleElement = c.idle.PushBack(conn)
 	conn.phase.store(phaseIdle)
 }
 
-// markReading notes that a request has begun to come. It gets the time of a new connection to become complete, whatever
-// was to end the wait for it.
+// markReading records that a request has begun to arrive on an idle connection. The request gets as much time to
+// become complete as on a new connection, even if the connection was about to be closed.
 func (c *clientConnections) markReading(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,12 +81,12 @@
 	c.cancelClose(conn)
 	minDeadline := conn.lastActive.Add(readTimeout)
 	if !conn.isNew && conn.readDeadline.Before(minDeadline) {
-		conn.readDeadline = minDeadline // the server's was for the wait alone
+		conn.readDeadline = minDeadline // the server's deadline was only for the wait between requests
 	}
 	conn.applyReadDeadline()
 }
 
-// markActive takes a connection out of those that are idle.
+// markActive removes a connection from the idle list.
 func (c *clientConnections) markActive(conn *clientConn) {
 	conn.phase.store(phaseOpen)
 	c.cancelClose(conn)
@@ -96,8 +96,8 @@
 	}
 }
 
-// markAnswered notes that a connection's request has been answered. Bytes that came behind it are the beginning of the
-// next one.
+// markAnswered records that a connection's request has been answered. Bytes that arrived behind it are the beginning
+// of the next request.
 func (c *clientConnections) markAnswered(conn *clientConn) {
 	c.markIdle(conn)
 	switch {
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -7,7 +7,7 @@
 	"amberlb/policy"
 )
 
-// clientRequest is one request of a client, from its last byte to its final answer.
+// clientRequest is one request of a client, from the arrival of its last byte until its final answer.
 type clientRequest struct {
 	correlationID string         // the client's own id
 	decoded       policy.Request // its ID is set by the loop
@@ -17,14 +17,14 @@
 	header        http.Header // forwarded to the backend
 	body          []byte
 
-	// response takes the one final answer. It has room for one, so that the loop never waits.
+	// response receives the one final answer. It has capacity for it, so that the loop never blocks.
 	response chan clientResponse
-	// onSent is called by a hollow gateway when the first of the attempts reaches a backend; else nil.
+	// onSent is called in a hollow gateway when the first attempt reaches a backend; nil in other gateways.
 	onSent func()
-	// disconnected says that the client has disconnected: no attempt may begin.
+	// disconnected is set once the client has disconnected. No attempt may begin after that.
 	disconnected atomic.Bool
 
-	// Owned by the loop:
+	// Owned by the event loop:
 	unanswered       bool // the final answer has not been given
 	attemptsInFlight int  // attempts that have not ended
 	attempts         []*attempt
--- a/internal/gateway/clientresponse.go
+++ b/internal/gateway/clientresponse.go
@@ -29,11 +29,11 @@
 		return
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // the backend named none, and net/http's detection costs time
+		header["Content-Type"] = nil // the backend sent none; nil turns off net/http's detection, which costs time
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(r.body))}
 	w.WriteHeader(r.status)
-	w.Write(r.body) // an error means that the client has disconnected
+	w.Write(r.body) // an error means that the client has disconnected; nothing is left to do
 }
 
 // formatRetryAfter writes seconds as a decimal, rounded up to whole milliseconds.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -14,7 +14,7 @@
 	"amberlb/policy"
 )
 
-// The limits below which a gateway can't do its work.
+// The lowest resource limits with which a gateway can work.
 const (
 	minMemoryMB = 16
 	minSockets  = 128
@@ -30,14 +30,14 @@
 	Cores           float64
 	MemoryMB        int
 	Sockets         int          // file descriptors
-	CachedEndpoints EndpointList // the list of backends as last known
+	CachedEndpoints EndpointList // the endpoint list from before the start
 	wire.Deployment
 
-	// Log takes the gateway's lines; nil: slog.Default. It doesn't come from the file.
+	// Log receives the gateway's log lines; nil stands for slog.Default(). It is not part of the configuration file.
 	Log *slog.Logger
 }
 
-// logger returns where lines go.
+// logger returns the logger for the gateway's log lines.
 func (c *Config) logger() *slog.Logger {
 	if c.Log == nil {
 		return slog.Default()
@@ -57,20 +57,21 @@
 	Settings        json.RawMessage `json:"settings"`
 }
 
-// limitsSection is what the process may use.
+// limitsSection holds the resource limits of the process.
 type limitsSection struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// invalidKey returns an error that says what is wrong with a key of the file. Inner keys are separated by dots.
+// invalidKey returns an error that names a key of the configuration file and says what is wrong with its value.
+// Nested keys are joined by dots.
 func invalidKey(key, format string, args ...any) error {
 	return fmt.Errorf("%s: %w", key, fmt.Errorf(format, args...))
 }
 
-// ReadConfig reads and validates the configuration file at path. Its error is one line that names the file and, where
-// there is one, the key.
+// ReadConfig reads and validates the configuration file at path. Its error is one line that names the file and, if
+// the error is about one key, the key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return c, c.validate()
 }
 
-// validate finds what a gateway could not run with, before any socket is opened.
+// validate checks the values without which a gateway can't run, before any socket is opened.
 func (c *Config) validate() error {
 	checks := []func() error{
 		c.validateAddresses,
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// validateNames checks the names by which clients call classes and plans.
+// validateNames checks the names of classes and plans that clients send.
 func (c *Config) validateNames() error {
 	if err := checkNames("class", c.ClassNames); err != nil {
 		return err
@@ -164,17 +165,17 @@
 	return checkNames("plan", c.PlanNames)
 }
 
-// checkNames checks that each name can be told from the others. kind is what they name.
+// checkNames checks that no name is empty or duplicate. kind says what is named, for the error.
 func checkNames(kind string, names []string) error {
 	for i, name := range names {
 		if name == "" || slices.Contains(names[:i], name) {
-			return invalidKey("settings", "%s %q: the name is empty or stands twice", kind, name)
+			return invalidKey("settings", "%s %q: the name is empty or duplicate", kind, name)
 		}
 	}
 	return nil
 }
 
-// validateClasses checks the ranges of what the settings state of each class.
+// validateClasses checks the ranges of the settings of each class.
 func (c *Config) validateClasses() error {
 	for i, class := range c.Classes {
 		if problem := classProblem(class); problem != "" {
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// classProblem returns what is out of range in a class; "" if nothing is.
+// classProblem describes the first value of a class that is out of range; "" if all are in range.
 func classProblem(class policy.Class) string {
 	switch {
 	case class.LatencyObjective <= 0:
@@ -194,12 +195,12 @@
 	case class.PriorityWeight < 0:
 		return "the priority weight must not be below 0"
 	case class.DedupeWindow < 0:
-		return "the window in which keys are recognised must not be below 0"
+		return "the dedupe window must not be below 0"
 	}
 	return ""
 }
 
-// validatePlans checks the ranges of what the settings state of each plan.
+// validatePlans checks the ranges of the settings of each plan.
 func (c *Config) validatePlans() error {
 	for i, plan := range c.Plans {
 		if problem := planProblem(plan); problem != "" {
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// planProblem returns what is out of range in a plan; "" if nothing is.
+// planProblem describes the first value of a plan that is out of range; "" if all are in range.
 func planProblem(plan policy.Plan) string {
 	switch {
 	case plan.WeightFactor < 0:
@@ -228,24 +229,24 @@
 	return ""
 }
 
-// validateLimits checks that the gateway has the resources to work.
+// validateLimits checks that the resource limits are high enough.
 func (c *Config) validateLimits() error {
 	switch {
 	case c.Cores <= 0:
-		return invalidKey("limits.cores", "%g is too little", c.Cores)
+		return invalidKey("limits.cores", "%g is too low; it must be above 0", c.Cores)
 	case c.MemoryMB < minMemoryMB:
-		return invalidKey("limits.memory_mb", "%d is too little; %d are needed", c.MemoryMB, minMemoryMB)
+		return invalidKey("limits.memory_mb", "%d is too low; at least %d are needed", c.MemoryMB, minMemoryMB)
 	case c.Sockets < minSockets:
-		return invalidKey("limits.sockets", "%d is too little; %d are needed", c.Sockets, minSockets)
+		return invalidKey("limits.sockets", "%d is too low; at least %d are needed", c.Sockets, minSockets)
 	}
 	return nil
 }
 
-// validateSettings checks the gateway's place in its fleet and the spans of time.
+// validateSettings checks the gateway's index in the fleet and the durations.
 func (c *Config) validateSettings() error {
 	switch {
 	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
-		return invalidKey("settings", "rank %d is not among %d gateways", c.GatewayIndex, c.FleetSize)
+		return invalidKey("settings", "rank %d is not an index in a fleet of %d gateways", c.GatewayIndex, c.FleetSize)
 	case c.Tick <= 0:
 		return invalidKey("settings", "the tick must be above 0")
 	case c.ConnectTimeout <= 0:
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -15,7 +15,7 @@
 	"amberlb/policy"
 )
 
-// The bounds of what a client may state in its headers.
+// Limits on the values in a client's headers.
 const (
 	maxIDBytes       = 256 // bytes of a correlation id or an idempotency key
 	maxClientTimeout = time.Hour
@@ -23,25 +23,27 @@
 	customerIDLimit  = 1 << 33 // customer ids are below it
 )
 
-// requestError is the reason why a client's request is invalid. It never reaches the decisions or a backend.
+// requestError says why a client's request is invalid. An invalid request reaches neither the policy engine nor a
+// backend.
 type requestError struct {
 	status int   // the HTTP status of the answer, 4xx or 5xx
-	err    error // what is wrong; its text is the body of the answer
+	err    error // the cause; its text is the body of the answer
 }
 
-// Error returns what is wrong with the request, without the status.
+// Error returns the text of the cause, without the status.
 func (e *requestError) Error() string { return e.err.Error() }
 
-// Unwrap returns what is wrong with the request.
+// Unwrap returns the cause.
 func (e *requestError) Unwrap() error { return e.err }
 
-// badRequest returns a requestError with status 400 and a formatted text.
+// badRequest returns a requestError with status 400 and a formatted cause.
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// decode validates a client's request and reads it whole, body included. Its error is a *requestError. The server's
-// watch for a client that disconnects, which a read deadline would end, runs when it has returned without an error.
+// decode reads a client's request with its whole body and validates it. Its error is a *requestError. When it returns
+// without an error, the server has begun to watch for a client that disconnects: the body has been read to its end,
+// and the read deadline, which would end the watch, has been cleared.
 func (f *frontend) decode(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	receivedAt := f.loop.clock.now()
 	if err := checkFraming(r); err != nil {
@@ -61,14 +63,15 @@
 		if err != nil {
 			return nil, err
 		}
-		receivedAt = f.loop.clock.now() // a request's time counts from its last byte
+		receivedAt = f.loop.clock.now() // the client's timeout counts from the last byte of its request
 	}
 	if conn := clientConnOf(r); conn != nil {
 		receivedAt -= conn.takeFirstRequestDelay().Seconds()
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	decoded.SentAt = receivedAt
-	// A client that claims hours would hold its request, and a graceful shutdown, for as long as a backend hangs.
+	// The class's deadline applies too: a client that states a timeout of hours would otherwise keep its request open,
+	// and delay a graceful shutdown, for as long as a backend hangs.
 	decoded.Deadline = min(decoded.Deadline, class.Deadline) + receivedAt - responseMargin
 	return &clientRequest{
 		correlationID: r.Header.Get(correlationIDHeader),
@@ -82,21 +85,21 @@
 	}, nil
 }
 
-// checkFraming rejects requests whose end net/http and a backend might see at different bytes.
+// checkFraming rejects requests for which net/http and a backend might disagree on where they end.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
-		// HTTP/1.0 frames requests by other rules; net/http drops a Transfer-Encoding there without notice.
+		// HTTP/1.0 frames requests by other rules, and net/http silently drops its Transfer-Encoding header.
 		return &requestError{http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")}
 	}
 	if len(r.TransferEncoding) > 0 {
-		// There may have been a Content-Length too, which net/http drops without notice, and another request in the
-		// body as counted by that. A length is required, as RFC 9110, 15.5.12 allows.
+		// The request may have had a Content-Length too, which net/http silently drops. A backend that goes by that
+		// length could find another request inside the body. RFC 9110, 15.5.12 allows a server to require a length.
 		return &requestError{http.StatusLengthRequired, errors.New("a body needs a Content-Length")}
 	}
 	return nil
 }
 
-// checkAgainstClass rejects requests whose method, idempotency key or claimed length does not suit their class.
+// checkAgainstClass rejects requests whose method, idempotency key or stated length is not allowed for their class.
 func checkAgainstClass(r *http.Request, idempotency policy.Idempotency) error {
 	wantMethod := http.MethodPost
 	if idempotency == policy.Idempotent {
@@ -118,17 +121,17 @@
 	return nil
 }
 
-// readRequestBody reads a body of known length whole.
+// readRequestBody reads the whole body of a request whose length is known.
 func readRequestBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := readBody(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
 	if err != nil {
 		return nil, requestBodyError(err, clientConnOf(r))
 	}
-	io.Copy(io.Discard, r.Body) // to its end: only then does the server watch for a client that disconnects
+	io.Copy(io.Discard, r.Body) // up to EOF, after which the server watches for a client that disconnects
 	return body, nil
 }
 
-// requestBodyError finds the status for a body that could not be read from conn.
+// requestBodyError returns the requestError for a body that could not be read from conn.
 func requestBodyError(err error, conn *clientConn) error {
 	var tooLong *http.MaxBytesError
 	switch {
@@ -140,9 +143,9 @@
 	return badRequest("body: %w", err)
 }
 
-// decodeHeaders reads the headers that the decisions need. Deadline is the client's timeout in seconds as yet, not a
-// moment. No header has a default: a request that is not understood might be charged to the wrong customer or retried
-// although its class forbids it.
+// decodeHeaders reads the headers that the policy engine needs. In its result, Deadline is the client's timeout in
+// seconds and not yet a time of the clock. No header has a default: a wrong guess might charge the request to the
+// wrong customer, or allow a retry that the class forbids.
 func (f *frontend) decodeHeaders(r *http.Request) (policy.Request, error) {
 	var decoded policy.Request
 	if err := checkSingleHeaders(r.Header); err != nil {
@@ -172,7 +175,7 @@
 	return decoded, f.decodeQuota(&decoded, r.Header.Get(quotaHeader))
 }
 
-// checkSingleHeaders rejects a request in which one of singleHeaders occurs twice.
+// checkSingleHeaders rejects a request that repeats one of singleHeaders.
 func checkSingleHeaders(header http.Header) error {
 	for _, name := range singleHeaders {
 		if len(header[name]) > 1 {
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// decodeClass returns the index of a request's class, which its path must begin with.
+// decodeClass returns the index of a request's class. The path must begin with the name of the class.
 func (f *frontend) decodeClass(r *http.Request) (int, error) {
 	name := r.Header.Get(classHeader)
 	class := slices.Index(f.deployment.ClassNames, name)
@@ -196,7 +199,7 @@
 	return class, nil
 }
 
-// decodeCustomer parses an API key, which is the number of a customer.
+// decodeCustomer parses an API key, which is the customer's id in hex digits.
 func decodeCustomer(key string) (policy.CustomerID, error) {
 	id, err := strconv.ParseUint(key, 16, 64)
 	if err != nil || len(key) != customerIDDigits || id >= customerIDLimit {
@@ -205,7 +208,7 @@
 	return policy.CustomerID(id), nil
 }
 
-// decodeTimeout parses the time that a client will wait, and returns it in seconds.
+// decodeTimeout parses a client's timeout in milliseconds and returns it in seconds.
 func decodeTimeout(text string) (float64, error) {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || millis <= 0 || millis > maxClientTimeout.Milliseconds() {
@@ -214,10 +217,10 @@
 	return float64(millis) / 1000, nil
 }
 
-// decodeQuota parses the units of a request and the gateways of its customer, and checks their ranges. Unknown keys
-// are ignored.
+// decodeQuota parses the header with the units of a request and the gateways of its customer, and checks their
+// ranges. It ignores unknown keys.
 func (f *frontend) decodeQuota(decoded *policy.Request, text string) error {
-	seenKeys := "" // each followed by "="; a key that ends another one counts as seen too
+	seenKeys := "" // each followed by "="; a suffix of a seen key counts as seen too
 	for pair := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if strings.Contains(seenKeys, key+"=") {
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// quotaInRange reports whether the units of a request and the gateways of its customer are possible in this deployment.
+// quotaInRange reports whether the units of a request and the gateways of its customer are valid in this deployment.
 func (f *frontend) quotaInRange(decoded *policy.Request) bool {
 	maxUnits := f.deployment.MaxUnits
 	if maxUnits <= 0 {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,9 +1,10 @@
-// Package gateway is the gateway on sockets, around the decision module: it turns what happens on sockets into events of a
-// policy.Engine and carries out its actions. Which request goes where, and when it is rejected, is decided in package
-// policy alone.
+// Package gateway implements the network side of the gateway around the decision module. It turns what happens on
+// sockets into events of a policy.Engine and carries out the engine's actions. Only package policy decides which
+// backend a request goes to and when it is rejected.
 //
-// Run is the whole gateway; Hollow is one without sockets to clients and backends, for measuring many of them in a
-// process. The event loop alone uses the engine, and waits for no socket: the front end, the connection pools, the
-// counter client and the discovery watch have goroutines of their own and send it typed messages. The server owns them
-// all and awaits their ends. docs/ARCHITECTURE.md shows the way of a request through them.
+// Run runs a whole gateway. Hollow is a gateway without sockets to clients and backends, for measuring many of them
+// in one process. Only the event loop uses the engine, and it never blocks on a socket. The front end, the connection
+// pools, the counter client and the discovery watch run in goroutines of their own and send typed messages to the
+// loop. The server owns these goroutines and waits for them to end. docs/ARCHITECTURE.md shows the path of a request
+// through them.
 package gateway
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// drainPollInterval is the time between two searches for idle connections at the end of a graceful shutdown.
+// drainPollInterval is how often awaitClosed searches for idle connections at the end of a graceful shutdown.
 const drainPollInterval = 100 * time.Millisecond
 
-// drain closes connections that are idle, now and as they become so. New ones are left, since a request is about to come
-// on them. Requests that are not complete by readCutoff are rejected.
+// drain closes idle connections, now and whenever one becomes idle. It leaves new connections open, because a request
+// is about to arrive on them. Requests that are incomplete at readCutoff are rejected.
 func (c *clientConnections) drain(readCutoff time.Time) {
 	c.setReadCutoff(readCutoff)
 	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
 }
 
-// setReadCutoff bounds the reading of requests, those that have begun included.
+// setReadCutoff sets a deadline for reading requests, including the ones that have begun to arrive.
 func (c *clientConnections) setReadCutoff(readCutoff time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,21 +26,22 @@
 	}
 }
 
-// incompleteStatus returns the status for a request whose rest is not waited for.
+// incompleteStatus returns the status for an incomplete request that the gateway no longer waits for.
 func (c *clientConnections) incompleteStatus(conn *clientConn) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pastCutoff := !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff)
 	if conn.closing || pastCutoff {
-		return http.StatusServiceUnavailable // the gateway lacks capacity or time for it: a retry is harmless
+		return http.StatusServiceUnavailable // the gateway lacks capacity or time for it: the client may retry
 	}
 	return http.StatusRequestTimeout
 }
 
-// closeAllIdle closes connections that are idle, now and as they become so, new ones included.
+// closeAllIdle closes idle connections, new ones included, now and whenever one becomes idle.
 func (c *clientConnections) closeAllIdle() { c.closeIdle(func(*clientConn) bool { return true }) }
 
-// closeIdle closes the idle connections that match, and from now on each that becomes idle.
+// closeIdle closes the idle connections for which matches returns true, and from now on every connection that becomes
+// idle.
 func (c *clientConnections) closeIdle(matches func(*clientConn) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,8 +54,8 @@
 	}
 }
 
-// awaitClosed closes idle connections, new ones included, until none is left. It returns false if some are left after
-// timeout.
+// awaitClosed closes idle connections, new ones included, until no connection is left. It returns false if
+// connections are left after the timeout.
 func (c *clientConnections) awaitClosed(timeout time.Duration) bool {
 	expired := time.After(timeout)
 	for {
@@ -78,7 +79,7 @@
 	return len(c.conns)
 }
 
-// LogValue lists the number of connections by phase.
+// LogValue returns the number of connections in each phase.
 func (c *clientConnections) LogValue() slog.Value {
 	phases := c.countByPhase()
 	attrs := make([]slog.Attr, 0, connPhaseCount)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -9,7 +9,7 @@
 	"amberlb/internal/wire"
 )
 
-// readyPath answers 200 while the gateway takes clients.
+// readyPath is the path of the readiness check, which returns 200 while the gateway accepts clients.
 const readyPath = "/health/ready"
 
 // frontend is the HTTP handler for clients: it decodes each request, hands it to the event loop and writes the one
@@ -17,12 +17,12 @@
 type frontend struct {
 	loop       *eventLoop
 	deployment *wire.Deployment
-	ready      atomic.Bool // there is a list of endpoints to forward by
-	draining   atomic.Bool // a graceful shutdown has begun: connections are closed after their answer
-	rejecting  atomic.Bool // it is too late in the shutdown to accept requests
+	ready      atomic.Bool // an endpoint list is in use
+	draining   atomic.Bool // a graceful shutdown has begun: each connection is closed after its answer
+	rejecting  atomic.Bool // the shutdown no longer admits requests
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP handles one request of a client.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath {
 		f.serveReadiness(w)
@@ -35,8 +35,8 @@
 	}
 	conn := clientConnOf(r)
 	if peerClosed(conn.Conn) {
-		// The connection may have waited long to be accepted, and the server's watch for a client that disconnects has
-		// only just begun.
+		// The client may have disconnected while its connection waited to be accepted, and the server has only just
+		// begun to watch for that.
 		f.answerDisconnected(w)
 		return
 	}
@@ -49,7 +49,7 @@
 	f.serveRequest(w, r, req)
 }
 
-// serveReadiness answers a health check.
+// serveReadiness answers a readiness check.
 func (f *frontend) serveReadiness(w http.ResponseWriter) {
 	draining := f.draining.Load()
 	if draining {
@@ -62,8 +62,8 @@
 	io.WriteString(w, "ready\n")
 }
 
-// rejectInvalid answers a request that could not be decoded, and closes its connection: what follows the request may be
-// a part of it.
+// rejectInvalid answers a request that could not be decoded, and closes its connection: the bytes behind the request
+// may belong to it.
 func (f *frontend) rejectInvalid(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var invalid *requestError
@@ -75,15 +75,15 @@
 	http.Error(w, err.Error(), status)
 }
 
-// rejectLate answers a request that comes too late in a graceful shutdown: it might still be in flight when the gateway
-// is killed.
+// rejectLate rejects a request that arrives too late in a graceful shutdown: it might still be in flight when the
+// process is killed.
 func (f *frontend) rejectLate(w http.ResponseWriter) {
 	f.loop.metrics.add(requestsWhileDraining)
 	f.respond(w, clientResponse{status: http.StatusServiceUnavailable})
 }
 
-// serveRequest hands a request to the loop and writes its final answer. It returns early if the client disconnects or
-// the loop ends.
+// serveRequest hands a request to the event loop and writes its final answer. It stops waiting for the answer if the
+// client disconnects or the loop ends.
 func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, req *clientRequest) {
 	if !f.loop.post(requestArrived{req}) {
 		f.respond(w, clientResponse{status: http.StatusInternalServerError})
@@ -93,7 +93,8 @@
 	case response := <-req.response:
 		f.respond(w, response)
 	case <-r.Context().Done():
-		// The loop may be far behind, and messages that it has not read yet would start attempts.
+		// The flag takes effect at once. The loop may have messages to handle before this one, and these could start
+		// attempts.
 		req.disconnected.Store(true)
 		f.loop.post(clientDisconnected{req})
 		f.answerDisconnected(w)
@@ -102,15 +103,16 @@
 	}
 }
 
-// answerDisconnected ends the connection of a client that has disconnected. A client that has closed only its sending
-// side still reads, and a handler that writes nothing answers 200, which no backend has said.
+// answerDisconnected ends the connection of a client that has disconnected. It writes an error, because a client that
+// has closed only its sending side still reads: for a handler that writes nothing, net/http would send a 200 that no
+// backend has given.
 func (f *frontend) answerDisconnected(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	f.respond(w, clientResponse{status: http.StatusBadGateway})
 }
 
-// respond writes an answer to the client. A graceful shutdown may have begun since the request arrived, and then the
-// connection is closed after it.
+// respond writes an answer to the client. It also closes the connection if a graceful shutdown has begun, even if
+// that was after the request arrived.
 func (f *frontend) respond(w http.ResponseWriter, response clientResponse) {
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// The headers of a client's request that the decisions read, by the field's terms. The protocol's own names stand here
-// alone.
+// The headers of a client's request that the gateway reads. The names of the constants are the usual terms; the
+// protocol's own names appear in this file only.
 const (
 	correlationIDHeader  = "X-Correlation-Id" // the client's id of the request
 	classHeader          = "X-Service-Class"  // the service class
 	planHeader           = "X-Tier"           // the customer's plan
 	apiKeyHeader         = "X-Api-Key"        // the customer, as 16 hex digits
-	idempotencyKeyHeader = "Idempotency-Key"  // by which a backend recognises a retry
+	idempotencyKeyHeader = "Idempotency-Key"  // lets a backend recognise a retry
 	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways of its customer
 	retryHeader          = "X-Repeat"         // "1" for a retry by the client
-	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds left for the request; to a backend as well
+	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds left for the request; also sent to backends
 )
 
-// The headers of a backend's response that are read.
+// The headers of a backend's response that the gateway reads.
 const (
-	loadHeader        = "X-Backend-Load" // the backend's own account of its load
+	loadHeader        = "X-Backend-Load" // the load that the backend reports
 	unprocessedHeader = "X-Unprocessed"  // "1": nothing of the request was executed
 )
 
@@ -29,11 +29,11 @@
 const (
 	unitsKey        = "units"  // quota units that the request costs
 	gatewaysKey     = "spread" // number of gateways that serve the customer
-	firstGatewayKey = "first"  // index in the fleet of the first of them
+	firstGatewayKey = "first"  // index in the fleet of the first of these gateways
 )
 
-// singleHeaders lists the headers that may occur once at most. Of two, the backend might read the other one than the
-// decisions did.
+// singleHeaders lists the headers that may occur only once. If one occurred twice, the gateway and the backend might
+// go by different values.
 var singleHeaders = []string{
 	correlationIDHeader,
 	classHeader,
@@ -45,7 +45,7 @@
 	retryHeader,
 }
 
-// hopByHopHeaders lists the headers that belong to one connection and end at this gateway.
+// hopByHopHeaders lists the headers that apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -61,14 +61,14 @@
 }
 
 // endToEndHeaders lists the headers that are forwarded even if a Connection header names them: the correlation id and
-// the idempotency key must reach the backend whatever the client says of its connection.
+// the idempotency key must always reach the backend.
 var endToEndHeaders = []string{
 	correlationIDHeader,
 	idempotencyKeyHeader,
 }
 
-// forwardedHeaders returns the headers for the other side: all but those that belong to the connection. It modifies
-// header and returns it.
+// forwardedHeaders removes the headers that apply to a single connection, and returns the others for forwarding. It
+// modifies header and returns it.
 func forwardedHeaders(header http.Header) http.Header {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/gateway/httpserver.go
+++ b/internal/gateway/httpserver.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// The limits of the HTTP server for clients.
+// Limits of the HTTP server for clients.
 const (
-	maxHeaderBytes = 16 << 10 // bytes of a request's head
-	// readTimeout is for a whole request: 3 s after connecting a client is owed an error or a close.
+	maxHeaderBytes = 16 << 10 // bytes of a request's header
+	// readTimeout is the limit for reading a whole request. The client must get an error or a close within 3 s of
+	// connecting.
 	readTimeout  = 2500 * time.Millisecond
-	writeTimeout = 10 * time.Second // for the answer, from when the request must have one
+	writeTimeout = 10 * time.Second // for writing the answer, from the latest time at which it is decided
 	idleTimeout  = 2 * time.Minute  // between two requests
 )
 
-// newHTTPServer returns the server of the connections in clients. No request is open for longer than maxRequestTime.
+// newHTTPServer returns the HTTP server for the connections in clients. No request may stay open for longer than
+// maxRequestTime.
 func (f *frontend) newHTTPServer(clients *clientConnections, maxRequestTime time.Duration) *http.Server {
 	return &http.Server{
 		Handler:        f,
@@ -31,10 +33,10 @@
 	}
 }
 
-// connContextKey is the key of a request's connection in its context.
+// connContextKey is the key under which a request's context holds its connection.
 type connContextKey struct{}
 
-// clientConnOf returns the connection that a request came on; nil outside of a server.
+// clientConnOf returns the connection on which a request arrived; nil if the request did not come from a server.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(connContextKey{}).(*clientConn)
 	return conn
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// How the idle limit is estimated.
+// Parameters of the estimate of the idle limit.
 const (
 	minIdleBucket = 25 * time.Millisecond // a connection that was idle for less is always reused
 	idleBuckets   = 10                    // ranges of idle times, each twice as long as the one before
-	minBreaks     = 3.0                   // broken reuses, at least, that make a range suspect
-	minBreakShare = 1.0 / 3               // and their share of its reuses, at least
+	minBreaks     = 3.0                   // broken reuses, at least, before a range is avoided
+	minBreakShare = 1.0 / 3               // and their share of all reuses in the range, at least
 	idleDecayTime = 20 * time.Second      // in which the weight of an observation falls to 1/e
 )
 
-// idleLimitEstimator learns how long a connection may be idle and still be reused. Something on the way may forget idle
-// connections without notice, or the peer may close them far sooner than agreed. What is written to one ends as a reset
-// that proves nothing: an attempt may have executed, its backend looks like an outlier, and a counter call may have been
-// added. Peers that break at random do so at any idle time, so a range is judged by the share of its reuses that broke.
-// The risk is a range with few reuses that happen to break: then new connections are made for a while instead.
+// idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
+// connections silently, or the peer may close them far sooner than agreed. A request on such a connection ends in a
+// reset, from which the gateway learns nothing: an attempt may have been executed and makes its backend look like an
+// outlier, and a counter call may have been added to the total.
 //
-// The zero value has observed nothing. Its methods may be called from many goroutines.
+// Peers that break connections at random do so at any idle time. So each range of idle times is judged by the share
+// of its reuses that broke. A range with few reuses may be misjudged by chance; then new connections are made for a
+// while instead.
+//
+// The zero value has no observations and is ready to use. The methods are safe for concurrent use.
 type idleLimitEstimator struct {
 	mu        sync.Mutex
 	buckets   [idleBuckets]idleBucket
-	decayedAt time.Time // up to when the observations have decayed
+	decayedAt time.Time // when the weights of the observations were last updated
 }
 
-// idleBucket counts the reuses of connections within one range of idle times, with decay.
+// idleBucket counts the reuses of connections in one range of idle times. The counts decay.
 type idleBucket struct {
 	worked float64
 	broke  float64
 }
 
-// observe records what came of reusing a connection that was idle for idleFor.
+// observe records whether a connection broke when it was reused after being idle for idleFor.
 func (e *idleLimitEstimator) observe(now time.Time, idleFor time.Duration, broke bool) {
 	if idleFor < minIdleBucket {
 		return
@@ -50,12 +53,12 @@
 	}
 }
 
-// idleBucketIndex returns the bucket of an idle time of minIdleBucket at least.
+// idleBucketIndex returns the index of the bucket for an idle time of at least minIdleBucket.
 func idleBucketIndex(idleFor time.Duration) int {
 	return min(int(math.Log2(float64(idleFor)/float64(minIdleBucket))), idleBuckets-1)
 }
 
-// limit returns the idle time from which on connections are not to be reused; the longest duration if there is none.
+// limit returns the idle time from which connections must not be reused; the longest duration if there is no limit.
 func (e *idleLimitEstimator) limit(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,7 +71,7 @@
 	return math.MaxInt64
 }
 
-// decay lowers the weight of all observations to what it is at now.
+// decay reduces the weights of all observations for the time that has passed since the last decay.
 func (e *idleLimitEstimator) decay(now time.Time) {
 	factor := math.Exp(-float64(max(now.Sub(e.decayedAt), 0)) / float64(idleDecayTime))
 	e.decayedAt = now
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,33 +9,33 @@
 	"amberlb/policy"
 )
 
-// metricsInterval is the time between two log lines of counts.
+// metricsInterval is the time between two log lines with the counts.
 const metricsInterval = time.Minute
 
-// metric names one count of a gateway.
+// metric identifies one count of a gateway.
 type metric int
 
-// The counts that are not split by a reason or an outcome.
+// The counts that are not split by reason or outcome.
 const (
 	connectionsAccepted   metric = iota
 	acceptsFailed                // accepts that returned an error
 	connectionsOverLimit         // closed unread: no other connection could be evicted
-	connectionsEvicted           // idle ones that were closed to make room for others
-	connectionsFlooded           // closed, since too many bytes followed an open request
+	connectionsEvicted           // idle connections closed to make room for new ones
+	connectionsFlooded           // closed because too many bytes followed an open request
 	requestsAccepted             // handed to the policy engine
 	requestsServed               // answered with a backend's response
-	requestsInvalid              // answered 4xx: they could not be decoded
+	requestsInvalid              // answered 4xx or 5xx: they could not be decoded
 	requestsIncomplete           // answered 408 or 503: the rest of their header did not arrive in time
-	requestsConflicting          // answered 409: their id is in use
-	requestsOverOpenLimit        // answered 503: as many as allowed are open
-	requestsWhileDraining        // answered 503: they came too late in a graceful shutdown
+	requestsConflicting          // answered 409: their correlation id is in use
+	requestsOverOpenLimit        // answered 503: the limit of open requests was reached
+	requestsWhileDraining        // answered 503: they arrived too late in a graceful shutdown
 	clientsDisconnected          // closed their connection or its sending side before the answer
 	attemptsRetried              // attempts of a request after its first
-	listsReceived                // answers of discovery
+	listsReceived                // endpoint lists received from discovery
 	metricCount
 )
 
-// metricNames are the keys in the log.
+// metricNames holds the log key of each metric.
 var metricNames = [metricCount]string{
 	connectionsAccepted:   "connections.accepted",
 	acceptsFailed:         "accepts.failed",
@@ -54,8 +54,8 @@
 	listsReceived:         "discovery.lists",
 }
 
-// metrics counts what a gateway does. Its methods may be called from many goroutines; the zero value is
-// ready.
+// metrics holds the counts of a gateway since its start. Its methods are safe for concurrent use; the zero value is
+// ready to use.
 type metrics struct {
 	counts   [metricCount]atomic.Uint64
 	rejected [policy.ReasonCount]atomic.Uint64  // requests rejected by the policy engine, by reason
@@ -64,10 +64,10 @@
 	calls    [policy.OutcomeCount]atomic.Uint64 // ended calls to the counter, by outcome
 }
 
-// add counts one more of what the metric names.
+// add increments a metric by one.
 func (m *metrics) add(name metric) { m.counts[name].Add(1) }
 
-// LogValue returns the counts since the start that are above zero.
+// LogValue returns the counts that are above zero.
 func (m *metrics) LogValue() slog.Value {
 	var attrs []slog.Attr
 	addNonZero := func(key string, n uint64) {
@@ -89,7 +89,7 @@
 	return slog.GroupValue(attrs...)
 }
 
-// logPeriodically logs the counts every minute until ctx ends.
+// logPeriodically logs the counts every minute (metricsInterval) until ctx ends.
 func (m *metrics) logPeriodically(ctx context.Context, log *slog.Logger) {
 	ticker := time.NewTicker(metricsInterval)
 	defer ticker.Stop()
--- a/internal/gateway/recentids.go
+++ b/internal/gateway/recentids.go
@@ -1,18 +1,19 @@
 package gateway
 
 const (
-	recentIDWindow = 4.0     // seconds for which an id is remembered at least, unless many come
-	maxRecentIDs   = 1 << 13 // ids of a window; with more, the next window begins early
+	recentIDWindow = 4.0     // seconds for which an id is remembered, unless maxRecentIDs is reached
+	maxRecentIDs   = 1 << 13 // ids in a window; when it is full, the next window begins early
 )
 
-// recentIDs remembers ids for a while: those of the current window and of the one before. The zero value is empty.
+// recentIDs remembers ids for a limited time: it holds the ids of the current window and of the one before. The zero
+// value is empty.
 type recentIDs struct {
 	current      map[string]struct{}
 	previous     map[string]struct{}
 	currentSince float64 // in seconds
 }
 
-// add remembers an id, and reports whether it is new. now is in seconds of the caller's clock.
+// add records an id, and reports whether it is new. now is in seconds of the caller's clock.
 func (r *recentIDs) add(id string, now float64) bool {
 	if r.current == nil || now-r.currentSince > recentIDWindow || len(r.current) >= maxRecentIDs {
 		r.previous = r.current
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -5,25 +5,27 @@
 	"reflect"
 )
 
-// Reload notifies a running gateway of a new configuration. The zero value never does.
+// Reload makes a running gateway read a new configuration whenever Signal has a value. With the zero value it never
+// does.
 type Reload struct {
 	Signal <-chan os.Signal
 	Read   func() (Config, error) // returns the new configuration
 }
 
-// reload takes up the addresses of a new configuration. One that can't be read or run with changes nothing.
+// reload applies the addresses of a new configuration. If the configuration can't be read or is invalid, nothing
+// changes.
 func (s *server) reload(read func() (Config, error)) {
 	next, err := read()
 	if err != nil {
-		s.log.Warn("reload failed; the old configuration stays", "error", err)
+		s.log.Warn("reload failed; the old configuration stays in use", "error", err)
 		return
 	}
 	if s.counter != nil && next.Settings.Counter {
 		s.counter.setAddress(next.Counter)
 	}
 	if next.Discovery != s.discoveryAddress {
-		// A version of the old address may mean nothing to the new one. The new watch starts from the full list; until
-		// that comes, the old list stands.
+		// The new discovery may not know the list versions of the old one, so the new watch starts with a full list.
+		// Until that arrives, the old list stays in use.
 		s.stopWatch()
 		s.watchDiscovery(next.Discovery, true)
 	}
@@ -31,7 +33,7 @@
 		"counter", next.Counter, "rest_needs_restart", s.config.needsRestart(&next))
 }
 
-// needsRestart reports whether next differs from the running configuration in what a reload does not take up.
+// needsRestart reports whether next differs from the running configuration in a value that a reload does not apply.
 func (c *Config) needsRestart(next *Config) bool {
 	return next.Listen != c.Listen ||
 		next.Sockets != c.Sockets ||
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -6,12 +6,12 @@
 	"amberlb/policy"
 )
 
-// responseMargin is how much of a request's deadline, in seconds, is kept for the loop, the write and the way to the
-// client.
+// responseMargin is the part of a request's deadline, in seconds, that is reserved for the event loop, for writing
+// the answer and for its way to the client.
 const responseMargin = 0.005
 
-// startRequest gives a request an id of its own and hands it to the engine. A request over the deployment's limit,
-// or under a correlation id that is in use, is answered at once; nothing has been sent for it.
+// startRequest assigns an internal id to a request and hands the request to the engine. It rejects a request above
+// the deployment's limit of open requests, or with a correlation id that is in use, at once; no attempt is sent.
 func (l *eventLoop) startRequest(req *clientRequest) {
 	if l.deployment.MaxOpenRequests > 0 && len(l.requests) >= l.deployment.MaxOpenRequests {
 		l.metrics.add(requestsOverOpenLimit)
@@ -30,9 +30,10 @@
 	l.handleEvent(req.decoded)
 }
 
-// claimCorrelationID reserves the client's id for a request, and returns false if it is in use. An id names one
-// request: a second one under it, from whatever client, could be answered by what a backend made for the first. The
-// ids of open requests stay reserved; others are free again after a while, or when many come.
+// claimCorrelationID reserves the client's id for a request, and returns false if the id is in use. A correlation id
+// identifies one request: a second request with the same id, from any client, might get the response that a backend
+// made for the first. The id of an open request stays reserved. The id of a finished request becomes free again after
+// a while, or sooner if many requests arrive.
 func (l *eventLoop) claimCorrelationID(req *clientRequest) bool {
 	if _, open := l.openCorrelationIDs[req.correlationID]; open {
 		return false
@@ -44,18 +45,19 @@
 	return true
 }
 
-// unusedRequestID returns an id that no request of the loop has. Ids are used again once their type's range is over.
+// unusedRequestID returns an id that no request of the loop has. The ids wrap around at the end of their type's
+// range.
 func (l *eventLoop) unusedRequestID() policy.RequestID {
 	for {
-		l.lastRequestID = max(l.lastRequestID+1, 1) // 0 stands for no request
+		l.lastRequestID = max(l.lastRequestID+1, 1) // 0 means no request
 		if _, taken := l.requests[l.lastRequestID]; !taken {
 			return l.lastRequestID
 		}
 	}
 }
 
-// dropDisconnected ends a request whose client has closed its connection or its sending, unless it has been answered.
-// Attempts that are fully written may still be executed; the engine decides whether they are cancelled.
+// dropDisconnected ends a request whose client has closed its connection or its sending side, unless the request has
+// been answered. Attempts that are fully written may still be executed; the engine decides whether to cancel them.
 func (l *eventLoop) dropDisconnected(req *clientRequest) {
 	if !req.unanswered {
 		return
@@ -67,18 +69,19 @@
 	l.forget(req)
 }
 
-// respond gives a request its final answer, if it has none.
+// respond gives a request its final answer, unless it already has one.
 func (l *eventLoop) respond(id policy.RequestID, response clientResponse) {
 	req := l.requests[id]
 	if req == nil || !req.unanswered {
 		return
 	}
 	req.unanswered = false
-	req.response <- response // the channel has capacity for one, and one is all that it gets
+	req.response <- response // never blocks: capacity 1, and one answer per request
 	l.forget(req)
 }
 
-// forget removes a request that needs no answer any more and has no attempt in flight. Before that it does nothing.
+// forget removes a request that needs no answer any more and has no attempt in flight. It does nothing for other
+// requests.
 func (l *eventLoop) forget(req *clientRequest) {
 	if !req.unanswered && req.attemptsInFlight == 0 {
 		delete(l.requests, req.decoded.ID)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -12,10 +12,12 @@
 	"amberlb/policy"
 )
 
-// cachedListDelay is how long a started gateway waits for discovery; then the cached list has to do.
+// cachedListDelay is how long a started gateway waits for a list from discovery before it becomes ready with the
+// cached list.
 const cachedListDelay = 3 * time.Second
 
-// Run serves clients until ctx ends, then shuts down gracefully. It returns nil if every client has had its answer.
+// Run serves clients until ctx ends, then shuts down gracefully. It returns nil if every client has received its
+// answer.
 func Run(ctx context.Context, c *Config, reload Reload) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -24,7 +26,7 @@
 	return serve(ctx, c, listener, reload)
 }
 
-// serve is Run on an open listener, which it closes.
+// serve is Run with an open listener, which it closes.
 func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
 	s := newServer(config, listener)
 	s.start()
@@ -32,8 +34,8 @@
 	return s.run(ctx, reload)
 }
 
-// server is a running gateway. It owns the goroutines of all parts, which stop awaits; the goroutines of client
-// connections belong to the HTTP server, and those of attempts to the event loop.
+// server is a running gateway. It owns the goroutines of all components, and stop waits for them. The HTTP server
+// owns the goroutines of client connections, and the event loop owns those of attempts.
 type server struct {
 	config            *Config
 	log               *slog.Logger
@@ -42,18 +44,18 @@
 	counter           *counterClient // nil where the deployment has none
 	clientConnections *clientConnections
 	httpServer        *http.Server
-	serveErr          chan error // the end of the HTTP server's accepting
+	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // of all parts but the HTTP server; it ends after the last client connection
+	componentsContext context.Context // for all components except the HTTP server; ends after the last client connection
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
 	cachedListTimer  *time.Timer
-	discoveryAddress string // the address that is watched
-	stopWatch        func() // ends the watch and waits for its end
+	discoveryAddress string // the address of the discovery service that is watched
+	stopWatch        func() // ends the watch and waits for its goroutine
 }
 
-// newServer makes the parts of a gateway and connects them. Nothing runs before start.
+// newServer creates and connects the components of a gateway. They don't run before start.
 func newServer(config *Config, listener net.Listener) *server {
 	s := &server{
 		config:   config,
@@ -78,7 +80,7 @@
 	return s
 }
 
-// start runs the parts, the HTTP server last, on goroutines that stop awaits.
+// start runs the components in goroutines for which stop waits. The HTTP server comes last.
 func (s *server) start() {
 	loop := s.frontend.loop
 	loop.applyEndpointList(s.config.CachedEndpoints, policy.CachedList)
@@ -101,9 +103,10 @@
 		"max_client_connections", s.clientConnections.maxConns)
 }
 
-// run serves until ctx ends, and then for the time of a graceful shutdown. It returns early if the HTTP server fails.
+// run serves until ctx ends, and then until a graceful shutdown is complete. It returns early if the HTTP server
+// fails.
 func (s *server) run(ctx context.Context, reload Reload) error {
-	// The moment is taken at once: a reload may be under way.
+	// The time is taken as soon as ctx ends, because this goroutine may be busy with a reload.
 	shutdownRequested := make(chan time.Time, 1)
 	defer context.AfterFunc(ctx, func() { shutdownRequested <- time.Now() })()
 	for {
@@ -118,8 +121,8 @@
 	}
 }
 
-// stop ends the parts and waits for their goroutines. Attempts are awaited last: the loop starts them, and the sweep of
-// the pools ends them.
+// stop ends the components and waits for their goroutines. It waits for attempts last: the event loop starts them,
+// and they end when sweepIdle closes the pools.
 func (s *server) stop() {
 	s.cachedListTimer.Stop()
 	s.stopComponents()
@@ -127,14 +130,15 @@
 	s.frontend.loop.attempts.Wait()
 }
 
-// markReady has readiness checks answered with 200 from now on. source is where the first list of backends came from.
+// markReady makes readiness checks return 200 from now on. source says where the first endpoint list came from.
 func (s *server) markReady(source string) {
 	if s.frontend.ready.CompareAndSwap(false, true) {
 		s.log.Info("ready", "list", source)
 	}
 }
 
-// watchDiscovery follows discovery at an address. listInUse says that requests are forwarded by an older list meanwhile.
+// watchDiscovery starts to watch the discovery service at an address. listInUse says that the gateway already
+// forwards requests by an older list.
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.componentsContext)
 	ended := make(chan struct{})
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,39 +7,41 @@
 	"amberlb/policy"
 )
 
-// What the protocol says of a shutdown (section "Figures").
+// The times of a shutdown in the protocol (section "Figures").
 const (
-	killDelay            = 700 * time.Millisecond // SIGKILL comes no sooner than the longest deadline plus this after SIGTERM
+	killDelay            = 700 * time.Millisecond // earliest SIGKILL after SIGTERM, beyond the longest deadline
 	maxKillDeadline      = 3 * time.Second        // a longer deadline counts as this
-	lateConnectionPeriod = 400 * time.Millisecond // new connections come for so long after SIGTERM
+	lateConnectionPeriod = 400 * time.Millisecond // new connections arrive for so long after SIGTERM
 )
 
-// The margins of the schedule.
+// The margins of the shutdown schedule.
 const (
-	maxProcessStall = 150 * time.Millisecond // the process may be held up for so long between reading its clock and writing
-	deliveryTime    = 50 * time.Millisecond  // from the loop's answer to its last byte at the client
-	listenMargin    = 100 * time.Millisecond // connections are accepted for so long after requests are no longer admitted
-	slowReaderGrace = time.Second            // after the earliest SIGKILL, for clients that are slow to read their answer
+	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading its clock and writing
+	deliveryTime    = 50 * time.Millisecond  // from the event loop's answer to the last byte at the client
+	listenMargin    = 100 * time.Millisecond // from the last admission of requests to the last accept
+	slowReaderGrace = time.Second            // after the earliest SIGKILL, for clients that read their answer slowly
 )
 
-// shutdownSchedule is the timetable of a graceful shutdown, as durations since SIGTERM. Each is computed back from the
-// earliest SIGKILL, so that a request admitted at the last moment, with the longest deadline, has its answer before. In
-// their order:
+// shutdownSchedule holds the times of a graceful shutdown, as durations since SIGTERM. They are computed backwards
+// from the earliest SIGKILL, so that a request that is admitted at the last moment, with the longest deadline, is
+// answered before SIGKILL. The fields are in the order of their times.
 type shutdownSchedule struct {
-	// admitUntil ends the admission of requests: one that is complete later, or not complete by then, is answered 503.
-	// It is the longest deadline, maxKillDeadline at most, before answerBy.
+	// admitUntil is when the gateway stops admitting requests. A request that is incomplete then, or arrives later, is
+	// answered 503. The time from admitUntil to answerBy is the longest deadline, maxKillDeadline at most.
 	admitUntil time.Duration
-	// listenUntil ends the accepting of connections, listenMargin after admitUntil. A client that connects in between
-	// gets a 503 and no reset.
+	// listenUntil is when the gateway stops accepting connections, listenMargin after admitUntil. A client that
+	// connects between the two gets a 503 instead of a reset.
 	listenUntil time.Duration
-	// answerBy is when the decisions have given every request its final answer, early enough for its delivery by a
-	// process that is held up before the earliest SIGKILL.
+	// answerBy is when the engine has given every request its final answer. Even if the process is then stalled, the
+	// answers are delivered before the earliest SIGKILL.
 	answerBy time.Duration
-	// exitBy ends a process that had no SIGKILL whatever clients do, slowReaderGrace after the earliest SIGKILL.
+	// exitBy is when the process exits if there was no SIGKILL, whatever clients do. It is slowReaderGrace after the
+	// earliest SIGKILL.
 	exitBy time.Duration
 }
 
-// newShutdownSchedule computes the timetable for a deployment with this longest deadline of a class.
+// newShutdownSchedule computes the schedule for a deployment in which longestDeadline is the longest deadline of a
+// class.
 func newShutdownSchedule(longestDeadline time.Duration) shutdownSchedule {
 	maxOpenTime := min(longestDeadline, maxKillDeadline)
 	earliestKill := maxOpenTime + killDelay
@@ -53,18 +55,18 @@
 	}
 }
 
-// longestDeadline returns how long a client may wait for its answer at most.
+// longestDeadline returns the longest time that a client may wait for its answer.
 func (c *Config) longestDeadline() time.Duration {
 	return seconds(policy.LongestDeadline(c.Classes))
 }
 
-// errClientsRemaining says that a graceful shutdown ended while clients had not read their answers.
-var errClientsRemaining = errors.New("clients were still open at the end")
+// errClientsRemaining is returned if a graceful shutdown has ended before all clients had read their answers.
+var errClientsRemaining = errors.New("client connections were still open at the end of the shutdown")
 
-// shutdown ends the gateway gracefully: it admits what still comes for a while, answers every open request, and closes.
-// Idle connections are closed at once, while new ones are still accepted: a request that crosses the close of its idle
-// connection comes again on a new one. The HTTP server's own Shutdown does not serve here: it closes idle connections
-// also when a request waits on them unread.
+// shutdown ends the gateway gracefully: for a while it still admits requests, it answers every open request, and then
+// it closes. It closes idle connections at once but still accepts new ones: a client whose request crosses the close
+// of an idle connection sends the request again on a new connection. The HTTP server's own Shutdown method is not
+// used, because it also closes idle connections on which an unread request waits.
 func (s *server) shutdown(requestedAt time.Time) error {
 	schedule := newShutdownSchedule(s.config.longestDeadline())
 	admitUntil := requestedAt.Add(schedule.admitUntil)
@@ -93,13 +95,14 @@
 	return nil
 }
 
-// logShutdownStep logs a step with the time since the shutdown was requested and the connections by phase.
+// logShutdownStep logs a step with the time since the shutdown was requested and the number of connections in each
+// phase.
 func (s *server) logShutdownStep(name string, requestedAt time.Time) {
 	s.log.Info("shutdown: "+name, "after", time.Since(requestedAt), "clients", s.clientConnections)
 }
 
-// startDraining has each connection closed after its answer, requests that are incomplete at admitUntil rejected, and
-// every request answered by answerBy.
+// startDraining makes the gateway close each connection after its answer, reject requests that are incomplete at
+// admitUntil, and answer every request by answerBy.
 func (s *server) startDraining(admitUntil, answerBy time.Time) {
 	loop := s.frontend.loop
 	s.frontend.draining.Store(true)
@@ -107,7 +110,7 @@
 	s.clientConnections.drain(admitUntil)
 }
 
-// closeListener closes the listener once its queue is empty, and by answerBy whatever the queue holds.
+// closeListener closes the listener as soon as its accept queue is empty, and at answerBy at the latest.
 func (s *server) closeListener(answerBy time.Time) {
 	s.clientConnections.stopAccepting()
 	select {
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// What is done at the end of a graceful shutdown for requests without their answer.
+// How a graceful shutdown ends while requests are unanswered.
 const (
-	finalPolls        = 100 // looks for answers that are still being written
+	finalPolls        = 100 // checks for answers that are still being written
 	finalPollInterval = 10 * time.Millisecond
-	maxLoggedRequests = 32 // bounds the log lines about single requests
+	maxLoggedRequests = 32 // limit on the log lines about single requests
 )
 
-// unansweredRequest is a request that is open on a client's connection.
+// unansweredRequest is an open request together with its client.
 type unansweredRequest struct {
 	*clientRequest
 	client string // the client's address
 }
 
-// unanswered lists requests that have been decoded and not answered, limit at most.
+// unanswered returns requests that have been decoded and not answered, at most limit.
 func (c *clientConnections) unanswered(limit int) []unansweredRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,8 +34,8 @@
 	return requests
 }
 
-// awaitResponses waits for requests without their answer, and logs those that are left. It counts looks and not time: a
-// process that was held up until the end is given as many chances to run as any other.
+// awaitResponses waits for answers that are still being written, and logs the requests that are left without one. It
+// counts checks instead of time: a process that was stalled until the end gets as many chances to run as any other.
 func (s *server) awaitResponses() {
 	for range finalPolls {
 		if len(s.clientConnections.unanswered(1)) == 0 {
@@ -48,7 +48,7 @@
 	}
 }
 
-// logUnanswered logs a request that the shutdown leaves without its answer.
+// logUnanswered logs a request that the shutdown leaves without a complete answer.
 func (s *server) logUnanswered(req unansweredRequest) {
 	openFor := seconds(s.frontend.loop.clock.now() - req.decoded.SentAt)
 	s.log.Error("shutdown: a request is left without its complete answer", slog.Group("request",
