--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -18,7 +18,7 @@
 
 // Limits on emptying the kernel's accept queue before the listener closes.
 const (
-	drainAcceptAttempts = 3                      // consecutive accepts without a connection that end the wait
+	drainAcceptAttempts = 3                      // consecutive timeouts after which the queue counts as empty
 	drainAcceptTimeout  = 5 * time.Millisecond   // timeout of each of these accepts
 	maxDrainAcceptTime  = 100 * time.Millisecond // in total, in case new connections keep arriving
 )
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// wrapWith puts way between the gateway and its listener.
+// wrapWith returns a function that wraps a gateway's listener in gated.
 func wrapWith(gated *gatedListener) func(net.Listener) net.Listener {
 	return func(listener net.Listener) net.Listener {
 		gated.Listener = listener
@@ -20,7 +20,8 @@
 	}
 }
 
-// A request that the gateway has read, but not yet begun on, when its connection is evicted is served there, once.
+// The gateway has read a request but not yet started it when it evicts the request's connection. The request must be
+// served on that connection, and only once.
 func TestEvictionRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -42,22 +43,22 @@
 		serveOne(t, backend, "paid")
 	}()
 	if resp, err := roundTripOn(t, conn, requestText("POST", "payment", "cash")); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("the request that had been read: %v, %v", resp, err)
+		t.Errorf("the request on the evicted connection: %v, %v", resp, err)
 	}
 	await(t, served, "attempt")
 	for c := range silent {
 		c.Close()
 	}
 	if n := len(backend.conns); n > 0 {
-		t.Errorf("%d more connections to the backend: it executed twice", n)
+		t.Errorf("%d more connections to the backend: the request was sent more than once", n)
 	}
 }
 
-// An accept that fails, for a moment or for a while, ends nothing: open requests are answered, and new connections are
-// accepted soon after.
+// A failing accept, whether it fails once or for a while, must not stop the gateway: open requests are answered, and
+// new connections are accepted soon after.
 func TestAcceptErrorsAreRetried(t *testing.T) {
 	t.Parallel()
-	const failures = 12 // accepts in a row
+	const failures = 12 // consecutive failing accepts
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EPERM, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.ETIMEDOUT,
@@ -65,7 +66,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			var remaining atomic.Int64 // failures to come
+			var remaining atomic.Int64 // failures still to be returned
 			gated := &gatedListener{acceptError: func() error {
 				if remaining.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
@@ -76,13 +77,13 @@
 			_, openAnswers := g.sendRequest(t, requestText("POST", "payment", "held"))
 			openConn, reader := backend.accept(t)
 			readRequest(t, reader)
-			serve := func() { // on a connection of its own
+			serve := func() { // serves one request on a new backend connection
 				t.Helper()
 				conn, reader := backend.accept(t)
 				readRequest(t, reader)
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
-			remaining.Store(failures) // the accept that is under way comes first
+			remaining.Store(failures) // the accept that has already begun still succeeds
 			_, first := g.sendRequest(t, requestText("GET", "lookup", ""))
 			serve()
 			if resp := await(t, first, "answer"); resp.StatusCode != http.StatusOK {
@@ -95,7 +96,7 @@
 				t.Errorf("status %d after the failures", resp.StatusCode)
 			}
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("accepted %v after %d failures", took, failures)
+				t.Errorf("answered %v after %d failed accepts", took, failures)
 			}
 			writeResponse(openConn, http.StatusOK, "paid")
 			if resp := await(t, openAnswers, "answer"); resp.StatusCode != http.StatusOK {
--- a/internal/gateway/acceptdelay.go
+++ b/internal/gateway/acceptdelay.go
@@ -11,8 +11,9 @@
 
 // acceptDelay computes an upper bound on the time that a connection has waited in the kernel's accept queue. The
 // kernel does not report when a connection arrived. A connection that Accept returns at once may have arrived at any
-// time since the queue was last empty. It can't have waited during earlier Accept calls, so only the time between the
-// calls counts. An acceptDelay is owned by the goroutine that accepts; the zero value is ready to use.
+// time since the queue was last known to be empty. Of that period, only the time between Accept calls counts, because
+// Accept does not block while connections wait. An acceptDelay is owned by the goroutine that accepts; the zero value
+// is ready to use.
 type acceptDelay struct {
 	lastReturn time.Time     // when Accept last returned; zero: never
 	lastCall   time.Time     // when Accept was last called
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// arrivedConns is a listener whose connections are those of a channel.
+// arrivedConns is a listener that accepts the connections sent on a channel.
 type arrivedConns struct {
 	conns    chan net.Conn
-	onAccept func() // called as Accept begins; nil: nothing is
+	onAccept func() // called when Accept begins, unless nil
 }
 
 // Accept returns the next connection, or net.ErrClosed once the channel is closed.
@@ -30,11 +30,11 @@
 // Close does nothing.
 func (c *arrivedConns) Close() error { return nil }
 
-// Addr returns no address in particular.
+// Addr returns an empty address.
 func (c *arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request that waited in the accept queue, since there was no place for those before it, has used that time of its
-// client's timeout: its backend gets what is left. One that came without a wait has lost none.
+// The time that a connection waits in the accept queue because the table is full counts against the client's timeout:
+// the backend gets only the time that is left. A connection that does not wait loses no time.
 func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const clientTimeout = 5 * time.Second
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	peer := newPeer(t)
-	arrive := func() net.Conn { // with a request
+	arrive := func() net.Conn { // returns a new connection with a request on it
 		near, far := connPair(t, peer)
 		send(t, near, far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
@@ -63,9 +63,9 @@
 	arrived.conns <- arrive()
 	first := accept()
 	if left := timeLeft(first); left < 4900*time.Millisecond {
-		t.Errorf("no wait: %v of %v are left", left, clientTimeout)
+		t.Errorf("without a wait, %v of %v are left", left, clientTimeout)
 	}
-	// Two find no place, for minEvictionGrace each; the third does.
+	// Two connections get no slot, and each of them takes minEvictionGrace; the third gets one.
 	for range 3 {
 		arrived.conns <- arrive()
 	}
@@ -80,7 +80,7 @@
 	if left := timeLeft(third); left > clientTimeout-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
 		t.Errorf("after a wait of %v, %v of %v are left", waited, left, clientTimeout)
 	}
-	// There is a place again, and nobody waits: the next one comes while the acceptor has waited for a while.
+	// There is a free slot again and the queue is empty: the next connection arrives while Accept is waiting.
 	table.mu.Lock()
 	table.remove(third)
 	table.mu.Unlock()
@@ -89,7 +89,7 @@
 		time.AfterFunc(20*time.Millisecond, func() { arrived.conns <- next })
 	}
 	if left := timeLeft(accept()); left < 4900*time.Millisecond {
-		t.Errorf("no wait any more: %v of %v are left", left, clientTimeout)
+		t.Errorf("without a wait after an empty queue, %v of %v are left", left, clientTimeout)
 	}
 }
 
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -8,7 +8,7 @@
 
 const (
 	maxBodyBytes        = 64 << 10 // bytes of the body of a request or a response
-	maxPreallocatedBody = 4 << 10  // bytes of a stated length that are allocated before they arrive
+	maxPreallocatedBody = 4 << 10  // bytes; a body of at most this stated length is allocated at once
 )
 
 var (
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -28,8 +28,8 @@
 // Only the HTTP server's goroutine that reads a connection closes it, because no other goroutine knows what has been
 // read. It closes the connection when the client has ended it, when the response says so, and when a wait for bytes
 // has timed out. Other goroutines end an idle connection by setting closing, which ends the wait for a request. If a
-// request arrives at the same time, it is served all the same. At the very end of a graceful shutdown the server
-// closes the connections that are left.
+// request arrives at the same time, it is served all the same. The connections that are left at the very end of a
+// graceful shutdown are closed by http.Server.Close.
 type clientConn struct {
 	net.Conn
 	table *clientConnections
@@ -58,11 +58,11 @@
 
 var errPipelineTooLong = errors.New("too many bytes behind an open request")
 
-// Read records when a request begins, and buffers the bytes that arrive behind an open request. While a request is
-// open, the server reads a single byte to notice a client that disconnects. A byte sent behind the request would end
-// that read, and the server would not notice a later disconnect: the request would be forwarded although nobody waits
-// for it. So such bytes are buffered here and the watch continues. A client that sends maxPipelinedBytes is treated
-// as disconnected.
+// Read notes that a request begins to arrive, and buffers the bytes that arrive behind an open request. While a
+// request is open, the server reads a single byte to notice a client that disconnects. A byte sent behind the request
+// would end that read, and the server would not notice a later disconnect: the request would be forwarded although
+// nobody waits for it. So such bytes are buffered here and the watch continues. A client that sends maxPipelinedBytes
+// is treated as disconnected.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.phase.load() == phaseOpen {
 		return 0, c.watchForClose(p)
@@ -125,10 +125,11 @@
 	return c.applyReadDeadline()
 }
 
-// applyReadDeadline sets the read deadline of the socket. This is the server's deadline, unless the connection is
-// closing (a time in the past) or a shutdown's readCutoff ends the reading of a request earlier. It is called under
-// table.mu whenever one of these changes, so that no deadline overwrites another. While the server watches for a
-// client that disconnects, it has no deadline, and the others don't apply either.
+// applyReadDeadline sets the read deadline of the socket. This is the server's deadline, with two exceptions: a
+// closing connection gets a deadline in the past, and a request that is being read gets the shutdown's readCutoff if
+// that comes first. It is called under table.mu whenever one of these changes, so that no deadline overwrites
+// another. While the server watches for a client that disconnects, it has no deadline, and the exceptions don't apply
+// either.
 func (c *clientConn) applyReadDeadline() error {
 	readCutoff := c.table.readCutoff
 	switch {
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// newClientConn returns a connection in a table, and its client's end.
+// newClientConn returns a connection in a new table, and the client's end of it.
 func newClientConn(t *testing.T) (conn *clientConn, client net.Conn) {
 	t.Helper()
 	near, client := connPair(t, newPeer(t))
 	return newClientConnections(nil, 10).tryAdd(near), client
 }
 
-// connPair returns both ends of a connection to p.
+// connPair opens a connection to p. It returns the accepted end as near and the dialled end as far.
 func connPair(t *testing.T, p *peer) (near, far net.Conn) {
 	t.Helper()
 	far, err := net.Dial("tcp", p.address())
@@ -33,7 +33,7 @@
 	return near, far
 }
 
-// newIdleClientConn returns a connection whose last request has been answered, and its client's end.
+// newIdleClientConn returns a connection whose last request has been answered, and the client's end of it.
 func newIdleClientConn(t *testing.T) (conn *clientConn, client net.Conn) {
 	t.Helper()
 	conn, client = newClientConn(t)
@@ -42,7 +42,7 @@
 	return conn, client
 }
 
-// send writes text from the far end of a connection, and waits until it has arrived at the near one.
+// send writes text at the far end of a connection, and waits until it has arrived at the near end.
 func send(t *testing.T, near, far net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(far, text); err != nil {
@@ -51,18 +51,18 @@
 	awaitBytes(t, near)
 }
 
-// awaitBytes waits until bytes have come on a connection; they may be on their way through the kernel.
+// awaitBytes waits until bytes have arrived on a connection. The kernel may take a moment to deliver them.
 func awaitBytes(t *testing.T, conn net.Conn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); isQuiet(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing arrives")
+			t.Fatal("no bytes have arrived on the connection")
 		}
 	}
 }
 
-// The end of the wait for a request leaves alone one that has arrived, or that has begun: the time of the wait is over,
-// not that of the request.
+// When the wait for the next request ends, a request that has arrived or has begun to arrive must still be read: only
+// the idle time is over, not the time for reading the request.
 func TestEndOfIdleWaitSparesArrivedRequest(t *testing.T) {
 	for name, endWait := range map[string]func(*clientConn){
 		"by the server's deadline": func(conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
@@ -79,17 +79,17 @@
 			endWait(conn)
 			buffer := make([]byte, 16)
 			if n, err := conn.Read(buffer); n != 1 || err != nil {
-				t.Errorf("a request that has arrived: %d bytes, %v", n, err)
+				t.Errorf("first byte of the request: read %d bytes, %v", n, err)
 			}
 			send(t, conn.Conn, client, "ET")
 			if n, err := conn.Read(buffer); n != 2 || err != nil {
-				t.Errorf("the rest of it: %d bytes, %v", n, err)
+				t.Errorf("next bytes of the request: read %d bytes, %v", n, err)
 			}
 		})
 	}
 }
 
-// A request of which a part has been read is rejected, and not just closed, if its connection is evicted.
+// If a connection with a partly read request is evicted, the client gets an error response instead of a bare close.
 func TestEvictedIncompleteRequestIsRejected(t *testing.T) {
 	conn, client := newClientConn(t)
 	send(t, conn.Conn, client, "GET /lookup")
@@ -109,20 +109,20 @@
 	client.SetDeadline(time.Now().Add(testTimeout))
 	answer, err := io.ReadAll(client)
 	if !evicted || err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
-		t.Errorf("evicted %t; the client got %q, %v", evicted, answer, err)
+		t.Errorf("evicted %t; the client read %q, %v", evicted, answer, err)
 	}
-	if err := await(t, readEnded, "end"); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the server got %v", err)
+	if err := await(t, readEnded, "end of the read"); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the server's read returned %v", err)
 	}
 }
 
-// A deadline that the server sets on a connection that is closing doesn't undo the close, and the end of the wait is not
-// taken for a request.
+// A connection that is closing stays so when the server sets another read deadline, and the end of the wait does not
+// look like a request.
 func TestServersDeadlineDoesNotUndoClose(t *testing.T) {
 	conn, _ := newIdleClientConn(t)
 	conn.table.drain(time.Now().Add(testTimeout))
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := conn.Read(make([]byte, 16)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v", n, err)
 	}
 }
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -11,15 +11,15 @@
 // When idle connections are evicted for new ones.
 const (
 	softLimitShare     = 0.8                    // of maxConns; above it new connections replace idle ones
-	evictionGrace      = 2 * time.Second        // a connection is not evicted for so long after its last activity
+	evictionGrace      = 2 * time.Second        // a connection is not evicted until this long after its last activity
 	minEvictionGrace   = 100 * time.Millisecond // the same while all maxConns are in use
 	evictionsPerAccept = 2                      // for each new connection, at most
 )
 
-// clientConnections is a listener that limits the number of client connections. If it only stopped accepting at the
-// limit, clients that connect and send nothing could take all connections, and other clients would wait in the
-// backlog behind them. Instead, a new connection replaces the one that has been without an open request for the
-// longest time.
+// clientConnections is a listener that keeps the client connections in a table and limits their number. If it only
+// stopped accepting at the limit, clients that connect and send nothing could take all connections, and other clients
+// would wait in the backlog behind them. Instead, a new connection replaces the one that has been without an open
+// request for the longest time.
 type clientConnections struct {
 	net.Listener
 	maxConns  int
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Connections that say nothing, however many, must not keep a usual client from being served, and are closed.
+// Any number of connections that send nothing must not keep another client from being served, and they are closed.
 func TestSilentConnectionsDoNotKeepClientsOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -31,19 +31,19 @@
 	for i, conn := range silent {
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-			t.Errorf("silent connection %d: %d bytes, %v", i, n, err)
+			t.Errorf("silent connection %d was not closed: read %d bytes, %v", i, n, err)
 		}
 	}
 }
 
-// isTimeout reports whether err is that of a deadline.
+// isTimeout reports whether err was caused by a deadline.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
 }
 
-// A request that never becomes complete gets an error in time, and a request that waits for its answer is not cut off
-// by the same time-out.
+// A request that never becomes complete gets an error in time. The same timeout must not cut off a complete request
+// that waits for its answer.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -59,28 +59,29 @@
 		client.SetReadDeadline(time.Now().Add(testTimeout))
 		answer, err := io.ReadAll(client)
 		if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 408 ") {
-			t.Errorf("after %d bytes: %q, %v", len(text), answer, err)
+			t.Errorf("after %d bytes the client read %q, %v", len(text), answer, err)
 		}
 	}
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // later than the time-out for reading
+	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // after the read timeout
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 }
 
-// evictionTable is a table of connections between a test and a peer.
+// evictionTable is a table of connections from a test to a peer.
 type evictionTable struct {
 	*clientConnections
 	peer *peer
 }
 
-// newConn returns both ends of a connection that the table does not have yet.
+// newConn returns both ends of a connection that is not in the table yet.
 func (e *evictionTable) newConn(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	return connPair(t, e.peer)
 }
 
-// add returns a connection of the table in the given state, last active so long ago, and its client's end.
+// add adds a connection in the given state, last active the given time ago. It returns the connection and the
+// client's end of it.
 func (e *evictionTable) add(t *testing.T, state http.ConnState, age time.Duration) (conn *clientConn, client net.Conn) {
 	t.Helper()
 	near, client := e.newConn(t)
@@ -93,7 +94,7 @@
 	return conn, client
 }
 
-// addServed is add, with a server that waits on the connection and so can close it.
+// addServed is add with a goroutine that reads from the connection, as the server does, and so can close it.
 func (e *evictionTable) addServed(t *testing.T, state http.ConnState, age time.Duration) *clientConn {
 	t.Helper()
 	conn, _ := e.add(t, state, age)
@@ -106,14 +107,14 @@
 	return conn
 }
 
-// canAdd tries to enter one more connection, for long enough if it is expected to be. It reports whether it was
-// entered, and takes it out again.
+// canAdd reports whether one more connection can be added to the table, and removes it again. If expected is set, it
+// retries for a while.
 func (e *evictionTable) canAdd(t *testing.T, expected bool) bool {
 	t.Helper()
 	near, _ := e.newConn(t)
 	conn := e.tryAdd(near)
 	for end := time.Now().Add(minEvictionGrace / 2); expected && conn == nil && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // the closing ones end when their servers have seen it
+		time.Sleep(time.Millisecond) // evicted connections leave the table when their goroutines close them
 		conn = e.tryAdd(near)
 	}
 	if conn == nil {
@@ -123,8 +124,8 @@
 	return true
 }
 
-// Newcomers replace the connections that have been idle for the longest, but none on which an unread request has just
-// arrived, no open request and no new idle one.
+// New connections replace the connections that have been idle for the longest time, except those on which an unread
+// request has just arrived, those with an open request and those that have been idle for a short time.
 func TestEvictionOrder(t *testing.T) {
 	table := &evictionTable{newClientConnections(nil, 100), newPeer(t)}
 	arrived, client := table.add(t, http.StateNew, time.Hour)
@@ -132,36 +133,36 @@
 	longIdle := table.addServed(t, http.StateIdle, time.Hour)
 	incomplete, client := table.add(t, http.StateNew, time.Hour)
 	io.WriteString(client, "GE")
-	if n, err := incomplete.Read(make([]byte, 16)); n == 0 || err != nil { // the server has the beginning
+	if n, err := incomplete.Read(make([]byte, 16)); n == 0 || err != nil { // the server has read a part of the request
 		t.Fatal(n, err)
 	}
 	silent := table.addServed(t, http.StateNew, time.Minute)
 	open, _ := table.add(t, http.StateActive, 0)
 	recent := table.addServed(t, http.StateIdle, evictionGrace/2)
 	fresh, _ := table.add(t, http.StateNew, 0)
-	// In the order of their last activity: the incomplete request counts from its first byte.
+	// The idle list is in the order of the last activity, which for the incomplete request is its first byte.
 	table.mu.Lock()
 	table.idle.MoveAfter(incomplete.idleElement, recent.idleElement)
 	table.mu.Unlock()
 	for _, step := range []struct {
 		name     string
 		maxConns int
-		added    bool // a newcomer is
+		added    bool // one more connection can be added
 		kept     []*clientConn
 	}{
 		{"below the soft limit", 10, true, []*clientConn{arrived, longIdle, silent, open, recent, incomplete, fresh}},
 		{"above the soft limit", 7, true, []*clientConn{arrived, open, recent, incomplete, fresh}},
-		{"recent ones stay below the limit", 6, true, []*clientConn{arrived, open, recent, incomplete, fresh}},
+		{"below the limit, recent connections stay", 6, true, []*clientConn{arrived, open, recent, incomplete, fresh}},
 		{"at the limit", 5, true, []*clientConn{arrived, open, incomplete, fresh}},
 		{"nothing to evict", 4, false, []*clientConn{arrived, open, incomplete, fresh}},
 	} {
 		table.mu.Lock()
 		table.maxConns = step.maxConns
-		incomplete.lastActive = time.Now() // however long the steps before have taken
+		incomplete.lastActive = time.Now() // regardless of the time that earlier steps took
 		fresh.lastActive = incomplete.lastActive
 		table.mu.Unlock()
 		if added := table.canAdd(t, step.added); added != step.added {
-			t.Errorf("%s: newcomer added %t", step.name, added)
+			t.Errorf("%s: new connection added %t", step.name, added)
 		}
 		table.expectKept(t, step.name, step.kept)
 	}
@@ -171,15 +172,15 @@
 	table.maxConns = 1
 	near, _ := table.newConn(t)
 	if table.tryAdd(near) == nil || table.idle.Len() != 1 {
-		t.Errorf("no place when all have gone; %d idle", table.idle.Len())
+		t.Errorf("no free slot after all connections were closed; %d idle", table.idle.Len())
 	}
 }
 
-// expectKept checks that the table has these connections and no other, once the servers of those that are closing have
-// closed them, and that none of them is closing.
+// expectKept waits until evicted connections are closed, and then checks that the table has exactly the given
+// connections and that none of them is closing.
 func (e *evictionTable) expectKept(t *testing.T, step string, want []*clientConn) {
 	t.Helper()
-	awaitCondition(t, step+": closing connections are closed", func() bool {
+	awaitCondition(t, step+": evicted connections are still in the table", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.closing == 0
@@ -187,7 +188,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.conns) != len(want) || e.closing != 0 {
-		t.Errorf("%s: %d connections kept, want %d; %d more are closing", step, len(e.conns), len(want), e.closing)
+		t.Errorf("%s: %d connections kept, want %d; %d are closing", step, len(e.conns), len(want), e.closing)
 	}
 	for i, conn := range want {
 		if _, kept := e.conns[conn]; !kept || conn.closing {
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	disconnectingClients = 30                         // a race that is lost once in many clients is seen
-	singleGatewayQuota   = "units=1,spread=1,first=0" // of a customer of one gateway
+	disconnectingClients = 30                         // enough to see a race that is lost only sometimes
+	singleGatewayQuota   = "units=1,spread=1,first=0" // for a customer that a single gateway serves
 	stayingID            = "stays"                    // the correlation id of a client that does not disconnect
 )
 
@@ -33,23 +33,23 @@
 	return conn.(*net.TCPConn)
 }
 
-// sameListener leaves a listener as it is.
+// sameListener returns the listener unchanged.
 func sameListener(listener net.Listener) net.Listener { return listener }
 
-// rejectingBackend holds each attempt until release is closed, and then rejects it. Those that begin once disconnected is
-// set are counted and served, and so is, uncounted, the one of the client that stays.
+// rejectingBackend holds each attempt until release is closed, and then rejects it. It serves and counts the attempts
+// that begin once disconnected is set. It also serves the client that stays, without counting its attempt.
 type rejectingBackend struct {
 	received     chan struct{} // has an element for each attempt that is held
 	release      chan struct{}
 	disconnected atomic.Bool  // all clients have disconnected
-	lateAttempts atomic.Int32 // attempts that began after that
+	lateAttempts atomic.Int32 // attempts that began after disconnected was set
 }
 
 func newRejectingBackend() *rejectingBackend {
 	return &rejectingBackend{received: make(chan struct{}, disconnectingClients), release: make(chan struct{})}
 }
 
-// ServeHTTP takes one attempt.
+// ServeHTTP handles one attempt.
 func (b *rejectingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(correlationIDHeader) == stayingID {
 		return
@@ -64,8 +64,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// However many messages wait for the loop, no attempt begins for a client that has disconnected, be it the first one or
-// a retry after a backend has rejected the first.
+// No attempt begins for a client that has disconnected, even if the event loop is far behind with its messages. This
+// holds for the first attempt of a request and for a retry after a rejection.
 func TestNoAttemptForDisconnectedClientWhileLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	for _, first := range []bool{true, false} {
@@ -107,7 +107,8 @@
 	}
 }
 
-// Nor does an attempt begin on a connection that is established meanwhile.
+// The event loop is stalled when the client disconnects, while a connection to the backend is being dialled. The
+// request must not be sent on that connection once it is established.
 func TestNoAttemptForDisconnectedClientWhileDialingAndLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	backend := newFullBacklogBackend(t)
@@ -119,12 +120,12 @@
 	g.awaitInbox(t, 1)
 	_, reader := backend.accept(t)
 	if b, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the attempt's connection: %q, %v", b, err)
+		t.Errorf("read %q, %v from the attempt's connection, want EOF", b, err)
 	}
 }
 
-// No attempt begins for a client that had disconnected before its request was read: its connection may have waited long
-// to be accepted.
+// No attempt begins for a client that disconnected before its request was read, for example while its connection
+// waited to be accepted.
 func TestNoAttemptForClientDisconnectedBeforeRead(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range map[string]func(*net.TCPConn) error{
@@ -152,7 +153,7 @@
 				disconnect(dial(t, g.address, requestText("POST", "booking", "x", quotaHeader, singleGatewayQuota)))
 			}
 			close(gate)
-			g.expectServed(t, stayingID) // it was accepted after them
+			g.expectServed(t, stayingID) // accepted after the connections above
 			for end := time.Now().Add(testTimeout); len(g.loop.inbox) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
@@ -163,7 +164,8 @@
 	}
 }
 
-// Work for a client that has disconnected is wasted: its attempt is cancelled.
+// A client disconnects while a backend works on its request. The attempt is cancelled, because nobody waits for its
+// result.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -173,12 +175,13 @@
 	readRequest(t, reader)
 	conn.Close()
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the attempt's connection: %v", err)
+		t.Errorf("read error on the attempt's connection: %v, want EOF", err)
 	}
 }
 
-// A client that disconnects while its request is queued is noticed whatever it has sent behind the request, and that is
-// not forwarded. One that has closed only its sending side must not get the answer of a served request.
+// A client that disconnects while its request is queued is noticed even if it has sent bytes behind the request, and
+// the request is not forwarded. A client that has closed only its sending side must not get the status of a served
+// request.
 func TestQueuedRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]int{"nothing behind": 0, "one byte behind": 1, "a buffer behind": 5000} {
@@ -193,7 +196,7 @@
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
-				t.Errorf("the disconnected one: status %d, connection closed %t", resp.StatusCode, resp.Close)
+				t.Errorf("the disconnected client: status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
 			writeResponse(counterConn, http.StatusOK, call.URL.Query().Get("add"))
 			_, answers = g.sendRequest(t, requestText("GET", "lookup", ""))
@@ -203,14 +206,14 @@
 			}
 			writeResponse(backendConn, http.StatusOK, "ok")
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
-				t.Errorf("the next: status %d", resp.StatusCode)
+				t.Errorf("the next request: status %d", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// A request whose client has disconnected while a connection to a backend was being dialled is not forwarded when that
-// is established, also where no attempt may be cancelled.
+// A client disconnects while a connection to a backend is being dialled. Its request must not be forwarded when the
+// connection is established, even if the deployment doesn't allow attempts to be cancelled.
 func TestDisconnectWhileDialingCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	for _, canCancel := range []bool{true, false} {
@@ -224,11 +227,11 @@
 			awaitDialing(t, backend.address)
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway {
-				t.Errorf("the disconnected one: status %d", resp.StatusCode)
+				t.Errorf("the disconnected client: status %d", resp.StatusCode)
 			}
 			for end := time.Now().Add(5 * time.Second); isDialing(t, backend.address); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("its dial goes on")
+					t.Fatal("the dial for the disconnected client was not cancelled")
 				}
 			}
 			_, answers = g.sendRequest(t, requestText("POST", "payment", "x", correlationIDHeader, stayingID))
@@ -238,13 +241,14 @@
 			}
 			writeResponse(backendConn, http.StatusOK, "ok")
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
-				t.Errorf("the next: status %d", resp.StatusCode)
+				t.Errorf("the next request: status %d", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// A client that disconnects just behind the lease that admits its request cancels the attempt that the lease began.
+// A client disconnects just after a lease from the counter has admitted its request. The attempt that began with the
+// lease is cancelled.
 func TestDisconnectBehindLeaseCancelsAttempt(t *testing.T) {
 	backend, counter := newPeer(t), newPeer(t)
 	text := withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))
@@ -261,12 +265,12 @@
 		l.handleMessage(counterCallDone{calls[0], policy.Served, calls[0].amount})
 	}
 	if len(req.attempts) != 1 {
-		t.Fatalf("%d attempts by the lease", len(req.attempts))
+		t.Fatalf("the lease started %d attempts, want 1", len(req.attempts))
 	}
 	l.handleMessage(clientDisconnected{req})
 	if !req.attempts[0].ended || len(req.response) != 0 || len(l.requests) != 0 {
 		t.Errorf("attempt ended %t, %d answers, %d open", req.attempts[0].ended, len(req.response), len(l.requests))
 	}
 	close(l.stopped)
-	l.attempts.Wait() // it has been cancelled, whatever the backend does
+	l.attempts.Wait() // the attempt is cancelled, so this ends although the backend is silent
 }
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// connPhase is the phase of a client's connection.
+// connPhase says whether a client's connection is idle, is receiving a request or has an open request.
 type connPhase int32
 
 // The phases of a connection.
@@ -86,7 +86,7 @@
 	conn.applyReadDeadline()
 }
 
-// markActive removes a connection from the idle list.
+// markActive records that a connection is no longer idle, and cancels its close.
 func (c *clientConnections) markActive(conn *clientConn) {
 	conn.phase.store(phaseOpen)
 	c.cancelClose(conn)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -116,7 +116,7 @@
 	return c, c.validate()
 }
 
-// validate checks the values without which a gateway can't run, before any socket is opened.
+// validate rejects values with which a gateway can't run, before any socket is opened.
 func (c *Config) validate() error {
 	checks := []func() error{
 		c.validateAddresses,
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testSettings have no quotas, so that the tests here are about sockets alone.
+// testSettings has no quotas, so that the tests of this package that use it cover the sockets alone.
 const testSettings = `{"fleetSize": 2, "rank": 1, "tickS": 0.002, "localities": ["a", "b"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": true, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -18,7 +18,7 @@
 	"packages": [{"name": "basic", "pays": 1}, {"name": "council", "pays": 2}],
 	"familyInfo": {"mostUnits": 4}}`
 
-// configText is a configuration file with the given address of discovery and settings.
+// configText returns the text of a configuration file with the given address of discovery and settings.
 func configText(discovery, settings string) string {
 	return `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "` + discovery + `", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": "127.0.0.1:1",
@@ -36,33 +36,33 @@
 	}
 }
 
-// An invalid configuration is rejected with an error of one line that names the key.
+// An invalid configuration is rejected with a one-line error that names the key.
 func TestParseConfigRejectsInvalidKeys(t *testing.T) {
 	withCounter := strings.Replace(testSettings, `"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.05`, 1)
 	valid := configText("127.0.0.1:1", withCounter)
 	for _, c := range []struct {
 		name     string
-		old, new string // what is replaced in a valid configuration
-		key      string // that the error begins with; "": it has none
+		old, new string // the text of a valid configuration to replace
+		key      string // with which the error begins; "": no key
 	}{
-		{"no JSON", `{`, ``, ""},
-		{"a seed that is no number", `"seed": "8c1f30d27a5be964"`, `"seed": "x"`, "seed"},
+		{"text that is not JSON", `{`, ``, ""},
+		{"a seed that is not a number", `"seed": "8c1f30d27a5be964"`, `"seed": "x"`, "seed"},
 		{"no port to listen on", `"listen": "127.0.0.1:0"`, `"listen": "127.0.0.1"`, "listen"},
 		{"no discovery", `"discovery": "127.0.0.1:1"`, `"discovery": ""`, "discovery"},
 		{"no counter", `"counter": "127.0.0.1:1"`, `"counter": ""`, "counter"},
 		{"too few sockets", `"sockets": 1024`, `"sockets": 10`, "limits.sockets"},
 		{"no cores", `"cores": 1.0`, `"cores": 0`, "limits.cores"},
-		{"memory that is no number", `"memory_mb": 192`, `"memory_mb": "much"`, ""},
+		{"memory that is not a number", `"memory_mb": 192`, `"memory_mb": "much"`, ""},
 		{"an index beyond the fleet", `"rank": 1`, `"rank": 2`, "settings"},
 		{"no tick", `"tickS": 0.002`, `"tickS": 0`, "settings"},
 		{"no idle timeout", `"keepaliveS": 15`, `"keepaliveS": 0`, "settings"},
-		{"a class twice", `"name": "booking"`, `"name": "lookup"`, "settings"},
-		{"a plan with no name", `"name": "council"`, `"name": ""`, "settings"},
+		{"a duplicate class", `"name": "booking"`, `"name": "lookup"`, "settings"},
+		{"a plan without a name", `"name": "council"`, `"name": ""`, "settings"},
 		{"an unknown idempotency", `"effect": "once"`, `"effect": "twice"`, "settings"},
 		{"no settings", `"settings"`, `"other"`, ""},
 		{"no latency objective", `"objectiveS": 0.2`, `"objectiveS": 0`, "settings"},
 		{"no deadline", `"deadlineS": 20, "points": 1, "effect": "repeatable"}]`, `"points": 1, "effect": "repeatable"}]`, "settings"},
-		{"a deadline without end", `"deadlineS": 20`, `"deadlineS": 1e12`, "settings"},
+		{"an excessive deadline", `"deadlineS": 20`, `"deadlineS": 1e12`, "settings"},
 		{"a priority weight below 0", `"points": 3`, `"points": -3`, "settings"},
 		{"a weight factor below 0", `"pays": 2`, `"pays": -2`, "settings"},
 		{"a rate without a burst", `"pays": 2`, `"pays": 2, "unitsPerS": 3`, "settings"},
@@ -79,7 +79,7 @@
 				t.Fatalf("%s: error %v", c.new, err)
 			}
 			if c.key != "" && !strings.HasPrefix(err.Error(), c.key+": ") {
-				t.Errorf("the error is %q, and does not name %s", err, c.key)
+				t.Errorf("the error %q does not begin with the key %s", err, c.key)
 			}
 		})
 	}
@@ -91,17 +91,17 @@
 	}
 }
 
-// The windows of leases are cut from the clock, so gateways must agree on it.
+// Gateways divide time into lease windows by the clock, so they must agree on it.
 func TestClockIsUnixTime(t *testing.T) {
 	c := newClock()
 	now := c.now()
 	if d := time.Since(c.toTime(now)); d < 0 || d > testTimeout || time.Since(time.Unix(int64(now), 0)) > testTimeout {
-		t.Errorf("now is %f, %v ago", now, d)
+		t.Errorf("the clock shows %f, which is %v ago", now, d)
 	}
 }
 
-// Where memory is short it bounds the clients' connections before descriptors do, but leaves capacity for the third of
-// these that requests may take.
+// If memory is short, it limits the client connections more than descriptors do. It must still allow a third of the
+// descriptors, which is the number that requests may take.
 func TestMaxClientConns(t *testing.T) {
 	for _, c := range []struct{ memoryMB, sockets, want int }{
 		{192, 1024, 720},
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,6 +1,6 @@
-// Package gateway implements the network side of the gateway around the decision module. It turns what happens on
-// sockets into events of a policy.Engine and carries out the engine's actions. Only package policy decides which
-// backend a request goes to and when it is rejected.
+// Package gateway implements the network side of the gateway, around the decisions of package policy. It turns what
+// happens on sockets into events of a policy.Engine and carries out the engine's actions. Only package policy decides
+// which backend a request goes to and when a request is rejected.
 //
 // Run runs a whole gateway. Hollow is a gateway without sockets to clients and backends, for measuring many of them
 // in one process. Only the event loop uses the engine, and it never blocks on a socket. The front end, the connection
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -17,7 +17,7 @@
 type frontend struct {
 	loop       *eventLoop
 	deployment *wire.Deployment
-	ready      atomic.Bool // an endpoint list is in use
+	ready      atomic.Bool // there is an endpoint list to forward requests by
 	draining   atomic.Bool // a graceful shutdown has begun: each connection is closed after its answer
 	rejecting  atomic.Bool // the shutdown no longer admits requests
 }
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// What a backend serves reaches the client, without the headers that are for gateways.
+// A backend's response reaches the client without the headers that are meant for gateways.
 func TestServedResponseReachesClient(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -27,8 +27,9 @@
 	}
 }
 
-// A request that is not understood is rejected and its connection closed: a default could charge the wrong customer, or
-// retry what must not execute twice. Statuses and bodies are what operators and clients know; body "" is one of net/http's.
+// An invalid request is rejected and its connection is closed: a default value could charge the wrong customer or
+// retry a request that must not execute twice. Operators and clients rely on the statuses and bodies. Where body is
+// empty, net/http writes the body, and the test does not check it.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	g := startTestGateway(t, newPeer(t))
@@ -49,10 +50,10 @@
 			"X-Api-Key is not the number of a customer"},
 		{"no timeout", requestText("GET", "lookup", "", timeLeftHeader, ""), 400, "X-Time-Left-Ms is not a time in milliseconds"},
 		{"no time left", requestText("GET", "lookup", "", timeLeftHeader, "0"), 400, "X-Time-Left-Ms is not a time in milliseconds"},
-		{"a timeout without end", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400,
+		{"an excessive timeout", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400,
 			"X-Time-Left-Ms is not a time in milliseconds"},
 		{"no quota attributes", requestText("GET", "lookup", "", quotaHeader, ""), 400, quotaOutOfRange},
-		{"units that are no number", requestText("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400, quotaOutOfRange},
+		{"units that are not a number", requestText("GET", "lookup", "", quotaHeader, "units=NaN,spread=2,first=0"), 400, quotaOutOfRange},
 		{"too many units", requestText("GET", "lookup", "", quotaHeader, "units=5,spread=2,first=0"), 400, quotaOutOfRange},
 		{"more gateways than the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=3,first=0"), 400, quotaOutOfRange},
 		{"a gateway beyond the fleet", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,first=2"), 400, quotaOutOfRange},
@@ -62,15 +63,15 @@
 		{"a large body", requestText("POST", "booking", strings.Repeat("x", maxBodyBytes+1)), 413, "the body is too long"},
 		{"a chunked body", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\nok\r\n0\r\n\r\n", 411,
 			"a body needs a Content-Length"},
-		{"a quota key twice", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400,
+		{"a duplicate quota key", requestText("GET", "lookup", "", quotaHeader, "units=1,spread=2,spread=1,first=0"), 400,
 			"X-Call-Terms: spread stands more than once"},
-		{"a header twice", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400,
+		{"a duplicate header", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400,
 			"X-Tier stands more than once"},
 		{"a GET with a body", requestText("GET", "lookup", "x"), 400, "a GET has no body"},
-		{"two lengths", requestText("POST", "booking", "ok", "content-length", "3"), 400, ""},
+		{"two different lengths", requestText("POST", "booking", "ok", "content-length", "3"), 400, ""},
 		{"a negative length", requestText("POST", "booking", "", "Content-Length", "-2"), 400, ""},
 		{"HTTP/1.0", strings.Replace(requestText("GET", "lookup", ""), "HTTP/1.1", "HTTP/1.0", 1), 505, "HTTP/1.1 is wanted"},
-		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
+		{"oversized headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, answers := g.sendRequest(t, c.request)
@@ -85,7 +86,8 @@
 	}
 }
 
-// A length beside chunks may hide a request in the body or behind it: neither may reach a backend.
+// A request with both a Content-Length and chunked encoding may hide another request in its body or behind it.
+// Neither of them may reach a backend.
 func TestRequestHiddenByChunksIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -97,15 +99,15 @@
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if rest, err := io.ReadAll(conn); isTimeout(err) {
-		t.Errorf("the connection stays: %q", rest)
+		t.Errorf("the connection stays open; read %q", rest)
 	}
 	if n := len(backend.conns); n > 0 {
 		t.Errorf("%d connections to the backend", n)
 	}
 }
 
-// A correlation id names one request: a second request with it is rejected while the first is open, and also just after
-// it has been answered, and the first keeps its answer.
+// A correlation id identifies one request. A second request with the same id is rejected while the first is open and
+// just after it has been answered, and the first still gets its answer.
 func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -120,7 +122,7 @@
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
 		if len(backend.conns) > 0 {
-			t.Error("the second went to the backend")
+			t.Error("the second was forwarded to the backend")
 		}
 	}
 	expectConflict()
@@ -131,7 +133,8 @@
 	expectConflict()
 }
 
-// A silent backend must not hold a request beyond its latency objective, and its late answer must reach nobody.
+// A silent backend must not keep a request open beyond its latency objective, and its late response must reach no
+// client.
 func TestSilentBackendHoldsNoRequestBeyondItsObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -144,9 +147,9 @@
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the abandoned attempt's connection: %v", err)
+		t.Errorf("read error on the abandoned attempt's connection: %v, want EOF", err)
 	}
-	// The client's connection carries the next request, and that one's answer only.
+	// The client's connection stays usable: the next request gets its own response and no other.
 	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -158,7 +161,8 @@
 	}
 }
 
-// A client that floods the gateway behind its open request loses its connection, and its request is cancelled.
+// If a client sends too many bytes behind its open request, its connection is closed and the request's attempt is
+// cancelled.
 func TestFloodBehindOpenRequestClosesConnection(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -166,13 +170,13 @@
 	conn, _ := g.sendRequest(t, requestText("GET", "lookup", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
-	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends with the connection
+	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // returns when the connection is closed
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the attempt's connection: %v", err)
+		t.Errorf("read error on the attempt's connection: %v, want EOF", err)
 	}
 }
 
-// The bytes that came behind a request before its answer are the next request, no more and no less.
+// The bytes that arrive behind an open request are exactly the next request.
 func TestPipelinedRequestIsServedNext(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -189,15 +193,15 @@
 	}
 	_, reader = backend.accept(t)
 	if _, body := readRequest(t, reader); len(body) != 6000 {
-		t.Errorf("%d bytes were forwarded", len(body))
+		t.Errorf("%d bytes of the second body were forwarded, want 6000", len(body))
 	}
 }
 
-// A client that never reads its answer costs no other client one, and delays a shutdown no longer than the longest
-// request could.
+// A client that never reads its answer must not keep other clients from theirs, and must not delay a shutdown for
+// longer than the longest request could.
 func TestSlowReaderDelaysNoOtherClient(t *testing.T) {
 	t.Parallel()
-	const bufferBytes = 4096 // of each socket, less than the answer
+	const bufferBytes = 4096 // of each socket; smaller than the answer
 	backend := newPeer(t)
 	gated := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
 	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
@@ -214,7 +218,7 @@
 	defer slow.Close()
 	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
-	for range 2 { // on a connection of its own, or on the first again
+	for range 2 { // on a new backend connection, or on the first one again
 		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
@@ -222,12 +226,12 @@
 		}
 	}
 	g.stop()
-	if err := await(t, g.serveErr, "end"); err == nil {
-		t.Error("the answer that nobody read was not held at all")
+	if err := await(t, g.serveErr, "end of serve"); err == nil {
+		t.Error("the shutdown did not wait for the answer that the client has not read")
 	}
 }
 
-// No client holds a request, and so a shutdown, for longer than its class allows.
+// A client can't keep its request open, and so delay a shutdown, for longer than the deadline of its class.
 func TestClientTimeoutIsBoundedByClassDeadline(t *testing.T) {
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
@@ -245,7 +249,7 @@
 			t.Fatal(err)
 		}
 		if got := req.decoded.Deadline - req.decoded.SentAt + responseMargin; got < want-0.001 || got > want+0.001 {
-			t.Errorf("%s ms: held for up to %.3f s, want %.3f", timeLeft, got, want)
+			t.Errorf("timeout of %s ms: open for up to %.3f s, want %.3f", timeLeft, got, want)
 		}
 	}
 }
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// fullBacklogBackend is a backend whose accept backlog is full, so that dials to it hang until a connection is accepted.
+// fullBacklogBackend is a backend with a full accept backlog: dials to it hang until it accepts a connection. The
+// fillers are the connections that fill the backlog.
 type fullBacklogBackend struct {
 	fd      int
 	address string
 	fillers []net.Conn
 }
 
-// newFullBacklogBackend listens with the smallest backlog and fills it.
+// newFullBacklogBackend listens with the smallest possible backlog and fills it.
 func newFullBacklogBackend(t *testing.T) *fullBacklogBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -49,7 +50,7 @@
 	}
 }
 
-// accept returns the next connection that is none of those that filled the backlog.
+// accept returns the next connection that is not one of the fillers, with a reader of it.
 func (b *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
@@ -78,14 +79,14 @@
 	return conn
 }
 
-// isFiller reports whether an accepted connection is one of those that filled the backlog.
+// isFiller reports whether an accepted connection is one of the fillers.
 func (b *fullBacklogBackend) isFiller(conn net.Conn) bool {
 	return slices.ContainsFunc(b.fillers, func(filler net.Conn) bool {
 		return filler.LocalAddr().String() == conn.RemoteAddr().String()
 	})
 }
 
-// isDialing reports whether this process waits for a connection to an address.
+// isDialing reports whether this process is dialling an address.
 func isDialing(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
@@ -97,7 +98,7 @@
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// awaitDialing waits until this process waits for a connection to an address, or for testTimeout.
+// awaitDialing waits until this process is dialling an address, testTimeout at most.
 func awaitDialing(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !isDialing(t, address) && time.Now().Before(end); {
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -13,7 +13,8 @@
 	"amberlb/policy"
 )
 
-// Whatever a counter answers, a total that is returned is a number, and only a complete answer has one.
+// For any response of a counter, readTotal returns a finite total, and a total other than 0 only for a complete
+// response.
 func FuzzReadTotal(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5",
@@ -32,7 +33,7 @@
 	})
 }
 
-// Whatever the quota header holds, attributes that are accepted are in range.
+// For any quota header that is accepted, its values are in range.
 func FuzzDecodeQuota(f *testing.F) {
 	for _, seed := range []string{"units=2,spread=2,first=1", "units=NaN,spread=1,first=0", "units=1,units=2,spread=1",
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
@@ -51,16 +52,17 @@
 	})
 }
 
-// readerConn is a connection whose incoming bytes are those of a reader.
+// readerConn is a connection that reads from reader.
 type readerConn struct {
 	net.Conn
 	reader io.Reader
 }
 
-// Read reads from the reader.
+// Read reads from c.reader.
 func (c readerConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// Whatever a backend answers, a response that counts as served is complete and in bounds.
+// For any response of a backend, a body that counts as served is within the limit, and the connection is not reused
+// after a reset.
 func FuzzReadResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// gatedListener is a listener for clients on which a test stands between the gateway and the kernel: it sees each read
-// before and after it happens. Functions that are nil are not called.
+// gatedListener is a listener for clients whose hooks let a test act at set points of an accept or a read, between
+// the gateway and the kernel. Hooks that are nil are not called.
 type gatedListener struct {
 	net.Listener
-	onAccept           func()       // before the gateway has the connection
-	acceptError        func() error // fails an accept, unless it returns nil
+	onAccept           func()       // before the gateway gets an accepted connection
+	acceptError        func() error // called before each accept; an error fails the accept
 	beforeRead         func(*gatedConn)
-	afterRead          func(*gatedConn)            // unless nothing was read
-	beforeReadDeadline func(*gatedConn, time.Time) // before a deadline for reading is set
+	afterRead          func(*gatedConn)            // after a read that returned bytes
+	beforeReadDeadline func(*gatedConn, time.Time) // before a read deadline is set
 	conns              sync.Map                    // *gatedConn by the client's address
 }
 
-// gatedConn is a connection that a gatedListener has accepted.
+// gatedConn is a connection that a gatedListener has accepted. Once armed is set, the next read deadline in the past
+// closes readEnded.
 type gatedConn struct {
 	*net.TCPConn
 	listener   *gatedListener
-	readsBegun atomic.Int32 // for a request or a part of one
+	readsBegun atomic.Int32 // reads for a request; the watch for a disconnect is not counted
 	armed      atomic.Bool
-	readEnded  chan struct{} // closed as the wait for a request is ended by a deadline, once armed
+	readEnded  chan struct{} // closed when a deadline ends the wait for a request while armed is set
 }
 
-// Accept waits for a client.
+// Accept returns the next connection, as a gatedConn.
 func (g *gatedListener) Accept() (net.Conn, error) {
 	if g.acceptError != nil {
 		if err := g.acceptError(); err != nil {
@@ -48,14 +49,14 @@
 	return gated, nil
 }
 
-// SetDeadline bounds the wait for a connection.
+// SetDeadline sets the deadline of Accept.
 func (g *gatedListener) SetDeadline(deadline time.Time) error {
 	return g.Listener.(*net.TCPListener).SetDeadline(deadline)
 }
 
-// Read reads what the client has sent.
+// Read reads from the client and calls the listener's hooks.
 func (c *gatedConn) Read(p []byte) (int, error) {
-	if len(p) > 1 { // else the server watches for a client that leaves
+	if len(p) > 1 { // a read of 1 byte is the server's watch for a disconnect
 		c.readsBegun.Add(1)
 	}
 	if c.listener.beforeRead != nil {
@@ -68,7 +69,8 @@
 	return n, err
 }
 
-// SetReadDeadline ends the current read too, if the deadline has passed.
+// SetReadDeadline sets the read deadline. If the deadline is in the past, which ends the current read, and armed is
+// set, it closes readEnded.
 func (c *gatedConn) SetReadDeadline(deadline time.Time) error {
 	if c.listener.beforeReadDeadline != nil {
 		c.listener.beforeReadDeadline(c, deadline)
@@ -80,8 +82,8 @@
 	return err
 }
 
-// holdAccept returns a listener on which the next accept, once shut is set, says so on waiting and is held until gate
-// is closed.
+// holdAccept returns a listener that holds the next connection it accepts after gateClosed is set. It reports the
+// connection on waiting, and holds it until gate is closed.
 func holdAccept() (listener *gatedListener, gateClosed *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
 	gateClosed = &atomic.Bool{}
 	held := make(chan struct{}, 1)
@@ -95,14 +97,14 @@
 	return listener, gateClosed, held, gateOpened
 }
 
-// startRace starts a gateway and opens a connection on which onRead is called once the gateway has read the next
-// request, and before it begins on that. Unless newConnection is set, a request has been answered on the connection
-// before.
+// startRace starts a gateway and opens a connection to it. It calls onRead as soon as the gateway has read from the
+// next request on that connection, before the gateway handles what it read. Unless newConnection is set, the
+// connection has served a request before.
 func startRace(t *testing.T, newConnection bool, changeConfig func(string) string, backend *peer,
 	onRead func(*testGateway, *gatedConn)) (*testGateway, net.Conn) {
 	t.Helper()
 	var g *testGateway
-	var client atomic.Pointer[net.TCPAddr] // whose next read is the one
+	var client atomic.Pointer[net.TCPAddr] // the client whose next read calls onRead; nil: none
 	listener := &gatedListener{}
 	listener.afterRead = func(c *gatedConn) {
 		if address := client.Load(); address != nil && c.RemoteAddr().String() == address.String() {
@@ -126,7 +128,7 @@
 			t.Fatal(err)
 		}
 		gated, _ := listener.conns.Load(conn.LocalAddr().String())
-		awaitCondition(t, "the gateway never waits for another request",
+		awaitCondition(t, "the gateway does not wait for the next request",
 			func() bool { return gated.(*gatedConn).readsBegun.Load() >= 2 })
 	}
 	client.Store(conn.LocalAddr().(*net.TCPAddr))
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,30 +16,30 @@
 	"amberlb/policy"
 )
 
-// testGateway is a whole gateway between loopback sockets.
+// testGateway is a whole gateway on loopback sockets.
 type testGateway struct {
 	address      string // for clients
 	discovery    *fakeDiscovery
 	stop         context.CancelFunc
-	serveErr     chan error // what serve has returned
+	serveErr     chan error // receives the result of serve
 	reloadSignal chan os.Signal
-	config       atomic.Pointer[string] // the text that a reload reads
-	reloadDelay  atomic.Int64           // nanoseconds that a reload takes to read it
+	config       atomic.Pointer[string] // the configuration text that a reload reads
+	reloadDelay  atomic.Int64           // nanoseconds that reading it takes in a reload
 }
 
-// startTestGateway starts a gateway that knows the given backends and waits until it is ready.
+// startTestGateway starts a gateway with the given backends and waits until it is ready.
 func startTestGateway(t *testing.T, backends ...*peer) *testGateway {
 	t.Helper()
 	return startTestGatewayWith(t, unchangedConfig, backends...)
 }
 
-// startTestGatewayWith is startTestGateway with a change to the configuration's text.
+// startTestGatewayWith is startTestGateway with a changed configuration text.
 func startTestGatewayWith(t *testing.T, changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
 	return startTestGatewayBehind(t, func(l net.Listener) net.Listener { return l }, changeConfig, backends...)
 }
 
-// startTestGatewayBehind is startTestGatewayWith with a wrapper of the listener for clients.
+// startTestGatewayBehind is startTestGatewayWith with a wrapper around the listener for clients.
 func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener,
 	changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
@@ -64,20 +64,20 @@
 	}()
 	t.Cleanup(func() { stop(); <-served })
 	if got := g.readinessStatus(t); got != http.StatusServiceUnavailable {
-		t.Errorf("ready before the list is had: %d", got)
+		t.Errorf("readiness status %d before the first list, want 503", got)
 	}
 	g.discovery.answers <- endpointListOf(true, "Ready", backends...)
 	g.awaitReadiness(t, http.StatusOK)
 	return g
 }
 
-// readConfig is what a reload reads.
+// readConfig returns the configuration for a reload.
 func (g *testGateway) readConfig() (Config, error) {
 	time.Sleep(time.Duration(g.reloadDelay.Load()))
 	return parseConfig([]byte(*g.config.Load()))
 }
 
-// readinessStatus returns the status of the readiness check.
+// readinessStatus returns the status of a readiness check.
 func (g *testGateway) readinessStatus(t *testing.T) int {
 	t.Helper()
 	resp, err := http.Get("http://" + g.address + readyPath)
@@ -88,14 +88,15 @@
 	return resp.StatusCode
 }
 
-// awaitReadiness waits until the readiness check has a status.
+// awaitReadiness waits until readiness checks return a status.
 func (g *testGateway) awaitReadiness(t *testing.T, status int) {
 	t.Helper()
-	awaitCondition(t, fmt.Sprintf("readiness never became %d", status),
+	awaitCondition(t, fmt.Sprintf("the readiness status did not become %d", status),
 		func() bool { return g.readinessStatus(t) == status })
 }
 
-// publishBackends has discovery list ready backends at these addresses, and waits until the gateway has the list.
+// publishBackends makes discovery list ready backends at the given addresses, and waits until the gateway has
+// received the list.
 func (g *testGateway) publishBackends(t *testing.T, addresses ...string) {
 	t.Helper()
 	list := EndpointList{Generation: 2, Reset: true}
@@ -109,10 +110,10 @@
 	await(t, g.discovery.calls, "next watch")
 }
 
-// awaitListenerClosed waits until clients are accepted no longer.
+// awaitListenerClosed waits until the gateway refuses connections.
 func (g *testGateway) awaitListenerClosed(t *testing.T) {
 	t.Helper()
-	awaitCondition(t, "the listener never closed", func() bool {
+	awaitCondition(t, "the listener was not closed", func() bool {
 		conn, err := net.Dial("tcp", g.address)
 		if err != nil {
 			return true
@@ -122,8 +123,8 @@
 	})
 }
 
-// sendRequest sends one request on a connection of its own and returns the channel of its response, on which nothing
-// comes if it can't be read.
+// sendRequest sends one request on a new connection. It returns a channel that receives the response; nothing is sent
+// on it if the response can't be read.
 func (g *testGateway) sendRequest(t *testing.T, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.address)
@@ -144,7 +145,7 @@
 	return conn, responses
 }
 
-// roundTripOn sends one more request on a connection and reads its response.
+// roundTripOn sends a request on an open connection and reads its response.
 func roundTripOn(t *testing.T, conn net.Conn, text string) (*http.Response, error) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -153,11 +154,11 @@
 	return http.ReadResponse(bufio.NewReader(conn), nil)
 }
 
-// lastCorrelationID is the one that requestText gave last: each request has one of its own.
+// lastCorrelationID is the number in the correlation id that requestText used last. Each request gets a new id.
 var lastCorrelationID atomic.Int64
 
-// requestText returns a request as a client would write it. change holds pairs of a header and its value, "" for
-// leaving it out, or of "path" and the path.
+// requestText returns the text of a client's request. change holds pairs of a header name and its value; "" removes
+// the header. The name "path" stands for the path of the request.
 func requestText(method, class, body string, change ...string) string {
 	path := "/" + class
 	headers := map[string]string{
@@ -190,7 +191,7 @@
 	return text + "\r\n" + body
 }
 
-// endpointListOf returns a response of discovery in which all these backends are in one lifecycle.
+// endpointListOf returns a discovery response that lists the given backends, all in the same lifecycle state.
 func endpointListOf(reset bool, lifecycle string, backends ...*peer) EndpointList {
 	list := EndpointList{Generation: 1, Reset: reset, Entries: []EndpointEntry{}}
 	for _, backend := range backends {
@@ -206,12 +207,12 @@
 	return list
 }
 
-// unchangedConfig is the change of a configuration that leaves it as it is.
+// unchangedConfig returns a configuration text unchanged.
 func unchangedConfig(config string) string { return config }
 
-// withCounter returns a change of a configuration that gives the test's customers a quota, in units per second and
-// units of burst, kept on a counter, which has so long to answer. With a small burst their first request has to call
-// it.
+// withCounter returns a function that changes a configuration text: the test's customers get a quota, in units per
+// second and units of burst, which the gateway keeps on the counter. A call to the counter times out after timeout.
+// If the burst is small, a customer's first request needs a call to the counter.
 func withCounter(counter *peer, rate, burst float64, timeout time.Duration) func(string) string {
 	return strings.NewReplacer(
 		`"127.0.0.1:1"`, `"`+counter.address()+`"`,
@@ -220,8 +221,8 @@
 	).Replace
 }
 
-// newLoopRequest returns a request for a loop that the test runs by hand: of one unit, sent now, with 15 s left. It has
-// room for a second response, so that one too many shows.
+// newLoopRequest returns a request for an event loop that the test drives itself. The request costs one unit, was
+// sent now and has 15 s left. Its response channel has capacity for a second response, so that a test can detect one.
 func newLoopRequest(l *eventLoop, method, uri string, decoded policy.Request) *clientRequest {
 	decoded.Units = 1
 	decoded.Gateways = 1
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Parameters of the estimate of the idle limit.
+// Parameters of idleLimitEstimator.
 const (
 	minIdleBucket = 25 * time.Millisecond // a connection that was idle for less is always reused
 	idleBuckets   = 10                    // ranges of idle times, each twice as long as the one before
-	minBreaks     = 3.0                   // broken reuses, at least, before a range is avoided
-	minBreakShare = 1.0 / 3               // and their share of all reuses in the range, at least
-	idleDecayTime = 20 * time.Second      // in which the weight of an observation falls to 1/e
+	minBreaks     = 3.0                   // minimum number of broken reuses for a range to be avoided
+	minBreakShare = 1.0 / 3               // minimum share of broken reuses in the range for the same
+	idleDecayTime = 20 * time.Second      // time in which the weight of an observation falls to 1/e
 )
 
 // idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -10,24 +10,25 @@
 	"amberlb/policy"
 )
 
-// The limit follows the share of reuses that broke, not single ones, and forgets.
+// The limit depends on the share of reuses that broke rather than on single breaks, and old observations lose their
+// weight.
 func TestIdleLimit(t *testing.T) {
 	const noLimit = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
 		name           string
 		idleFor        time.Duration
 		worked, broken int           // reuses
-		later          time.Duration // the limit is asked for so long after them
+		later          time.Duration // time from the reuses to the call of limit
 		want           time.Duration
 	}{
 		{"nothing observed", time.Second, 0, 0, 0, noLimit},
 		{"all work", time.Second, 9, 0, 0, noLimit},
 		{"all break", 300 * time.Millisecond, 0, 9, 0, 200 * time.Millisecond},
-		{"two may be chance", 300 * time.Millisecond, 0, 2, 0, noLimit},
-		{"breaks at random", 300 * time.Millisecond, 80, 10, 0, noLimit},
+		{"two breaks may be chance", 300 * time.Millisecond, 0, 2, 0, noLimit},
+		{"random breaks among many reuses", 300 * time.Millisecond, 80, 10, 0, noLimit},
 		{"below the shortest range", time.Millisecond, 0, 9, 0, noLimit},
 		{"beyond the longest range", time.Hour, 0, 9, 0, minIdleBucket << (idleBuckets - 1)},
-		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, noLimit},
+		{"old observations", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, noLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var estimator idleLimitEstimator
@@ -45,8 +46,8 @@
 	}
 }
 
-// Something on the way to a backend forgets idle connections. Once that has shown, attempts use new ones instead of
-// ending in doubt.
+// A middlebox drops idle connections to a backend. Once the estimator has seen enough broken reuses, attempts use new
+// connections instead of ending in resets.
 func TestForgottenIdleConnectionsAreNotReused(t *testing.T) {
 	t.Parallel()
 	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -71,21 +72,21 @@
 	}
 	for round := 0; pools.idleEstimator.limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
-			t.Fatal("nothing was learnt")
+			t.Fatal("no idle limit after 20 rounds")
 		}
 		ended := startAttempt()
 		conn, reader := backend.accept(t)
 		readRequest(t, reader)
 		io.WriteString(conn, okResponse)
 		if got := await(t, ended, "outcome"); got != policy.Served {
-			t.Fatalf("outcome %d on a new connection", got)
+			t.Fatalf("outcome %d on a new connection, want served", got)
 		}
-		time.Sleep(2 * minIdleBucket) // the idle time itself is what is tested
+		time.Sleep(2 * minIdleBucket) // the connection has to be idle for that long
 		ended = startAttempt()
 		readRequest(t, reader) // on the same connection
 		conn.Close()
 		if got := await(t, ended, "outcome"); got != policy.ConnectionReset {
-			t.Fatalf("outcome %d on a forgotten connection", got)
+			t.Fatalf("outcome %d on a dropped connection, want a reset", got)
 		}
 	}
 	ended := startAttempt()
@@ -95,7 +96,7 @@
 	await(t, ended, "outcome")
 	limit := pools.idleEstimator.limit(time.Now())
 	for range int(minBreaks) {
-		pools.idleEstimator.observe(time.Now(), limit, true) // lest it decay while this test waits
+		pools.idleEstimator.observe(time.Now(), limit, true) // keeps the limit from decaying during the wait below
 	}
 	time.Sleep(limit + minIdleBucket)
 	ended = startAttempt()
@@ -103,6 +104,6 @@
 	readRequest(t, reader)
 	io.WriteString(conn, okResponse)
 	if got := await(t, ended, "outcome"); got != policy.Served {
-		t.Errorf("outcome %d once it is known that connections are forgotten", got)
+		t.Errorf("outcome %d although the idle limit is known, want served", got)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -18,7 +18,7 @@
 // The counts that are not split by reason or outcome.
 const (
 	connectionsAccepted   metric = iota
-	acceptsFailed                // accepts that returned an error
+	acceptsFailed                // failed calls of Accept
 	connectionsOverLimit         // closed unread: no other connection could be evicted
 	connectionsEvicted           // idle connections closed to make room for new ones
 	connectionsFlooded           // closed because too many bytes followed an open request
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -9,7 +9,7 @@
 	"amberlb/policy"
 )
 
-// The counts are logged by name, by reason and by outcome, and zeros are left out.
+// Counts are logged by name, reason and outcome. Counts of zero are left out.
 func TestMetricsLogCountsAboveZero(t *testing.T) {
 	var m metrics
 	m.add(requestsAccepted)
@@ -23,15 +23,15 @@
 		" since_start.attempts.timed_out=3",
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is not in %q", want, text.String())
+			t.Errorf("%q is not in the log line %q", want, text.String())
 		}
 	}
 	if strings.Contains(text.String(), "served") {
-		t.Errorf("a count of zero in %q", text.String())
+		t.Errorf("a count of zero is in the log line %q", text.String())
 	}
 }
 
-// Every metric, reason and outcome has a name of its own.
+// Every metric, reason and outcome has a unique name.
 func TestMetricNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	check := func(kind string, index int, name string) {
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// testTimeout bounds every wait of a test; none is expected to last so long.
+// testTimeout bounds every wait in a test. No wait is expected to take that long.
 const testTimeout = 20 * time.Second
 
-// peer is the other side of the gateway's connections: it hands each one to the test, and closes what is left at the
-// end of the test.
+// peer listens as the other side of the gateway's connections. It passes each connection to the test, and closes the
+// connections at the end of the test.
 type peer struct {
 	listener net.Listener
 	conns    chan net.Conn
 }
 
-// newPeer listens on a free address of loopback.
+// newPeer listens on a free loopback address.
 func newPeer(t *testing.T) *peer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 
 func (p *peer) address() string { return p.listener.Addr().String() }
 
-// accept returns the next connection, with a deadline, and a reader of it.
+// accept returns the next connection, with a deadline set, and a reader of it.
 func (p *peer) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := await(t, p.conns, "a connection")
@@ -52,7 +52,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// acceptRequest accepts a connection and reads the request on it.
+// acceptRequest accepts a connection and reads a request from it.
 func (p *peer) acceptRequest(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, reader := p.accept(t)
@@ -74,12 +74,12 @@
 	return req, body
 }
 
-// respondOK writes a response of status 200. A connection that the gateway has closed may fail it.
+// respondOK writes a response with status 200. It ignores errors, because the gateway may have closed the connection.
 func respondOK(conn net.Conn, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serveOne serves one request on a new connection, with headers for clients and for gateways.
+// serveOne serves one request on a new connection. The response has a header for the client and one for the gateway.
 func serveOne(t *testing.T, backend *peer, body string) {
 	t.Helper()
 	conn, _ := backend.acceptRequest(t)
@@ -87,19 +87,21 @@
 		len(body), body)
 }
 
-// await returns the next value of a channel.
+// await returns the next value from a channel. It fails the test if none comes within testTimeout; what names the
+// value in the failure.
 func await[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case value := <-ch:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s came", what)
+		t.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
 
-// awaitCondition returns once a condition holds, and else fails the test with a message.
+// awaitCondition waits until a condition holds. It fails the test with a message if that takes longer than
+// testTimeout.
 func awaitCondition(t *testing.T, message string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
@@ -109,8 +111,7 @@
 	}
 }
 
-// freeAddress returns an address of loopback that nobody uses, for a client whose connection is to be known
-// beforehand.
+// freeAddress returns an unused loopback address, for a client whose address the test has to know before it connects.
 func freeAddress(t *testing.T) *net.TCPAddr {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -5,8 +5,8 @@
 	"reflect"
 )
 
-// Reload makes a running gateway read a new configuration whenever Signal has a value. With the zero value it never
-// does.
+// Reload makes a running gateway read a new configuration each time Signal delivers a value. With the zero value this
+// never happens.
 type Reload struct {
 	Signal <-chan os.Signal
 	Read   func() (Config, error) // returns the new configuration
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -80,8 +80,7 @@
 	l.forget(req)
 }
 
-// forget removes a request that needs no answer any more and has no attempt in flight. It does nothing for other
-// requests.
+// forget removes a request once it needs no answer any more and has no attempt in flight. Until then it does nothing.
 func (l *eventLoop) forget(req *clientRequest) {
 	if !req.unanswered && req.attemptsInFlight == 0 {
 		delete(l.requests, req.decoded.ID)
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// A reload moves discovery and counter under load and loses nothing: open requests are answered, the new discovery is
-// polled for its full list, the counter call in flight still gets its answer from the old one, and an invalid file
-// changes nothing.
+// A reload moves discovery and the counter to new addresses under load, and nothing is lost: open requests are
+// answered, the new discovery is polled for its full list, and a counter call in flight still gets its response from
+// the old counter. An invalid configuration file changes nothing.
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
-		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list times out meanwhile
-	defer g.stop() // before the new discovery is closed, which would wait for the end of its watch
+		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // long enough that no call for a list times out in the test
+	defer g.stop() // before the new discovery closes, which waits for the watch to end
 	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
-	call, _ := readRequest(t, counterReader) // not answered yet
+	call, _ := readRequest(t, counterReader) // answered after the reload
 
 	valid := *g.config.Load()
 	invalid := valid[:len(valid)/2]
@@ -31,10 +31,10 @@
 		counter.address(), newCounter.address()).Replace(valid)
 	g.config.Store(&next)
 	g.reloadSignal <- syscall.SIGHUP
-	if query := await(t, newDiscovery.calls, "call of the new discovery"); query != "" {
+	if query := await(t, newDiscovery.calls, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
+	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // first call of the window: no later one reconciles
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,18 +7,19 @@
 	"amberlb/policy"
 )
 
-// The times of a shutdown in the protocol (section "Figures").
+// The times of a shutdown in the protocol (section "Figures"). SIGKILL comes no sooner after SIGTERM than the longest
+// deadline plus killDelay.
 const (
-	killDelay            = 700 * time.Millisecond // earliest SIGKILL after SIGTERM, beyond the longest deadline
-	maxKillDeadline      = 3 * time.Second        // a longer deadline counts as this
-	lateConnectionPeriod = 400 * time.Millisecond // new connections arrive for so long after SIGTERM
+	killDelay            = 700 * time.Millisecond // from the longest deadline to the earliest SIGKILL
+	maxKillDeadline      = 3 * time.Second        // a longer deadline counts as this for the earliest SIGKILL
+	lateConnectionPeriod = 400 * time.Millisecond // new connections arrive until this long after SIGTERM
 )
 
 // The margins of the shutdown schedule.
 const (
 	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading its clock and writing
 	deliveryTime    = 50 * time.Millisecond  // from the event loop's answer to the last byte at the client
-	listenMargin    = 100 * time.Millisecond // from the last admission of requests to the last accept
+	listenMargin    = 100 * time.Millisecond // from the end of admission to the close of the listener
 	slowReaderGrace = time.Second            // after the earliest SIGKILL, for clients that read their answer slowly
 )
 
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// readinessRequest is a readiness check, as a client sends it.
+// readinessRequest is the text of a readiness check.
 const readinessRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
 
-// A request that the gateway has begun to read, but not yet begun on, when a shutdown closes idle connections is
-// answered: served on a connection that was idle, and rejected on a new one, which is closed later.
+// A shutdown closes idle connections while the gateway has read a part of a request but not yet handled it. The
+// request is answered: it is served on a connection that was idle, and rejected on a new connection, which is closed
+// later.
 func TestShutdownRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	for name, newConnection := range map[string]bool{"on an idle connection": false, "on a new one": true} {
@@ -31,7 +32,7 @@
 			})
 			text := requestText("POST", "payment", "cash")
 			io.WriteString(conn, text[:40])
-			await(t, idleWaitEnded, "crossing")
+			await(t, idleWaitEnded, "end of the idle wait")
 			io.WriteString(conn, text[40:])
 			want := http.StatusServiceUnavailable
 			if !newConnection {
@@ -49,8 +50,8 @@
 	}
 }
 
-// A request that has arrived when a shutdown begins, but that the gateway reads only after it has closed the listener, is
-// answered, if only by a rejection, on an idle connection and on a new one.
+// A request has arrived when a shutdown begins, but the gateway reads it only after it has closed the listener. The
+// request gets an answer, if only a rejection, both on an idle and on a new connection.
 func TestShutdownRacesUnreadRequest(t *testing.T) {
 	t.Parallel()
 	for name, idle := range map[string]bool{"on an idle connection": true, "on a new one": false} {
@@ -59,7 +60,8 @@
 			backend := newPeer(t)
 			var gateClosed atomic.Bool
 			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
-			// Connections of readiness checks wait for requests as well, and must not be held at the gate.
+			// Only the client's connection may be held at the gate: connections of readiness checks wait for requests
+			// too.
 			clientAddress := freeAddress(t)
 			gated := &gatedListener{beforeRead: func(c *gatedConn) {
 				if c.RemoteAddr().String() == clientAddress.String() && gateClosed.CompareAndSwap(true, false) {
@@ -76,7 +78,8 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			if idle {
-				// The watch for a client that disconnects is one read, the wait for the next request the other.
+				// The watch for a disconnect has begun its read before the gate closes, so the gate holds the read for
+				// the next request.
 				io.WriteString(conn, requestText("GET", "lookup", ""))
 				backendConn, reader := backend.accept(t)
 				readRequest(t, reader)
@@ -99,20 +102,21 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 			}
-			if err := await(t, g.serveErr, "end"); err != nil {
-				t.Errorf("ended with %v", err)
+			if err := await(t, g.serveErr, "end of serve"); err != nil {
+				t.Errorf("serve returned %v", err)
 			}
 		})
 	}
 }
 
-// An idle connection whose server is about to wait for the next request as a shutdown begins is closed with the other
-// idle ones: at once, and not when the listener is closed. Its client would go on using it meanwhile.
+// A shutdown begins just as the server is about to wait for the next request on an idle connection. The connection is
+// closed at once, like the other idle ones, and not only when the listener is closed: until then its client would go
+// on using it.
 func TestShutdownRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	var g *testGateway
-	var armed atomic.Bool // the next wait for a request begins the shutdown
+	var armed atomic.Bool // the next wait for a request starts the shutdown
 	shutdownBegun := make(chan struct{})
 	clientAddress := freeAddress(t)
 	gated := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
@@ -123,7 +127,7 @@
 			g.stop()
 			select {
 			case <-c.readEnded: // the shutdown has closed idle connections
-			case <-time.After(lateConnectionPeriod / 4): // or waits for this one
+			case <-time.After(lateConnectionPeriod / 4): // or it waits for this connection
 			}
 			close(shutdownBegun)
 		}
@@ -143,12 +147,12 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > lateConnectionPeriod/2 {
-		t.Errorf("closed %.3f s after the other idle ones", took.Seconds())
+		t.Errorf("closed %.3f s after the shutdown began", took.Seconds())
 	}
 }
 
-// Connections that still wait in the kernel's queue when the listener is to close, since the gateway was held up, are
-// accepted, and their requests rejected. A close of the listener would reset them.
+// The gateway is stalled, so connections still wait in the kernel's accept queue when the listener is to be closed.
+// They are accepted, and their requests are rejected. Closing the listener first would reset them.
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
 	gated, gateClosed, waiting, gate := holdAccept()
@@ -161,19 +165,19 @@
 	}
 	await(t, waiting, "connection")
 	g.stop()
-	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // the moment that is to be crossed
+	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // past the close of the listener
 	close(gate)
 	for _, answers := range allAnswers {
 		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 		}
 	}
-	if err := await(t, g.serveErr, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := await(t, g.serveErr, "end of serve"); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 }
 
-// The times of a shutdown count from the signal, also where a reload is under way then.
+// The times of a shutdown count from the signal, even if a reload is in progress then.
 func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
 	g := startTestGateway(t, newPeer(t))
@@ -182,24 +186,24 @@
 	g.reloadSignal <- syscall.SIGHUP
 	began := time.Now()
 	g.stop()
-	if err := await(t, g.serveErr, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := await(t, g.serveErr, "end of serve"); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 	maxTime := newShutdownSchedule(time.Second).listenUntil + readTime/2
 	if took := time.Since(began); took > maxTime {
-		t.Errorf("ended %v after the signal, want %v at most", took, maxTime)
+		t.Errorf("exited %v after the signal, want %v at most", took, maxTime)
 	}
 }
 
-// A connection that waits to be accepted when a shutdown begins is still accepted, and its request answered: served, or
-// rejected where it is too late for that.
+// A connection that waits to be accepted when a shutdown begins is still accepted. Its request is served, or rejected
+// if it is too late for that.
 func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	gated, gateClosed, waiting, gate := holdAccept()
 	g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
 	gateClosed.Store(true)
-	_, answers := g.sendRequest(t, requestText("GET", "glance", "")) // its backend says nothing
+	_, answers := g.sendRequest(t, requestText("GET", "glance", "")) // the backend stays silent
 	await(t, waiting, "connection")
 	g.stop()
 	close(gate)
@@ -208,12 +212,12 @@
 	if !rejectedLate && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
 		t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
-	if err := await(t, g.serveErr, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := await(t, g.serveErr, "end of serve"); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 }
 
-// A shutdown owes every open request an answer, also where a backend or the counter is silent, and ends when that is
+// A shutdown answers every open request even if a backend or the counter is silent. It ends once the answers are
 // given, with calls still in flight.
 func TestShutdownAnswersWhilePeerIsSilent(t *testing.T) {
 	t.Parallel()
@@ -230,19 +234,19 @@
 			g := startTestGatewayWith(t, change, backend)
 			_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 			_, reader := silent.accept(t)
-			readRequest(t, reader) // and no answer
+			readRequest(t, reader) // stays unanswered
 			g.stop()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if err := await(t, g.serveErr, "end"); err != nil {
-				t.Errorf("ended with %v", err)
+			if err := await(t, g.serveErr, "end of serve"); err != nil {
+				t.Errorf("serve returned %v", err)
 			}
 		})
 	}
 }
 
-// After SIGTERM no accepted request may be lost: open ones are answered, and new ones are admitted for a while.
+// A shutdown loses no accepted request: open requests are answered, and new requests are admitted for a while.
 func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -250,17 +254,17 @@
 	_, openAnswers := g.sendRequest(t, requestText("POST", "booking", "held"))
 	conn, reader := backend.accept(t)
 	readRequest(t, reader)
-	unused, err := net.Dial("tcp", g.address) // must not delay the end
+	unused, err := net.Dial("tcp", g.address) // an unused connection must not delay the exit
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
 	idle, first := g.sendRequest(t, readinessRequest)
-	await(t, first, "answer") // leaves an idle connection behind
+	await(t, first, "answer") // the connection is idle now
 	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	g.stop()
 	if _, err := io.ReadAll(idle); err != nil {
-		t.Errorf("the idle connection after the signal: %v", err)
+		t.Errorf("the idle connection was not closed after the signal: %v", err)
 	}
 	g.awaitReadiness(t, http.StatusServiceUnavailable)
 	_, late := g.sendRequest(t, requestText("POST", "booking", "late"))
@@ -273,7 +277,7 @@
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	if err := await(t, g.serveErr, "end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := await(t, g.serveErr, "end of serve"); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 }
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -14,18 +14,18 @@
 	"amberlb/policy"
 )
 
-// maxStallableClients is how many clients a stallableGateway has connections and backends for.
+// maxStallableClients is the limit of client connections of a stallableGateway.
 const maxStallableClients = 2 * disconnectingClients
 
 // stallableGateway is a gateway whose event loop a test can stall.
 type stallableGateway struct {
 	loop    *eventLoop
 	address string
-	gate    atomic.Pointer[chan struct{}] // what the loop waits for when it gets an endpoint list; nil: nothing
-	stalled chan struct{}                 // has an element when the loop waits
+	gate    atomic.Pointer[chan struct{}] // holds the loop at its next endpoint list; nil: no gate
+	stalled chan struct{}                 // receives a value when the loop is held at the gate
 }
 
-// newStallableGateway starts a gateway before as many backends as there are disconnecting clients, all at one address.
+// newStallableGateway starts a gateway with as many backends as there are disconnecting clients, all at one address.
 func newStallableGateway(t *testing.T, backend string, wrapListener func(net.Listener) net.Listener) *stallableGateway {
 	t.Helper()
 	text := strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)
@@ -64,7 +64,7 @@
 	return g
 }
 
-// waitAtGate stalls the loop, once, if a test has closed the gate.
+// waitAtGate stalls the loop once, if a test has set a gate.
 func (g *stallableGateway) waitAtGate() {
 	if gate := g.gate.Swap(nil); gate != nil {
 		g.stalled <- struct{}{}
@@ -72,29 +72,29 @@
 	}
 }
 
-// stall stalls the loop until resume is called.
+// stall stalls the event loop until resume is called.
 func (g *stallableGateway) stall(t *testing.T) (resume func()) {
 	t.Helper()
 	gate := make(chan struct{})
 	g.gate.Store(&gate)
 	g.loop.post(endpointListReceived{kind: policy.Delta})
-	await(t, g.stalled, "list")
+	await(t, g.stalled, "stall of the event loop")
 	resume = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(resume)
 	return resume
 }
 
-// awaitInbox waits until n messages wait for the loop.
+// awaitInbox waits until at least n messages are in the loop's inbox.
 func (g *stallableGateway) awaitInbox(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); len(g.loop.inbox) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d messages for the loop, want %d", len(g.loop.inbox), n)
+			t.Fatalf("%d messages in the loop's inbox, want %d", len(g.loop.inbox), n)
 		}
 	}
 }
 
-// expectServed sends a request with a correlation id, and expects it to be served.
+// expectServed sends a request with the given correlation id and expects it to be served.
 func (g *stallableGateway) expectServed(t *testing.T, id string) {
 	t.Helper()
 	request := requestText("GET", "lookup", "", correlationIDHeader, id, quotaHeader, singleGatewayQuota)
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// maxReadyTime is what nine in ten restarted gateways have to keep.
+// maxReadyTime is the time within which nine in ten restarted gateways have to be ready.
 const maxReadyTime = 10 * time.Second
 
-// emptyEndpointList is a full list of discovery without backends.
+// emptyEndpointList is a full list from discovery without backends.
 const emptyEndpointList = `{"generation": 41, "reset": true, "instances": []}`
 
-// How a discovery answers a call.
+// Ways in which discovery answers a call.
 
 func answerList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// failFirst answers the first calls by fail, and those after them with the list.
+// failFirst answers the first calls with fail, and later calls with the list.
 func failFirst(calls int32, fail http.HandlerFunc) http.HandlerFunc {
 	var n atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -50,20 +50,20 @@
 	}
 }
 
-// A gateway that starts is ready in time, however discovery bears the start of many: by the cached list where discovery
-// gives none, else by discovery's.
+// A starting gateway becomes ready in time even if discovery is overloaded by the start of many gateways. It uses its
+// cached list if discovery returns none, and waits for discovery's list if there is no cached one.
 func TestGatewayIsReadyInTime(t *testing.T) {
 	t.Parallel()
 	const cachedInstances = `"instances": [{"instanceId": "s-1", "hostPort": "127.0.0.1:1", "zone": "a",
 		"lifecycle": "Ready", "weight": 1}]`
 	for name, c := range map[string]struct {
 		discovery http.HandlerFunc
-		cached    bool // there is a list from before
+		cached    bool // the gateway has a cached list
 	}{
 		"silent":                       {answerNothing, true},
 		"unavailable":                  {answerUnavailable, true},
 		"resetting":                    {resetConnection, true},
-		"slow, a cached list":          {answerSlowly, true},
+		"slow, with a cached list":     {answerSlowly, true},
 		"slow":                         {answerSlowly, false},
 		"unavailable for the first 20": {failFirst(20, answerUnavailable), false},
 		"resetting the first 20":       {failFirst(20, resetConnection), false},
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// How a graceful shutdown ends while requests are unanswered.
+// Limits for the requests that are unanswered at the end of a graceful shutdown.
 const (
 	finalPolls        = 100 // checks for answers that are still being written
 	finalPollInterval = 10 * time.Millisecond
