--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// arrivedConns is a listener that accepts the connections sent on a channel.
-type arrivedConns struct {
+// channelListener is a listener that accepts the connections sent on a channel.
+type channelListener struct {
 	conns    chan net.Conn
 	onAccept func() // called when Accept begins, unless nil
 }
 
 // Accept returns the next connection, or net.ErrClosed once the channel is closed.
-func (c *arrivedConns) Accept() (net.Conn, error) {
-	if c.onAccept != nil {
-		c.onAccept()
+func (l *channelListener) Accept() (net.Conn, error) {
+	if l.onAccept != nil {
+		l.onAccept()
 	}
-	if conn, ok := <-c.conns; ok {
+	if conn, ok := <-l.conns; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
 // Close does nothing.
-func (c *arrivedConns) Close() error { return nil }
+func (l *channelListener) Close() error { return nil }
 
 // Addr returns an empty address.
-func (c *arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *channelListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // The time that a connection waits in the accept queue because the table is full counts against the client's timeout:
 // the backend gets only the time that is left. A connection that does not wait loses no time.
@@ -47,8 +47,8 @@
 		send(t, near, far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
 	}
-	arrived := &arrivedConns{conns: make(chan net.Conn, 10)}
-	table := newClientConnections(arrived, 1)
+	listener := &channelListener{conns: make(chan net.Conn, 10)}
+	table := newClientConnections(listener, 1)
 	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
 	accept := func() *clientConn {
 		conn, err := table.Accept()
@@ -60,14 +60,14 @@
 	timeLeft := func(conn *clientConn) time.Duration {
 		return time.Until(f.requestDeadline(t, conn))
 	}
-	arrived.conns <- arrive()
+	listener.conns <- arrive()
 	first := accept()
 	if left := timeLeft(first); left < 4900*time.Millisecond {
 		t.Errorf("without a wait, %v of %v are left", left, clientTimeout)
 	}
 	// Two connections get no slot, and each of them takes minEvictionGrace; the third gets one.
 	for range 3 {
-		arrived.conns <- arrive()
+		listener.conns <- arrive()
 	}
 	began := time.Now()
 	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
@@ -85,8 +85,8 @@
 	table.remove(third)
 	table.mu.Unlock()
 	next := arrive()
-	arrived.onAccept = func() {
-		time.AfterFunc(20*time.Millisecond, func() { arrived.conns <- next })
+	listener.onAccept = func() {
+		time.AfterFunc(20*time.Millisecond, func() { listener.conns <- next })
 	}
 	if left := timeLeft(accept()); left < 4900*time.Millisecond {
 		t.Errorf("without a wait after an empty queue, %v of %v are left", left, clientTimeout)
