--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -86,7 +86,7 @@
 	conn.applyReadDeadline()
 }
 
-// markActive records that a connection is no longer idle, and cancels its close.
+// markActive removes a connection from the list of idle connections, and cancels its close.
 func (c *clientConnections) markActive(conn *clientConn) {
 	conn.phase.store(phaseOpen)
 	c.cancelClose(conn)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -30,7 +30,7 @@
 	Cores           float64
 	MemoryMB        int
 	Sockets         int          // file descriptors
-	CachedEndpoints EndpointList // the endpoint list from before the start
+	CachedEndpoints EndpointList // the endpoint list known before the start
 	wire.Deployment
 
 	// Log receives the gateway's log lines; nil stands for slog.Default(). It is not part of the configuration file.
