--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// arrivedConns is a listener whose connections are those of a channel.
-type arrivedConns struct {
+// channelListener is a listener that accepts the connections sent on a channel.
+type channelListener struct {
 	conns    chan net.Conn
-	onAccept func() // called as Accept begins; nil: nothing is
+	onAccept func() // called when Accept begins, unless nil
 }
 
 // Accept returns the next connection, or net.ErrClosed once the channel is closed.
-func (c *arrivedConns) Accept() (net.Conn, error) {
-	if c.onAccept != nil {
-		c.onAccept()
+func (l *channelListener) Accept() (net.Conn, error) {
+	if l.onAccept != nil {
+		l.onAccept()
 	}
-	if conn, ok := <-c.conns; ok {
+	if conn, ok := <-l.conns; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
 // Close does nothing.
-func (c *arrivedConns) Close() error { return nil }
+func (l *channelListener) Close() error { return nil }
 
-// Addr returns no address in particular.
-func (c *arrivedConns) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns an empty address.
+func (l *channelListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A request that waited in the accept queue, since there was no place for those before it, has used that time of its
-// client's timeout: its backend gets what is left. One that came without a wait has lost none.
+// The time that a connection waits in the accept queue because the table is full counts against the client's timeout:
+// the backend gets only the time that is left. A connection that does not wait loses no time.
 func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const clientTimeout = 5 * time.Second
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
@@ -42,13 +42,13 @@
 		t.Fatal(err)
 	}
 	peer := newPeer(t)
-	arrive := func() net.Conn { // with a request
+	arrive := func() net.Conn { // returns a new connection with a request on it
 		near, far := connPair(t, peer)
 		send(t, near, far, requestText("GET", "lookup", "", timeLeftHeader, "5000"))
 		return near
 	}
-	arrived := &arrivedConns{conns: make(chan net.Conn, 10)}
-	table := newClientConnections(arrived, 1)
+	listener := &channelListener{conns: make(chan net.Conn, 10)}
+	table := newClientConnections(listener, 1)
 	f := &frontend{loop: &eventLoop{clock: newClock()}, deployment: &config.Deployment}
 	accept := func() *clientConn {
 		conn, err := table.Accept()
@@ -60,36 +60,36 @@
 	timeLeft := func(conn *clientConn) time.Duration {
 		return time.Until(f.requestDeadline(t, conn))
 	}
-	arrived.conns <- arrive()
+	listener.conns <- arrive()
 	first := accept()
 	if left := timeLeft(first); left < 4900*time.Millisecond {
-		t.Errorf("no wait: %v of %v are left", left, clientTimeout)
+		t.Errorf("without a wait, %v of %v are left", left, clientTimeout)
 	}
-	// Two find no place, for minEvictionGrace each; the third does.
+	// Two connections get no slot, and each of them takes minEvictionGrace; the third gets one.
 	for range 3 {
-		arrived.conns <- arrive()
+		listener.conns <- arrive()
 	}
 	began := time.Now()
 	time.AfterFunc(2*minEvictionGrace+minEvictionGrace/2, func() {
 		table.mu.Lock()
 		defer table.mu.Unlock()
-		table.forget(first)
+		table.remove(first)
 	})
 	third := accept()
 	waited := time.Since(began)
 	if left := timeLeft(third); left > clientTimeout-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
 		t.Errorf("after a wait of %v, %v of %v are left", waited, left, clientTimeout)
 	}
-	// There is a place again, and nobody waits: the next one comes while the acceptor has waited for a while.
+	// There is a free slot again and the queue is empty: the next connection arrives while Accept is waiting.
 	table.mu.Lock()
-	table.forget(third)
+	table.remove(third)
 	table.mu.Unlock()
 	next := arrive()
-	arrived.onAccept = func() {
-		time.AfterFunc(20*time.Millisecond, func() { arrived.conns <- next })
+	listener.onAccept = func() {
+		time.AfterFunc(20*time.Millisecond, func() { listener.conns <- next })
 	}
 	if left := timeLeft(accept()); left < 4900*time.Millisecond {
-		t.Errorf("no wait any more: %v of %v are left", left, clientTimeout)
+		t.Errorf("without a wait after an empty queue, %v of %v are left", left, clientTimeout)
 	}
 }
 
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// fullBacklogBackend is a backend whose accept backlog is full, so that dials to it hang until a connection is accepted.
+// fullBacklogBackend is a backend with a full accept backlog: dials to it hang until it accepts a connection. The
+// fillers are the connections that fill the backlog.
 type fullBacklogBackend struct {
 	fd      int
 	address string
 	fillers []net.Conn
 }
 
-// newFullBacklogBackend listens with the smallest backlog and fills it.
+// newFullBacklogBackend listens with the smallest possible backlog and fills it.
 func newFullBacklogBackend(t *testing.T) *fullBacklogBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -38,23 +39,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &fullBacklogBackend{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
+	b := &fullBacklogBackend{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)}
 	for {
-		conn, err := net.DialTimeout("tcp", c.address, 200*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", b.address, 200*time.Millisecond)
 		if err != nil {
-			return c
+			return b
 		}
 		t.Cleanup(func() { conn.Close() })
-		c.fillers = append(c.fillers, conn)
+		b.fillers = append(b.fillers, conn)
 	}
 }
 
-// accept returns the next connection that is none of those that filled the backlog.
-func (c *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
+// accept returns the next connection that is not one of the fillers, with a reader of it.
+func (b *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
-		conn := c.acceptAny(t)
-		if !c.isFiller(conn) {
+		conn := b.acceptAny(t)
+		if !b.isFiller(conn) {
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			return conn, bufio.NewReader(conn)
 		}
@@ -62,9 +63,9 @@
 }
 
 // acceptAny returns the next connection of the backlog.
-func (c *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
+func (b *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
 	t.Helper()
-	fd, _, err := syscall.Accept(c.fd)
+	fd, _, err := syscall.Accept(b.fd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,14 +79,14 @@
 	return conn
 }
 
-// isFiller reports whether an accepted connection is one of those that filled the backlog.
-func (c *fullBacklogBackend) isFiller(conn net.Conn) bool {
-	return slices.ContainsFunc(c.fillers, func(filler net.Conn) bool {
+// isFiller reports whether an accepted connection is one of the fillers.
+func (b *fullBacklogBackend) isFiller(conn net.Conn) bool {
+	return slices.ContainsFunc(b.fillers, func(filler net.Conn) bool {
 		return filler.LocalAddr().String() == conn.RemoteAddr().String()
 	})
 }
 
-// isDialing reports whether this process waits for a connection to an address.
+// isDialing reports whether this process is dialling an address.
 func isDialing(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
@@ -97,7 +98,7 @@
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// awaitDialing waits until this process waits for a connection to an address, or for testTimeout.
+// awaitDialing waits until this process is dialling an address, testTimeout at most.
 func awaitDialing(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !isDialing(t, address) && time.Now().Before(end); {
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -7,34 +7,34 @@
 	"testing"
 )
 
-// A reload moves discovery and counter under load and loses nothing: open requests are answered, the new discovery is
-// polled for its full list, the counter call in flight still gets its answer from the old one, and an invalid file
-// changes nothing.
+// A reload moves discovery and the counter to new addresses under load, and nothing is lost: open requests are
+// answered, the new discovery is polled for its full list, and a counter call in flight still gets its response from
+// the old counter. An invalid configuration file changes nothing.
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
-	r := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
+	g := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
-		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // so long that no call for a list times out meanwhile
-	defer r.stop() // before the new discovery is closed, which would wait for the end of its watch
-	_, openAnswers := r.sendRequest(t, requestText("GET", "lookup", ""))
+		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // long enough that no call for a list times out in the test
+	defer g.stop() // before the new discovery closes, which waits for the watch to end
+	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
-	call, _ := readRequest(t, counterReader) // not answered yet
+	call, _ := readRequest(t, counterReader) // answered after the reload
 
-	valid := *r.config.Load()
+	valid := *g.config.Load()
 	invalid := valid[:len(valid)/2]
-	r.config.Store(&invalid)
-	r.reloadSignal <- syscall.SIGHUP
+	g.config.Store(&invalid)
+	g.reloadSignal <- syscall.SIGHUP
 	newDiscovery := newFakeDiscovery(t)
-	next := strings.NewReplacer(r.discovery.address(), newDiscovery.address(),
+	next := strings.NewReplacer(g.discovery.address(), newDiscovery.address(),
 		counter.address(), newCounter.address()).Replace(valid)
-	r.config.Store(&next)
-	r.reloadSignal <- syscall.SIGHUP
-	if query := await(t, newDiscovery.calls, "call of the new discovery"); query != "" {
+	g.config.Store(&next)
+	g.reloadSignal <- syscall.SIGHUP
+	if query := await(t, newDiscovery.calls, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // the window's first: no further call has to reconcile anything
+	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // first call of the window: no later one reconciles
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
@@ -46,7 +46,7 @@
 	if _, err := counterReader.ReadByte(); err != io.EOF {
 		t.Errorf("the old counter's connection: %v", err)
 	}
-	_, answers := r.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
+	_, answers := g.sendRequest(t, requestText("GET", "lookup", "", apiKeyHeader, "0000000000000001"))
 	counterConn, counterReader = newCounter.accept(t)
 	call, _ = readRequest(t, counterReader)
 	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
