--- a/policy/admission.go
+++ b/policy/admission.go
@@ -37,7 +37,7 @@
 	e.requests[arrival.ID] = req
 	e.queue.arrivalCounts[req.level]++
 	req.customer = e.customerFor(arrival)
-	e.limitToShutdown(req)
+	e.applyShutdownDeadline(req)
 	return req
 }
 
@@ -48,7 +48,7 @@
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
 		return deadline
 	}
-	return min(deadline, arrival.SentAt+class.LatencyObjective-e.elapsedBefore(arrival, class))
+	return min(deadline, arrival.SentAt+class.LatencyObjective-e.timeSpentOnEarlierAttempts(arrival, class))
 }
 
 // timingMargin returns the seconds by which an answer is due before a deadline: an event may come a tick
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -40,7 +40,7 @@
 		req.customer.openAttempts--
 	}
 	e.cancelAttempts(req)
-	e.forgetIfOver(req)
+	e.deleteIfFinished(req)
 }
 
 // cancelAttempts cancels the attempts of a request that are in flight, unless its answer is being streamed
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -13,7 +13,7 @@
 	}
 	e.correctEstimatedUnits(req, event)
 	e.answerOrRetry(req, event)
-	e.forgetIfOver(req)
+	e.deleteIfFinished(req)
 	e.admit(req.customer)
 }
 
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -22,17 +22,17 @@
 	return c.usual == 0 || math.Abs(timeout-c.usual) < tolerance
 }
 
-// elapsedBefore returns the seconds that the client has surely spent on earlier attempts. Most requests of a
-// class and plan come with the same timeout; one that has another is cut to what is left of the client's
-// whole time. A retry whose latency objective has passed earns nothing, yet takes units, a counter call and
-// a backend's time from requests that may still earn; a first request must not be taken for one, so an
-// unknown usual timeout says nothing.
-func (e *Engine) elapsedBefore(r Request, class *Class) float64 {
+// timeSpentOnEarlierAttempts returns the seconds that the client has surely spent on earlier attempts. Most
+// requests of a class and plan come with the same timeout; one that has another is cut to what is left of the
+// client's whole time. A retry whose latency objective has passed earns nothing, yet takes units, a counter
+// call and a backend's time from requests that may still earn; a first request must not be taken for one, so
+// an unknown usual timeout says nothing.
+func (e *Engine) timeSpentOnEarlierAttempts(r Request, class *Class) float64 {
 	timeout := r.Deadline - r.SentAt
 	tolerance := e.timingMargin()
-	known := &e.clientTimeouts[r.Class*len(e.settings.Plans)+r.Plan]
-	known.observe(timeout, tolerance)
-	if known.isUsual(timeout, tolerance) {
+	observed := &e.clientTimeouts[r.Class*len(e.settings.Plans)+r.Plan]
+	observed.observe(timeout, tolerance)
+	if observed.isUsual(timeout, tolerance) {
 		return 0
 	}
 	return max(class.Deadline-timeout, 0)
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -53,7 +53,7 @@
 // Handle takes one event that happened at the clock time now, and appends the actions that it calls
 // for to out. Events that nothing is decided by (Probed, PeerMessage) are passed over.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
-	e.limiter.averageInFlight(e.now, now)
+	e.limiter.updateMeanInFlight(e.now, now)
 	e.now = now
 	e.actions = out
 	e.handleEvent(event)
@@ -73,7 +73,7 @@
 	case ClientDisconnected:
 		e.clientDisconnected(event.Request)
 	case TimerFired:
-		e.fireTimer(unpackTimerToken(event.Token))
+		e.handleTimer(unpackTimerToken(event.Token))
 	case CounterReply:
 		e.handleCounterReply(event)
 	case LateCounterReply:
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -91,7 +91,8 @@
 	return d.lastActions
 }
 
-// sendRequest sends a request of the class and plan and answers its counter calls in full. The actions of both are the last.
+// sendRequest sends a request of the class and plan and answers its counter calls in full. lastActions has the actions
+// of both.
 func (d *engineDriver) sendRequest(class, plan int, id CustomerID) RequestID {
 	d.nextID++
 	actions := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: id, Units: 1, Gateways: 2,
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -1,8 +1,8 @@
 package policy
 
-// hedgeOrRecordSlow handles an attempt that takes longer than nearly all do: the silence of its backend
+// handleSlowAttempt handles an attempt that takes longer than nearly all do: the silence of its backend
 // counts as a failure, and where allowed a hedged request goes to another backend.
-func (e *Engine) hedgeOrRecordSlow(req *request, number int) {
+func (e *Engine) handleSlowAttempt(req *request, number int) {
 	a := &req.attempts[number]
 	if a.backend.lastSuccessAt < a.sentAt {
 		a.backend.recordFailure(e.now)
--- a/policy/inflight.go
+++ b/policy/inflight.go
@@ -29,10 +29,10 @@
 func (e *Engine) attemptAbandoned(req *request, a *attempt) {
 	b := a.backend
 	b.consecutiveTimeouts++
-	stay := min(e.latency.mean*float64(b.consecutiveTimeouts), req.class.Deadline)
+	countedFor := min(e.latency.mean*float64(b.consecutiveTimeouts), req.class.Deadline)
 	b.abandoned = append(b.abandoned, abandonedAttempt{
 		sentAt:    a.sentAt,
-		expiresAt: e.now + stay,
+		expiresAt: e.now + countedFor,
 		level:     req.level,
 	})
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -17,22 +17,22 @@
 }
 
 // record takes in a served attempt that took so many seconds.
-func (s *latencyStats) record(took float64) {
+func (s *latencyStats) record(elapsed float64) {
 	if s.mean == 0 {
-		s.mean = took
-		s.deviation = took / 2
+		s.mean = elapsed
+		s.deviation = elapsed / 2
 	}
-	s.deviation += overallLatencyGain * (math.Abs(took-s.mean) - s.deviation)
-	s.mean += overallLatencyGain * (took - s.mean)
+	s.deviation += overallLatencyGain * (math.Abs(elapsed-s.mean) - s.deviation)
+	s.mean += overallLatencyGain * (elapsed - s.mean)
 }
 
-// slowAfter returns the seconds after which an attempt takes longer than nearly all do.
-func (s *latencyStats) slowAfter() float64 { return s.mean + slowDeviations*s.deviation }
+// slowThreshold returns the seconds after which an attempt takes longer than nearly all do.
+func (s *latencyStats) slowThreshold() float64 { return s.mean + slowDeviations*s.deviation }
 
 // recordLatency takes in an attempt at the backend that took so many seconds, or at least that long.
-func (b *backend) recordLatency(took float64) {
+func (b *backend) recordLatency(elapsed float64) {
 	if b.latency == 0 {
-		b.latency = took
+		b.latency = elapsed
 	}
-	b.latency += backendLatencyGain * (took - b.latency)
+	b.latency += backendLatencyGain * (elapsed - b.latency)
 }
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -15,7 +15,7 @@
 	minLatencyRatioGain    = 0.05 // weight of the newest latency ratio where answers are many
 	maxLatencyRatioGain    = 0.3  // and where they are rare
 	reserveShare           = 0.15 // part of the limit that only top levels may use
-	topLevelShare          = 0.5  // levels whose weight is at least this share of the highest are top levels
+	topLevelWeightShare    = 0.5  // levels whose weight is at least this share of the highest are top levels
 )
 
 // concurrencyLimiter limits the attempts that this gateway has in flight. Its limit is 0 until the first
@@ -29,8 +29,8 @@
 	latencyRatioAt float64 // when latencyRatio was last updated
 }
 
-// averageInFlight brings the mean of attempts in flight from the time previous to now.
-func (l *concurrencyLimiter) averageInFlight(previous, now float64) {
+// updateMeanInFlight brings the mean of attempts in flight from the time previous to now.
+func (l *concurrencyLimiter) updateMeanInFlight(previous, now float64) {
 	gain := 1 - math.Exp((previous-now)/limitAveragingWindow)
 	l.meanInFlight += gain * (float64(l.inFlight) - l.meanInFlight)
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,22 +3,22 @@
 // recordOutcome learns from the end of an attempt: the failure rate and latency of the backend, the latency
 // over all, and the limit on attempts in flight.
 func (e *Engine) recordOutcome(req *request, a *attempt, outcome Outcome) {
-	took := e.now - a.sentAt
+	elapsed := e.now - a.sentAt
 	switch outcome {
 	case Served:
 		a.backend.recordSuccess(e.now)
 		e.expireAbandoned(a.backend, a.sentAt)
-		a.backend.recordLatency(took)
-		e.latency.record(took)
-		e.adjustLimit(took / req.class.LatencyObjective)
+		a.backend.recordLatency(elapsed)
+		e.latency.record(elapsed)
+		e.adjustLimit(elapsed / req.class.LatencyObjective)
 	case Failed, ConnectionReset, ConnectFailed:
 		a.backend.recordFailure(e.now)
 	case Rejected:
 		a.backend.recordFailure(e.now)
 		e.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if took > e.latency.slowAfter() { // one that ended earlier says nothing of the backend
-			a.backend.recordLatency(max(took, a.backend.latency))
+		if elapsed > e.latency.slowThreshold() { // one that ended earlier says nothing of the backend
+			a.backend.recordLatency(max(elapsed, a.backend.latency))
 			if outcome == TimedOut {
 				e.adjustLimit(1)
 			}
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -3,11 +3,11 @@
 // The cost of a backend, by which one is chosen. Each value is a share or a factor that holds for any
 // deployment.
 const (
-	lowerLevelLoad   = 0.1  // what an attempt of any level counts beside those of equal or higher level
-	maxLatencyFactor = 8.0  // a backend counts as this many times slower or faster than the mean at most
-	maxCostFailures  = 0.9  // failure rate above which the cost grows no further
-	sameBackendCost  = 1e3  // added for the backend of the last attempt: above any other cost
-	costJitter       = 0.05 // random part of a cost, lest gateways choose alike
+	lowerLevelLoad       = 0.1  // what an attempt of any level counts beside those of equal or higher level
+	maxLatencyFactor     = 8.0  // a backend counts as this many times slower or faster than the mean at most
+	maxFailureRateInCost = 0.9  // failure rate above which the cost grows no further
+	sameBackendCost      = 1e3  // added for the backend of the last attempt: above any other cost
+	costJitter           = 0.05 // random part of a cost, lest gateways choose alike
 )
 
 // candidates sums up the backends that may get the next attempt of a request.
@@ -82,7 +82,7 @@
 // cost returns what an attempt of the request at the backend costs, which is meaningful beside the costs of
 // other backends alone.
 func (e *Engine) cost(req *request, b *backend) float64 {
-	successRate := 1 - min(b.failureRate, maxCostFailures)
+	successRate := 1 - min(b.failureRate, maxFailureRateInCost)
 	// A gateway among many has nothing in flight at most backends, so one in slow start would look worst
 	// for as long as it is. Its tokens keep its share small; what it may get, it gets at once.
 	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (successRate * successRate)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -40,12 +40,12 @@
 	return level
 }
 
-// topLevel returns the number of the highest level.
-func (q *priorityQueue) topLevel() int { return len(q.weights) - 1 }
+// highestLevel returns the number of the highest level.
+func (q *priorityQueue) highestLevel() int { return len(q.weights) - 1 }
 
 // isTopLevel reports whether requests of a level may use the reserve of the concurrency limit.
 func (q *priorityQueue) isTopLevel(level int) bool {
-	return q.weights[level] >= topLevelShare*q.weights[q.topLevel()]
+	return q.weights[level] >= topLevelWeightShare*q.weights[q.highestLevel()]
 }
 
 // updateArrivalRates gives the arrivals since the last update, elapsed seconds ago, the weight gain in the
@@ -74,18 +74,18 @@
 func (e *Engine) wouldWaitTooLong(req *request) bool {
 	secondsPerAttempt := e.latency.mean / max(e.limiter.limit, minLimitForWait)
 	ahead := 1 + float64(len(e.queue.requests[req.level]))
-	higher := 0.0
+	higherRate := 0.0
 	for level := req.level + 1; level < len(e.queue.requests); level++ {
 		ahead += float64(len(e.queue.requests[level]))
-		higher += e.queue.arrivalRates[level]
+		higherRate += e.queue.arrivalRates[level]
 	}
 	remaining := req.answerBy - e.now - e.latency.mean
-	return ahead*secondsPerAttempt >= remaining*max(1-secondsPerAttempt*higher, 0)
+	return ahead*secondsPerAttempt >= remaining*max(1-secondsPerAttempt*higherRate, 0)
 }
 
 // dispatch sends queued requests, highest level first, until the concurrency limit is reached.
 func (e *Engine) dispatch() {
-	for level := e.queue.topLevel(); level >= 0; level-- {
+	for level := e.queue.highestLevel(); level >= 0; level-- {
 		if len(e.queue.requests[level]) > 0 && !e.dispatchLevel(level) {
 			return
 		}
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -72,29 +72,30 @@
 // randomRun plays the events of a seed and returns all actions.
 func randomRun(t *testing.T, seed uint64) []Action {
 	t.Helper()
-	w := newRandomWorld(t, seed)
+	env := newRandomEnvironment(t, seed)
 	for range 3000 {
-		w.drive.now += 0.002
-		w.fireDueTimers()
-		w.checkDeadlines()
-		w.nextEvent()
+		env.drive.now += 0.002
+		env.fireDueTimers()
+		env.checkDeadlines()
+		env.nextEvent()
 	}
-	return w.log
+	return env.allActions
 }
 
-// randomWorld is all around one engine: clients, backends, discovery and the counter, each of which acts at random.
-type randomWorld struct {
-	t        *testing.T
-	seed     uint64
-	rng      *rand.Rand
-	set      Settings
-	drive    *engineDriver
-	requests map[RequestID]*trackedRequest
-	order    []RequestID // by arrival
-	timers   []pendingTimer
-	calls    []CounterAdd // unanswered
-	notReady map[BackendID]bool
-	log      []Action
+// randomEnvironment simulates the surroundings of one engine: clients, backends, discovery and the counter, each of
+// which acts at random.
+type randomEnvironment struct {
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand
+	set        Settings
+	drive      *engineDriver
+	requests   map[RequestID]*trackedRequest
+	order      []RequestID // by arrival
+	timers     []pendingTimer
+	calls      []CounterAdd // unanswered
+	notReady   map[BackendID]bool
+	allActions []Action
 }
 
 // trackedRequest is a request with what the engine has done about it.
@@ -102,7 +103,7 @@
 	Request
 	attempts []SendAttempt
 	inFlight []int // numbers of attempts
-	ended    bool  // has its final answer
+	answered bool  // has its final answer
 }
 
 type pendingTimer struct {
@@ -110,14 +111,14 @@
 	token uint64
 }
 
-func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
+func newRandomEnvironment(t *testing.T, seed uint64) *randomEnvironment {
 	t.Helper()
 	set := testSettings()
 	set.CanHedge = seed%2 == 0
 	set.Counter = seed%3 != 0
 	set.Classes = append(set.Classes,
 		Class{LatencyObjective: 0.5, Deadline: 1, PriorityWeight: 2, Idempotency: NonIdempotent})
-	return &randomWorld{
+	return &randomEnvironment{
 		t:        t,
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 2)),
@@ -130,136 +131,136 @@
 }
 
 // handle has the engine handle an event, and checks and carries out its actions.
-func (w *randomWorld) handle(event Event) {
-	w.t.Helper()
-	actions := w.drive.handle(event)
-	w.log = append(w.log, actions...)
+func (env *randomEnvironment) handle(event Event) {
+	env.t.Helper()
+	actions := env.drive.handle(event)
+	env.allActions = append(env.allActions, actions...)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAttempt:
-			w.sendAttempt(a)
+			env.sendAttempt(a)
 		case Reject:
-			w.answer(a.Request)
+			env.recordAnswer(a.Request)
 		case FailRequest:
-			w.answer(a.Request)
+			env.recordAnswer(a.Request)
 		case SetTimer:
-			w.timers = append(w.timers, pendingTimer{w.drive.now + a.Delay, a.Token})
+			env.timers = append(env.timers, pendingTimer{env.drive.now + a.Delay, a.Token})
 		case CounterAdd:
-			w.calls = append(w.calls, a)
+			env.calls = append(env.calls, a)
 		}
 	}
 }
 
-func (w *randomWorld) sendAttempt(a SendAttempt) {
-	w.t.Helper()
-	req := w.requests[a.Request]
-	if req.ended {
-		w.t.Fatalf("seed %d: sent request %d after its end", w.seed, a.Request)
+func (env *randomEnvironment) sendAttempt(a SendAttempt) {
+	env.t.Helper()
+	req := env.requests[a.Request]
+	if req.answered {
+		env.t.Fatalf("seed %d: sent request %d after its end", env.seed, a.Request)
 	}
-	if w.notReady[a.Backend] {
-		w.t.Fatalf("seed %d: sent to %d, which is draining or removed", w.seed, a.Backend)
+	if env.notReady[a.Backend] {
+		env.t.Fatalf("seed %d: sent to %d, which is draining or removed", env.seed, a.Backend)
 	}
-	if len(req.inFlight) > 0 && !w.set.CanHedge {
-		w.t.Fatalf("seed %d: two attempts in flight", w.seed)
+	if len(req.inFlight) > 0 && !env.set.CanHedge {
+		env.t.Fatalf("seed %d: two attempts in flight", env.seed)
 	}
 	req.inFlight = append(req.inFlight, len(req.attempts))
 	req.attempts = append(req.attempts, a)
-	if len(req.attempts) > w.set.MaxAttempts {
-		w.t.Fatalf("seed %d: %d attempts", w.seed, len(req.attempts))
+	if len(req.attempts) > env.set.MaxAttempts {
+		env.t.Fatalf("seed %d: %d attempts", env.seed, len(req.attempts))
 	}
 }
 
-// answer notes a final answer that no backend made.
-func (w *randomWorld) answer(id RequestID) {
-	w.t.Helper()
-	req := w.requests[id]
-	if req.ended {
-		w.t.Fatalf("seed %d: two answers", w.seed)
+// recordAnswer notes a final answer that no backend made.
+func (env *randomEnvironment) recordAnswer(id RequestID) {
+	env.t.Helper()
+	req := env.requests[id]
+	if req.answered {
+		env.t.Fatalf("seed %d: two answers", env.seed)
 	}
-	req.ended = true
+	req.answered = true
 }
 
-func (w *randomWorld) fireDueTimers() {
-	w.t.Helper()
-	for i := 0; i < len(w.timers); i++ {
-		if w.timers[i].at <= w.drive.now {
-			due := w.timers[i]
-			w.timers = slices.Delete(w.timers, i, i+1)
+func (env *randomEnvironment) fireDueTimers() {
+	env.t.Helper()
+	for i := 0; i < len(env.timers); i++ {
+		if env.timers[i].at <= env.drive.now {
+			due := env.timers[i]
+			env.timers = slices.Delete(env.timers, i, i+1)
 			i--
-			w.handle(TimerFired{Token: due.token})
+			env.handle(TimerFired{Token: due.token})
 		}
 	}
 }
 
-func (w *randomWorld) checkDeadlines() {
-	w.t.Helper()
-	for _, id := range w.order {
-		if req := w.requests[id]; !req.ended && w.drive.now > req.Deadline+w.set.AnswerSlack {
-			w.t.Fatalf("seed %d: request %d was not answered in time", w.seed, id)
+func (env *randomEnvironment) checkDeadlines() {
+	env.t.Helper()
+	for _, id := range env.order {
+		if req := env.requests[id]; !req.answered && env.drive.now > req.Deadline+env.set.AnswerSlack {
+			env.t.Fatalf("seed %d: request %d was not answered in time", env.seed, id)
 		}
 	}
 }
 
-func (w *randomWorld) nextEvent() {
-	w.t.Helper()
-	switch w.rng.IntN(6) {
+func (env *randomEnvironment) nextEvent() {
+	env.t.Helper()
+	switch env.rng.IntN(6) {
 	case 0, 1:
-		w.requestArrives()
+		env.requestArrives()
 	case 2, 3:
-		w.attemptEnds()
+		env.attemptEnds()
 	case 4:
-		w.counterReplies()
+		env.counterReplies()
 	case 5:
-		w.backendChanges()
+		env.backendChanges()
 	}
 }
 
-func (w *randomWorld) requestArrives() {
-	w.t.Helper()
-	w.drive.nextID++
-	r := Request{ID: w.drive.nextID, Class: w.rng.IntN(3), Plan: w.rng.IntN(2), Customer: CustomerID(w.rng.IntN(4)),
+func (env *randomEnvironment) requestArrives() {
+	env.t.Helper()
+	env.drive.nextID++
+	r := Request{ID: env.drive.nextID, Class: env.rng.IntN(3), Plan: env.rng.IntN(2), Customer: CustomerID(env.rng.IntN(4)),
 		Units: 1, Gateways: 2}
-	r.Deadline = w.drive.now + w.set.Classes[r.Class].Deadline*(0.5+w.rng.Float64()/2)
-	w.requests[r.ID] = &trackedRequest{Request: r}
-	w.order = append(w.order, r.ID)
-	w.handle(r)
+	r.Deadline = env.drive.now + env.set.Classes[r.Class].Deadline*(0.5+env.rng.Float64()/2)
+	env.requests[r.ID] = &trackedRequest{Request: r}
+	env.order = append(env.order, r.ID)
+	env.handle(r)
 }
 
 // attemptEnds ends the oldest attempt in flight of one of the newest requests, if it has any.
-func (w *randomWorld) attemptEnds() {
-	w.t.Helper()
-	if len(w.order) == 0 {
+func (env *randomEnvironment) attemptEnds() {
+	env.t.Helper()
+	if len(env.order) == 0 {
 		return
 	}
-	req := w.requests[w.order[max(0, len(w.order)-1-w.rng.IntN(20))]]
+	req := env.requests[env.order[max(0, len(env.order)-1-env.rng.IntN(20))]]
 	if len(req.inFlight) == 0 {
 		return
 	}
 	n := req.inFlight[0]
 	req.inFlight = req.inFlight[1:]
 	outcomes := []Outcome{Served, Served, Failed, Rejected, TimedOut, ConnectionReset, ConnectFailed}
-	outcome := outcomes[w.rng.IntN(len(outcomes))]
-	req.ended = req.ended || outcome == Served
-	w.handle(AttemptEnded{Request: req.ID, Attempt: n, Backend: req.attempts[n].Backend, Outcome: outcome, Latency: 0.1,
-		RequestOver: req.ended})
+	outcome := outcomes[env.rng.IntN(len(outcomes))]
+	req.answered = req.answered || outcome == Served
+	env.handle(AttemptEnded{Request: req.ID, Attempt: n, Backend: req.attempts[n].Backend, Outcome: outcome, Latency: 0.1,
+		RequestOver: req.answered})
 }
 
-func (w *randomWorld) counterReplies() {
-	w.t.Helper()
-	if len(w.calls) == 0 {
+func (env *randomEnvironment) counterReplies() {
+	env.t.Helper()
+	if len(env.calls) == 0 {
 		return
 	}
-	call := w.calls[0]
-	w.calls = w.calls[1:]
+	call := env.calls[0]
+	env.calls = env.calls[1:]
 	outcomes := []Outcome{Served, Served, TimedOut, Rejected, Failed, ConnectionReset}
-	outcome := outcomes[w.rng.IntN(len(outcomes))]
-	w.handle(CounterReply{Name: call.Name, Outcome: outcome, Total: max(call.Amount+float64(w.rng.IntN(3)), 0)})
+	outcome := outcomes[env.rng.IntN(len(outcomes))]
+	env.handle(CounterReply{Name: call.Name, Outcome: outcome, Total: max(call.Amount+float64(env.rng.IntN(3)), 0)})
 }
 
-func (w *randomWorld) backendChanges() {
-	w.t.Helper()
-	b := readyBackend(BackendID(1 + w.rng.IntN(5)))
-	b.State = BackendState(w.rng.IntN(3))
-	w.notReady[b.ID] = b.State != Ready
-	w.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{b}})
+func (env *randomEnvironment) backendChanges() {
+	env.t.Helper()
+	b := readyBackend(BackendID(1 + env.rng.IntN(5)))
+	b.State = BackendState(env.rng.IntN(3))
+	env.notReady[b.ID] = b.State != Ready
+	env.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{b}})
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// forgetIfOver drops a finished request once none of its attempts is in flight.
-func (e *Engine) forgetIfOver(req *request) {
+// deleteIfFinished drops a finished request once none of its attempts is in flight.
+func (e *Engine) deleteIfFinished(req *request) {
 	if req.finished && req.attemptsInFlight == 0 {
 		delete(e.requests, req.ID)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -29,7 +29,7 @@
 
 // retry starts one more attempt if the retry budget has a token and time remains. It reports whether it did.
 func (e *Engine) retry(req *request) bool {
-	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(e.queue.topLevel()) {
+	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(e.queue.highestLevel()) {
 		return false
 	}
 	b := e.pick(req)
--- a/policy/send.go
+++ b/policy/send.go
@@ -8,7 +8,7 @@
 		return false
 	}
 	number := len(req.attempts)
-	e.chargeAttempt(req, number)
+	e.countAttempt(req, number)
 	req.markExecutable(b, e.now)
 	req.attempts = append(req.attempts, attempt{backend: b, sentAt: e.now})
 	req.attemptsInFlight++
@@ -16,7 +16,7 @@
 	e.chargeSlowStart(b)
 	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
 	if e.latency.mean > 0 {
-		e.setTimer(e.latency.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: number, request: req.ID})
+		e.setTimer(e.latency.slowThreshold(), timerToken{kind: slowAttemptTimer, attempt: number, request: req.ID})
 	}
 	return true
 }
@@ -28,7 +28,7 @@
 		req.sharesDedupeScope(b) &&
 		!e.dedupeWindowOver(req) &&
 		e.attemptsRemain(req) &&
-		e.mayRunBeside(req)
+		e.mayRunConcurrently(req)
 }
 
 // awaitsAnswer reports whether the request is admitted, has no final answer, and none has begun.
@@ -51,14 +51,14 @@
 	return len(req.attempts) < max(e.settings.MaxAttempts, 1)
 }
 
-// mayRunBeside reports whether one more attempt may run beside those of the request that are in flight.
-func (e *Engine) mayRunBeside(req *request) bool {
+// mayRunConcurrently reports whether one more attempt may run beside those of the request that are in flight.
+func (e *Engine) mayRunConcurrently(req *request) bool {
 	return req.attemptsInFlight == 0 || e.settings.CanHedge
 }
 
-// chargeAttempt counts an attempt of that number. A first one adds to the retry budget; its slot under the
+// countAttempt counts an attempt of that number. A first one adds to the retry budget; its slot under the
 // customer's concurrency limit was taken at admission, while each further attempt takes one more.
-func (e *Engine) chargeAttempt(req *request, number int) {
+func (e *Engine) countAttempt(req *request, number int) {
 	if number == 0 {
 		e.retries.recordFirstAttempt()
 		return
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -12,15 +12,15 @@
 	// By id, since the order of the actions must not depend on that of a map.
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		req := e.openRequest(id)
-		if req != nil && e.limitToShutdown(req) {
+		if req != nil && e.applyShutdownDeadline(req) {
 			e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: id})
 		}
 	}
 }
 
-// limitToShutdown cuts the time of a request to what a shutdown leaves, and reports whether that is less than
-// it had.
-func (e *Engine) limitToShutdown(req *request) bool {
+// applyShutdownDeadline cuts the time of a request to what a shutdown leaves, and reports whether that is
+// less than it had.
+func (e *Engine) applyShutdownDeadline(req *request) bool {
 	latest := e.shutdownAnswerBy - e.timingMargin()
 	if e.shutdownAnswerBy == 0 || req.answerBy <= latest {
 		return false
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -28,39 +28,39 @@
 	set.Plans = []Plan{{WeightFactor: 1}}
 	set.CanHedge = false
 	d := startEngine(t, set, backends...)
-	began := d.now
+	start := d.now
 	answeredAfter := map[RequestID]float64{} // seconds since the shutdown
 	var timers []pendingTimer
-	take := func(actions []Action) {
+	record := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, pendingTimer{d.now + a.Delay, a.Token})
 			case Reject:
-				answeredAfter[a.Request] = d.now - began
+				answeredAfter[a.Request] = d.now - start
 			case FailRequest:
-				answeredAfter[a.Request] = d.now - began
+				answeredAfter[a.Request] = d.now - start
 			}
 		}
 	}
 	send := func(deadline float64) RequestID {
 		d.nextID++
-		take(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
+		record(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
 		return d.nextID
 	}
 	brief := send(0.5)
 	long := send(60)
 	if shutdown {
-		take(d.handle(Shutdown{AnswerBy: began + 2}))
+		record(d.handle(Shutdown{AnswerBy: start + 2}))
 	}
 	late := send(60)
-	for d.now < began+70 {
+	for d.now < start+70 {
 		d.now += tick
 		due := slices.Clone(timers)
 		timers = slices.DeleteFunc(timers, func(timer pendingTimer) bool { return timer.at <= d.now })
 		for _, timer := range due {
 			if timer.at <= d.now {
-				take(d.handle(TimerFired{Token: timer.token}))
+				record(d.handle(TimerFired{Token: timer.token}))
 			}
 		}
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	burstFactor   = 3.0 // of traffic after a lull, times the traffic before
-	meanWork      = 0.2 // seconds of a core that a request takes
-	maxQueuedWork = 3.0 // times meanWork: what would wait longer is rejected
+	burstFactor           = 3.0 // of traffic after a lull, times the traffic before
+	meanServiceTime       = 0.2 // seconds of a core that a request takes
+	maxQueuedServiceTimes = 3.0 // times meanServiceTime: what would wait longer is rejected
 )
 
 // slowStartFleet is a fleet of engines on a simulated clock, before backends that queue.
@@ -59,17 +59,17 @@
 		}
 	}
 	end := AttemptEnded{Request: a.Request, Backend: a.Backend}
-	took := 0.001
-	if start := max(b.freeAt, f.now); start-f.now > maxQueuedWork*meanWork {
+	latency := 0.001
+	if start := max(b.freeAt, f.now); start-f.now > maxQueuedServiceTimes*meanServiceTime {
 		end.Outcome = Rejected
 	} else {
-		work := f.rng.ExpFloat64() * meanWork
+		work := f.rng.ExpFloat64() * meanServiceTime
 		b.freeAt = start + work/(f.cores*share)
-		took = start + work - f.now
+		latency = start + work - f.now
 	}
-	end.Latency = took
+	end.Latency = latency
 	end.RequestOver = end.Outcome == Served
-	heap.Push(&f.pending, scheduledEvent{f.now + took, gateway, end})
+	heap.Push(&f.pending, scheduledEvent{f.now + latency, gateway, end})
 }
 
 // capacityShare returns the share of its capacity that a backend has so many seconds after its start, above 1 once it
@@ -120,7 +120,7 @@
 			}
 			begin := max(at-f.set.OverloadDuration, b.startedAt)
 			meanShare := f.capacityShare((begin+at)/2 - b.startedAt)
-			n := f.set.OverloadFactor * meanShare * f.cores / meanWork * f.set.OverloadDuration
+			n := f.set.OverloadFactor * meanShare * f.cores / meanServiceTime * f.set.OverloadDuration
 			if x := float64(i-from+1) - (n + 2*math.Sqrt(n) + 2); x > excess {
 				excess, sent, budget = x, i-from+1, n
 			}
@@ -140,11 +140,11 @@
 		sends := 0
 		for n := range uint64(12) {
 			traffic := traffic{
-				use:  []float64{0.3, 0.95}[n%2],
-				zipf: []float64{0, 1.2}[n/2%2],
-				lull: []float64{0, 1, 6}[n/4],
+				utilization: []float64{0.3, 0.95}[n%2],
+				zipf:        []float64{0, 1.2}[n/2%2],
+				lull:        []float64{0, 1, 6}[n/4],
 			}
-			f := playSlowStart(c.gateways, c.warm, c.starting, c.cores, traffic, n)
+			f := simulateSlowStart(c.gateways, c.warm, c.starting, c.cores, traffic, n)
 			sends += f.slowStartSends
 			if excess, sent, budget := f.worstWindow(); excess > 0 {
 				t.Errorf("%+v, %+v, seed %d: %d sends in a window of a budget of %.1f", c, traffic, n, sent, budget)
@@ -158,14 +158,14 @@
 
 // traffic is the load of a slowStartFleet.
 type traffic struct {
-	use  float64 // share of the warm backends' capacity
-	zipf float64 // exponent of the gateways' weights; 0: all alike
-	lull float64 // seconds without traffic before the burst; 0: neither
+	utilization float64 // share of the warm backends' capacity
+	zipf        float64 // exponent of the gateways' weights; 0: all alike
+	lull        float64 // seconds without traffic before the burst; 0: neither
 }
 
-// playSlowStart starts backends under traffic, has a lull, and then a burst whose clients come to other gateways than
+// simulateSlowStart starts backends under traffic, has a lull, and then a burst whose clients come to other gateways than
 // before.
-func playSlowStart(gateways, warm, starting int, cores float64, load traffic, seed uint64) *slowStartFleet {
+func simulateSlowStart(gateways, warm, starting int, cores float64, load traffic, seed uint64) *slowStartFleet {
 	set := testSettings()
 	set.FleetSize = gateways
 	set.Plans = []Plan{{WeightFactor: 1}} // no quota
@@ -187,7 +187,7 @@
 		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: readyBackends(warmAtFirst)})
 		f.handle(i, timerFired(maintenanceTimer, 0))
 	}
-	f.run(106, load.use*float64(warmAtFirst)*cores/meanWork)
+	f.run(106, load.utilization*float64(warmAtFirst)*cores/meanServiceTime)
 	list := readyBackends(warm)
 	for i := range starting {
 		b := readyBackend(BackendID(warmAtFirst + i + 1))
@@ -198,7 +198,7 @@
 	for i := range gateways {
 		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: list})
 	}
-	rate := load.use * float64(warmAtFirst) * cores / meanWork // clients stay, whatever becomes of backends
+	rate := load.utilization * float64(warmAtFirst) * cores / meanServiceTime // clients stay, whatever becomes of backends
 	f.run(107, rate)
 	if load.lull > 0 {
 		f.run(107+load.lull, 0)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -45,8 +45,8 @@
 	e.emit(SetTimer{Delay: max(delay, 0), Token: token.pack(), Request: token.request})
 }
 
-// fireTimer handles a timer that is due. One whose subject is over by now does nothing.
-func (e *Engine) fireTimer(token timerToken) {
+// handleTimer handles a timer that is due. One whose subject is over by now does nothing.
+func (e *Engine) handleTimer(token timerToken) {
 	switch token.kind {
 	case maintenanceTimer:
 		e.runMaintenance()
@@ -68,7 +68,7 @@
 	if req == nil || !req.attemptInFlight(token.attempt) {
 		return
 	}
-	e.hedgeOrRecordSlow(req, token.attempt)
+	e.handleSlowAttempt(req, token.attempt)
 }
 
 // sendDeadlineTimerFired answers a request of which no attempt has begun: one that began now would end too
