--- a/policy/actions.go
+++ b/policy/actions.go
@@ -39,8 +39,8 @@
 	Timeout float64 // seconds; 0: until the request's deadline
 }
 
-// CancelAttempt stops waiting for an attempt, which is given by its number within its request. The backend may
-// still execute it. The AttemptEnded event follows as usual.
+// CancelAttempt stops waiting for an attempt, which is given by its number within its request. The backend
+// may still execute it. The AttemptEnded event follows as usual.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// requestArrived opens a request and admits it as far as its customer's quota allows. Two timers see to it
-// that it is answered in time.
+// requestArrived registers a new request, and admits it if its customer's quota allows it now. If the request
+// stays open, timers ensure that it is sent and answered in time.
 func (e *Engine) requestArrived(arrival Request) {
 	req := e.newRequest(arrival)
 	if req.answerBy < e.now+e.latency.mean/2 {
@@ -13,7 +13,7 @@
 	req.customer.addWaiting(req)
 	e.admit(req.customer)
 	if req.finished {
-		return // most rejections come at once, and timers for them would be as many as requests
+		return // most rejections are immediate: timers for them would be almost as many as requests
 	}
 	e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: req.ID})
 	if len(req.attempts) == 0 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// newRequest returns the state of a request that has arrived, and counts it.
+// newRequest creates the state of an arriving request and records the arrival.
 func (e *Engine) newRequest(arrival Request) *request {
 	if arrival.SentAt == 0 {
 		arrival.SentAt = e.now
@@ -41,8 +41,8 @@
 	return req
 }
 
-// answerBy returns the clock time after which an answer earns nothing: the client's deadline, or its latency
-// objective where a late answer has no weight and the objective doesn't grow with the request's work.
+// answerBy returns the clock time after which an answer earns nothing: the client's deadline, or the latency
+// objective if a late answer has no weight and the objective doesn't grow with the request's work.
 func (e *Engine) answerBy(arrival Request, class *Class) float64 {
 	deadline := arrival.Deadline - e.timingMargin()
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
@@ -51,11 +51,11 @@
 	return min(deadline, arrival.SentAt+class.LatencyObjective-e.timeSpentOnEarlierAttempts(arrival, class))
 }
 
-// timingMargin returns the seconds by which an answer is due before a deadline: an event may come a tick
-// late, and so may what its actions lead to.
+// timingMargin returns how many seconds before a deadline an answer is due: an event may come a tick late,
+// and so may the effect of its actions.
 func (e *Engine) timingMargin() float64 { return 2 * e.settings.Tick }
 
-// addWaiting lets a request wait for its units behind those of equal or higher level.
+// addWaiting adds a request to those that wait for units, behind those of equal or higher level.
 func (c *customer) addWaiting(req *request) {
 	at := len(c.waiting)
 	for at > 0 && c.waiting[at-1].level < req.level {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// answerWithout gives a request its final answer without one of a backend: it is rejected where the client
-// may send it again with no second effect, else failed.
+// answerWithout gives a request its final answer without a response from a backend: it rejects the request
+// if the client may repeat it without a second effect, else it fails the request.
 func (e *Engine) answerWithout(req *request, reason Reason) {
 	if req.mayBeRepeatedAnywhere() {
 		e.emit(Reject{Request: req.ID, RetryAfter: e.retryAfter(req), Reason: reason})
@@ -13,9 +13,9 @@
 	e.finish(req)
 }
 
-// retryAfter returns the seconds after which the client of a rejected request should send it again, 0 where
-// that is not known or the settings allow no such advice. An admitted request was rejected for want of
-// capacity, any other for its customer's quota.
+// retryAfter returns the seconds after which the client of a rejected request should repeat it, 0 if that is
+// unknown or the settings don't allow a Retry-After. An admitted request was rejected for lack of capacity,
+// any other because of its customer's quota.
 func (e *Engine) retryAfter(req *request) float64 {
 	if !e.settings.CanSendRetryAfter {
 		return 0
@@ -30,8 +30,8 @@
 	return min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
 }
 
-// finish closes a request for good: what waits for it no longer does, and what it took and did not use goes
-// back to its customer.
+// finish ends a request: it no longer waits for units, and if it was admitted but never sent, its units and
+// its place under the customer's concurrency limit are returned. Attempts in flight are cancelled.
 func (e *Engine) finish(req *request) {
 	req.finished = true
 	req.customer.waiting = slices.DeleteFunc(req.customer.waiting, func(w *request) bool { return w == req })
@@ -43,8 +43,8 @@
 	e.deleteIfFinished(req)
 }
 
-// cancelAttempts cancels the attempts of a request that are in flight, unless its answer is being streamed
-// from one.
+// cancelAttempts cancels the attempts of a request that are in flight, unless one of them is streaming its
+// response.
 func (e *Engine) cancelAttempts(req *request) {
 	if !e.settings.CanCancel || req.streaming {
 		return
@@ -56,15 +56,15 @@
 	}
 }
 
-// responseStarted notes that a backend's answer is being streamed to the client: from now on no deadline ends
-// the request, and no further attempt begins.
+// responseStarted records that a backend's response is being streamed to the client. From now on no deadline
+// ends the request, and no further attempt is started.
 func (e *Engine) responseStarted(id RequestID) {
 	if req := e.openRequest(id); req != nil {
 		req.streaming = true
 	}
 }
 
-// clientDisconnected closes a request whose client waits no longer.
+// clientDisconnected ends a request whose client no longer waits.
 func (e *Engine) clientDisconnected(id RequestID) {
 	if req := e.openRequest(id); req != nil {
 		e.finish(req)
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -1,7 +1,7 @@
 package policy
 
-// attemptEnded records the end of an attempt and decides what becomes of its request. The end of an attempt
-// that is unknown or has ended before changes nothing.
+// attemptEnded records the end of an attempt and decides how its request continues. It ignores attempts that
+// are unknown or have already ended.
 func (e *Engine) attemptEnded(event AttemptEnded) {
 	req := e.requests[event.Request]
 	if req == nil || !req.attemptInFlight(event.Attempt) {
@@ -17,8 +17,8 @@
 	e.admit(req.customer)
 }
 
-// closeAttempt takes an attempt out of what is in flight, as far as its end proves that it no longer runs,
-// and learns from its outcome.
+// closeAttempt marks an attempt as ended and records its outcome. It stays counted as work in flight for a
+// while if the backend may still be executing it.
 func (e *Engine) closeAttempt(req *request, event AttemptEnded) {
 	a := &req.attempts[event.Attempt]
 	a.ended = true
@@ -32,8 +32,8 @@
 	e.recordOutcome(req, a, event.Outcome)
 }
 
-// provesNoExecution reports whether the end of an attempt proves that none of the request has executed: it
-// was the only one that may have, and the backend has not executed it.
+// provesNoExecution reports whether the end of an attempt proves that the request has not been executed: the
+// backend did not execute this attempt, and no other attempt may have been executed.
 func (req *request) provesNoExecution(event AttemptEnded) bool {
 	return req.attemptsInFlight == 0 &&
 		event.Attempt == len(req.attempts)-1 &&
@@ -41,21 +41,21 @@
 		event.Outcome.provesNoExecution()
 }
 
-// provesNoExecution reports whether the outcome proves that an attempt had no effect.
+// provesNoExecution reports whether the outcome proves that the backend did not execute the attempt.
 func (o Outcome) provesNoExecution() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent
 }
 
-// correctEstimatedUnits takes the difference between the units of a served request and their estimate, by
-// which it was admitted, from the customer's lease.
+// correctEstimatedUnits charges the customer's lease with the difference between the actual units of a served
+// request and the estimate that it was admitted with.
 func (e *Engine) correctEstimatedUnits(req *request, event AttemptEnded) {
 	if event.Outcome == Served && e.settings.UnitsEstimated && event.ActualUnits > 0 {
 		req.customer.lease.units -= event.ActualUnits - req.Units
 	}
 }
 
-// answerOrRetry decides how a request goes on after the end of an attempt: it is over, another attempt may
-// still answer it, a retry begins, or it is answered without a backend.
+// answerOrRetry continues a request after the end of an attempt: the request is finished, another attempt in
+// flight may still serve it, a retry is started, or the gateway answers it.
 func (e *Engine) answerOrRetry(req *request, event AttemptEnded) {
 	if req.finished {
 		return
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// backendSet is every backend of the endpoint list, and those removed from it that still have attempts in
+// backendSet holds the backends of the endpoint list, and the removed ones that still have attempts in
 // flight.
 type backendSet struct {
 	byID    map[BackendID]*backend
-	ordered []*backend // by id
+	ordered []*backend // by ID
 }
 
-// backend is what this gateway knows of one backend.
+// backend is the state that this gateway keeps of one backend.
 type backend struct {
 	Backend
 
-	inFlight            int                // own attempts, also abandoned ones
-	inFlightByLevel     []int              // the same by level
-	abandoned           []abandonedAttempt // those that may still run there
+	inFlight            int                // attempts of this gateway, abandoned ones included
+	inFlightByLevel     []int              // the same, by level
+	abandoned           []abandonedAttempt // attempts that the backend may still be executing
 	consecutiveTimeouts int                // attempts timed out or cancelled since the last served one
 
 	failureRate   float64 // share of recent attempts that failed
-	latency       float64 // mean of recent attempts in seconds; 0: no answer yet
-	lastSuccessAt float64 // clock time; 0: never
-	nextTrialAt   float64 // clock time; where it is ejected
-	trialInterval float64 // seconds
+	latency       float64 // mean of recent attempts in seconds; 0: unknown
+	lastSuccessAt float64 // clock time of the last served attempt; 0: never
+	nextTrialAt   float64 // clock time of the next trial; used only while ejected
+	trialInterval float64 // seconds between trials
 
-	slowStartTokens   float64 // sends that it may get in slow start
+	slowStartTokens   float64 // attempts that may be sent to it now, while in slow start
 	slowStartTokensAt float64 // clock time of the last refill
 }
 
-// markAllRemoved takes all backends for removed, until a list names them.
+// markAllRemoved marks all backends as removed, before a complete list is applied.
 func (s *backendSet) markAllRemoved() {
 	for _, b := range s.ordered {
 		b.State = Removed
@@ -46,7 +46,7 @@
 	s.ordered = slices.Insert(s.ordered, at, b)
 }
 
-// findOrAddBackend returns the backend of an entry of the endpoint list, which it adds if it is new.
+// findOrAddBackend returns the backend of an entry of the endpoint list, and adds it if it is new.
 func (e *Engine) findOrAddBackend(entry Backend) *backend {
 	if b := e.backends.byID[entry.ID]; b != nil {
 		return b
@@ -60,7 +60,7 @@
 	return b
 }
 
-// dropRemovedBackends drops backends that are removed and have nothing in flight.
+// dropRemovedBackends deletes the removed backends that have no attempts in flight.
 func (e *Engine) dropRemovedBackends() {
 	e.backends.ordered = slices.DeleteFunc(e.backends.ordered, func(b *backend) bool {
 		unused := b.State == Removed && b.inFlight == 0
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// clientTimeout is how long the clients of a class and plan wait for an attempt of theirs at the gateway. The
-// zero value is that of a class and plan of which nothing has arrived.
+// clientTimeout estimates how long the clients of a class and plan wait for the answer to one request. The
+// zero value is for a class and plan of which no request has arrived.
 type clientTimeout struct {
-	latest float64 // seconds; that of the newest request
-	usual  float64 // seconds; the newest that came twice in a row; 0: none has
+	latest float64 // seconds; timeout of the newest request
+	usual  float64 // seconds; the newest timeout that came twice in a row; 0: unknown
 }
 
-// observe takes in the timeout of a request. Timeouts that differ by less than tolerance are the same.
+// observe records the timeout of a request. Timeouts that differ by less than tolerance count as equal.
 func (c *clientTimeout) observe(timeout, tolerance float64) {
 	if math.Abs(timeout-c.latest) < tolerance {
 		c.usual = timeout
@@ -17,16 +17,19 @@
 	c.latest = timeout
 }
 
-// isUsual reports whether a timeout is the usual one, or that is unknown.
+// isUsual reports whether a timeout is the usual one, or the usual one is unknown.
 func (c *clientTimeout) isUsual(timeout, tolerance float64) bool {
 	return c.usual == 0 || math.Abs(timeout-c.usual) < tolerance
 }
 
-// timeSpentOnEarlierAttempts returns the seconds that the client has surely spent on earlier attempts. Most
-// requests of a class and plan come with the same timeout; one that has another is cut to what is left of the
-// client's whole time. A retry whose latency objective has passed earns nothing, yet takes units, a counter
-// call and a backend's time from requests that may still earn; a first request must not be taken for one, so
-// an unknown usual timeout says nothing.
+// timeSpentOnEarlierAttempts returns the seconds that the client has certainly spent before this request, on
+// earlier attempts at the gateway or another one. Most requests of a class and plan have the same timeout. If
+// a request has another one, the client has cut it to the rest of its class's deadline, so the request is a
+// retry.
+//
+// A retry whose latency objective has passed earns nothing, but uses units, a counter call and backend time
+// that other requests could use. A client's first attempt must not be mistaken for a retry, so the result is
+// 0 as long as the usual timeout is unknown.
 func (e *Engine) timeSpentOnEarlierAttempts(r Request, class *Class) float64 {
 	timeout := r.Deadline - r.SentAt
 	tolerance := e.timingMargin()
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -6,13 +6,13 @@
 type Engine struct {
 	settings         Settings
 	now              float64    // clock time of the event that is being handled
-	rng              *rand.Rand // the only source of randomness, so that events replay
+	rng              *rand.Rand // the only source of randomness, so that runs can be replayed
 	actions          []Action   // the actions of the event that is being handled
 	startedAt        float64    // clock time of New
 	lastMaintenance  float64    // clock time of the last round of maintenance
 	shutdownAnswerBy float64    // clock time by which every request is answered; 0: no shutdown has begun
 
-	requests       map[RequestID]*request // open ones, and finished ones with attempts in flight
+	requests       map[RequestID]*request // not finished, or with attempts in flight
 	queue          priorityQueue
 	limiter        concurrencyLimiter
 	latency        latencyStats
@@ -24,8 +24,9 @@
 	counter        counterState
 }
 
-// New starts the engine of one gateway at the clock time now, which knows nothing of an earlier incarnation,
-// and appends its first actions to out. Engines of the same settings, seed and events take the same actions.
+// New returns the engine of a gateway that starts at the clock time now, and appends its first actions to
+// out. Nothing is carried over from an earlier process. Engines with the same settings, seed and events
+// return the same actions.
 func New(set Settings, seed uint64, now float64, out []Action) (*Engine, []Action) {
 	e := &Engine{
 		settings:        set,
@@ -50,8 +51,8 @@
 	return e, e.actions
 }
 
-// Handle takes one event that happened at the clock time now, and appends the actions that it calls
-// for to out. Events that nothing is decided by (Probed, PeerMessage) are passed over.
+// Handle processes an event that happened at the clock time now, and appends the resulting actions to out.
+// Events that no decision depends on (Probed, PeerMessage) are ignored.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
 	e.limiter.updateMeanInFlight(e.now, now)
 	e.now = now
@@ -85,5 +86,5 @@
 	}
 }
 
-// emit adds an action to the answer to the event that is being handled.
+// emit adds an action to the result of the event that is being handled.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -1,7 +1,8 @@
 package policy
 
-// handleSlowAttempt handles an attempt that takes longer than nearly all do: the silence of its backend
-// counts as a failure, and where allowed a hedged request goes to another backend.
+// handleSlowAttempt handles an attempt that takes longer than almost all others. If the backend has served
+// nothing since the attempt was sent, that counts as a failure. If allowed, a hedged request is sent to
+// another backend.
 func (e *Engine) handleSlowAttempt(req *request, number int) {
 	a := &req.attempts[number]
 	if a.backend.lastSuccessAt < a.sentAt {
@@ -12,9 +13,9 @@
 	}
 }
 
-// mayHedge reports whether a hedged request may be sent beside an attempt. Only the newest attempt of a
-// request is hedged, while even the lowest level would be let go. Where the customer's attempts in flight are
-// limited, the second one would take the place of another request.
+// mayHedge reports whether a hedged request may be sent in addition to an attempt. Only the newest attempt of
+// a request is hedged, and only while the concurrency limit has room even for the lowest level. If the
+// customer has a concurrency limit, the hedged request would take the place of another request.
 func (e *Engine) mayHedge(req *request, number int) bool {
 	return e.settings.CanHedge &&
 		!req.finished && !req.streaming &&
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Averages of latency.
+// Parameters of the latency averages.
 const (
 	overallLatencyGain = 0.02 // weight of the newest attempt in the mean over all backends
 	backendLatencyGain = 0.15 // weight of the newest attempt in the mean of one backend
-	slowDeviations     = 4.0  // an attempt is slow this many mean deviations past the mean
+	slowDeviations     = 4.0  // an attempt is slow if it exceeds the mean by this many mean deviations
 )
 
-// latencyStats is the mean latency of served attempts at all backends and its mean deviation. The zero value
-// is that of a gateway that has had no answer yet.
+// latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from it.
+// Both are exponential moving averages. The zero value has no samples.
 type latencyStats struct {
 	mean      float64 // seconds; 0: no attempt has been served yet
 	deviation float64 // seconds
 }
 
-// record takes in a served attempt that took so many seconds.
+// record adds the latency of a served attempt, in seconds.
 func (s *latencyStats) record(elapsed float64) {
 	if s.mean == 0 {
 		s.mean = elapsed
@@ -26,10 +26,11 @@
 	s.mean += overallLatencyGain * (elapsed - s.mean)
 }
 
-// slowThreshold returns the seconds after which an attempt takes longer than nearly all do.
+// slowThreshold returns the seconds after which an attempt has taken longer than almost all others.
 func (s *latencyStats) slowThreshold() float64 { return s.mean + slowDeviations*s.deviation }
 
-// recordLatency takes in an attempt at the backend that took so many seconds, or at least that long.
+// recordLatency adds the latency of an attempt at the backend, in seconds. For an attempt that was not
+// served, it is a lower bound.
 func (b *backend) recordLatency(elapsed float64) {
 	if b.latency == 0 {
 		b.latency = elapsed
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -4,10 +4,10 @@
 
 const (
 	maintenanceInterval    = 0.05 // seconds between rounds of maintenance
-	minMaintenanceInterval = 1e-3 // seconds that a round covers at least, lest rates be divided by 0
+	minMaintenanceInterval = 1e-3 // seconds that a round covers at least, since rates are divided by it
 )
 
-// runMaintenance lets averages decay and keeps the state of backends and customers in order.
+// runMaintenance updates averages and rates, and expires the state of backends and customers.
 func (e *Engine) runMaintenance() {
 	e.setTimer(maintenanceInterval, timerToken{kind: maintenanceTimer})
 	elapsed := max(e.now-e.lastMaintenance, e.settings.Tick, minMaintenanceInterval)
@@ -18,7 +18,7 @@
 	e.maintainCustomers()
 }
 
-// maintainBackends lets what was learnt of each backend decay, and expires its abandoned attempts.
+// maintainBackends expires the abandoned attempts of each backend and decays its failure rate and latency.
 func (e *Engine) maintainBackends(elapsed float64) {
 	share := 1 - math.Exp(-elapsed/healthDecayTime)
 	for _, b := range e.backends.ordered {
@@ -27,7 +27,7 @@
 	}
 }
 
-// maintainRates updates the rate of sends to warm backends and of arrivals at each level.
+// maintainRates updates the rate of attempts at warm backends and the arrival rate of each level.
 func (e *Engine) maintainRates(elapsed float64) {
 	gain := min(elapsed/warmRateAveragingTime, 1)
 	e.warmTraffic.update(e.warmBackends(), elapsed, gain)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -1,12 +1,13 @@
 package policy
 
-// pollRetryInterval is the seconds until discovery is polled again after it failed.
+// pollRetryInterval is the number of seconds after which discovery is polled again when it has failed.
 const pollRetryInterval = 1.0
 
-// endpointsUpdated takes in changes of the endpoint list. What is not ready gets nothing from now on.
+// endpointsUpdated applies an update of the endpoint list. From now on, only backends that are ready get
+// attempts.
 func (e *Engine) endpointsUpdated(event EndpointsUpdated) {
 	if event.Kind == ListFailed {
-		// Polled again at once by all gateways, discovery would stay down.
+		// If all gateways polled again at once, discovery could not recover.
 		e.setTimer(pollRetryInterval, timerToken{kind: pollEndpointsTimer})
 		return
 	}
@@ -21,8 +22,8 @@
 	}
 }
 
-// applyEntry takes in one entry of the endpoint list. An entry that names an earlier start than the one known
-// is late in that, and counts in the rest.
+// applyEntry applies one entry of the endpoint list. If it states an earlier start than is known, its start
+// is outdated and ignored; the rest of the entry is used.
 func (e *Engine) applyEntry(entry Backend) {
 	isNew := e.backends.byID[entry.ID] == nil
 	b := e.findOrAddBackend(entry)
@@ -34,10 +35,10 @@
 	b.Backend = entry
 }
 
-// resetForNewProcess forgets what was learnt of a backend's former process, and begins its slow start with a
-// random part of a token. Of many gateways, each may send a backend in slow start one request in many
-// seconds. Were all to save up for it from nothing, it would idle while it is needed most, and then get them
-// all at once.
+// resetForNewProcess discards the statistics of a backend's previous process and begins its slow start with a
+// random fraction of a token. With many gateways, each of them may send a backend in slow start only one
+// request in many seconds. If all began with no tokens, the backend would be idle while it is needed most,
+// and would then get a request from every gateway at once.
 func (e *Engine) resetForNewProcess(b *backend) {
 	b.latency = 0
 	b.failureRate = 0
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,7 +1,7 @@
 package policy
 
-// recordOutcome learns from the end of an attempt: the failure rate and latency of the backend, the latency
-// over all, and the limit on attempts in flight.
+// recordOutcome updates the statistics from the end of an attempt: the backend's failure rate and latency,
+// the latency over all backends, and the concurrency limit.
 func (e *Engine) recordOutcome(req *request, a *attempt, outcome Outcome) {
 	elapsed := e.now - a.sentAt
 	switch outcome {
@@ -17,7 +17,7 @@
 		a.backend.recordFailure(e.now)
 		e.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if elapsed > e.latency.slowThreshold() { // one that ended earlier says nothing of the backend
+		if elapsed > e.latency.slowThreshold() { // a shorter wait says nothing about the backend
 			a.backend.recordLatency(max(elapsed, a.backend.latency))
 			if outcome == TimedOut {
 				e.adjustLimit(1)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,18 +1,19 @@
 package policy
 
-// Ejection of outliers, by the share of recent attempts that failed.
+// Parameters of the ejection of outliers. A backend is ejected when too many of its recent attempts failed.
+// It then gets only trials: single requests, at growing intervals, that show whether it works again.
 const (
 	failureGain         = 0.25 // weight of the newest outcome in the failure rate
-	ejectionFailureRate = 0.4  // failure rate at which a backend is ejected: it gets trials only
-	minTrialInterval    = 0.5  // seconds between trials of an ejected backend; doubles
-	maxTrialInterval    = 4.0  // seconds
-	healthDecayTime     = 5.0  // seconds over which what was learnt of a backend in use decays
+	ejectionFailureRate = 0.4  // failure rate at which a backend is ejected
+	minTrialInterval    = 0.5  // seconds until the first trial; the interval doubles with each trial
+	maxTrialInterval    = 4.0  // seconds; upper limit of the interval
+	healthDecayTime     = 5.0  // seconds; time constant of the decay of failure rate and latency
 )
 
-// ejected reports whether the backend gets trials only.
+// ejected reports whether the backend gets only trials.
 func (b *backend) ejected() bool { return b.failureRate >= ejectionFailureRate }
 
-// recordSuccess takes in a served attempt. A backend that is no longer ejected by it needs no trials.
+// recordSuccess records a served attempt. It can end the ejection of the backend, and with it the trials.
 func (b *backend) recordSuccess(now float64) {
 	b.lastSuccessAt = now
 	b.consecutiveTimeouts = 0
@@ -22,8 +23,8 @@
 	}
 }
 
-// recordFailure takes in a failure or a silence, whatever its cause. A backend that it ejects waits for its
-// first trial.
+// recordFailure records an attempt that failed or that is overdue, whatever the cause. If that ejects the
+// backend, its first trial is due after minTrialInterval.
 func (b *backend) recordFailure(now float64) {
 	wasEjected := b.ejected()
 	b.failureRate += failureGain * (1 - b.failureRate)
@@ -33,8 +34,8 @@
 	}
 }
 
-// trialDue reports whether an ejected backend may get a request of the class as a trial. One that may not run
-// twice goes there only after a longer pause.
+// trialDue reports whether an ejected backend may get a request of the class as a trial. Requests that must
+// not be executed twice are used for a trial only after a longer wait.
 func (b *backend) trialDue(now float64, class *Class) bool {
 	due := b.nextTrialAt
 	if class.Idempotency != Idempotent {
@@ -43,15 +44,16 @@
 	return now >= due
 }
 
-// startTrial has the backend wait for its next trial, twice as long as for this one.
+// startTrial schedules the trial after the one that begins now, with twice the interval.
 func (b *backend) startTrial(now float64) {
 	b.trialInterval = min(2*b.trialInterval, maxTrialInterval)
 	b.nextTrialAt = now + b.trialInterval
 }
 
-// decay moves what was learnt of a backend by a share towards that of an average one. A backend that is
-// passed over for a single failure or a slow answer gets nothing that could put that right, and the others
-// would bear its work for good. An ejected one has its trials.
+// decay moves the failure rate and latency of a backend by a share towards those of an average backend. A
+// backend that is avoided because of a single failure or a slow response gets no attempts that could improve
+// its statistics, so without decay the others would take over its work permanently. An ejected backend does
+// not decay; it has its trials.
 func (b *backend) decay(share, meanLatency float64) {
 	if b.ejected() {
 		return
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// minLimitForWait is the least limit, in attempts, that an expected wait is worked out with: the wait is
-// divided by it, and before the first backend is known the limit is 0.
+// minLimitForWait is the lowest limit, in attempts, that the expected wait is computed with: the limit is a
+// divisor there, and is 0 before the first backend is known.
 const minLimitForWait = 1e-3
 
-// priorityQueue holds admitted requests until the concurrency limit lets them go. Its slices are indexed by
-// level; a higher level is served first. Level 0 is for requests beyond the quota.
+// priorityQueue holds admitted requests until the concurrency limit allows an attempt. There is one level for
+// each weight that a request can have (see Class), in ascending order; higher levels are served first. Level
+// 0 is for requests beyond the quota. The slices are indexed by level.
 type priorityQueue struct {
 	requests      [][]*request // each level in order of arrival
-	weights       []float64    // the priority weight that makes a level, ascending
-	arrivalRates  []float64    // requests a second
+	weights       []float64    // weight of the requests of a level
+	arrivalRates  []float64    // requests per second
 	arrivalCounts []float64    // requests since the last maintenance
 }
 
-// newPriorityQueue returns an empty queue with a level for each priority weight that the settings can give a
-// request.
+// newPriorityQueue returns an empty queue with the levels that the settings result in.
 func newPriorityQueue(settings *Settings) priorityQueue {
 	weights := []float64{0} // level 0: beyond the quota
 	for _, class := range settings.Classes {
@@ -34,22 +34,23 @@
 	}
 }
 
-// levelOf returns the level of requests of a class and plan within the quota.
+// levelOf returns the level of requests of a class and plan that are within the quota.
 func (q *priorityQueue) levelOf(class *Class, plan *Plan) int {
 	level, _ := slices.BinarySearch(q.weights, class.PriorityWeight*plan.WeightFactor)
 	return level
 }
 
-// highestLevel returns the number of the highest level.
+// highestLevel returns the highest level.
 func (q *priorityQueue) highestLevel() int { return len(q.weights) - 1 }
 
-// isTopLevel reports whether requests of a level may use the reserve of the concurrency limit.
+// isTopLevel reports whether a level is a top level, whose requests may use the reserve of the concurrency
+// limit.
 func (q *priorityQueue) isTopLevel(level int) bool {
 	return q.weights[level] >= topLevelWeightShare*q.weights[q.highestLevel()]
 }
 
-// updateArrivalRates gives the arrivals since the last update, elapsed seconds ago, the weight gain in the
-// rates.
+// updateArrivalRates adds the arrivals of the last elapsed seconds to the mean arrival rates, with the weight
+// gain, and resets their counts.
 func (q *priorityQueue) updateArrivalRates(elapsed, gain float64) {
 	for level := range q.arrivalRates {
 		rate := q.arrivalCounts[level] / elapsed
@@ -58,7 +59,8 @@
 	}
 }
 
-// enqueue puts an admitted request in the queue of its level, unless it would wait there for too long.
+// enqueue adds an admitted request to the queue of its level, or rejects it if it would wait there for too
+// long.
 func (e *Engine) enqueue(req *request) {
 	if e.atLimit(req.level) && e.wouldWaitTooLong(req) {
 		e.answerWithout(req, ReasonQueue)
@@ -67,10 +69,11 @@
 	e.queue.requests[req.level] = append(e.queue.requests[req.level], req)
 }
 
-// wouldWaitTooLong reports whether the wait in the queue would outlast the time that a request has until it
-// must be sent. A request waits for the requests ahead of it and for those of higher levels that arrive
-// meanwhile: X * ahead / (1 - X*higher), X being the seconds in which the concurrency limit lets one attempt
-// begin and higher the arrivals of higher levels a second.
+// wouldWaitTooLong reports whether the expected wait in the queue exceeds the time until the request must be
+// sent. A request waits for the requests ahead of it and for those of higher levels that arrive during the
+// wait. The expected wait is s * ahead / (1 - s*higherRate), where s is secondsPerAttempt, the average time
+// between two attempts that the concurrency limit allows, and higherRate is the number of arrivals per second
+// at higher levels.
 func (e *Engine) wouldWaitTooLong(req *request) bool {
 	secondsPerAttempt := e.latency.mean / max(e.limiter.limit, minLimitForWait)
 	ahead := 1 + float64(len(e.queue.requests[req.level]))
@@ -83,7 +86,7 @@
 	return ahead*secondsPerAttempt >= remaining*max(1-secondsPerAttempt*higherRate, 0)
 }
 
-// dispatch sends queued requests, highest level first, until the concurrency limit is reached.
+// dispatch sends queued requests, starting at the highest level, until the concurrency limit is reached.
 func (e *Engine) dispatch() {
 	for level := e.queue.highestLevel(); level >= 0; level-- {
 		if len(e.queue.requests[level]) > 0 && !e.dispatchLevel(level) {
@@ -93,8 +96,8 @@
 }
 
 // dispatchLevel sends the queued requests of a level in order of arrival, and reports whether lower levels
-// may follow: not once the concurrency limit is reached, but they may where no backend is usable for the
-// first request of this one.
+// may be dispatched too. They may not once the concurrency limit is reached. They may if no backend is usable
+// for the first request of this level.
 func (e *Engine) dispatchLevel(level int) bool {
 	for len(e.queue.requests[level]) > 0 {
 		req := e.queue.requests[level][0]
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,31 +1,31 @@
 package policy
 
-// request is one request from its arrival until its last attempt has ended.
+// request is the state of a request, from its arrival until it is finished and its last attempt has ended.
 type request struct {
 	Request
 	class            *Class
 	customer         *customer
-	level            int     // of the queue; 0: beyond the customer's quota
-	answerBy         float64 // clock time; an answer after this earns nothing
-	admitted         bool    // its units are taken from the customer's quota
+	level            int     // level in priorityQueue; 0: beyond the customer's quota
+	answerBy         float64 // clock time after which an answer earns nothing
+	admitted         bool    // its units have been charged to the customer's quota
 	finished         bool    // it has its final answer, or needs none
-	streaming        bool    // a backend's answer has begun
+	streaming        bool    // a backend has begun to stream its response
 	attempts         []attempt
 	attemptsInFlight int
 
-	mayHaveExecuted        bool     // an attempt may have run, or is in flight
+	mayHaveExecuted        bool     // an attempt may have been executed, or is in flight
 	firstExecutableAt      float64  // clock time at which the first such attempt was sent
-	firstExecutableBackend *backend // and where to
+	firstExecutableBackend *backend // backend that the first such attempt was sent to
 }
 
-// attempt is one sending of a request to a backend.
+// attempt is the state of one attempt of a request at a backend.
 type attempt struct {
 	backend *backend
 	sentAt  float64 // clock time
 	ended   bool
 }
 
-// openRequest returns the request of an id, or nil where that is unknown or finished.
+// openRequest returns the request with an ID, or nil if it is unknown or finished.
 func (e *Engine) openRequest(id RequestID) *request {
 	if req := e.requests[id]; req != nil && !req.finished {
 		return req
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// deleteIfFinished drops a finished request once none of its attempts is in flight.
+// deleteIfFinished deletes a request that is finished and has no attempts in flight.
 func (e *Engine) deleteIfFinished(req *request) {
 	if req.finished && req.attemptsInFlight == 0 {
 		delete(e.requests, req.ID)
 	}
 }
 
-// attemptInFlight reports whether the request has an attempt of that number which has not ended.
+// attemptInFlight reports whether the request has an attempt with that number that has not ended.
 func (req *request) attemptInFlight(number int) bool {
 	return number < len(req.attempts) && !req.attempts[number].ended
 }
@@ -55,14 +55,15 @@
 	return false
 }
 
-// lastAttemptedAt reports whether the newest attempt of the request was sent to the backend.
+// lastAttemptedAt reports whether the latest attempt of the request was sent to the backend.
 func (req *request) lastAttemptedAt(b *backend) bool {
 	n := len(req.attempts)
 	return n > 0 && req.attempts[n-1].backend == b
 }
 
-// sharesDedupeScope reports whether an attempt at the backend has no second effect: no attempt has run, or
-// the request is idempotent, or the backend would drop the duplicate.
+// sharesDedupeScope reports whether an attempt at the backend cannot execute the request a second time with
+// effect: no earlier attempt may have been executed, the request is idempotent, or the backend drops the
+// duplicate.
 func (req *request) sharesDedupeScope(b *backend) bool {
 	if !req.mayHaveExecuted || req.class.Idempotency == Idempotent {
 		return true
@@ -81,8 +82,8 @@
 	return false
 }
 
-// mayBeRepeatedAnywhere reports whether a client may send the request again, through any gateway, with no
-// second effect. Only then may it be rejected: a rejection promises that.
+// mayBeRepeatedAnywhere reports whether a client may repeat the request, through any gateway, without a
+// second effect. A rejection promises this, so other requests must be failed, not rejected.
 func (req *request) mayBeRepeatedAnywhere() bool {
 	if req.class.Idempotency == Idempotent || !req.mayHaveExecuted {
 		return true
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,19 +1,20 @@
 package policy
 
-// Retries.
+// Parameters of retries.
 const (
-	retryShare      = 0.15 // of first attempts, so that retries cannot amplify an overload
-	maxRetryTokens  = 10.0 // retries saved up at most
+	retryShare      = 0.15 // retries per first attempt; few, so that retries cannot amplify an overload
+	maxRetryTokens  = 10.0 // most retries that can be saved up
 	clientRetryGain = 0.05 // weight of the newest request in the share of client retries
 )
 
-// retryBudget bounds the gateway's own retries and observes those of clients.
+// retryBudget limits the gateway's own retries to a share of first attempts, and measures the share of client
+// retries.
 type retryBudget struct {
-	tokens      float64 // retries that may begin
-	clientShare float64 // share of arriving requests that are a client's retries
+	tokens      float64 // retries that may be started now
+	clientShare float64 // share of arriving requests that are marked as retries by clients
 }
 
-// recordArrival takes in whether an arriving request is a client's retry.
+// recordArrival updates the share of client retries with an arriving request.
 func (r *retryBudget) recordArrival(isRetry bool) {
 	retries := 0.0
 	if isRetry {
@@ -22,12 +23,13 @@
 	r.clientShare += clientRetryGain * (retries - r.clientShare)
 }
 
-// recordFirstAttempt adds what a first attempt allows in retries.
+// recordFirstAttempt adds the tokens that a first attempt earns.
 func (r *retryBudget) recordFirstAttempt() {
 	r.tokens = min(r.tokens+retryShare, maxRetryTokens)
 }
 
-// retry starts one more attempt if the retry budget has a token and time remains. It reports whether it did.
+// retry starts one more attempt of the request, as a retry or a hedged request, if the retry budget, the time
+// left, the concurrency limit and the rules of send allow it. It reports whether it did.
 func (e *Engine) retry(req *request) bool {
 	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(e.queue.highestLevel()) {
 		return false
--- a/policy/send.go
+++ b/policy/send.go
@@ -1,8 +1,8 @@
 package policy
 
-// send starts an attempt of the request at the backend; nothing else does. It holds the rules on effects, on
-// attempts in flight and on draining backends, whoever calls it, and reports whether they let the attempt
-// begin.
+// send starts an attempt of the request at the backend, and reports whether it did. It is the only function
+// that starts attempts, so the rules on repeated execution, on attempts in flight and on draining backends
+// (maySend) hold for all of them.
 func (e *Engine) send(req *request, b *backend) bool {
 	if !e.maySend(req, b) {
 		return false
@@ -21,7 +21,7 @@
 	return true
 }
 
-// maySend reports whether an attempt of the request may begin at the backend now.
+// maySend reports whether an attempt of the request may be started at the backend now.
 func (e *Engine) maySend(req *request, b *backend) bool {
 	return req.awaitsAnswer() &&
 		b.State == Ready &&
@@ -31,13 +31,14 @@
 		e.mayRunConcurrently(req)
 }
 
-// awaitsAnswer reports whether the request is admitted, has no final answer, and none has begun.
+// awaitsAnswer reports whether the request is admitted, has no final answer, and is not being streamed one.
 func (req *request) awaitsAnswer() bool {
 	return req.admitted && !req.finished && !req.streaming
 }
 
-// dedupeWindowOver reports whether backends may no longer drop a duplicate of a keyed request. What is sent
-// within the window may wait for a connection and arrive after it.
+// dedupeWindowOver reports whether an attempt of an IdempotentByKey request that starts now could reach its
+// backend after the dedupe window, when the duplicate would no longer be dropped. An attempt may wait for its
+// connection before it is sent.
 func (e *Engine) dedupeWindowOver(req *request) bool {
 	if !req.mayHaveExecuted || req.class.Idempotency != IdempotentByKey {
 		return false
@@ -51,13 +52,15 @@
 	return len(req.attempts) < max(e.settings.MaxAttempts, 1)
 }
 
-// mayRunConcurrently reports whether one more attempt may run beside those of the request that are in flight.
+// mayRunConcurrently reports whether one more attempt of the request may be in flight at the same time as
+// those that already are.
 func (e *Engine) mayRunConcurrently(req *request) bool {
 	return req.attemptsInFlight == 0 || e.settings.CanHedge
 }
 
-// countAttempt counts an attempt of that number. A first one adds to the retry budget; its slot under the
-// customer's concurrency limit was taken at admission, while each further attempt takes one more.
+// countAttempt counts a new attempt by its number in the request. The first attempt adds to the retry budget;
+// its slot under the customer's concurrency limit was taken at admission. Each further attempt takes one more
+// slot.
 func (e *Engine) countAttempt(req *request, number int) {
 	if number == 0 {
 		e.retries.recordFirstAttempt()
@@ -66,7 +69,8 @@
 	req.customer.openAttempts++
 }
 
-// markExecutable notes that the request may execute at the backend from now on, unless it may have before.
+// markExecutable records that the backend may execute the request from now on, unless an earlier attempt may
+// already have been executed.
 func (req *request) markExecutable(b *backend, now float64) {
 	if req.mayHaveExecuted {
 		return
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -6,10 +6,10 @@
 )
 
 // beginShutdown limits the time of every request, open now or still to come, to the clock time answerBy: a
-// gateway that ends has to answer all that it took before its process may be killed.
+// gateway that shuts down has to answer all its requests before its process may be killed.
 func (e *Engine) beginShutdown(answerBy float64) {
 	e.shutdownAnswerBy = answerBy
-	// By id, since the order of the actions must not depend on that of a map.
+	// Sorted, so that the order of the actions doesn't depend on the iteration order of a map.
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		req := e.openRequest(id)
 		if req != nil && e.applyShutdownDeadline(req) {
@@ -18,8 +18,8 @@
 	}
 }
 
-// applyShutdownDeadline cuts the time of a request to what a shutdown leaves, and reports whether that is
-// less than it had.
+// applyShutdownDeadline moves the request's answerBy to the end of a shutdown if that is earlier, and reports
+// whether it did.
 func (e *Engine) applyShutdownDeadline(req *request) bool {
 	latest := e.shutdownAnswerBy - e.timingMargin()
 	if e.shutdownAnswerBy == 0 || req.answerBy <= latest {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,20 +1,21 @@
 package policy
 
-// Slow start of backends that have just started.
+// Parameters of slow start, which limits the attempts at backends that have just started by a token bucket
+// for each backend. A backend is warm once its slow start is over.
 const (
-	warmRateAveragingTime = 2.0 // seconds over which sends to warm backends are averaged
-	minSlowStartRate      = 0.5 // sends a second, of all gateways, that a backend in slow start always gets
-	maxSlowStartTokens    = 1.5 // sends that a backend in slow start can have saved up at most
+	warmRateAveragingTime = 2.0 // seconds over which the rate of attempts at warm backends is averaged
+	minSlowStartRate      = 0.5 // attempts per second, of all gateways, that such a backend may always get
+	maxSlowStartTokens    = 1.5 // capacity of a backend's token bucket, in attempts
 )
 
-// warmTraffic is what this gateway sends to warm backends, which are those past their slow start.
+// warmTraffic measures the attempts that this gateway sends to warm backends.
 type warmTraffic struct {
-	sendRate  float64 // attempts a second to each, over warmRateAveragingTime
+	sendRate  float64 // attempts per second and backend; mean over warmRateAveragingTime
 	sendCount int     // attempts since the last maintenance
 }
 
-// update gives the attempts since the last update, elapsed seconds ago, the weight gain in the rate. With no
-// warm backend the rate stays.
+// update adds the attempts of the last elapsed seconds to the mean rate, with the weight gain, and resets
+// their count. Without warm backends the rate stays as it is.
 func (w *warmTraffic) update(warmBackends int, elapsed, gain float64) {
 	if warmBackends > 0 {
 		sendRate := float64(w.sendCount) / elapsed / float64(warmBackends)
@@ -23,7 +24,7 @@
 	w.sendCount = 0
 }
 
-// warmBackends counts the ready backends that are past their slow start.
+// warmBackends returns the number of ready backends that are warm.
 func (e *Engine) warmBackends() int {
 	warm := 0
 	for _, b := range e.backends.ordered {
@@ -34,8 +35,8 @@
 	return warm
 }
 
-// slowStartShare returns the least share of its capacity that a backend can be trusted with: from
-// SlowStartMinShare at its start to 1 at the end of SlowStartWindow.
+// slowStartShare returns the share of its full capacity that a backend has at least: it grows linearly from
+// SlowStartMinShare at the backend's start to 1 at the end of SlowStartWindow.
 func (e *Engine) slowStartShare(b *backend) float64 {
 	window := e.settings.SlowStartWindow
 	if b.StartedAt == 0 || window <= 0 || e.now-b.StartedAt >= window {
@@ -45,10 +46,10 @@
 	return e.settings.SlowStartMinShare + (1-e.settings.SlowStartMinShare)*age
 }
 
-// slowStartAllows reports whether a backend may get an attempt, and brings its tokens up to date. It keeps a
-// backend in slow start from being overloaded with no agreement among gateways: each sends it at most its
-// slow start share of what it sends a warm one, in any short window, so the sum stays within what warm ones
-// bear.
+// slowStartAllows updates the tokens of a backend in slow start, and reports whether the backend may get an
+// attempt. It protects the backend from overload without coordination among gateways: in any short window
+// each gateway sends it at most its slow start share of what the gateway sends to a warm backend. The sum
+// over all gateways is then at most that share of what warm backends handle.
 func (e *Engine) slowStartAllows(b *backend) bool {
 	share := e.slowStartShare(b)
 	if share >= 1 {
@@ -59,8 +60,8 @@
 	return b.slowStartTokens >= 1
 }
 
-// chargeSlowStart takes the token of an attempt at a backend in slow start; one at a warm backend counts in
-// the rate by which tokens are refilled.
+// chargeSlowStart takes a token for an attempt at a backend in slow start. An attempt at a warm backend is
+// counted instead, for the rate at which tokens are refilled.
 func (e *Engine) chargeSlowStart(b *backend) {
 	if e.slowStartShare(b) < 1 {
 		b.slowStartTokens--
@@ -69,7 +70,7 @@
 	}
 }
 
-// refillSlowStartTokens adds the tokens since the last refill at a rate a second.
+// refillSlowStartTokens adds the tokens since the last refill, at a rate in tokens per second.
 func (b *backend) refillSlowStartTokens(now, rate float64) {
 	b.slowStartTokens = min(b.slowStartTokens+rate*(now-b.slowStartTokensAt), maxSlowStartTokens)
 	b.slowStartTokensAt = now
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,37 +1,38 @@
 package policy
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 // The kinds of timer.
 const (
 	maintenanceTimer    timerKind = iota // the next round of maintenance is due
-	sendDeadlineTimer                    // a request that has not been sent is too late now
+	sendDeadlineTimer                    // it is too late for a request's first attempt
 	answerDeadlineTimer                  // a request must be answered now
-	pollEndpointsTimer                   // discovery failed a while ago
-	slowAttemptTimer                     // an attempt takes longer than usual
+	pollEndpointsTimer                   // discovery is to be polled again after a failure
+	slowAttemptTimer                     // an attempt takes longer than almost all others
 )
 
-// timerToken is what a timer carries from SetTimer to TimerFired. Attempt and request 0 stand for none.
+// timerToken identifies a timer in SetTimer and TimerFired. Request 0 stands for none; attempt is used only
+// by slowAttemptTimer.
 type timerToken struct {
 	kind    timerKind
-	attempt int // number of the attempt in its request, below 256
+	attempt int // number of the attempt within its request, below 256
 	request RequestID
 }
 
-// Positions in a packed token: the kind in the top byte, the attempt in the low byte of the upper half, the
-// request in the lower half.
+// Bit positions in a packed token: the kind is in bits 56 to 63, the attempt in bits 32 to 39, and the
+// request in bits 0 to 31.
 const (
 	timerKindShift    = 56
 	timerAttemptShift = 32
 )
 
-// pack returns the token as the number that SetTimer carries.
+// pack encodes the token as the number in SetTimer.
 func (t timerToken) pack() uint64 {
 	return uint64(t.kind)<<timerKindShift | uint64(t.attempt)<<timerAttemptShift | uint64(t.request)
 }
 
-// unpackTimerToken is the inverse of pack. Any number unpacks; an unknown kind has no handler.
+// unpackTimerToken is the inverse of pack. It accepts any number; handleTimer ignores unknown kinds.
 func unpackTimerToken(packed uint64) timerToken {
 	return timerToken{
 		kind:    timerKind(packed >> timerKindShift),
@@ -40,12 +41,12 @@
 	}
 }
 
-// setTimer emits a timer that fires after delay seconds, at once where that is negative.
+// setTimer starts a timer that fires after delay seconds, or at once if delay is negative.
 func (e *Engine) setTimer(delay float64, token timerToken) {
 	e.emit(SetTimer{Delay: max(delay, 0), Token: token.pack(), Request: token.request})
 }
 
-// handleTimer handles a timer that is due. One whose subject is over by now does nothing.
+// handleTimer handles a timer that has fired. Timers of requests or attempts that have ended do nothing.
 func (e *Engine) handleTimer(token timerToken) {
 	switch token.kind {
 	case maintenanceTimer:
@@ -61,8 +62,8 @@
 	}
 }
 
-// slowAttemptTimerFired handles an attempt that takes longer than usual. Its request may be over: the
-// silence of its backend counts all the same.
+// slowAttemptTimerFired handles an attempt that takes longer than almost all others. Even if its request is
+// finished, the backend's failure to respond is recorded.
 func (e *Engine) slowAttemptTimerFired(token timerToken) {
 	req := e.requests[token.request]
 	if req == nil || !req.attemptInFlight(token.attempt) {
@@ -71,7 +72,7 @@
 	e.handleSlowAttempt(req, token.attempt)
 }
 
-// sendDeadlineTimerFired answers a request of which no attempt has begun: one that began now would end too
+// sendDeadlineTimerFired answers a request that has not been sent: an attempt that started now would end too
 // late.
 func (e *Engine) sendDeadlineTimerFired(token timerToken) {
 	req := e.openRequest(token.request)
@@ -81,7 +82,7 @@
 	e.answerWithout(req, ReasonNotSent)
 }
 
-// answerDeadlineTimerFired answers a request that no backend has answered yet.
+// answerDeadlineTimerFired answers a request that no backend has answered in time.
 func (e *Engine) answerDeadlineTimerFired(token timerToken) {
 	req := e.openRequest(token.request)
 	if req == nil || req.streaming {
