--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,12 +9,12 @@
 	d := startEngine(t, testSettings()) // no backend at all
 	id := d.sendRequest(0, 1, 1)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n != 0 {
-		t.Fatalf("sent %d with no backend", n)
+		t.Fatalf("%d attempts sent with no backend", n)
 	}
 	d.now += 0.8
 	out := d.handle(timerFired(answerDeadlineTimer, id))
 	if r := onlyAction[Reject](t, out); r.Request != id {
-		t.Errorf("rejected %d, want %d", r.Request, id)
+		t.Errorf("rejected request %d, want %d", r.Request, id)
 	}
 	d.now += 1
 	out = d.handle(timerFired(answerDeadlineTimer, id))
@@ -23,7 +23,7 @@
 	}
 }
 
-// A client that has spent its latency objective on earlier attempts can earn nothing with a retry.
+// A retry earns nothing if the client has already spent its latency objective on earlier attempts, so it is rejected.
 func TestRetryPastItsLatencyObjectiveIsRejected(t *testing.T) {
 	set := testSettings()
 	d := startEngine(t, set, readyBackends(4)...)
@@ -37,28 +37,28 @@
 		return len(actionsOf[SendAttempt](out))
 	}
 	if sendWithTimeout(1, 0.9) != 1 {
-		t.Error("rejected with nothing known of how long clients wait")
+		t.Error("a request was rejected although the usual timeout of clients is unknown")
 	}
 	for id := range RequestID(4) {
 		if sendWithTimeout(10+id, 1.4) != 1 {
-			t.Error("a first attempt of a client was rejected")
+			t.Error("a client's first attempt was rejected")
 		}
 	}
-	// Of its two seconds the client has spent 1.1, and the objective is 0.8.
+	// Of its two seconds the client has spent 1.1. The latency objective is 0.8.
 	if sendWithTimeout(20, 0.9) != 0 {
-		t.Error("sent a retry that can earn nothing")
+		t.Error("a retry past its latency objective was sent")
 	}
 	if sendWithTimeout(21, 1.8) != 1 {
-		t.Error("rejected a retry that has most of its objective left")
+		t.Error("a retry that has most of its latency objective left was rejected")
 	}
 }
 
-// Immediate rejections are most answers under a burst; timers for each would wake a gateway twice a request.
+// In a burst most answers are immediate rejections. Timers for them would wake the gateway twice per request.
 func TestImmediateRejectionSetsNoTimers(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(4)...)
 	id := d.sendRequest(0, 0, 1)
 	if timers := actionsOf[SetTimer](d.lastActions); len(timers) == 0 || timers[0].Request != id {
-		t.Fatalf("timers of a request that was admitted: %v", timers)
+		t.Fatalf("timers of an admitted request: %v", timers)
 	}
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now})
@@ -68,8 +68,8 @@
 	}
 }
 
-// A real gateway comes to a request some time after it was sent: what it waited by then is gone from its objective,
-// and must not be taken for another timeout of its client.
+// A real gateway handles a request some time after the client sent it. This delay counts towards the latency objective,
+// and must not make the client's timeout look like a different one.
 func TestLatencyObjectiveCountsFromSending(t *testing.T) {
 	set := testSettings()
 	set.Plans[0].Rate = 0
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -10,17 +10,17 @@
 	out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: Failed, Latency: 0.05})
 	second := onlyAction[SendAttempt](t, out)
 	if first.Backend/2 != second.Backend/2 {
-		t.Errorf("the retry went from backend %d to %d, another cell", first.Backend, second.Backend)
+		t.Errorf("the first attempt was at backend %d, and its retry at %d in another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
 	out = d.handle(timerFired(answerDeadlineTimer, id))
 	if len(actionsOf[Reject](out)) > 0 {
-		t.Error("rejected a keyed request that may have run")
+		t.Error("rejected a keyed request that may have been executed")
 	}
 	onlyAction[FailRequest](t, out)
 }
 
-// A retry may have to wait for its connection: it must arrive within the dedupe window even so.
+// A keyed retry must arrive within the dedupe window even if it has to wait for its connection.
 func TestKeyedRetryArrivesWithinItsDedupeWindow(t *testing.T) {
 	for _, c := range []struct {
 		after   float64 // seconds since the first attempt
@@ -53,10 +53,10 @@
 			first := onlyAction[SendAttempt](t, d.lastActions)
 			out := d.handle(AttemptEnded{Request: id, Backend: first.Backend, Outcome: c.outcome, Latency: 0.01})
 			if got := len(actionsOf[SendAttempt](out)) == 1; got != c.retried {
-				t.Errorf("another attempt %v, want %v", got, c.retried)
+				t.Errorf("retried: %v, want %v", got, c.retried)
 			}
 			if !c.retried && len(actionsOf[FailRequest](out)) != 1 {
-				t.Errorf("not failed: %v", out)
+				t.Errorf("the request was not failed: %v", out)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	}
 	d.sendRequest(0, 1, 9)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n > 0 {
-		t.Error("a timed-out attempt freed capacity although its backend may still work on it")
+		t.Error("a timed-out attempt freed capacity although its backend may still be executing it")
 	}
 }
 
@@ -93,6 +93,6 @@
 		})
 	}
 	if limit := 400*(1+retryShare) + maxRetryTokens + 1; float64(sends) > limit {
-		t.Errorf("%d sends for 400 requests that all fail, want %v at most", sends, limit)
+		t.Errorf("%d attempts for 400 requests that all fail, want at most %v", sends, limit)
 	}
 }
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The deploy file names each file that holds deciding code, and no other: the rest holds the vocabulary. Their lines
-// are short enough to be read side by side.
+// The list "policy" in the deploy file names exactly the files of this package that contain decisions: all but the
+// package comment, the settings, the events and the actions. Lines in the listed files are short enough to be read side
+// by side.
 func TestPolicyNamesTheDecidingFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -31,7 +32,7 @@
 			continue
 		}
 		if decides := !vocabulary[name]; decides != named[name] {
-			t.Errorf("%s decides %t, and is named under policy %t", name, decides, named[name])
+			t.Errorf("%s: contains decisions %t, listed under policy %t", name, decides, named[name])
 		}
 		if !named[name] {
 			continue
@@ -43,11 +44,11 @@
 		}
 		for i, l := range strings.Split(string(text), "\n") {
 			if len(l) > 110 {
-				t.Errorf("%s, line %d has %d characters, 110 are allowed", name, i+1, len(l))
+				t.Errorf("%s:%d: the line has %d characters, want at most 110", name, i+1, len(l))
 			}
 		}
 	}
 	if deciding != len(named) {
-		t.Errorf("%d deciding files are there, %d are named", deciding, len(named))
+		t.Errorf("%d files contain decisions, but %d are listed under policy", deciding, len(named))
 	}
 }
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Once a client has disconnected, whatever its request was waiting for may still come: no attempt begins for it,
+// After a client has disconnected, events that concern its request still arrive. None of them may start an attempt,
 // neither a first one nor a retry nor a hedged request.
 func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
 	slow := func(id RequestID) Event {
@@ -40,7 +40,7 @@
 				set := testSettings()
 				set.CanCancel = canCancel
 				d := startEngine(t, set, readyBackends(6)...)
-				served := d.sendRequest(0, 1, 1) // so that a usual latency is known
+				served := d.sendRequest(0, 1, 1) // so that the mean latency is known
 				backend := onlyAction[SendAttempt](t, d.lastActions).Backend
 				d.now += 0.02
 				d.handle(AttemptEnded{Request: served, Backend: backend, Latency: 0.02, RequestOver: true})
@@ -51,7 +51,7 @@
 				for _, event := range events(id, first.Backend) {
 					d.now += 0.1
 					if sends := actionsOf[SendAttempt](d.handle(event)); len(sends) > 0 {
-						t.Errorf("%v after the client had disconnected", sends)
+						t.Errorf("sent %v after the client had disconnected", sends)
 					}
 				}
 			})
@@ -59,7 +59,7 @@
 	}
 }
 
-// The same holds for a request that waits for its units.
+// No attempt is started for a request whose client disconnected while it was waiting for units.
 func TestNothingIsSentForWaitingRequestAfterClientDisconnects(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	d.nextID++
@@ -67,11 +67,11 @@
 	lease := onlyAction[CounterAdd](t, out)
 	d.handle(ClientDisconnected{Request: d.nextID})
 	if sends := actionsOf[SendAttempt](d.handle(CounterReply{Name: lease.Name, Total: lease.Amount})); len(sends) > 0 {
-		t.Errorf("%v for a client that disconnected before its units came", sends)
+		t.Errorf("sent %v for a client that disconnected before the units were granted", sends)
 	}
 }
 
-// The same holds for a request that is queued at the concurrency limit.
+// No attempt is started for a request whose client disconnected while it was queued at the concurrency limit.
 func TestNothingIsSentForQueuedRequestAfterClientDisconnects(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	d.engine.limiter.limit = 3
@@ -85,7 +85,7 @@
 		}
 		queued = id
 		if d.engine.openRequest(id) == nil {
-			t.Fatal("rejected, not queued")
+			t.Fatal("the request was rejected, not queued")
 		}
 	}
 	d.now += 0.05
@@ -93,7 +93,7 @@
 	for _, s := range inFlight {
 		out := d.handle(AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.05, RequestOver: true})
 		if sends := actionsOf[SendAttempt](out); len(sends) > 0 {
-			t.Errorf("%v for a client that disconnected while its request was queued", sends)
+			t.Errorf("sent %v for a client that disconnected while its request was queued", sends)
 		}
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// testSettings have two classes, an idempotent one and a keyed one of higher weight, and two plans with quotas, for a
-// fleet of two gateways with a counter.
+// testSettings returns settings for two gateways with a counter. Class 0 is idempotent, class 1 is idempotent by key
+// and has a higher weight. Both plans have quotas.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -36,8 +36,8 @@
 	}
 }
 
-// seldomSettings have a plan 1 whose burst, divided among two gateways, doesn't pay for a request of two units: that
-// needs a counter call.
+// seldomSettings returns settings in which plan 1 has a low rate, and a burst that, divided among two gateways, doesn't
+// cover a request of two units: such a request needs a counter call.
 func seldomSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
@@ -45,7 +45,8 @@
 	return set
 }
 
-// exactSettings have a plan 1 whose store two gateways keep exactly, by counter calls alone: one with a ceiling.
+// exactSettings returns settings in which plan 1 has a ceiling. Two gateways then track its quota exactly, by counter
+// calls alone.
 func exactSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
@@ -54,7 +55,7 @@
 	return set
 }
 
-// engineDriver drives the engine of one gateway by hand and keeps the actions of the last event.
+// engineDriver passes events to the engine of one gateway and keeps the actions of the last event.
 type engineDriver struct {
 	t           *testing.T
 	engine      *Engine
@@ -63,7 +64,7 @@
 	nextID      RequestID
 }
 
-// startEngine returns the drive of a new engine at clock time 100 that knows the backends.
+// startEngine returns the driver of a new engine that knows the backends, at clock time 100.
 func startEngine(t *testing.T, set Settings, backends ...Backend) *engineDriver {
 	t.Helper()
 	d := &engineDriver{t: t, now: 100}
@@ -72,12 +73,12 @@
 	return d
 }
 
-// readyBackend returns a ready backend, two to a cell.
+// readyBackend returns a ready backend. Each cell has the backends of two consecutive IDs.
 func readyBackend(id BackendID) Backend {
 	return Backend{ID: id, State: Ready, Cell: int(id) / 2, Weight: 1}
 }
 
-// readyBackends returns n ready backends with ids from 1.
+// readyBackends returns n ready backends with IDs from 1.
 func readyBackends(n int) (backends []Backend) {
 	for i := range n {
 		backends = append(backends, readyBackend(BackendID(i+1)))
@@ -85,14 +86,14 @@
 	return backends
 }
 
-// handle has the engine handle an event now and returns its actions.
+// handle passes an event to the engine at the current time and returns its actions.
 func (d *engineDriver) handle(event Event) []Action {
 	d.lastActions = d.engine.Handle(d.now, event, nil)
 	return d.lastActions
 }
 
-// sendRequest sends a request of the class and plan and answers its counter calls in full. lastActions has the actions
-// of both.
+// sendRequest sends a request of the class and plan and grants its counter calls. lastActions then holds the actions of
+// the request and of the counter replies.
 func (d *engineDriver) sendRequest(class, plan int, id CustomerID) RequestID {
 	d.nextID++
 	actions := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: id, Units: 1, Gateways: 2,
@@ -101,7 +102,8 @@
 	return d.nextID
 }
 
-// grantCounterCalls answers the counter calls among the actions as the first of their names, and returns what follows.
+// grantCounterCalls answers each counter call among the actions as if it were the first for its name, and returns the
+// actions that follow from the replies.
 func (d *engineDriver) grantCounterCalls(actions []Action) (all []Action) {
 	for _, c := range actionsOf[CounterAdd](actions) {
 		all = append(all, d.engine.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
@@ -109,8 +111,8 @@
 	return all
 }
 
-// endAttempts ends each attempt that the actions send, and those that follow from that, as end says. Request, attempt
-// and backend are filled in.
+// endAttempts ends each attempt that the actions start, and each further one that follows from that, with the event
+// that end returns. Request, attempt and backend of the event are filled in.
 func (d *engineDriver) endAttempts(actions []Action, end func(SendAttempt) AttemptEnded) {
 	for len(actions) > 0 {
 		for _, s := range actionsOf[SendAttempt](actions[:1]) {
@@ -124,7 +126,7 @@
 	}
 }
 
-// timerFired is the event of a timer about a request, or of one about none where id is 0.
+// timerFired returns the event of a timer that belongs to a request, or to none if id is 0.
 func timerFired(kind timerKind, id RequestID) TimerFired {
 	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
 }
@@ -139,7 +141,7 @@
 	return found
 }
 
-// onlyAction returns the only action of a type, and fails the test where there are none or more.
+// onlyAction returns the only action of a type, and fails the test if there are none or several.
 func onlyAction[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
 	found := actionsOf[A](actions)
--- a/policy/membership_test.go
+++ b/policy/membership_test.go
@@ -16,7 +16,7 @@
 	d.handle(EndpointsUpdated{Kind: FullList})
 	d.sendRequest(0, 1, 1)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n > 0 {
-		t.Error("sent to a backend that a full list no longer names")
+		t.Error("sent to a backend that is not in the newest full list")
 	}
 }
 
@@ -28,7 +28,7 @@
 	onlyAction[PollEndpoints](t, d.lastActions)
 	out := d.handle(EndpointsUpdated{Kind: ListFailed})
 	if len(actionsOf[PollEndpoints](out)) > 0 {
-		t.Error("polled again at once")
+		t.Error("discovery was polled again at once")
 	}
 	timer := onlyAction[SetTimer](t, out)
 	d.now += timer.Delay
@@ -45,6 +45,6 @@
 		d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if len(d.engine.backends.ordered) != 3 || len(d.engine.backends.byID) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(d.engine.backends.ordered), len(d.engine.backends.byID))
+		t.Errorf("%d backends in ordered and %d in byID, want 3", len(d.engine.backends.ordered), len(d.engine.backends.byID))
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -17,12 +17,12 @@
 		})
 	}
 	if toFailing > 20 {
-		t.Errorf("%d of 300 went to the backend that fails at once", toFailing)
+		t.Errorf("%d attempts for 300 requests went to the backend that fails at once, want at most 20", toFailing)
 	}
 }
 
-// A backend that failed once or was slow once is used again in time, though nothing is sent there that could
-// put it right; an ejected one waits for its trials.
+// The failure rate and latency of a backend decay even if it gets no attempts, so a backend that failed once or was
+// slow once is used again. Those of an ejected backend don't decay: it waits for its trials.
 func TestBackendHealthDecays(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(3)...)
 	d.engine.latency.mean = 0.1
@@ -42,7 +42,7 @@
 	}
 }
 
-// Most backends have been ejected for a while: each still gets its trials, and is back once these are served.
+// Even if most backends are ejected, each of them gets trials, and is used again once these are served.
 func TestTrialsWhenMostBackendsAreEjected(t *testing.T) {
 	set := testSettings()
 	set.Plans[1].Rate = 0
@@ -61,7 +61,7 @@
 	}
 	for _, b := range d.engine.backends.ordered {
 		if b.ejected() {
-			t.Errorf("backend %d is ejected, failure rate %.2f", b.ID, b.failureRate)
+			t.Errorf("backend %d is still ejected, failure rate %.2f", b.ID, b.failureRate)
 		}
 	}
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -14,11 +14,11 @@
 	low := d.sendRequest(0, 0, 2)
 	high := d.sendRequest(1, 1, 3)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n > 0 {
-		t.Fatal("the concurrency limit does not hold")
+		t.Fatal("an attempt was started beyond the concurrency limit")
 	}
 	out := d.handle(AttemptEnded{Request: last, Backend: sent.Backend, Latency: 0.01, RequestOver: true})
 	if s := onlyAction[SendAttempt](t, out); s.Request != high {
-		t.Errorf("sent %d first, want the higher level %d before %d", s.Request, high, low)
+		t.Errorf("sent request %d first, want %d of the higher level before %d", s.Request, high, low)
 	}
 }
 
@@ -31,7 +31,7 @@
 		sent += len(actionsOf[SendAttempt](d.lastActions))
 	}
 	if sent != 9 {
-		t.Errorf("%d of the lowest level in flight, want 9 of a limit of 10", sent)
+		t.Errorf("%d attempts of a low level in flight, want 9 of a limit of 10", sent)
 	}
 	d.sendRequest(1, 1, 99)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n != 1 {
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Input that no sound deployment sends gets one answer a request, and no panic.
+// Settings and events that no valid deployment has cause no panic, and each request still gets exactly one answer.
 func TestUnusualInputIsAnswered(t *testing.T) {
 	class := Class{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}
 	for name, set := range map[string]Settings{
@@ -33,8 +33,8 @@
 	}
 }
 
-// answersUnderUnusualEvents sends one request among events that are unknown, repeated or out of place, and returns
-// how many answers it got.
+// answersUnderUnusualEvents sends one request among events that are unknown, repeated or out of order, and returns the
+// number of answers that it got.
 func answersUnderUnusualEvents(d *engineDriver, id RequestID, gateways int) (answered int) {
 	out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
 	for _, c := range actionsOf[CounterAdd](out) {
@@ -58,8 +58,8 @@
 	return answered + len(actionsOf[Reject](d.handle(timerFired(answerDeadlineTimer, id))))
 }
 
-// TestRandomEvents checks the rules on the engine's actions under random orders of events, and that the same events
-// lead to the same actions.
+// TestRandomEvents checks that the engine's actions follow the rules under events in random order, and that the same
+// events lead to the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		first := randomRun(t, seed)
@@ -69,7 +69,7 @@
 	}
 }
 
-// randomRun plays the events of a seed and returns all actions.
+// randomRun generates the events of a seed and returns all actions.
 func randomRun(t *testing.T, seed uint64) []Action {
 	t.Helper()
 	env := newRandomEnvironment(t, seed)
@@ -93,16 +93,16 @@
 	requests   map[RequestID]*trackedRequest
 	order      []RequestID // by arrival
 	timers     []pendingTimer
-	calls      []CounterAdd // unanswered
+	calls      []CounterAdd // not yet answered
 	notReady   map[BackendID]bool
 	allActions []Action
 }
 
-// trackedRequest is a request with what the engine has done about it.
+// trackedRequest is a request with the actions of the engine for it.
 type trackedRequest struct {
 	Request
 	attempts []SendAttempt
-	inFlight []int // numbers of attempts
+	inFlight []int // numbers of the attempts in flight
 	answered bool  // has its final answer
 }
 
@@ -130,7 +130,7 @@
 	}
 }
 
-// handle has the engine handle an event, and checks and carries out its actions.
+// handle passes an event to the engine, and checks and carries out its actions.
 func (env *randomEnvironment) handle(event Event) {
 	env.t.Helper()
 	actions := env.drive.handle(event)
@@ -155,27 +155,27 @@
 	env.t.Helper()
 	req := env.requests[a.Request]
 	if req.answered {
-		env.t.Fatalf("seed %d: sent request %d after its end", env.seed, a.Request)
+		env.t.Fatalf("seed %d: sent request %d after its final answer", env.seed, a.Request)
 	}
 	if env.notReady[a.Backend] {
-		env.t.Fatalf("seed %d: sent to %d, which is draining or removed", env.seed, a.Backend)
+		env.t.Fatalf("seed %d: sent to backend %d, which is draining or removed", env.seed, a.Backend)
 	}
 	if len(req.inFlight) > 0 && !env.set.CanHedge {
-		env.t.Fatalf("seed %d: two attempts in flight", env.seed)
+		env.t.Fatalf("seed %d: two attempts of a request in flight without hedging", env.seed)
 	}
 	req.inFlight = append(req.inFlight, len(req.attempts))
 	req.attempts = append(req.attempts, a)
 	if len(req.attempts) > env.set.MaxAttempts {
-		env.t.Fatalf("seed %d: %d attempts", env.seed, len(req.attempts))
+		env.t.Fatalf("seed %d: %d attempts of one request", env.seed, len(req.attempts))
 	}
 }
 
-// recordAnswer notes a final answer that no backend made.
+// recordAnswer records a final answer of the gateway.
 func (env *randomEnvironment) recordAnswer(id RequestID) {
 	env.t.Helper()
 	req := env.requests[id]
 	if req.answered {
-		env.t.Fatalf("seed %d: two answers", env.seed)
+		env.t.Fatalf("seed %d: two answers to one request", env.seed)
 	}
 	req.answered = true
 }
@@ -218,15 +218,15 @@
 func (env *randomEnvironment) requestArrives() {
 	env.t.Helper()
 	env.drive.nextID++
-	r := Request{ID: env.drive.nextID, Class: env.rng.IntN(3), Plan: env.rng.IntN(2), Customer: CustomerID(env.rng.IntN(4)),
-		Units: 1, Gateways: 2}
+	r := Request{ID: env.drive.nextID, Class: env.rng.IntN(3), Plan: env.rng.IntN(2),
+		Customer: CustomerID(env.rng.IntN(4)), Units: 1, Gateways: 2}
 	r.Deadline = env.drive.now + env.set.Classes[r.Class].Deadline*(0.5+env.rng.Float64()/2)
 	env.requests[r.ID] = &trackedRequest{Request: r}
 	env.order = append(env.order, r.ID)
 	env.handle(r)
 }
 
-// attemptEnds ends the oldest attempt in flight of one of the newest requests, if it has any.
+// attemptEnds ends the oldest attempt in flight of one of the 20 newest requests, if it has any.
 func (env *randomEnvironment) attemptEnds() {
 	env.t.Helper()
 	if len(env.order) == 0 {
--- a/policy/schedule_test.go
+++ b/policy/schedule_test.go
@@ -1,13 +1,13 @@
 package policy
 
-// scheduledEvent is an event that a gateway of a simulated fleet is to handle.
+// scheduledEvent is an event for a gateway of a simulated fleet.
 type scheduledEvent struct {
 	at      float64
 	gateway int // index in the fleet
 	event   Event
 }
 
-// scheduledEvents is a heap (container/heap), the earliest event first.
+// scheduledEvents is a heap (container/heap) whose root is the earliest event.
 type scheduledEvents []scheduledEvent
 
 func (s scheduledEvents) Len() int { return len(s) }
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A shutdown limits the time of what is queued and what is in flight, and of what still arrives; what would end
-// sooner is left alone, and so is everything where no shutdown has begun.
+// A shutdown limits the time of queued requests, of requests in flight and of requests that still arrive. It doesn't
+// change requests that must be answered earlier anyway. Without a shutdown, nothing is limited.
 func TestShutdownLimitsTimeOfAllRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		shutdown bool
@@ -71,10 +71,10 @@
 	}
 	for id, end := range want {
 		if got := answeredAfter[id]; got > end || got < end-5*tick {
-			t.Errorf("request %d was answered after %.3f s, want %.3f", id, got, end)
+			t.Errorf("request %d was answered after %.3f s, want %.3f s", id, got, end)
 		}
 	}
 	if len(answeredAfter) != len(want) {
-		t.Errorf("answered %v", slices.Sorted(maps.Keys(answeredAfter)))
+		t.Errorf("answered requests: %v", slices.Sorted(maps.Keys(answeredAfter)))
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -47,9 +47,9 @@
 }
 
 // slowStartAllows updates the tokens of a backend in slow start, and reports whether the backend may get an
-// attempt. It protects the backend from overload without coordination among gateways: in any short window
-// each gateway sends it at most its slow start share of what the gateway sends to a warm backend. The sum
-// over all gateways is then at most that share of what warm backends handle.
+// attempt. It protects the backend from overload without coordination among gateways: in any short window,
+// each gateway sends it at most its slow start share of what the gateway sends to a warm backend. So the sum
+// over all gateways is at most that share of what a warm backend gets.
 func (e *Engine) slowStartAllows(b *backend) bool {
 	share := e.slowStartShare(b)
 	if share >= 1 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	burstFactor           = 3.0 // of traffic after a lull, times the traffic before
-	meanServiceTime       = 0.2 // seconds of a core that a request takes
-	maxQueuedServiceTimes = 3.0 // times meanServiceTime: what would wait longer is rejected
+	burstFactor           = 3.0 // traffic after the lull, as a multiple of the traffic before
+	meanServiceTime       = 0.2 // mean CPU seconds of a request
+	maxQueuedServiceTimes = 3.0 // wait that a backend accepts at most, as a multiple of meanServiceTime
 )
 
-// slowStartFleet is a fleet of engines on a simulated clock, before backends that queue.
+// slowStartFleet simulates a fleet of engines and their backends, which queue requests, on a simulated clock.
 type slowStartFleet struct {
 	set            Settings
 	now            float64
 	rng            *rand.Rand
 	gateways       []*Engine
-	weights        []float64 // of the traffic, by gateway
+	weights        []float64 // relative traffic of each gateway
 	pending        scheduledEvents
 	backends       map[BackendID]*simulatedBackend
 	nextID         RequestID
-	arrivals       float64 // requests that are due; the fraction carries over
-	cores          float64 // of a backend
+	arrivals       float64 // requests that are due; the fraction is carried over
+	cores          float64 // cores of each backend
 	slowStartSends int     // attempts at backends in slow start
 }
 
-// simulatedBackend takes requests on at the rate that its cores bear, and queues so many more.
+// simulatedBackend processes requests at the rate that its cores allow, and queues or rejects the others.
 type simulatedBackend struct {
-	startedAt float64   // 0: warm
-	freeAt    float64   // when the next request can begin
-	sends     []float64 // times of the attempts that it got in slow start
+	startedAt float64   // clock time; 0: warm
+	freeAt    float64   // clock time at which the next request can begin
+	sends     []float64 // clock times of the attempts that it got in slow start
 }
 
-// handle has a gateway handle an event and carries out its actions.
+// handle passes an event to a gateway and carries out its actions.
 func (f *slowStartFleet) handle(gateway int, event Event) {
 	for _, a := range f.gateways[gateway].Handle(f.now, event, nil) {
 		switch a := a.(type) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// send plays an attempt at its backend.
+// send simulates an attempt at its backend.
 func (f *slowStartFleet) send(gateway int, a SendAttempt) {
 	b := f.backends[a.Backend]
 	share := 1.0
@@ -72,13 +72,13 @@
 	heap.Push(&f.pending, scheduledEvent{f.now + latency, gateway, end})
 }
 
-// capacityShare returns the share of its capacity that a backend has so many seconds after its start, above 1 once it
-// is warm.
+// capacityShare returns the share of its full capacity that a backend has at an age in seconds. The result exceeds 1
+// once the backend is warm.
 func (f *slowStartFleet) capacityShare(age float64) float64 {
 	return f.set.SlowStartMinShare + (1-f.set.SlowStartMinShare)*age/f.set.SlowStartWindow
 }
 
-// run plays traffic of so many requests a second up to a time.
+// run simulates traffic up to the clock time until. rate is in requests per second.
 func (f *slowStartFleet) run(until, rate float64) {
 	const step = 0.005
 	for ; f.now < until; f.now += step {
@@ -94,7 +94,7 @@
 	}
 }
 
-// pickGateway draws the gateway of a request by the weights of the traffic.
+// pickGateway draws the gateway of a request at random, by the gateways' weights.
 func (f *slowStartFleet) pickGateway() int {
 	total := 0.0
 	for _, w := range f.weights {
@@ -108,8 +108,10 @@
 	return gateway
 }
 
-// worstWindow returns by how much a backend in slow start was sent too much at worst in any window (above 0, it may be
-// overloaded), how much it was sent there, and what it could bear.
+// worstWindow returns the window of OverloadDuration in which a backend in slow start was sent the most beyond its
+// budget: the number of attempts in it, the number that overloads the backend (the budget), and by how many attempts
+// the budget was exceeded, after a margin for random variation. An excess above 0 means that the backend may be
+// overloaded.
 func (f *slowStartFleet) worstWindow() (excess float64, sent int, budget float64) {
 	excess = math.Inf(-1)
 	for _, b := range f.backends {
@@ -129,8 +131,8 @@
 	return excess, sent, budget
 }
 
-// A backend in slow start bears only so much from all gateways together, however uneven the traffic is, and also
-// after a lull in which each of them could save up.
+// All gateways together must not overload a backend in slow start, however uneven the traffic is, even after a lull in
+// which each of them could save up tokens.
 func TestFleetKeepsToSlowStartBudget(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -147,11 +149,11 @@
 			f := simulateSlowStart(c.gateways, c.warm, c.starting, c.cores, traffic, n)
 			sends += f.slowStartSends
 			if excess, sent, budget := f.worstWindow(); excess > 0 {
-				t.Errorf("%+v, %+v, seed %d: %d sends in a window of a budget of %.1f", c, traffic, n, sent, budget)
+				t.Errorf("%+v, %+v, seed %d: %d attempts in a window with a budget of %.1f", c, traffic, n, sent, budget)
 			}
 		}
 		if sends == 0 {
-			t.Errorf("%+v: backends in slow start get nothing", c)
+			t.Errorf("%+v: backends in slow start got no attempts", c)
 		}
 	}
 }
@@ -159,12 +161,12 @@
 // traffic is the load of a slowStartFleet.
 type traffic struct {
 	utilization float64 // share of the warm backends' capacity
-	zipf        float64 // exponent of the gateways' weights; 0: all alike
-	lull        float64 // seconds without traffic before the burst; 0: neither
+	zipf        float64 // exponent of the Zipf distribution of the gateways' weights; 0: equal weights
+	lull        float64 // seconds without traffic before the burst; 0: neither lull nor burst
 }
 
-// simulateSlowStart starts backends under traffic, has a lull, and then a burst whose clients come to other gateways than
-// before.
+// simulateSlowStart starts backends under traffic. With a lull, it then pauses the traffic and resumes it as a burst,
+// which is distributed over the gateways in another way.
 func simulateSlowStart(gateways, warm, starting int, cores float64, load traffic, seed uint64) *slowStartFleet {
 	set := testSettings()
 	set.FleetSize = gateways
@@ -198,7 +200,7 @@
 	for i := range gateways {
 		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: list})
 	}
-	rate := load.utilization * float64(warmAtFirst) * cores / meanServiceTime // clients stay, whatever becomes of backends
+	rate := load.utilization * float64(warmAtFirst) * cores / meanServiceTime // as before the change of backends
 	f.run(107, rate)
 	if load.lull > 0 {
 		f.run(107+load.lull, 0)
@@ -212,7 +214,7 @@
 func TestBackendInSlowStartGetsNoBurst(t *testing.T) {
 	starting := Backend{ID: 9, State: Ready, StartedAt: 99.9}
 	d := startEngine(t, testSettings(), append(readyBackends(1), starting)...)
-	sends := 0 // at the one in slow start
+	sends := 0 // to the backend in slow start
 	var inFlight []SendAttempt
 	for i := range 200 {
 		d.now = 100 + float64(i)*0.01
@@ -223,31 +225,33 @@
 			}
 			inFlight = append(inFlight, s)
 		}
-		if len(inFlight) > 3 { // each takes four steps
+		if len(inFlight) > 3 { // each attempt takes four steps
 			oldest := inFlight[0]
 			inFlight = inFlight[1:]
 			d.handle(AttemptEnded{Request: oldest.Request, Backend: oldest.Backend, Latency: 0.04, RequestOver: true})
 		}
 		d.handle(timerFired(maintenanceTimer, 0))
 	}
-	// A warm backend had 100 a second for two seconds; the one in slow start may do 20 to 36 of these.
+	// The warm backend got 100 attempts per second for two seconds. The one in slow start has the capacity for 20 to 36
+	// per second.
 	if sends > 2*2*36 {
-		t.Errorf("%d sends to a backend in slow start in 2 s", sends)
+		t.Errorf("%d attempts at a backend in slow start in 2 s", sends)
 	}
 	if sends == 0 {
-		t.Error("a backend in slow start never gets anything and cannot take over")
+		t.Error("a backend in slow start got no attempts")
 	}
 }
 
-// A single gateway of 80 may send a backend in slow start one request in many seconds. All together keep to its share
-// of what a warm one gets, and reach that share from the first second on, with no burst once all have saved up.
+// Each of 80 gateways may send a backend in slow start only one request in many seconds. All gateways together must
+// send it about its share of what a warm backend gets: from the first second on, and without a burst once all of them
+// have saved up a token.
 func TestManyGatewaysUseBackendsInSlowStartAtOnceAndEvenly(t *testing.T) {
 	const (
 		gateways = 80
 		warm     = 24
 		starting = 36
-		rate     = 4.0 // requests a second at each gateway
-		work     = 0.2 // seconds a request
+		rate     = 4.0 // requests per second at each gateway
+		work     = 0.2 // seconds per request
 	)
 	set := testSettings()
 	set.FleetSize = gateways
@@ -312,12 +316,12 @@
 		}
 	}
 	for second := range 8 {
-		// The share of a warm one's attempts that one in slow start can bear.
+		// The capacity of a backend in slow start, as a share of a warm backend's.
 		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*(float64(second)+0.5)/set.SlowStartWindow
 		each := float64(sendsStarting[second]) / starting
 		usual := float64(sendsWarm[second]) / warm
 		if each < 0.4*share*usual || each > 1.6*share*usual {
-			t.Errorf("in second %d a backend in slow start got %.2f sends and a warm one %.2f, want a share of about %.2f",
+			t.Errorf("second %d: a backend in slow start got %.2f attempts and a warm one %.2f, want a share of about %.2f",
 				second, each, usual, share)
 		}
 	}
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What SetTimer carries comes back as it was, for the limits of each field too.
+// A token that is packed for SetTimer unpacks to the same value, also at the limits of each field.
 func TestTimerTokenSurvivesPacking(t *testing.T) {
 	for _, token := range []timerToken{
 		{},
@@ -12,7 +12,7 @@
 		{kind: 255, attempt: 255, request: 1<<32 - 1},
 	} {
 		if got := unpackTimerToken(token.pack()); got != token {
-			t.Errorf("%+v came back as %+v", token, got)
+			t.Errorf("%+v was unpacked as %+v", token, got)
 		}
 	}
 }
