--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -9,7 +9,7 @@
 // The list "policy" in the deploy file names exactly the files of this package that contain decisions: all but the
 // package comment, the settings, the events and the actions. Lines in the listed files are short enough to be read side
 // by side.
-func TestPolicyNamesTheDecidingFiles(t *testing.T) {
+func TestDeployFileListsDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
