--- a/policy/actions.go
+++ b/policy/actions.go
@@ -59,8 +59,8 @@
 	Reason  Reason
 }
 
-// SetTimer starts a timer that ends in a TimerFired event. If it belongs to a request, it may be dropped once
-// that request has its final answer and none of its attempts is in flight.
+// SetTimer starts a timer that leads to a TimerFired event. A timer that belongs to a request may be dropped
+// once that request has its final answer and none of its attempts is in flight.
 type SetTimer struct {
 	Delay   float64   // seconds, at least 0
 	Token   uint64    // returned in TimerFired
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -31,7 +31,8 @@
 }
 
 // finish ends a request: it no longer waits for units, and if it was admitted but never sent, its units and
-// its place under the customer's concurrency limit are returned. Attempts in flight are cancelled.
+// its place under the customer's concurrency limit are returned. Attempts in flight are cancelled if
+// possible.
 func (e *Engine) finish(req *request) {
 	req.finished = true
 	req.customer.waiting = slices.DeleteFunc(req.customer.waiting, func(w *request) bool { return w == req })
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -17,8 +17,8 @@
 	e.admit(req.customer)
 }
 
-// closeAttempt marks an attempt as ended and records its outcome. It stays counted as work in flight for a
-// while if the backend may still be executing it.
+// closeAttempt marks an attempt as ended and records its outcome. If the backend may still be executing the
+// attempt, it stays counted as work in flight for a while.
 func (e *Engine) closeAttempt(req *request, event AttemptEnded) {
 	a := &req.attempts[event.Attempt]
 	a.ended = true
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -23,7 +23,7 @@
 }
 
 // timeSpentOnEarlierAttempts returns the seconds that the client has certainly spent before this request, on
-// earlier attempts at the gateway or another one. Most requests of a class and plan have the same timeout. If
+// earlier attempts at this or another gateway. Most requests of a class and plan have the same timeout. If
 // a request has another one, the client has cut it to the rest of its class's deadline, so the request is a
 // retry.
 //
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -14,8 +14,8 @@
 }
 
 // mayHedge reports whether a hedged request may be sent in addition to an attempt. Only the newest attempt of
-// a request is hedged, and only while the concurrency limit has room even for the lowest level. If the
-// customer has a concurrency limit, the hedged request would take the place of another request.
+// a request is hedged, and only while the concurrency limit has room even for the lowest level. Customers
+// with a concurrency limit get no hedged requests, since each would take the place of another request.
 func (e *Engine) mayHedge(req *request, number int) bool {
 	return e.settings.CanHedge &&
 		!req.finished && !req.streaming &&
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -50,10 +50,10 @@
 	b.nextTrialAt = now + b.trialInterval
 }
 
-// decay moves the failure rate and latency of a backend by a share towards those of an average backend. A
-// backend that is avoided because of a single failure or a slow response gets no attempts that could improve
-// its statistics, so without decay the others would take over its work permanently. An ejected backend does
-// not decay; it has its trials.
+// decay moves the backend's failure rate towards 0 and its latency towards the mean of all backends, by a
+// share of the difference. A backend that is avoided because of a single failure or a slow response gets no
+// attempts that could improve its statistics, so without decay the others would take over its work
+// permanently. An ejected backend does not decay; it has its trials.
 func (b *backend) decay(share, meanLatency float64) {
 	if b.ejected() {
 		return
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -2,7 +2,7 @@
 
 // Parameters of the cost by which backends are compared. They don't depend on the deployment.
 const (
-	lowerLevelLoad       = 0.1  // load of an attempt in flight at any level; equal or higher levels add 1
+	lowerLevelLoad       = 0.1  // load of an attempt in flight; one of equal or higher level counts 1 more
 	maxLatencyFactor     = 8.0  // a backend counts as at most this many times slower or faster than the mean
 	maxFailureRateInCost = 0.9  // failure rate above which the cost no longer grows
 	sameBackendCost      = 1e3  // added for the backend of the previous attempt; exceeds any other cost
@@ -33,8 +33,8 @@
 		return found.dueForTrial
 	}
 	if 2*found.ejected > found.count {
-		// If most backends seem faulty, the cause is one that they share, and avoiding the ejected ones would
-		// only overload the rest.
+		// If most backends look faulty, they share the fault, and avoiding the ejected ones would only overload
+		// the rest.
 		return found.cheapest
 	}
 	return found.cheapestHealthy
--- a/policy/send.go
+++ b/policy/send.go
@@ -58,9 +58,9 @@
 	return req.attemptsInFlight == 0 || e.settings.CanHedge
 }
 
-// countAttempt counts a new attempt by its number in the request. The first attempt adds to the retry budget;
-// its slot under the customer's concurrency limit was taken at admission. Each further attempt takes one more
-// slot.
+// countAttempt counts a new attempt, given by its number within the request. The first attempt adds to the
+// retry budget; its slot under the customer's concurrency limit was taken at admission. Each further attempt
+// takes one more slot.
 func (e *Engine) countAttempt(req *request, number int) {
 	if number == 0 {
 		e.retries.recordFirstAttempt()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
-	IdempotentByKey                    // backends drop duplicates within Class.DedupeScope and DedupeWindow
+	IdempotentByKey                    // keyed: backends drop duplicates, see Class.DedupeScope
 	NonIdempotent                      // must not be executed twice
 )
 
@@ -32,8 +32,8 @@
 	PriorityWeight   float64 // weight of a request under a plan whose WeightFactor is 1
 	LateWeightShare  float64 // share of the weight that a response between objective and deadline earns
 	Idempotency      Idempotency
-	DedupeScope      DedupeScope // used only if Idempotency is IdempotentByKey
-	DedupeWindow     float64     // seconds for which the backends of the scope remember a key
+	DedupeScope      DedupeScope // backends that drop duplicates of a keyed request; only for IdempotentByKey
+	DedupeWindow     float64     // seconds for which these backends remember a keyed request
 	Streamed         bool        // responses are streamed
 }
 
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// applyShutdownDeadline moves the request's answerBy to the end of a shutdown if that is earlier, and reports
-// whether it did.
+// applyShutdownDeadline limits the request's answerBy to the deadline of the shutdown, if one has begun, and
+// reports whether that changed it.
 func (e *Engine) applyShutdownDeadline(req *request) bool {
 	latest := e.shutdownAnswerBy - e.timingMargin()
 	if e.shutdownAnswerBy == 0 || req.answerBy <= latest {
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -29,7 +29,7 @@
 	set.CanHedge = false
 	d := startEngine(t, set, backends...)
 	start := d.now
-	answeredAfter := map[RequestID]float64{} // seconds since the shutdown
+	answeredAfter := map[RequestID]float64{} // seconds since start
 	var timers []pendingTimer
 	record := func(actions []Action) {
 		for _, a := range actions {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,7 @@
 const (
 	burstFactor           = 3.0 // traffic after the lull, as a multiple of the traffic before
 	meanServiceTime       = 0.2 // mean CPU seconds of a request
-	maxQueuedServiceTimes = 3.0 // wait that a backend accepts at most, as a multiple of meanServiceTime
+	maxQueuedServiceTimes = 3.0 // longest queueing delay that a backend accepts, as a multiple of meanServiceTime
 )
 
 // slowStartFleet simulates a fleet of engines and their backends, which queue requests, on a simulated clock.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -46,7 +46,8 @@
 	e.emit(SetTimer{Delay: max(delay, 0), Token: token.pack(), Request: token.request})
 }
 
-// handleTimer handles a timer that has fired. Timers of requests or attempts that have ended do nothing.
+// handleTimer handles a timer that has fired. It does nothing if the request or attempt that the timer was
+// set for has ended.
 func (e *Engine) handleTimer(token timerToken) {
 	switch token.kind {
 	case maintenanceTimer:
