--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	env := newRandomEnvironment(t, seed)
 	for range 3000 {
-		env.drive.now += 0.002
+		env.driver.now += 0.002
 		env.fireDueTimers()
 		env.checkDeadlines()
 		env.nextEvent()
@@ -89,7 +89,7 @@
 	seed       uint64
 	rng        *rand.Rand
 	set        Settings
-	drive      *engineDriver
+	driver     *engineDriver
 	requests   map[RequestID]*trackedRequest
 	order      []RequestID // by arrival
 	timers     []pendingTimer
@@ -123,7 +123,7 @@
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 2)),
 		set:      set,
-		drive:    startEngine(t, set, readyBackends(5)...),
+		driver:   startEngine(t, set, readyBackends(5)...),
 		requests: map[RequestID]*trackedRequest{},
 		timers:   []pendingTimer{{100.05, timerToken{kind: maintenanceTimer}.pack()}},
 		notReady: map[BackendID]bool{},
@@ -133,7 +133,7 @@
 // handle passes an event to the engine, and checks and carries out its actions.
 func (env *randomEnvironment) handle(event Event) {
 	env.t.Helper()
-	actions := env.drive.handle(event)
+	actions := env.driver.handle(event)
 	env.allActions = append(env.allActions, actions...)
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -144,7 +144,7 @@
 		case FailRequest:
 			env.recordAnswer(a.Request)
 		case SetTimer:
-			env.timers = append(env.timers, pendingTimer{env.drive.now + a.Delay, a.Token})
+			env.timers = append(env.timers, pendingTimer{env.driver.now + a.Delay, a.Token})
 		case CounterAdd:
 			env.calls = append(env.calls, a)
 		}
@@ -183,7 +183,7 @@
 func (env *randomEnvironment) fireDueTimers() {
 	env.t.Helper()
 	for i := 0; i < len(env.timers); i++ {
-		if env.timers[i].at <= env.drive.now {
+		if env.timers[i].at <= env.driver.now {
 			due := env.timers[i]
 			env.timers = slices.Delete(env.timers, i, i+1)
 			i--
@@ -195,7 +195,7 @@
 func (env *randomEnvironment) checkDeadlines() {
 	env.t.Helper()
 	for _, id := range env.order {
-		if req := env.requests[id]; !req.answered && env.drive.now > req.Deadline+env.set.AnswerSlack {
+		if req := env.requests[id]; !req.answered && env.driver.now > req.Deadline+env.set.AnswerSlack {
 			env.t.Fatalf("seed %d: request %d was not answered in time", env.seed, id)
 		}
 	}
@@ -217,10 +217,10 @@
 
 func (env *randomEnvironment) requestArrives() {
 	env.t.Helper()
-	env.drive.nextID++
-	r := Request{ID: env.drive.nextID, Class: env.rng.IntN(3), Plan: env.rng.IntN(2),
+	env.driver.nextID++
+	r := Request{ID: env.driver.nextID, Class: env.rng.IntN(3), Plan: env.rng.IntN(2),
 		Customer: CustomerID(env.rng.IntN(4)), Units: 1, Gateways: 2}
-	r.Deadline = env.drive.now + env.set.Classes[r.Class].Deadline*(0.5+env.rng.Float64()/2)
+	r.Deadline = env.driver.now + env.set.Classes[r.Class].Deadline*(0.5+env.rng.Float64()/2)
 	env.requests[r.ID] = &trackedRequest{Request: r}
 	env.order = append(env.order, r.ID)
 	env.handle(r)
