--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,8 +10,8 @@
 	NonIdempotent                      // must not be executed twice
 )
 
-// DedupeScope is the group of backends that recognizes duplicates of a request by its idempotency key. The
-// group is that of the backend that got the request first.
+// DedupeScope is the group of backends that recognizes duplicates of a request by its idempotency key. A zone
+// or cell is that of the backend which got the request first.
 type DedupeScope int
 
 // The scopes, widest first.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,7 +4,7 @@
 // for each backend. A backend is warm once its slow start is over.
 const (
 	warmRateAveragingTime = 2.0 // seconds over which the rate of attempts at warm backends is averaged
-	minSlowStartRate      = 0.5 // attempts per second, of all gateways, that such a backend may always get
+	minSlowStartRate      = 0.5 // attempts per second, of all gateways, always allowed in slow start
 	maxSlowStartTokens    = 1.5 // capacity of a backend's token bucket, in attempts
 )
 
