--- a/policy/send.go
+++ b/policy/send.go
@@ -1,14 +1,14 @@
 package policy
 
-// send starts an attempt of the request at the backend; nothing else does. It holds the rules on effects, on
-// attempts in flight and on draining backends, whoever calls it, and reports whether they let the attempt
-// begin.
+// send starts an attempt of the request at the backend, and reports whether it did. It is the only function
+// that starts attempts, so the rules on repeated execution, on attempts in flight and on draining backends
+// (maySend) hold for all of them.
 func (e *Engine) send(req *request, b *backend) bool {
 	if !e.maySend(req, b) {
 		return false
 	}
 	number := len(req.attempts)
-	e.chargeAttempt(req, number)
+	e.countAttempt(req, number)
 	req.markExecutable(b, e.now)
 	req.attempts = append(req.attempts, attempt{backend: b, sentAt: e.now})
 	req.attemptsInFlight++
@@ -16,28 +16,29 @@
 	e.chargeSlowStart(b)
 	e.emit(SendAttempt{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-e.now, e.settings.Tick)})
 	if e.latency.mean > 0 {
-		e.setTimer(e.latency.slowAfter(), timerToken{kind: slowAttemptTimer, attempt: number, request: req.ID})
+		e.setTimer(e.latency.slowThreshold(), timerToken{kind: slowAttemptTimer, attempt: number, request: req.ID})
 	}
 	return true
 }
 
-// maySend reports whether an attempt of the request may begin at the backend now.
+// maySend reports whether an attempt of the request may be started at the backend now.
 func (e *Engine) maySend(req *request, b *backend) bool {
 	return req.awaitsAnswer() &&
 		b.State == Ready &&
 		req.sharesDedupeScope(b) &&
 		!e.dedupeWindowOver(req) &&
 		e.attemptsRemain(req) &&
-		e.mayRunBeside(req)
+		e.mayRunConcurrently(req)
 }
 
-// awaitsAnswer reports whether the request is admitted, has no final answer, and none has begun.
+// awaitsAnswer reports whether the request is admitted, has no final answer, and is not being streamed one.
 func (req *request) awaitsAnswer() bool {
 	return req.admitted && !req.finished && !req.streaming
 }
 
-// dedupeWindowOver reports whether backends may no longer drop a duplicate of a keyed request. What is sent
-// within the window may wait for a connection and arrive after it.
+// dedupeWindowOver reports whether an attempt of an IdempotentByKey request that starts now could reach its
+// backend after the dedupe window, when the duplicate would no longer be dropped. An attempt may wait for its
+// connection before it is sent.
 func (e *Engine) dedupeWindowOver(req *request) bool {
 	if !req.mayHaveExecuted || req.class.Idempotency != IdempotentByKey {
 		return false
@@ -51,14 +52,16 @@
 	return len(req.attempts) < max(e.settings.MaxAttempts, 1)
 }
 
-// mayRunBeside reports whether one more attempt may run beside those of the request that are in flight.
-func (e *Engine) mayRunBeside(req *request) bool {
+// mayRunConcurrently reports whether one more attempt of the request may be in flight at the same time as
+// those that already are.
+func (e *Engine) mayRunConcurrently(req *request) bool {
 	return req.attemptsInFlight == 0 || e.settings.CanHedge
 }
 
-// chargeAttempt counts an attempt of that number. A first one adds to the retry budget; its slot under the
-// customer's concurrency limit was taken at admission, while each further attempt takes one more.
-func (e *Engine) chargeAttempt(req *request, number int) {
+// countAttempt counts a new attempt, given by its number within the request. The first attempt adds to the
+// retry budget; its slot under the customer's concurrency limit was taken at admission. Each further attempt
+// takes one more slot.
+func (e *Engine) countAttempt(req *request, number int) {
 	if number == 0 {
 		e.retries.recordFirstAttempt()
 		return
@@ -66,7 +69,8 @@
 	req.customer.openAttempts++
 }
 
-// markExecutable notes that the request may execute at the backend from now on, unless it may have before.
+// markExecutable records that the backend may execute the request from now on, unless an earlier attempt may
+// already have been executed.
 func (req *request) markExecutable(b *backend, now float64) {
 	if req.mayHaveExecuted {
 		return
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A shutdown limits the time of what is queued and what is in flight, and of what still arrives; what would end
-// sooner is left alone, and so is everything where no shutdown has begun.
+// A shutdown limits the time of queued requests, of requests in flight and of requests that still arrive. It doesn't
+// change requests that must be answered earlier anyway. Without a shutdown, nothing is limited.
 func TestShutdownLimitsTimeOfAllRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		shutdown bool
@@ -28,39 +28,39 @@
 	set.Plans = []Plan{{WeightFactor: 1}}
 	set.CanHedge = false
 	d := startEngine(t, set, backends...)
-	began := d.now
-	answeredAfter := map[RequestID]float64{} // seconds since the shutdown
+	start := d.now
+	answeredAfter := map[RequestID]float64{} // seconds since start
 	var timers []pendingTimer
-	take := func(actions []Action) {
+	record := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, pendingTimer{d.now + a.Delay, a.Token})
 			case Reject:
-				answeredAfter[a.Request] = d.now - began
+				answeredAfter[a.Request] = d.now - start
 			case FailRequest:
-				answeredAfter[a.Request] = d.now - began
+				answeredAfter[a.Request] = d.now - start
 			}
 		}
 	}
 	send := func(deadline float64) RequestID {
 		d.nextID++
-		take(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
+		record(d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + deadline}))
 		return d.nextID
 	}
 	brief := send(0.5)
 	long := send(60)
 	if shutdown {
-		take(d.handle(Shutdown{AnswerBy: began + 2}))
+		record(d.handle(Shutdown{AnswerBy: start + 2}))
 	}
 	late := send(60)
-	for d.now < began+70 {
+	for d.now < start+70 {
 		d.now += tick
 		due := slices.Clone(timers)
 		timers = slices.DeleteFunc(timers, func(timer pendingTimer) bool { return timer.at <= d.now })
 		for _, timer := range due {
 			if timer.at <= d.now {
-				take(d.handle(TimerFired{Token: timer.token}))
+				record(d.handle(TimerFired{Token: timer.token}))
 			}
 		}
 	}
@@ -71,10 +71,10 @@
 	}
 	for id, end := range want {
 		if got := answeredAfter[id]; got > end || got < end-5*tick {
-			t.Errorf("request %d was answered after %.3f s, want %.3f", id, got, end)
+			t.Errorf("request %d was answered after %.3f s, want %.3f s", id, got, end)
 		}
 	}
 	if len(answeredAfter) != len(want) {
-		t.Errorf("answered %v", slices.Sorted(maps.Keys(answeredAfter)))
+		t.Errorf("answered requests: %v", slices.Sorted(maps.Keys(answeredAfter)))
 	}
 }
