--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -142,7 +142,7 @@
 	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return err
 	}
-	if !c.Settings.Counter {
+	if !c.Settings.HasCounter {
 		return nil
 	}
 	return checkAddress("counter", c.Counter)
@@ -253,7 +253,7 @@
 		return invalidKey("settings", "the connect timeout must be above 0")
 	case c.IdleTimeout <= 0:
 		return invalidKey("settings", "the idle timeout of connections must be above 0")
-	case c.Settings.Counter && c.CounterTimeout <= 0:
+	case c.Settings.HasCounter && c.CounterTimeout <= 0:
 		return invalidKey("settings", "the counter's timeout must be above 0")
 	}
 	return nil
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -16,7 +16,7 @@
 // the queue of the call's stream is full.
 func (l *eventLoop) callCounter(action policy.CounterAdd) {
 	call := &counterCall{
-		id:     action.Call,
+		id:     action.CallID,
 		key:    action.Name,
 		amount: action.Amount,
 		sentAt: l.clock.now(),
@@ -41,7 +41,7 @@
 func (l *eventLoop) finishCall(call *counterCall, outcome policy.Outcome, total float64) {
 	if call.ended {
 		if call.outcome == policy.TimedOut {
-			l.handleEvent(policy.LateCounterReply{Call: call.id, Outcome: outcome, Total: total})
+			l.handleEvent(policy.LateCounterReply{CallID: call.id, Outcome: outcome, Total: total})
 		}
 		return
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -138,7 +138,7 @@
 	deployment := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	backend, err := EndpointEntry{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.toBackend(deployment)
-	want := policy.Backend{ID: backendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: policy.Draining, Weight: 1.5,
+	want := policy.Backend{ID: backendID("s-1"), Zone: 1, MachineType: 1, Cell: 3, State: policy.Draining, Weight: 1.5,
 		StartedAt: 1.5}
 	if err != nil || backend != want {
 		t.Errorf("%+v, %v; want %+v", backend, err, want)
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -84,12 +84,12 @@
 		return policy.Backend{}, fmt.Errorf("instance %q: invalid weight or start time", e.ID)
 	}
 	return policy.Backend{
-		ID:        backendID(e.ID),
-		Zone:      zone,
-		Kind:      slices.Index(deployment.Kinds, e.MachineType),
-		Cell:      e.Cell,
-		State:     state,
-		Weight:    e.Weight,
-		StartedAt: float64(e.StartedAtMs) / 1000,
+		ID:          backendID(e.ID),
+		Zone:        zone,
+		MachineType: slices.Index(deployment.Kinds, e.MachineType),
+		Cell:        e.Cell,
+		State:       state,
+		Weight:      e.Weight,
+		StartedAt:   float64(e.StartedAtMs) / 1000,
 	}, nil
 }
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -16,7 +16,7 @@
 		event.Entries = append(event.Entries, backend)
 		l.updateTransport(entry, backend)
 	}
-	if kind != policy.Delta {
+	if kind != policy.DeltaList {
 		l.removeUnlisted(listed)
 	}
 	l.handleEvent(event)
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -84,7 +84,7 @@
 
 // endpointsUpdated sends the loop a response from discovery.
 func (l *eventLoop) endpointsUpdated(list EndpointList) {
-	kind := policy.Delta
+	kind := policy.DeltaList
 	if list.Reset {
 		kind = policy.FullList
 	}
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -35,7 +35,7 @@
 	if err := h.config.validate(); err != nil {
 		return nil, err
 	}
-	if c.Settings.Counter {
+	if c.Settings.HasCounter {
 		h.counter = newCounterClient(c.Counter, seconds(c.CounterTimeout))
 	}
 	transport := &hollowTransport{backend: backend}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -20,7 +20,7 @@
 		s.log.Warn("reload failed; the old configuration stays in use", "error", err)
 		return
 	}
-	if s.counter != nil && next.Settings.Counter {
+	if s.counter != nil && next.Settings.HasCounter {
 		s.counter.setAddress(next.Counter)
 	}
 	if next.Discovery != s.discoveryAddress {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -64,7 +64,7 @@
 		pools:    newConnectionPools(seconds(config.ConnectTimeout), seconds(config.IdleTimeout), config.maxBackendConns()),
 		serveErr: make(chan error, 1),
 	}
-	if config.Settings.Counter {
+	if config.Settings.HasCounter {
 		s.counter = newCounterClient(config.Counter, seconds(config.CounterTimeout))
 	}
 	loop := newEventLoop(config, s.pools, s.counter, func() { s.markReady("discovery") })
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -77,7 +77,7 @@
 	t.Helper()
 	gate := make(chan struct{})
 	g.gate.Store(&gate)
-	g.loop.post(endpointListReceived{kind: policy.Delta})
+	g.loop.post(endpointListReceived{kind: policy.DeltaList})
 	await(t, g.stalled, "stall of the event loop")
 	resume = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(resume)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if deployment.GatewayIndex != 1 || deployment.FleetSize != 9 || deployment.Counter || deployment.MaxUnits != 2 {
+	if deployment.GatewayIndex != 1 || deployment.FleetSize != 9 || deployment.HasCounter || deployment.MaxUnits != 2 {
 		t.Errorf("%+v", deployment.Settings)
 	}
 	plan := deployment.Plans[0]
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -24,7 +24,7 @@
 // listKindsByForm maps the form of an endpoint update; other values are malformed.
 var listKindsByForm = map[uint8]policy.ListKind{
 	0: policy.FullList,
-	1: policy.Delta,
+	1: policy.DeltaList,
 	2: policy.CachedList,
 	3: policy.ListFailed,
 }
@@ -55,10 +55,10 @@
 // decodeEndpoint decodes one entry of an endpoint list.
 func (c *cursor) decodeEndpoint() (policy.Backend, error) {
 	backend := policy.Backend{
-		ID:   policy.BackendID(c.u32()),
-		Zone: int(c.u8()),
-		Kind: int(c.u16()),
-		Cell: int(c.u16()),
+		ID:          policy.BackendID(c.u32()),
+		Zone:        int(c.u8()),
+		MachineType: int(c.u16()),
+		Cell:        int(c.u16()),
 	}
 	availability := c.u8()
 	state, known := backendStatesByAvailability[availability]
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -148,7 +148,7 @@
 }
 
 func (c *cursor) decodeProbeResult() (policy.Event, error) {
-	result := policy.Probed{Backend: policy.BackendID(c.u32())}
+	result := policy.ProbeEnded{Backend: policy.BackendID(c.u32())}
 	var err error
 	result.Outcome, err = c.decodeOutcome()
 	result.Latency = c.f64()
--- a/internal/wire/settingsmap.go
+++ b/internal/wire/settingsmap.go
@@ -75,7 +75,7 @@
 }
 
 func (j *settingsJSON) setQuotaCounter(s *policy.Settings) {
-	s.Counter = j.QuotaCounter.HasCounter
+	s.HasCounter = j.QuotaCounter.HasCounter
 	s.CounterTimeout = j.QuotaCounter.CounterTimeoutS
 	s.CounterPrice = j.QuotaCounter.CounterPrice
 	s.MaxUnits = j.QuotaCounter.MaxUnits
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -63,7 +63,7 @@
 	}
 	firstUpdate := b.Records[0].Event.(policy.EndpointsUpdated)
 	secondUpdate := b.Records[1].Event.(policy.EndpointsUpdated)
-	if e := firstUpdate.Entries[0]; e.ID != 0x03124a07 || e.State != policy.Ready || firstUpdate.Kind != policy.Delta {
+	if e := firstUpdate.Entries[0]; e.ID != 0x03124a07 || e.State != policy.Ready || firstUpdate.Kind != policy.DeltaList {
 		t.Errorf("first list %+v", firstUpdate)
 	}
 	if e := secondUpdate.Entries[0]; e.ID != 0x2c9011f2 || e.State != policy.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -70,7 +70,7 @@
 // CounterAdd asks the counter service to add Amount, which may be below 0, to a total that all gateways
 // share, and to return the new total. Name identifies the total; an unknown name starts at 0.
 type CounterAdd struct {
-	Call   uint64 // identifies this call in LateCounterReply
+	CallID uint64 // identifies this call in LateCounterReply
 	Name   uint64
 	Amount float64
 	TTL    float64 // seconds after which the counter forgets the name
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 func (e *Engine) requestArrived(arrival Request) {
 	req := e.newRequest(arrival)
 	if req.answerBy < e.now+e.latency.mean/2 {
-		e.answerWithout(req, ReasonTooLate)
+		e.rejectOrFail(req, ReasonTooLate)
 		return
 	}
 	req.customer.addWaiting(req)
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// answerWithout gives a request its final answer without a response from a backend: it rejects the request
+// rejectOrFail gives a request its final answer without a response from a backend: it rejects the request
 // if the client may repeat it without a second effect, else it fails the request.
-func (e *Engine) answerWithout(req *request, reason Reason) {
+func (e *Engine) rejectOrFail(req *request, reason Reason) {
 	if req.mayBeRepeatedAnywhere() {
 		e.emit(Reject{Request: req.ID, RetryAfter: e.retryAfter(req), Reason: reason})
 	} else {
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -67,5 +67,5 @@
 	if req.attemptsInFlight > 0 || e.retry(req) {
 		return
 	}
-	e.answerWithout(req, ReasonNoAttempts)
+	e.rejectOrFail(req, ReasonNoAttempts)
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -46,7 +46,7 @@
 
 func TestLocalConcurrencyAddsUpToTheLimit(t *testing.T) {
 	set := testSettings()
-	set.Counter, set.FleetSize = false, 5
+	set.HasCounter, set.FleetSize = false, 5
 	set.Plans[0] = Plan{WeightFactor: 1, MaxConcurrent: 2}
 	sent := 0
 	for index := range 3 {
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -72,7 +72,7 @@
 	call.id = e.counter.lastCallID
 	e.counter.pending[call.name] = append(e.counter.pending[call.name], call)
 	call.customer.calls.add(call, 1)
-	e.emit(CounterAdd{Call: call.id, Name: call.name, Amount: call.amount(), TTL: counterNameTTL})
+	e.emit(CounterAdd{CallID: call.id, Name: call.name, Amount: call.amount(), TTL: counterNameTTL})
 }
 
 // takePendingCall removes and returns the oldest pending call for a name, which the next reply answers. ok is
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -55,7 +55,7 @@
 // A malformed reply is no sign of overload: the counter is called again at once, and that call takes back the units
 // that were added and not granted. Calls become rare only while all replies are malformed.
 func TestUnitsAddedWithAMalformedReplyAreTakenBack(t *testing.T) {
-	d := startEngine(t, seldomSettings(), readyBackends(2)...)
+	d := startEngine(t, smallBurstSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
 	second := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Outcome: Failed}))
 	total := first.Amount + second.Amount
@@ -88,7 +88,7 @@
 
 // Units that a rejected call was to report or take back are sent with a later call.
 func TestRejectedCallIsReportedLater(t *testing.T) {
-	d := startEngine(t, exactSettings(), readyBackends(2)...)
+	d := startEngine(t, refillingWindowSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	// Another gateway has begun the window: the overflow is in the total twice, and this gateway takes its own back.
 	correction := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
@@ -221,7 +221,7 @@
 		})
 	}
 	t.Run("no counter", func(t *testing.T) { // only local tokens admit requests
-		set.Counter = false
+		set.HasCounter = false
 		for index := range gateways {
 			_, out := firstRequest(index)
 			onlyAction[SendAttempt](t, out)
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -38,9 +38,9 @@
 func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
 	// shedBefore is the share of all calls that are shed before those for requests like this one, which are
 	// callShare of all calls.
-	shedBefore, callShare := 0.0, e.retries.clientShare
+	shedBefore, callShare := 0.0, e.retries.clientRetryShare
 	if !req.IsRetry {
-		shedBefore, callShare = e.retries.clientShare, 1-e.retries.clientShare
+		shedBefore, callShare = e.retries.clientRetryShare, 1-e.retries.clientRetryShare
 	}
 	totalRate, lowerRate := 0.0, 0.0
 	for level, rate := range e.queue.arrivalRates {
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -63,7 +63,7 @@
 // backoff goes on where the counter is slow for every call or the network is silent. The total of a window
 // that is over is ignored.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
-	call, ok := e.counter.takeUnanswered(event.Call)
+	call, ok := e.counter.takeUnanswered(event.CallID)
 	if !ok {
 		return
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -81,7 +81,7 @@
 	quota := e.quotaFor(plan, gateways, 0)
 	c.local.tokens = quota.localBurst
 	burstPerGateway := plan.Burst / float64(max(gateways, 1))
-	if e.settings.Counter && burstPerGateway < c.local.tokens {
+	if e.settings.HasCounter && burstPerGateway < c.local.tokens {
 		c.local.fallback = max(c.local.tokens-burstPerGateway-e.rng.Float64(), 0)
 		c.local.tokens -= c.local.fallback
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -22,13 +22,13 @@
 
 // Backend is one entry of the endpoint list.
 type Backend struct {
-	ID        BackendID
-	Zone      int
-	Kind      int // machine type
-	Cell      int // group of backends that share their memory of idempotency keys
-	State     BackendState
-	Weight    float64 // relative size; meaningful only with Settings.ApproximateWeights
-	StartedAt float64 // clock time at which its process started; 0: long ago
+	ID          BackendID
+	Zone        int
+	MachineType int // machine type
+	Cell        int // group of backends that share their memory of idempotency keys
+	State       BackendState
+	Weight      float64 // relative size; meaningful only with Settings.ApproximateWeights
+	StartedAt   float64 // clock time at which its process started; 0: long ago
 }
 
 // ListKind says what an EndpointsUpdated event contains.
@@ -37,7 +37,7 @@
 // The kinds of list.
 const (
 	FullList   ListKind = iota // all entries
-	Delta                      // the changed entries only
+	DeltaList                  // the changed entries only
 	CachedList                 // all entries, as last known to a gateway that is starting
 	ListFailed                 // discovery failed; there are no entries, and the previous list stays in use
 )
@@ -120,8 +120,8 @@
 	LoadReport  []float64 // values in the order of Settings.LoadFields; empty: none came
 }
 
-// Probed reports the result of a Probe.
-type Probed struct {
+// ProbeEnded reports the result of a Probe.
+type ProbeEnded struct {
 	Backend    BackendID
 	Outcome    Outcome
 	Latency    float64   // seconds since the probe was sent
@@ -148,7 +148,7 @@
 // LateCounterReply reports the reply to a CounterAdd that had ended as TimedOut before. Not every late reply
 // is reported. Total is valid only if the outcome is Served.
 type LateCounterReply struct {
-	Call    uint64 // CounterAdd.Call
+	CallID  uint64 // CounterAdd.Call
 	Outcome Outcome
 	Total   float64
 }
@@ -171,7 +171,7 @@
 
 func (AttemptEnded) event() {}
 
-func (Probed) event() {}
+func (ProbeEnded) event() {}
 
 func (ClientDisconnected) event() {}
 
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -18,7 +18,7 @@
 		FleetSize: 2,
 		Tick:      0.002,
 
-		Counter:        true,
+		HasCounter:     true,
 		CounterTimeout: 0.05,
 
 		CanCancel:         true,
@@ -36,18 +36,18 @@
 	}
 }
 
-// seldomSettings returns settings in which plan 1 has a low rate, and a burst that, divided among two gateways, doesn't
+// smallBurstSettings returns settings in which plan 1 has a low rate, and a burst that, divided among two gateways, doesn't
 // cover a request of two units: such a request needs a counter call.
-func seldomSettings() Settings {
+func smallBurstSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
 	set.Plans[1].Burst = 3
 	return set
 }
 
-// exactSettings returns settings in which plan 1 has a ceiling. Two gateways then track its quota exactly, by counter
+// refillingWindowSettings returns settings in which plan 1 has a ceiling. Two gateways then track its quota exactly, by counter
 // calls alone.
-func exactSettings() Settings {
+func refillingWindowSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
 	set.Plans[1].CeilingRate = 1
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -34,7 +34,7 @@
 // A total may be far too high for a moment, until another gateway takes back units that it added. The shared bucket
 // must then count as exhausted only for the time in which it earns a few units.
 func TestExhaustedBucketIsSoonCalledForAgain(t *testing.T) {
-	d := startEngine(t, exactSettings(), readyBackends(2)...)
+	d := startEngine(t, refillingWindowSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
 	onlyAction[Reject](t, out)
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -6,7 +6,7 @@
 func TestConcurrencyLimitOfManyGatewaysHoldsInTheMean(t *testing.T) {
 	set := testSettings()
 	set.FleetSize = 300
-	set.Counter = false
+	set.HasCounter = false
 	d := startEngine(t, set, readyBackends(60)...)
 	d.engine.limiter.limit = 0.5 // half an attempt
 	var inFlight []SendAttempt
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -11,7 +11,7 @@
 		e.setTimer(pollRetryInterval, timerToken{kind: pollEndpointsTimer})
 		return
 	}
-	if event.Kind != Delta {
+	if event.Kind != DeltaList {
 		e.backends.markAllRemoved()
 	}
 	for _, entry := range event.Entries {
--- a/policy/membership_test.go
+++ b/policy/membership_test.go
@@ -4,7 +4,7 @@
 
 func TestNothingIsSentToDrainingBackend(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
-	d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
+	d.handle(EndpointsUpdated{Kind: DeltaList, Entries: []Backend{{ID: 1, State: Draining}}})
 	for range 8 {
 		d.sendRequest(0, 1, 1)
 		for _, s := range actionsOf[SendAttempt](d.lastActions) {
@@ -39,8 +39,8 @@
 	d := startEngine(t, testSettings(), readyBackends(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
-		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{readyBackend(id)}})
-		d.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{{ID: id, State: Removed}}})
+		d.handle(EndpointsUpdated{Kind: DeltaList, Entries: []Backend{readyBackend(id)}})
+		d.handle(EndpointsUpdated{Kind: DeltaList, Entries: []Backend{{ID: id, State: Removed}}})
 		d.now += 0.05
 		d.handle(timerFired(maintenanceTimer, 0))
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -63,7 +63,7 @@
 // long.
 func (e *Engine) enqueue(req *request) {
 	if e.atLimit(req.level) && e.wouldWaitTooLong(req) {
-		e.answerWithout(req, ReasonQueue)
+		e.rejectOrFail(req, ReasonQueue)
 		return
 	}
 	e.queue.requests[req.level] = append(e.queue.requests[req.level], req)
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -31,9 +31,9 @@
 		case needsLease:
 			e.requestLease(c)
 		case rejectForQuota:
-			e.answerWithout(req, ReasonQuota)
+			e.rejectOrFail(req, ReasonQuota)
 		case rejectForConcurrency:
-			e.answerWithout(req, ReasonConcurrency)
+			e.rejectOrFail(req, ReasonConcurrency)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		return deferRequest
 	case e.now < c.exhaustedUntil:
 		return e.decideWhileExhausted(c, req)
-	case !e.settings.Counter || c.backoff.active(e.now):
+	case !e.settings.HasCounter || c.backoff.active(e.now):
 		return e.decideWithoutCounter(c, req)
 	}
 	return needsLease
@@ -119,7 +119,7 @@
 		c.unreportedUnits += req.Units
 		return admitNow
 	}
-	if e.settings.Counter && c.quota.smallGatewaySet && c.backoff.until+e.latency.mean < req.answerBy {
+	if e.settings.HasCounter && c.quota.smallGatewaySet && c.backoff.until+e.latency.mean < req.answerBy {
 		return deferRequest
 	}
 	return rejectForQuota
--- a/policy/quotaattributes.go
+++ b/policy/quotaattributes.go
@@ -66,7 +66,7 @@
 // bucket exact. A large set uses fixed windows.
 func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaParameters {
 	q := newQuotaParameters(p, gateways, index)
-	if e.settings.Counter && q.allowsDeferredReporting(p) {
+	if e.settings.HasCounter && q.allowsDeferredReporting(p) {
 		q.useDeferredReporting(p)
 	}
 	q.refillingWindow = q.smallGatewaySet || q.deferredReporting
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -14,11 +14,11 @@
 	for name, set := range map[string]Settings{
 		"nothing set": {Classes: []Class{{}}, Plans: []Plan{{}}},
 		"no fleet": {Classes: []Class{class}, Plans: []Plan{{WeightFactor: 1, Rate: 1, Burst: 1}},
-			Counter: true},
+			HasCounter: true},
 		"no burst": {Classes: []Class{class}, Plans: []Plan{{WeightFactor: 1, Rate: 5, CeilingRate: 1}},
-			FleetSize: 1, Counter: true, Tick: 0.002},
+			FleetSize: 1, HasCounter: true, Tick: 0.002},
 		"concurrency alone": {Classes: []Class{class}, Plans: []Plan{{WeightFactor: 1, MaxConcurrent: 1}},
-			FleetSize: 3, Counter: true, Tick: 0.002},
+			FleetSize: 3, HasCounter: true, Tick: 0.002},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := startEngine(t, set, readyBackends(2)...)
@@ -45,7 +45,7 @@
 	d.handle(AttemptEnded{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
 	d.handle(AttemptEnded{Request: 12345, Backend: 1, Outcome: NotSent})
 	d.handle(EndpointsUpdated{Kind: FullList})
-	d.handle(EndpointsUpdated{Kind: Delta, Entries: readyBackends(1)})
+	d.handle(EndpointsUpdated{Kind: DeltaList, Entries: readyBackends(1)})
 	out = append(out, d.handle(timerFired(maintenanceTimer, 0))...)
 	for _, s := range actionsOf[SendAttempt](out) {
 		end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true}
@@ -115,7 +115,7 @@
 	t.Helper()
 	set := testSettings()
 	set.CanHedge = seed%2 == 0
-	set.Counter = seed%3 != 0
+	set.HasCounter = seed%3 != 0
 	set.Classes = append(set.Classes,
 		Class{LatencyObjective: 0.5, Deadline: 1, PriorityWeight: 2, Idempotency: NonIdempotent})
 	return &randomEnvironment{
@@ -262,5 +262,5 @@
 	b := readyBackend(BackendID(1 + env.rng.IntN(5)))
 	b.State = BackendState(env.rng.IntN(3))
 	env.notReady[b.ID] = b.State != Ready
-	env.handle(EndpointsUpdated{Kind: Delta, Entries: []Backend{b}})
+	env.handle(EndpointsUpdated{Kind: DeltaList, Entries: []Backend{b}})
 }
--- a/policy/reportedstore_test.go
+++ b/policy/reportedstore_test.go
@@ -178,7 +178,7 @@
 // Without a counter, local tokens alone admit requests, and nothing is reported.
 func TestLocalTokensWithoutACounterMakeNoCalls(t *testing.T) {
 	set := testSettings()
-	set.Counter = false
+	set.HasCounter = false
 	d := startEngine(t, set, readyBackends(4)...)
 	if calls := d.spend(60); len(calls) > 0 {
 		t.Errorf("calls without a counter: %v", calls)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,8 +10,8 @@
 // retryBudget limits the gateway's own retries to a share of first attempts, and measures the share of client
 // retries.
 type retryBudget struct {
-	tokens      float64 // retries that may be started now
-	clientShare float64 // share of arriving requests that are marked as retries by clients
+	tokens           float64 // retries that may be started now
+	clientRetryShare float64 // share of arriving requests that are marked as retries by clients
 }
 
 // recordArrival updates the share of client retries with an arriving request.
@@ -20,7 +20,7 @@
 	if isRetry {
 		retries = 1
 	}
-	r.clientShare += clientRetryGain * (retries - r.clientShare)
+	r.clientRetryShare += clientRetryGain * (retries - r.clientRetryShare)
 }
 
 // recordFirstAttempt adds the tokens that a first attempt earns.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -92,7 +92,7 @@
 	LoadFields         []LoadField // the values of a load report, in order
 	LoadInline         bool        // load reports come with the ends of attempts too, not only with probes
 
-	Counter        bool    // the deployment has a counter service
+	HasCounter     bool    // the deployment has a counter service
 	CounterTimeout float64 // seconds after which a counter call times out
 	CounterPrice   float64 // price of counter calls when they are as many as first attempts; see below
 	MaxUnits       float64 // units that a request may need at most; 0: no limit
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -294,7 +294,7 @@
 			started = append(started, b)
 		}
 		for i := range engines {
-			handle(i, EndpointsUpdated{Kind: Delta, Entries: started})
+			handle(i, EndpointsUpdated{Kind: DeltaList, Entries: started})
 		}
 	}
 	for now < 116 {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -80,7 +80,7 @@
 	if req == nil || req.streaming || len(req.attempts) > 0 {
 		return
 	}
-	e.answerWithout(req, ReasonNotSent)
+	e.rejectOrFail(req, ReasonNotSent)
 }
 
 // answerDeadlineTimerFired answers a request that no backend has answered in time.
@@ -93,5 +93,5 @@
 	if len(req.attempts) == 0 {
 		reason = ReasonNotSent
 	}
-	e.answerWithout(req, reason)
+	e.rejectOrFail(req, reason)
 }
