--- a/internal/gateway/acceptdelay.go
+++ b/internal/gateway/acceptdelay.go
@@ -44,7 +44,7 @@
 // unreadDelay returns how long the unread bytes of a connection can have waited, if the connection arrived at the
 // earliest time given. It returns 0 if there are no unread bytes.
 func unreadDelay(conn net.Conn, earliest time.Time) time.Duration {
-	if isQuiet(conn) {
+	if isOpenWithoutInput(conn) {
 		return 0
 	}
 	return time.Since(earliest)
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -105,5 +105,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.loop.clock.toTime(req.decoded.Deadline)
+	return f.loop.clock.toTime(req.policyRequest.Deadline)
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -54,7 +54,7 @@
 // awaitBytes waits until bytes have arrived on a connection. The kernel may take a moment to deliver them.
 func awaitBytes(t *testing.T, conn net.Conn) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); isQuiet(conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); isOpenWithoutInput(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no bytes have arrived on the connection")
 		}
@@ -63,7 +63,7 @@
 
 // When the wait for the next request ends, a request that has arrived or has begun to arrive must still be read: only
 // the idle time is over, not the time for reading the request.
-func TestEndOfIdleWaitSparesArrivedRequest(t *testing.T) {
+func TestIdleCloseKeepsConnectionWithArrivedRequest(t *testing.T) {
 	for name, endWait := range map[string]func(*clientConn){
 		"by the server's deadline": func(conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
 		"by a shutdown":            func(conn *clientConn) { conn.table.drain(time.Now().Add(testTimeout)) },
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -92,7 +92,7 @@
 // evict closes a connection without an open request to free its slot. It does nothing if the connection is already
 // closing, or if bytes have arrived that the server has not read. It reports whether it evicted the connection.
 func (c *clientConnections) evict(conn *clientConn) bool {
-	if conn.closing || !isQuiet(conn.Conn) {
+	if conn.closing || !isOpenWithoutInput(conn.Conn) {
 		return false
 	}
 	c.closeWhenIdle(conn)
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -249,7 +249,7 @@
 
 // A client disconnects just after a lease from the counter has admitted its request. The attempt that began with the
 // lease is cancelled.
-func TestDisconnectBehindLeaseCancelsAttempt(t *testing.T) {
+func TestDisconnectAfterLeaseCancelsAttempt(t *testing.T) {
 	backend, counter := newPeer(t), newPeer(t)
 	text := withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))
 	config, err := parseConfig([]byte(text))
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -10,7 +10,7 @@
 // clientRequest is one request of a client, from the arrival of its last byte until its final answer.
 type clientRequest struct {
 	correlationID string         // the client's own id
-	decoded       policy.Request // its ID is set by the loop
+	policyRequest policy.Request // its ID is set by the loop
 	method        string
 	uri           string
 	host          string
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -25,5 +25,5 @@
 	return c.start.Add(time.Duration((t - c.startUnix) * float64(time.Second)))
 }
 
-// seconds converts a number of seconds, the unit of the settings and of the engine, to a time.Duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// toDuration converts a number of seconds, the unit of the settings and of the engine, to a time.Duration.
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -97,7 +97,7 @@
 			continue // stays idle, and can be evicted at the connection limit
 		}
 		e.idleConns = slices.Delete(e.idleConns, n, n+1)
-		if age < idleLimit && isQuiet(conn.Conn) {
+		if age < idleLimit && isOpenWithoutInput(conn.Conn) {
 			conn.idleSince = time.Time{}
 			conn.idleFor = age
 			return conn
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -55,7 +55,7 @@
 	conn.Close()
 	idle := p.endpoints[1].idleConns[0]
 	// The kernel may take a moment to deliver the close.
-	awaitCondition(t, "the idle connection was never closed", func() bool { return !isQuiet(idle.Conn) })
+	awaitCondition(t, "the idle connection was never closed", func() bool { return !isOpenWithoutInput(idle.Conn) })
 	results = startRoundTrip(p, newAttempt(testTimeout))
 	conn, _ = backend.acceptRequest(t)
 	respondOK(conn, "")
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -20,7 +20,7 @@
 		key:    action.Name,
 		amount: action.Amount,
 		sentAt: l.clock.now(),
-		ttl:    min(max(seconds(action.TTL), minCounterTTL), maxCounterTTL),
+		ttl:    min(max(toDuration(action.TTL), minCounterTTL), maxCounterTTL),
 		report: func(call *counterCall, outcome policy.Outcome, total float64) {
 			l.post(counterCallDone{call, outcome, total})
 		},
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -142,7 +142,7 @@
 }
 
 // If the settings give a call a timeout above counterIOTimeout, its response may take that long.
-func TestCounterAnswerMayTakeCallTimeout(t *testing.T) {
+func TestCounterResponseMayTakeCallTimeout(t *testing.T) {
 	t.Parallel()
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -305,7 +305,7 @@
 		t.Error("reusable after the idle timeout")
 	}
 	counterSide.Close()
-	for deadline := time.Now().Add(testTimeout); isQuiet(conn.Conn) && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); isOpenWithoutInput(conn.Conn) && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond) // the kernel may take a moment to deliver the close
 	}
 	if conn.reusable(0) {
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -86,7 +86,7 @@
 	if c.inFlight.Load() > 0 {
 		return true
 	}
-	return idleFor < c.idleEstimator.limit(time.Now()) && isQuiet(c.Conn)
+	return idleFor < c.idleEstimator.limit(time.Now()) && isOpenWithoutInput(c.Conn)
 }
 
 // headOfLineBlocked reports whether the stream should replace the connection: the call whose response comes next has
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -32,7 +32,7 @@
 
 // A call whose response begins but never ends must not count as timed out, since its amount was added: the gateway asks
 // for the customer's total again at once, and takes the added units back.
-func TestUnfinishedCounterAnswerIsReconciled(t *testing.T) {
+func TestUnfinishedCounterResponseIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
 		if tryUnfinishedCounterResponse(t) {
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -49,11 +49,11 @@
 	if err := checkFraming(r); err != nil {
 		return nil, err
 	}
-	decoded, err := f.decodeHeaders(r)
+	policyRequest, err := f.decodeHeaders(r)
 	if err != nil {
 		return nil, err
 	}
-	class := &f.deployment.Classes[decoded.Class]
+	class := &f.deployment.Classes[policyRequest.Class]
 	if err := checkAgainstClass(r, class.Idempotency); err != nil {
 		return nil, err
 	}
@@ -69,13 +69,13 @@
 		receivedAt -= conn.takeFirstRequestDelay().Seconds()
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	decoded.SentAt = receivedAt
+	policyRequest.SentAt = receivedAt
 	// The class's deadline applies too: a client that states a timeout of hours would otherwise keep its request open,
 	// and delay a graceful shutdown, for as long as a backend hangs.
-	decoded.Deadline = min(decoded.Deadline, class.Deadline) + receivedAt - responseMargin
+	policyRequest.Deadline = min(policyRequest.Deadline, class.Deadline) + receivedAt - responseMargin
 	return &clientRequest{
 		correlationID: r.Header.Get(correlationIDHeader),
-		decoded:       decoded,
+		policyRequest: policyRequest,
 		method:        r.Method,
 		uri:           r.RequestURI,
 		host:          r.Host,
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,17 +16,17 @@
 // fakeDiscovery is a discovery service whose responses a test supplies one by one.
 type fakeDiscovery struct {
 	*httptest.Server
-	calls   chan string // the query of each poll
-	answers chan any    // an EndpointList, a body (string), a status (int), or nil to break the connection
+	queries   chan string // the query of each poll
+	responses chan any    // an EndpointList, a body (string), a status (int), or nil to break the connection
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	d := &fakeDiscovery{calls: make(chan string, 64), answers: make(chan any, 64)}
+	d := &fakeDiscovery{queries: make(chan string, 64), responses: make(chan any, 64)}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		d.calls <- req.URL.RawQuery
+		d.queries <- req.URL.RawQuery
 		select {
 		case <-req.Context().Done():
-		case response := <-d.answers:
+		case response := <-d.responses:
 			switch response := response.(type) {
 			case EndpointList:
 				json.NewEncoder(w).Encode(response)
@@ -79,15 +79,15 @@
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
 	g := startTestGateway(t, backend, other)
-	await(t, g.discovery.calls, "first list")
-	await(t, g.discovery.calls, "watch")
+	await(t, g.discovery.queries, "first list")
+	await(t, g.discovery.queries, "watch")
 	unknownZone := endpointListOf(false, "Terminating", backend)
 	unknownZone.Entries[0].Zone = "nowhere"
 	unknownLifecycle := endpointListOf(false, "Leaving", other)
-	g.discovery.answers <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
-	await(t, g.discovery.calls, "next watch")
-	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
-	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
+	g.discovery.responses <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
+	await(t, g.discovery.queries, "next watch")
+	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, responses, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, %d and %d connections to the backends", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
@@ -120,10 +120,10 @@
 		{"array instead of an object", "", "[]", false, true},
 		{"full list after invalid responses", "", EndpointList{Generation: 51, Reset: true, Entries: empty}, true, false},
 	} {
-		if got := await(t, discovery.calls, "poll"); got != step.wantQuery {
+		if got := await(t, discovery.queries, "poll"); got != step.wantQuery {
 			t.Fatalf("%s: poll with query %q, want %q", step.name, got, step.wantQuery)
 		}
-		discovery.answers <- step.response
+		discovery.responses <- step.response
 		if step.noList {
 			continue
 		}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -56,7 +56,7 @@
 		number:   len(req.attempts),
 		backend:  action.Backend,
 		sentAt:   now,
-		deadline: req.decoded.Deadline,
+		deadline: req.policyRequest.Deadline,
 	}
 	if action.Timeout > 0 {
 		a.deadline = min(a.deadline, now+action.Timeout)
@@ -89,14 +89,14 @@
 		l.respondServed(req, result)
 	}
 	l.handleEvent(policy.AttemptEnded{
-		Request:     req.decoded.ID,
+		Request:     req.policyRequest.ID,
 		Attempt:     a.number,
 		Backend:     a.backend,
 		Outcome:     result.outcome,
 		Latency:     l.clock.now() - a.sentAt,
 		RequestOver: !req.unanswered,
 	})
-	l.forget(req)
+	l.removeIfDone(req)
 }
 
 // respondServed forwards a backend's response to the client.
@@ -104,7 +104,7 @@
 	l.metrics.add(requestsServed)
 	header := forwardedHeaders(result.header)
 	header.Del(loadHeader) // meant for gateways only
-	l.respond(req.decoded.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
+	l.respond(req.policyRequest.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
 }
 
 // cancelAttempt carries out the engine's decision to cancel an attempt. It does nothing if the attempt has ended.
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -24,10 +24,10 @@
 		}
 	}
 	// The poll after the one that reported the drain shows that the gateway has received the drain.
-	await(t, g.discovery.calls, "first list")
-	await(t, g.discovery.calls, "watch")
-	g.discovery.answers <- endpointListOf(false, "Terminating", backend)
-	await(t, g.discovery.calls, "next watch")
+	await(t, g.discovery.queries, "first list")
+	await(t, g.discovery.queries, "watch")
+	g.discovery.responses <- endpointListOf(false, "Terminating", backend)
+	await(t, g.discovery.queries, "next watch")
 	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
 	if resp := await(t, responses, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
@@ -46,7 +46,7 @@
 	list := endpointListOf(true, "Ready", other)
 	list.Entries = append(list.Entries,
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
-	g.discovery.answers <- list
+	g.discovery.responses <- list
 	serveOne(t, other, "ok")
 	if resp := await(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -19,7 +19,7 @@
 // into events for the engine, and carries out the engine's actions. It never waits for a socket.
 //
 // Its methods and fields belong to the goroutine of run; before run begins and after it has returned, they belong to
-// the goroutine that starts it. Other goroutines may call post and endpointsUpdated, read clock and stopped, and use
+// the goroutine that starts it. Other goroutines may call post and postEndpointList, read clock and stopped, and use
 // metrics, attempts, counterCalls and counterCallsUnanswered.
 type eventLoop struct {
 	clock          clock
@@ -82,8 +82,8 @@
 	}
 }
 
-// endpointsUpdated sends the loop a response from discovery.
-func (l *eventLoop) endpointsUpdated(list EndpointList) {
+// postEndpointList sends the loop a response from discovery.
+func (l *eventLoop) postEndpointList(list EndpointList) {
 	kind := policy.DeltaList
 	if list.Reset {
 		kind = policy.FullList
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -72,7 +72,7 @@
 		return &clientRequest{
 			correlationID: "one",
 			response:      make(chan clientResponse, 1),
-			decoded:       policy.Request{Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15},
+			policyRequest: policy.Request{Units: 1, Gateways: 1, SentAt: now, Deadline: now + 15},
 		}
 	}
 	first := newRequest()
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -135,7 +135,7 @@
 
 // A silent backend must not keep a request open beyond its latency objective, and its late response must reach no
 // client.
-func TestSilentBackendHoldsNoRequestBeyondItsObjective(t *testing.T) {
+func TestSilentBackendDelaysNoAnswerBeyondLatencyObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	g := startTestGateway(t, backend)
@@ -248,7 +248,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := req.decoded.Deadline - req.decoded.SentAt + responseMargin; got < want-0.001 || got > want+0.001 {
+		if got := req.policyRequest.Deadline - req.policyRequest.SentAt + responseMargin; got < want-0.001 || got > want+0.001 {
 			t.Errorf("timeout of %s ms: open for up to %.3f s, want %.3f", timeLeft, got, want)
 		}
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -66,7 +66,7 @@
 	if got := g.readinessStatus(t); got != http.StatusServiceUnavailable {
 		t.Errorf("readiness status %d before the first list, want 503", got)
 	}
-	g.discovery.answers <- endpointListOf(true, "Ready", backends...)
+	g.discovery.responses <- endpointListOf(true, "Ready", backends...)
 	g.awaitReadiness(t, http.StatusOK)
 	return g
 }
@@ -104,10 +104,10 @@
 		list.Entries = append(list.Entries,
 			EndpointEntry{ID: address, HostPort: address, Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
-	await(t, g.discovery.calls, "first list")
-	await(t, g.discovery.calls, "watch")
-	g.discovery.answers <- list
-	await(t, g.discovery.calls, "next watch")
+	await(t, g.discovery.queries, "first list")
+	await(t, g.discovery.queries, "watch")
+	g.discovery.responses <- list
+	await(t, g.discovery.queries, "next watch")
 }
 
 // awaitListenerClosed waits until the gateway refuses connections.
@@ -223,11 +223,11 @@
 
 // newLoopRequest returns a request for an event loop that the test drives itself. The request costs one unit, was
 // sent now and has 15 s left. Its response channel has capacity for a second response, so that a test can detect one.
-func newLoopRequest(l *eventLoop, method, uri string, decoded policy.Request) *clientRequest {
-	decoded.Units = 1
-	decoded.Gateways = 1
-	decoded.SentAt = l.clock.now()
-	decoded.Deadline = decoded.SentAt + 15
+func newLoopRequest(l *eventLoop, method, uri string, policyRequest policy.Request) *clientRequest {
+	policyRequest.Units = 1
+	policyRequest.Gateways = 1
+	policyRequest.SentAt = l.clock.now()
+	policyRequest.Deadline = policyRequest.SentAt + 15
 	return &clientRequest{
 		correlationID: "one",
 		method:        method,
@@ -235,6 +235,6 @@
 		host:          "h",
 		header:        http.Header{},
 		response:      make(chan clientResponse, 2),
-		decoded:       decoded,
+		policyRequest: policyRequest,
 	}
 }
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	if c.Settings.HasCounter {
-		h.counter = newCounterClient(c.Counter, seconds(c.CounterTimeout))
+		h.counter = newCounterClient(c.Counter, toDuration(c.CounterTimeout))
 	}
 	transport := &hollowTransport{backend: backend}
 	h.loop = newEventLoop(&h.config, transport, h.counter, sync.OnceFunc(func() { close(h.ready) }))
@@ -49,7 +49,7 @@
 	var parts sync.WaitGroup
 	parts.Go(func() { h.loop.run(ctx) })
 	parts.Go(func() {
-		newDiscoveryWatcher(h.config.Discovery, seconds(h.config.DrainGrace), false, h.loop.endpointsUpdated).run(ctx)
+		newDiscoveryWatcher(h.config.Discovery, toDuration(h.config.DrainGrace), false, h.loop.postEndpointList).run(ctx)
 	})
 	if h.counter != nil {
 		parts.Go(func() { h.counter.run(ctx) })
@@ -81,13 +81,13 @@
 // the status and the seconds of Retry-After, or 0 for none. A gateway that has stopped answers with status 500; a
 // gateway that was never run does not answer.
 func (h *Hollow) Submit(
-	decoded policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
+	policyRequest policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
 ) {
-	decoded.SentAt = h.loop.clock.now()
-	decoded.Deadline = min(decoded.Deadline, h.config.Classes[decoded.Class].Deadline) + decoded.SentAt - responseMargin
+	policyRequest.SentAt = h.loop.clock.now()
+	policyRequest.Deadline = min(policyRequest.Deadline, h.config.Classes[policyRequest.Class].Deadline) + policyRequest.SentAt - responseMargin
 	req := &clientRequest{
 		correlationID: correlationID,
-		decoded:       decoded,
+		policyRequest: policyRequest,
 		response:      make(chan clientResponse, 1),
 		onSent:        sync.OnceFunc(onSent),
 	}
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -25,7 +25,7 @@
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, stop func()) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
-	discovery.answers <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{
+	discovery.responses <- EndpointList{Generation: 1, Reset: true, Entries: []EndpointEntry{
 		{ID: "b1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}
 	c, err := parseConfig([]byte(strings.Replace(configText(discovery.address(), settings), "127.0.0.1:1", counter, 1)))
 	if err != nil {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -24,10 +24,10 @@
 		return
 	}
 	l.metrics.add(requestsAccepted)
-	req.decoded.ID = l.unusedRequestID()
+	req.policyRequest.ID = l.unusedRequestID()
 	req.unanswered = true
-	l.requests[req.decoded.ID] = req
-	l.handleEvent(req.decoded)
+	l.requests[req.policyRequest.ID] = req
+	l.handleEvent(req.policyRequest)
 }
 
 // claimCorrelationID reserves the client's id for a request, and returns false if the id is in use. A correlation id
@@ -38,7 +38,7 @@
 	if _, open := l.openCorrelationIDs[req.correlationID]; open {
 		return false
 	}
-	if !l.recentIDs.add(req.correlationID, req.decoded.SentAt) {
+	if !l.recentIDs.add(req.correlationID, req.policyRequest.SentAt) {
 		return false
 	}
 	l.openCorrelationIDs[req.correlationID] = struct{}{}
@@ -64,9 +64,9 @@
 	}
 	l.metrics.add(clientsDisconnected)
 	req.unanswered = false
-	l.handleEvent(policy.ClientDisconnected{Request: req.decoded.ID})
+	l.handleEvent(policy.ClientDisconnected{Request: req.policyRequest.ID})
 	l.cancelUnsent(req)
-	l.forget(req)
+	l.removeIfDone(req)
 }
 
 // respond gives a request its final answer, unless it already has one.
@@ -77,13 +77,13 @@
 	}
 	req.unanswered = false
 	req.response <- response // never blocks: capacity 1, and one answer per request
-	l.forget(req)
+	l.removeIfDone(req)
 }
 
-// forget removes a request once it needs no answer any more and has no attempt in flight. Until then it does nothing.
-func (l *eventLoop) forget(req *clientRequest) {
+// removeIfDone removes a request once it needs no answer any more and has no attempt in flight. Until then it does nothing.
+func (l *eventLoop) removeIfDone(req *clientRequest) {
 	if !req.unanswered && req.attemptsInFlight == 0 {
-		delete(l.requests, req.decoded.ID)
+		delete(l.requests, req.policyRequest.ID)
 		delete(l.openCorrelationIDs, req.correlationID)
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -61,11 +61,11 @@
 		config:   config,
 		log:      config.logger(),
 		frontend: &frontend{deployment: &config.Deployment},
-		pools:    newConnectionPools(seconds(config.ConnectTimeout), seconds(config.IdleTimeout), config.maxBackendConns()),
+		pools:    newConnectionPools(toDuration(config.ConnectTimeout), toDuration(config.IdleTimeout), config.maxBackendConns()),
 		serveErr: make(chan error, 1),
 	}
 	if config.Settings.HasCounter {
-		s.counter = newCounterClient(config.Counter, seconds(config.CounterTimeout))
+		s.counter = newCounterClient(config.Counter, toDuration(config.CounterTimeout))
 	}
 	loop := newEventLoop(config, s.pools, s.counter, func() { s.markReady("discovery") })
 	s.frontend.loop = loop
@@ -74,7 +74,7 @@
 	s.clientConnections = newClientConnections(listener, config.maxClientConns())
 	s.clientConnections.metrics = &loop.metrics
 	s.clientConnections.log = s.log
-	maxRequestTime := config.longestDeadline() + seconds(config.AnswerSlack)
+	maxRequestTime := config.longestDeadline() + toDuration(config.AnswerSlack)
 	s.httpServer = s.frontend.newHTTPServer(s.clientConnections, maxRequestTime)
 	s.httpServer.ErrorLog = slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)
 	return s
@@ -142,7 +142,7 @@
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.componentsContext)
 	ended := make(chan struct{})
-	watcher := newDiscoveryWatcher(address, seconds(s.config.DrainGrace), listInUse, s.frontend.loop.endpointsUpdated)
+	watcher := newDiscoveryWatcher(address, toDuration(s.config.DrainGrace), listInUse, s.frontend.loop.postEndpointList)
 	watcher.log = s.log
 	s.components.Go(func() {
 		defer close(ended)
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -31,7 +31,7 @@
 		counter.address(), newCounter.address()).Replace(valid)
 	g.config.Store(&next)
 	g.reloadSignal <- syscall.SIGHUP
-	if query := await(t, newDiscovery.calls, "call to the new discovery"); query != "" {
+	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
 	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // first call of the window: no later one reconciles
@@ -39,8 +39,8 @@
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
-	newDiscovery.answers <- endpointListOf(true, "Ready", newBackend)
-	if query := await(t, newDiscovery.calls, "watch"); query != "since=1&timeout_ms=2800" {
+	newDiscovery.responses <- endpointListOf(true, "Ready", newBackend)
+	if query := await(t, newDiscovery.queries, "watch"); query != "since=1&timeout_ms=2800" {
 		t.Errorf("watch %q", query)
 	}
 	if _, err := counterReader.ReadByte(); err != io.EOF {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -58,7 +58,7 @@
 
 // longestDeadline returns the longest time that a client may wait for its answer.
 func (c *Config) longestDeadline() time.Duration {
-	return seconds(policy.LongestDeadline(c.Classes))
+	return toDuration(policy.LongestDeadline(c.Classes))
 }
 
 // errClientsRemaining is returned if a graceful shutdown has ended before all clients had read their answers.
--- a/internal/gateway/socket.go
+++ b/internal/gateway/socket.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// isQuiet reports, without blocking, whether a connection is open and has no bytes to read. Writing to a connection
+// isOpenWithoutInput reports, without blocking, whether a connection is open and has no bytes to read. Writing to a connection
 // that the peer has closed ends in a reset, which does not prove that the write had no effect.
-func isQuiet(conn net.Conn) bool {
+func isOpenWithoutInput(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -50,10 +50,10 @@
 
 // logUnanswered logs a request that the shutdown leaves without a complete answer.
 func (s *server) logUnanswered(req unansweredRequest) {
-	openFor := seconds(s.frontend.loop.clock.now() - req.decoded.SentAt)
+	openFor := toDuration(s.frontend.loop.clock.now() - req.policyRequest.SentAt)
 	s.log.Error("shutdown: a request is left without its complete answer", slog.Group("request",
 		"id", req.correlationID,
-		"class", s.config.ClassNames[req.decoded.Class],
+		"class", s.config.ClassNames[req.policyRequest.Class],
 		"client", req.client,
 		"open", openFor))
 }
