--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -39,8 +39,8 @@
 	startedAt time.Time
 	shards    []*shard
 
-	state   atomic.Pointer[faultState]
-	stateMu sync.Mutex // held while state is replaced
+	fault   atomic.Pointer[faultState]
+	faultMu sync.Mutex // held while state is replaced
 
 	callCount     atomic.Uint64
 	rejectedCount atomic.Uint64
@@ -59,7 +59,7 @@
 	for i := range c.shards {
 		c.shards[i] = &shard{names: make(map[string]*entry)}
 	}
-	c.state.Store(&faultState{Fault: Fault{SlowFactor: 1}})
+	c.fault.Store(&faultState{Fault: Fault{SlowFactor: 1}})
 	return c
 }
 
@@ -126,7 +126,7 @@
 	if fault.Rejecting {
 		return c.reject()
 	}
-	due, ok := s.reserveTurn(fault.serviceClock(now), c.options.ServiceTime, c.options.MaxQueued)
+	due, ok := s.schedule(fault.serviceClock(now), c.options.ServiceTime, c.options.MaxQueued)
 	if !ok {
 		return c.reject()
 	}
@@ -137,13 +137,13 @@
 
 // countNames counts a name that was created, if one was, and those that expired before.
 func (c *Counter) countNames(created bool, expired int) {
-	alive := c.nameCount.Add(-int64(expired))
+	count := c.nameCount.Add(-int64(expired))
 	if created {
-		alive = c.nameCount.Add(1)
+		count = c.nameCount.Add(1)
 	}
 	for {
 		peak := c.peakNames.Load()
-		if alive <= peak || c.peakNames.CompareAndSwap(peak, alive) {
+		if count <= peak || c.peakNames.CompareAndSwap(peak, count) {
 			return
 		}
 	}
--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -172,7 +172,7 @@
 		{serviceTime, 0, false},
 		{10 * serviceTime, 11 * serviceTime, true},
 	} {
-		if due, ok := s.reserveTurn(c.at, serviceTime, maxQueued); due != c.due || ok != c.ok {
+		if due, ok := s.schedule(c.at, serviceTime, maxQueued); due != c.due || ok != c.ok {
 			t.Errorf("at %v: due %v, %v; want %v, %v", c.at, due, ok, c.due, c.ok)
 		}
 	}
@@ -215,7 +215,7 @@
 }
 
 // Close ends connections whose calls still wait for their turn.
-func TestCloseDoesNotWaitForTurns(t *testing.T) {
+func TestCloseDoesNotWaitForQueuedCalls(t *testing.T) {
 	c, dial := start(t, Options{ServiceTime: time.Hour})
 	dial().write("n", 1)
 	c.awaitCalls(t, 1)
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -30,14 +30,14 @@
 
 // SetFault replaces the counter's fault.
 func (c *Counter) SetFault(fault Fault) {
-	c.stateMu.Lock()
-	defer c.stateMu.Unlock()
+	c.faultMu.Lock()
+	defer c.faultMu.Unlock()
 	if fault.SlowFactor <= 0 {
 		fault.SlowFactor = 1
 	}
 	now := c.now()
-	previous := c.state.Load()
-	c.state.Store(&faultState{Fault: fault, faultStart: now, serviceClockAtFault: previous.serviceClock(now)})
+	previous := c.fault.Load()
+	c.fault.Store(&faultState{Fault: fault, faultStart: now, serviceClockAtFault: previous.serviceClock(now)})
 	if previous.Blackhole && !fault.Blackhole {
 		// A connection that left a call unanswered stays muted until then, so that no
 		// later call gets that call's response.
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -22,9 +22,9 @@
 	expiresAt time.Duration // set by the first call, and not moved by later ones
 }
 
-// reserveTurn gives a call a turn of the length serviceTime after those already reserved. due is its end; it and
+// schedule gives a call a turn of the length serviceTime after those already reserved. due is its end; it and
 // serviceNow are on the service clock. ok is false if maxQueued calls wait already.
-func (s *shard) reserveTurn(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
+func (s *shard) schedule(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
 	finished := 0
 	for finished < len(s.finishTimes) && s.finishTimes[finished] <= serviceNow {
 		finished++
@@ -33,11 +33,11 @@
 	if len(s.finishTimes) > maxQueued { // one has its turn, the others wait
 		return 0, false
 	}
-	turnStart := serviceNow
+	serviceStart := serviceNow
 	if n := len(s.finishTimes); n > 0 {
-		turnStart = s.finishTimes[n-1]
+		serviceStart = s.finishTimes[n-1]
 	}
-	due = turnStart + serviceTime
+	due = serviceStart + serviceTime
 	s.finishTimes = append(s.finishTimes, due)
 	return due, true
 }
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -13,13 +13,13 @@
 // whose context ends leaves the queue and uses no turn.
 type rateLimiter struct {
 	interval time.Duration // between two turns
-	turns    chan struct{} // unbuffered, so that a turn goes to the call that has waited longest
+	permits  chan struct{} // unbuffered, so that a turn goes to the call that has waited longest
 }
 
 func newRateLimiter(perSecond float64) *rateLimiter {
 	return &rateLimiter{
 		interval: time.Duration(float64(time.Second) / perSecond),
-		turns:    make(chan struct{}),
+		permits:  make(chan struct{}),
 	}
 }
 
@@ -35,7 +35,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case l.turns <- struct{}{}:
+		case l.permits <- struct{}{}:
 		}
 		earliest := time.Now().Add(-maxCatchUp)
 		if next.Before(earliest) {
@@ -48,7 +48,7 @@
 // wait waits for a turn. The error is ctx's, if it ends first.
 func (l *rateLimiter) wait(ctx context.Context) error {
 	select {
-	case <-l.turns:
+	case <-l.permits:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -105,20 +105,20 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		limiter := newRateLimiter(10)
 		go limiter.run(ctx)
-		turns := make(chan bool, 200)
-		for i := range cap(turns) {
+		granted := make(chan bool, 200)
+		for i := range cap(granted) {
 			callerCtx := ctx
 			if i%2 == 0 { // these leave the queue
 				timeoutCtx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 				defer cancel()
 				callerCtx = timeoutCtx
 			}
-			go func() { turns <- limiter.wait(callerCtx) == nil }()
+			go func() { granted <- limiter.wait(callerCtx) == nil }()
 		}
 		time.Sleep(5050 * time.Millisecond)
 		served := 0
-		for range len(turns) {
-			if <-turns {
+		for range len(granted) {
+			if <-granted {
 				served++
 			}
 		}
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -135,7 +135,7 @@
 	switch {
 	case attempt.Disconnected:
 		c.verdict.Disconnected++
-	case attempt.SentAt == 0 || attempt.Unreached:
+	case attempt.SentAt == 0 || attempt.GatewayUnreachable:
 		// The request never was complete, or never reached a gateway: no answer is due.
 	case attempt.Status != 0:
 		c.countAnswer(attempt.Status)
@@ -168,7 +168,7 @@
 func (c *checker) checkMissingAnswer(attempt *ClientAttempt) {
 	process := c.processOf(attempt)
 	switch {
-	case endedByKill(attempt, process) && process.killedUnwarned: // such a process owes no answer
+	case endedByKill(attempt, process) && process.hardKilled: // such a process owes no answer
 		c.verdict.KilledUnwarned++
 	case endedByKill(attempt, process) && attempt.SentAt <= process.SigtermAt+KillDelay:
 		c.verdict.ExcusedByKill++
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -58,7 +58,7 @@
 	clientAttempt   ClientAttempt
 	backendAttempts []BackendAttempt
 	process         Process // its gateway and number are filled in
-	changes         []ListChange
+	listChanges     []ListChange
 	outages         []Outage
 }
 
@@ -87,7 +87,7 @@
 	},
 	"gateway never reached": {
 		clientAttempt: unansweredAttempt,
-		change:        func(a *ClientAttempt) { a.Resent, a.Unreached = true, true },
+		change:        func(a *ClientAttempt) { a.Resent, a.GatewayUnreachable = true, true },
 	},
 	"request never complete": {
 		clientAttempt: unansweredAttempt,
@@ -152,31 +152,31 @@
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}},
 	},
 	"drained just now": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: 7 * time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: 7 * time.Second}},
 	},
 	"drained and ready again": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}},
 	},
 	"drained during an outage of discovery": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}},
 		outages:         []Outage{{0, 2 * time.Second}},
 	},
 	"SIGKILL with no SIGTERM before": {
 		clientAttempt:   unansweredAttempt,
 		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
-		process:         Process{SigkillAt: 150 * ms, killedUnwarned: true},
+		process:         Process{SigkillAt: 150 * ms, hardKilled: true},
 	},
 	"process ended with an error": {
 		violated:      UnexpectedExit,
@@ -208,7 +208,7 @@
 				ClientAttempts:  []ClientAttempt{c.clientAttempt},
 				BackendAttempts: c.backendAttempts,
 				Processes:       []Process{c.process},
-				ListChanges:     c.changes,
+				ListChanges:     c.listChanges,
 				Outages:         c.outages,
 			})
 			switch {
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -9,7 +9,7 @@
 
 // A client that disconnects is told apart from one whose connection the gateway closed during an answer, wherever in
 // the answer that is.
-func TestDisconnectIsToldFromAClosedConnection(t *testing.T) {
+func TestDisconnectIsDistinguishedFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer          string
 		disconnectAfter time.Duration // 0: the client stays
--- a/internal/lab/soak/discoveryfaults.go
+++ b/internal/lab/soak/discoveryfaults.go
@@ -13,8 +13,8 @@
 	lifecycleRemoved  = "Gone"
 )
 
-// playDrains plays the drains: each backend drains, is removed from the list and comes back.
-func (r *runner) playDrains(ctx context.Context) {
+// runDrains plays the drains: each backend drains, is removed from the list and comes back.
+func (r *runner) runDrains(ctx context.Context) {
 	for _, drain := range r.plan.Drains {
 		if !r.sleepUntil(ctx, drain.DrainAt) {
 			return
@@ -42,8 +42,8 @@
 	r.listChanges = append(r.listChanges, change)
 }
 
-// playOutages plays the outages of discovery.
-func (r *runner) playOutages(ctx context.Context) {
+// runOutages plays the outages of discovery.
+func (r *runner) runOutages(ctx context.Context) {
 	for _, outage := range r.plan.Outages {
 		if !r.sleepUntil(ctx, outage.From) {
 			return
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -22,10 +22,10 @@
 	process *gatewayprocess.Gateway // nil while none runs
 	current Process                 // record of the process that runs
 
-	mu                 sync.Mutex
-	processNumber      int  // of the process that runs, or of the last one
-	inRotation         bool // clients open new connections to it
-	lastKilledUnwarned int  // number of the last process that got SIGKILL with no SIGTERM before
+	mu             sync.Mutex
+	processNumber  int  // of the process that runs, or of the last one
+	inRotation     bool // clients open new connections to it
+	lastHardKilled int  // number of the last process that got SIGKILL with no SIGTERM before
 }
 
 // newGatewayNode starts the proxy of a gateway, which has no process yet.
@@ -57,8 +57,8 @@
 	n.proxy.Close()
 }
 
-// countProcess counts one more process and returns its number.
-func (n *gatewayNode) countProcess() int {
+// nextProcessNumber counts one more process and returns its number.
+func (n *gatewayNode) nextProcessNumber() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processNumber++
@@ -79,23 +79,23 @@
 	n.inRotation = inRotation
 }
 
-// setKilledUnwarned notes that the process that runs gets SIGKILL with no SIGTERM before.
-func (n *gatewayNode) setKilledUnwarned() {
+// setHardKilled notes that the process that runs gets SIGKILL with no SIGTERM before.
+func (n *gatewayNode) setHardKilled() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lastKilledUnwarned = n.processNumber
+	n.lastHardKilled = n.processNumber
 }
 
-// wasKilledUnwarned tells whether a process got SIGKILL with no SIGTERM before.
-func (n *gatewayNode) wasKilledUnwarned(processNumber int) bool {
+// wasHardKilled tells whether a process got SIGKILL with no SIGTERM before.
+func (n *gatewayNode) wasHardKilled(processNumber int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lastKilledUnwarned == processNumber
+	return n.lastHardKilled == processNumber
 }
 
 // startProcess starts a gateway's next process, and lets clients connect to it once it is ready.
 func (r *runner) startProcess(ctx context.Context, n *gatewayNode) error {
-	n.current = Process{Gateway: n.number, Number: n.countProcess(), StartedAt: r.clock.Now()}
+	n.current = Process{Gateway: n.number, Number: n.nextProcessNumber(), StartedAt: r.clock.Now()}
 	options, err := n.options.ProcessOptions()
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 		if ctx.Err() == nil {
 			n.current.neverReady = true
 		} else {
-			n.current.killedUnwarned = true
+			n.current.hardKilled = true
 			n.current.SigkillAt = r.clock.Now()
 		}
 		r.recordEnd(n)
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -13,18 +13,18 @@
 
 // Process is one process of a gateway, from its start to its end.
 type Process struct {
-	Gateway        int // number
-	Number         int // of the gateway's processes, from 1
-	StartedAt      time.Duration
-	ReadyAt        time.Duration
-	SigtermAt      time.Duration // 0: it got no SIGTERM
-	SigkillAt      time.Duration // 0: it got no SIGKILL
-	EndedAt        time.Duration // 0: it did not end
-	Err            error         // of its end: nil for exit status 0 alone
-	Log            string        // the end of its log
-	signals        []signalRecord
-	killedUnwarned bool // it got SIGKILL with no SIGTERM before
-	neverReady     bool
+	Gateway    int // number
+	Number     int // of the gateway's processes, from 1
+	StartedAt  time.Duration
+	ReadyAt    time.Duration
+	SigtermAt  time.Duration // 0: it got no SIGTERM
+	SigkillAt  time.Duration // 0: it got no SIGKILL
+	EndedAt    time.Duration // 0: it did not end
+	Err        error         // of its end: nil for exit status 0 alone
+	Log        string        // the end of its log
+	signals    []signalRecord
+	hardKilled bool // it got SIGKILL with no SIGTERM before
+	neverReady bool
 }
 
 // signalRecord is a signal that a process got.
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -39,12 +39,12 @@
 // Stop is one restart of a gateway: a series of signals, SIGKILL at the earliest moment if the process has not ended,
 // and a start soon after its end.
 type Stop struct {
-	Gateway      int             // number
-	At           time.Duration   // of SIGTERM
-	Signals      []PlannedSignal // beside that SIGTERM
-	FrontDelay   time.Duration   // from SIGTERM until clients open no new connections to the gateway
-	RestartDelay time.Duration   // from the end of the process to the next start
-	KillOnly     bool            // the process gets SIGKILL alone, with no SIGTERM before
+	Gateway            int             // number
+	At                 time.Duration   // of SIGTERM
+	Signals            []PlannedSignal // beside that SIGTERM
+	OutOfRotationDelay time.Duration   // from SIGTERM until clients open no new connections to the gateway
+	RestartDelay       time.Duration   // from the end of the process to the next start
+	HardKill           bool            // the process gets SIGKILL alone, with no SIGTERM before
 }
 
 // PlannedSignal is one more signal of a stop. SIGSTOP and SIGCONT as a pair pause the process.
@@ -65,13 +65,13 @@
 }
 
 const (
-	firstStop = 1500 * time.Millisecond // clients are at work by then
-	endMargin = 500 * time.Millisecond  // from the last fault to the end of the run
+	earliestFault = 1500 * time.Millisecond // clients are at work by then
+	endMargin     = 500 * time.Millisecond  // from the last fault to the end of the run
 
-	maxPause      = 150 * time.Millisecond // of a process, by SIGSTOP
-	minFrontDelay = 200 * time.Millisecond
-	maxFrontDelay = 400 * time.Millisecond
-	maxOutage     = 3 * time.Second
+	maxPause              = 150 * time.Millisecond // of a process, by SIGSTOP
+	minOutOfRotationDelay = 200 * time.Millisecond
+	maxOutOfRotationDelay = 400 * time.Millisecond
+	maxOutage             = 3 * time.Second
 
 	lowDescriptorLimit     = 192 // file descriptors of a gateway with as many idle connections
 	defaultDescriptorLimit = 1024
@@ -150,7 +150,7 @@
 		return nil
 	}
 	var drains []Drain
-	earliest := firstStop
+	earliest := earliestFault
 	for {
 		drain := Drain{Backend: rng.IntN(backends), DrainAt: earliest + randomDuration(rng, 0, time.Second)}
 		drain.RemovedAt = drain.DrainAt + randomDuration(rng, time.Second, 4*time.Second)
@@ -168,7 +168,7 @@
 	if rng.IntN(3) != 0 || duration <= 4*maxOutage {
 		return nil
 	}
-	from := randomDuration(rng, firstStop, duration-2*maxOutage)
+	from := randomDuration(rng, earliestFault, duration-2*maxOutage)
 	return []Outage{{From: from, To: from + randomDuration(rng, time.Second, maxOutage)}}
 }
 
@@ -176,7 +176,7 @@
 func newStops(rng *rand.Rand, gateways int, killAfter, duration time.Duration) []Stop {
 	maxInterval := killAfter + time.Second
 	var stops []Stop
-	for at := firstStop; at < duration-killAfter-endMargin; {
+	for at := earliestFault; at < duration-killAfter-endMargin; {
 		stops = append(stops, newStop(rng, len(stops)%gateways, at))
 		at += maxInterval/2 + randomDuration(rng, 0, maxInterval/2)
 	}
@@ -186,13 +186,13 @@
 // newStop draws the signals of a stop.
 func newStop(rng *rand.Rand, gateway int, at time.Duration) Stop {
 	s := Stop{
-		Gateway:      gateway,
-		At:           at,
-		RestartDelay: randomDuration(rng, 100*time.Millisecond, 400*time.Millisecond),
-		FrontDelay:   randomDuration(rng, minFrontDelay, maxFrontDelay),
+		Gateway:            gateway,
+		At:                 at,
+		RestartDelay:       randomDuration(rng, 100*time.Millisecond, 400*time.Millisecond),
+		OutOfRotationDelay: randomDuration(rng, minOutOfRotationDelay, maxOutOfRotationDelay),
 	}
 	if rng.IntN(8) == 0 {
-		s.KillOnly = true
+		s.HardKill = true
 		return s
 	}
 	add := func(offset time.Duration, signal syscall.Signal) {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -23,7 +23,8 @@
 			t.Errorf("seed %d: %d stops, %d of %d backends hang", seed, len(plan.Stops), plan.HangingBackends, plan.Backends)
 		}
 		for _, stop := range plan.Stops {
-			if stop.FrontDelay < 200*ms || stop.FrontDelay > 400*ms || stop.At+KillAfter(plan.Classes) > plan.Duration {
+			if stop.OutOfRotationDelay < 200*ms || stop.OutOfRotationDelay > 400*ms ||
+				stop.At+KillAfter(plan.Classes) > plan.Duration {
 				t.Errorf("seed %d: %+v", seed, stop)
 			}
 		}
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -24,7 +24,7 @@
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	unreached      map[string]bool // addresses of clients for which the target could not be reached
+	failedDials    map[string]bool // addresses of clients for which the target could not be reached
 	blackholed     bool            // no bytes pass
 	blackholeStart chan struct{}   // closed when the next blackhole begins
 }
@@ -35,7 +35,7 @@
 		target:         target,
 		faults:         faults,
 		rng:            rand.New(rand.NewPCG(seed, 1)),
-		unreached:      map[string]bool{},
+		failedDials:    map[string]bool{},
 		blackholeStart: make(chan struct{}),
 	}
 	if err := p.listen(); err != nil {
@@ -45,11 +45,11 @@
 	return p, nil
 }
 
-// Unreached tells whether the connection of a client from this address never reached the target.
-func (p *Proxy) Unreached(client net.Addr) bool {
+// DialFailed tells whether the connection of a client from this address never reached the target.
+func (p *Proxy) DialFailed(client net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unreached[client.String()]
+	return p.failedDials[client.String()]
 }
 
 // SetBlackhole stops all forwarding, or resumes it. Bytes that a connection carried during a blackhole are lost, so
@@ -76,11 +76,11 @@
 	return p.blackholeStart
 }
 
-// recordUnreached records that the connection of a client never reached the target.
-func (p *Proxy) recordUnreached(client net.Addr) {
+// recordFailedDial records that the connection of a client never reached the target.
+func (p *Proxy) recordFailedDial(client net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unreached[client.String()] = true
+	p.failedDials[client.String()] = true
 }
 
 // randomlyTrue is true for a share of its calls.
--- a/internal/lab/soak/proxyforward.go
+++ b/internal/lab/soak/proxyforward.go
@@ -15,7 +15,7 @@
 func (p *Proxy) forward(downstream *net.TCPConn) {
 	conn, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
-		p.recordUnreached(downstream.RemoteAddr())
+		p.recordFailedDial(downstream.RemoteAddr())
 		downstream.Close()
 		return
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -54,7 +54,7 @@
 	if err := r.startGateways(ctx); err != nil {
 		return Result{}, err
 	}
-	interrupted := r.play(ctx)
+	interrupted := r.runPlan(ctx)
 	r.stopRemaining()
 	time.Sleep(settleTime)
 	history := r.history()
@@ -76,23 +76,23 @@
 	return nil
 }
 
-// play runs the clients and plays the faults until the plan's duration is over. It returns true if ctx ended before.
-func (r *runner) play(ctx context.Context) (interrupted bool) {
+// runPlan runs the clients and plays the faults until the plan's duration is over. It returns true if ctx ended before.
+func (r *runner) runPlan(ctx context.Context) (interrupted bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Until(r.clock.At(r.plan.Duration)))
 	defer cancel()
-	var playing sync.WaitGroup
+	var tasks sync.WaitGroup
 	for i := range r.plan.Gateways * r.plan.ClientsPerGateway {
-		playing.Go(func() { r.runClient(ctx, uint64(i)) })
+		tasks.Go(func() { r.runClient(ctx, uint64(i)) })
 	}
 	for _, n := range r.gateways {
-		playing.Go(func() { r.holdIdleConns(ctx, n) })
+		tasks.Go(func() { r.holdIdleConns(ctx, n) })
 	}
 	for _, n := range r.gateways {
-		playing.Go(func() { r.playStops(ctx, n) })
+		tasks.Go(func() { r.runStops(ctx, n) })
 	}
-	playing.Go(func() { r.playDrains(ctx) })
-	playing.Go(func() { r.playOutages(ctx) })
-	playing.Wait()
+	tasks.Go(func() { r.runDrains(ctx) })
+	tasks.Go(func() { r.runOutages(ctx) })
+	tasks.Wait()
 	return !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -14,8 +14,8 @@
 // stopLead is how long before a stop's SIGTERM the stop begins, since some of its signals may come before.
 const stopLead = time.Second
 
-// playStops plays the stops of one gateway, each with the restart after it.
-func (r *runner) playStops(ctx context.Context, n *gatewayNode) {
+// runStops plays the stops of one gateway, each with the restart after it.
+func (r *runner) runStops(ctx context.Context, n *gatewayNode) {
 	for _, stop := range r.plan.Stops {
 		if stop.Gateway != n.number {
 			continue
@@ -38,12 +38,14 @@
 
 // stopProcess ends a process as a planned restart does, with the other signals of the stop.
 func (r *runner) stopProcess(n *gatewayNode, stop Stop) {
-	if stop.KillOnly {
-		r.killProcess(n, stop)
+	if stop.HardKill {
+		r.hardKillProcess(n, stop)
 		return
 	}
-	frontTimer := time.AfterFunc(time.Until(r.clock.At(stop.At+stop.FrontDelay)), func() { n.setInRotation(false) })
-	defer frontTimer.Stop()
+	rotationTimer := time.AfterFunc(time.Until(r.clock.At(stop.At+stop.OutOfRotationDelay)), func() {
+		n.setInRotation(false)
+	})
+	defer rotationTimer.Stop()
 	killAt := r.sendSignals(n, stop)
 	if r.waitUntil(n, killAt) {
 		n.current.SigkillAt = r.clock.Now()
@@ -91,14 +93,14 @@
 	return killAt
 }
 
-// killProcess ends a process by SIGKILL alone. Clients go on connecting to it for the stop's front delay.
-func (r *runner) killProcess(n *gatewayNode, stop Stop) {
+// hardKillProcess ends a process by SIGKILL alone. Clients go on connecting to it for the stop's front delay.
+func (r *runner) hardKillProcess(n *gatewayNode, stop Stop) {
 	r.waitUntil(n, stop.At)
-	n.setKilledUnwarned()
-	n.current.killedUnwarned = true
+	n.setHardKilled()
+	n.current.hardKilled = true
 	n.current.SigkillAt = r.clock.Now()
 	n.process.Signal(syscall.SIGKILL)
-	time.Sleep(stop.FrontDelay)
+	time.Sleep(stop.OutOfRotationDelay)
 	n.setInRotation(false)
 	r.recordEnd(n)
 }
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -98,7 +98,7 @@
 	if answered || !sent || attempt.Disconnected || isTimeout(attempt.Err) {
 		return false
 	}
-	return !r.gateways[attempt.Gateway].wasKilledUnwarned(attempt.ProcessNumber)
+	return !r.gateways[attempt.Gateway].wasHardKilled(attempt.ProcessNumber)
 }
 
 // recordAttempt adds an attempt to the records of the run.
