--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -94,7 +94,7 @@
 // enqueueResponse handles a call and enqueues its response. readErr is not nil for a malformed request.
 func (k *conn) enqueueResponse(q *request.Request, readErr error) {
 	k.counter.callCount.Add(1)
-	fault := k.counter.fault.Load()
+	fault := k.counter.currentFault.Load()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.muted = k.muted || fault.Blackhole
@@ -147,7 +147,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	defer k.changed.Broadcast()
-	fault := k.counter.fault.Load()
+	fault := k.counter.currentFault.Load()
 	serviceNow := fault.serviceClock(k.counter.now())
 	due := k.countDue(serviceNow)
 	if due > 0 && fault.Blackhole || k.counter.closed.Load() {
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -39,8 +39,8 @@
 	startedAt time.Time
 	shards    []*shard
 
-	fault   atomic.Pointer[faultState]
-	faultMu sync.Mutex // held while state is replaced
+	currentFault atomic.Pointer[faultState]
+	faultMu      sync.Mutex // held while state is replaced
 
 	callCount     atomic.Uint64
 	rejectedCount atomic.Uint64
@@ -59,7 +59,7 @@
 	for i := range c.shards {
 		c.shards[i] = &shard{names: make(map[string]*entry)}
 	}
-	c.fault.Store(&faultState{Fault: Fault{SlowFactor: 1}})
+	c.currentFault.Store(&faultState{Fault: Fault{SlowFactor: 1}})
 	return c
 }
 
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -36,8 +36,8 @@
 		fault.SlowFactor = 1
 	}
 	now := c.now()
-	previous := c.fault.Load()
-	c.fault.Store(&faultState{Fault: fault, faultStart: now, serviceClockAtFault: previous.serviceClock(now)})
+	previous := c.currentFault.Load()
+	c.currentFault.Store(&faultState{Fault: fault, faultStart: now, serviceClockAtFault: previous.serviceClock(now)})
 	if previous.Blackhole && !fault.Blackhole {
 		// A connection that left a call unanswered stays muted until then, so that no
 		// later call gets that call's response.
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -135,7 +135,7 @@
 	switch {
 	case attempt.Disconnected:
 		c.verdict.Disconnected++
-	case attempt.SentAt == 0 || attempt.GatewayUnreachable:
+	case attempt.SentAt == 0 || attempt.TargetDialFailed:
 		// The request never was complete, or never reached a gateway: no answer is due.
 	case attempt.Status != 0:
 		c.countAnswer(attempt.Status)
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -87,7 +87,7 @@
 	},
 	"gateway never reached": {
 		clientAttempt: unansweredAttempt,
-		change:        func(a *ClientAttempt) { a.Resent, a.GatewayUnreachable = true, true },
+		change:        func(a *ClientAttempt) { a.Resent, a.TargetDialFailed = true, true },
 	},
 	"request never complete": {
 		clientAttempt: unansweredAttempt,
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,20 +12,20 @@
 
 // ClientAttempt is what a client saw of sending a request once. Times are of the run's clock.
 type ClientAttempt struct {
-	ID                 string // of the request
-	Class              string
-	Gateway            int           // number
-	ProcessNumber      int           // number of the gateway's process when the connection was made, from 1
-	Resent             bool          // sent again, since the first connection ended with no byte of an answer
-	FirstByteAt        time.Duration // when the first byte was sent
-	SentAt             time.Duration // when the last byte was sent; 0: it never was
-	Timeout            time.Duration // how long the client waits, from SentAt
-	EndedAt            time.Duration // when the answer was complete or the client stopped waiting
-	Disconnected       bool          // the client closed the connection
-	GatewayUnreachable bool          // the connection never reached the gateway
-	Status             int           // of the complete answer; 0: there is none
-	AnswerStarted      bool          // some bytes of an answer came
-	Err                error         // why there is no complete answer
+	ID               string // of the request
+	Class            string
+	Gateway          int           // number
+	ProcessNumber    int           // number of the gateway's process when the connection was made, from 1
+	Resent           bool          // sent again, since the first connection ended with no byte of an answer
+	FirstByteAt      time.Duration // when the first byte was sent
+	SentAt           time.Duration // when the last byte was sent; 0: it never was
+	Timeout          time.Duration // how long the client waits, from SentAt
+	EndedAt          time.Duration // when the answer was complete or the client stopped waiting
+	Disconnected     bool          // the client closed the connection
+	TargetDialFailed bool          // the connection never reached the gateway
+	Status           int           // of the complete answer; 0: there is none
+	AnswerStarted    bool          // some bytes of an answer came
+	Err              error         // why there is no complete answer
 }
 
 // Deadline is when the client's timeout is over.
@@ -84,7 +84,7 @@
 	// A client may disconnect in the middle of an answer too, and then what it has read of it can't be parsed.
 	attempt.Disconnected = attempt.Err != nil && attempt.SentAt > 0 && request.DisconnectAfter > 0 &&
 		attempt.EndedAt >= attempt.SentAt+request.DisconnectAfter
-	attempt.GatewayUnreachable = c.proxy != nil && c.proxy.DialFailed(c.LocalAddr())
+	attempt.TargetDialFailed = c.proxy != nil && c.proxy.TargetDialFailed(c.LocalAddr())
 	return attempt, reusable
 }
 
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -45,8 +45,8 @@
 	return p, nil
 }
 
-// DialFailed tells whether the connection of a client from this address never reached the target.
-func (p *Proxy) DialFailed(client net.Addr) bool {
+// TargetDialFailed tells whether the connection of a client from this address never reached the target.
+func (p *Proxy) TargetDialFailed(client net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failedDials[client.String()]
