--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return false
 	}
-	answered := answer(conn, reader, attempt.ID, b.behavior(attempt.ReceivedAt))
+	answered := respond(conn, reader, attempt.ID, b.behavior(attempt.ReceivedAt))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	attempt.EndedAt = b.clock.Now()
@@ -116,9 +116,9 @@
 	return attempt, nil
 }
 
-// answer answers a request with its id once it is served. It returns false if the connection ended before, as it does
+// respond answers a request with its id once it is served. It returns false if the connection ended before, as it does
 // in any case where the behavior is to hang.
-func answer(conn net.Conn, reader *bufio.Reader, id string, behavior Behavior) bool {
+func respond(conn net.Conn, reader *bufio.Reader, id string, behavior Behavior) bool {
 	if behavior.Hang {
 		reader.ReadByte() // returns as the connection ends: no further request is due on it
 		return false
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -67,7 +67,7 @@
 	duplicatesChecked := map[string]bool{}
 	for i := range history.ClientAttempts {
 		attempt := &history.ClientAttempts[i]
-		c.checkAnswer(attempt)
+		c.checkResponse(attempt)
 		c.checkBackendAttempts(attempt)
 		if !duplicatesChecked[attempt.ID] {
 			duplicatesChecked[attempt.ID] = true
@@ -130,22 +130,22 @@
 	c.verdict.Violations = append(c.verdict.Violations, violation)
 }
 
-// checkAnswer checks that an attempt got its one final answer in time, and counts what became of it.
-func (c *checker) checkAnswer(attempt *ClientAttempt) {
+// checkResponse checks that an attempt got its one final answer in time, and counts what became of it.
+func (c *checker) checkResponse(attempt *ClientAttempt) {
 	switch {
 	case attempt.Disconnected:
 		c.verdict.Disconnected++
 	case attempt.SentAt == 0 || attempt.TargetDialFailed:
 		// The request never was complete, or never reached a gateway: no answer is due.
 	case attempt.Status != 0:
-		c.countAnswer(attempt.Status)
-		c.checkAnswerTime(attempt)
+		c.countResponse(attempt.Status)
+		c.checkResponseTime(attempt)
 	default:
-		c.checkMissingAnswer(attempt)
+		c.checkMissingResponse(attempt)
 	}
 }
 
-func (c *checker) countAnswer(status int) {
+func (c *checker) countResponse(status int) {
 	switch status {
 	case http.StatusOK:
 		c.verdict.Served++
@@ -156,16 +156,16 @@
 	}
 }
 
-// checkAnswerTime checks that a complete answer came in time.
-func (c *checker) checkAnswerTime(attempt *ClientAttempt) {
-	if late := attempt.EndedAt - attempt.Deadline(); late > lateAnswerLimit+timingMargin {
+// checkResponseTime checks that a complete answer came in time.
+func (c *checker) checkResponseTime(attempt *ClientAttempt) {
+	if late := attempt.EndedAt - attempt.Deadline(); late > lateResponseLimit+timingMargin {
 		c.addViolation(LostRequest, attempt, "the answer came %.3f s after the client's time", late.Seconds())
 	}
 }
 
-// checkMissingAnswer judges an attempt without a complete answer. What a SIGKILL or the close of an idle connection
+// checkMissingResponse judges an attempt without a complete answer. What a SIGKILL or the close of an idle connection
 // excuses is counted; all else is a lost request.
-func (c *checker) checkMissingAnswer(attempt *ClientAttempt) {
+func (c *checker) checkMissingResponse(attempt *ClientAttempt) {
 	process := c.processOf(attempt)
 	switch {
 	case endedByKill(attempt, process) && process.hardKilled: // such a process owes no answer
@@ -174,10 +174,10 @@
 		c.verdict.ExcusedByKill++
 	case len(c.backendAttemptsOf(attempt)) > 0:
 		c.addViolation(LostRequest, attempt, "a request that had been sent to a backend got no whole answer")
-	case attempt.AnswerStarted:
+	case attempt.ResponseStarted:
 		c.addViolation(LostRequest, attempt, "an answer was cut")
 	case isTimeout(attempt.Err):
-		c.addViolation(LostRequest, attempt, "no answer came by %s after the client's time", lateAnswerLimit)
+		c.addViolation(LostRequest, attempt, "no answer came by %s after the client's time", lateResponseLimit)
 	case attempt.EndedAt-attempt.SentAt > closeRaceWindow:
 		c.addViolation(LostRequest, attempt, "the connection ended %.3f s after the request was whole",
 			(attempt.EndedAt - attempt.SentAt).Seconds())
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -96,7 +96,7 @@
 	"answer truncated": {
 		violated:      LostRequest,
 		clientAttempt: unansweredAttempt,
-		change:        func(a *ClientAttempt) { a.AnswerStarted = true },
+		change:        func(a *ClientAttempt) { a.ResponseStarted = true },
 	},
 	"no answer": {
 		violated:      LostRequest,
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -24,7 +24,7 @@
 	Disconnected     bool          // the client closed the connection
 	TargetDialFailed bool          // the connection never reached the gateway
 	Status           int           // of the complete answer; 0: there is none
-	AnswerStarted    bool          // some bytes of an answer came
+	ResponseStarted  bool          // some bytes of an answer came
 	Err              error         // why there is no complete answer
 }
 
@@ -98,14 +98,14 @@
 	if request.DisconnectAfter > 0 {
 		return request.DisconnectAfter
 	}
-	return request.Timeout + lateAnswerLimit + timingMargin
+	return request.Timeout + lateResponseLimit + timingMargin
 }
 
 // writeRequest writes a request, in as many pieces as it says.
 func (c *Conn) writeRequest(request Request) error {
 	text := request.encode()
 	pieces := max(request.Pieces, 1)
-	c.SetWriteDeadline(time.Now().Add(request.Timeout + lateAnswerLimit + time.Duration(pieces)*request.PieceGap))
+	c.SetWriteDeadline(time.Now().Add(request.Timeout + lateResponseLimit + time.Duration(pieces)*request.PieceGap))
 	size := int(math.Ceil(float64(len(text)) / float64(pieces)))
 	for start := 0; start < len(text); start += size {
 		if start > 0 {
@@ -124,7 +124,7 @@
 		attempt.Err = err
 		return false
 	}
-	attempt.AnswerStarted = true
+	attempt.ResponseStarted = true
 	response, err := c.readResponse(request.ID)
 	if err != nil {
 		attempt.Err = err
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -11,7 +11,7 @@
 // the answer that is.
 func TestDisconnectIsDistinguishedFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer          string
+		response        string
 		disconnectAfter time.Duration // 0: the client stays
 		gatewayCloses   bool
 		disconnected    bool
@@ -22,22 +22,22 @@
 			disconnected:    true,
 		},
 		"disconnect in the status line": {
-			answer:          "HTTP/1.1 20",
+			response:        "HTTP/1.1 20",
 			disconnectAfter: 50 * ms,
 			disconnected:    true,
 		},
 		"disconnect in the body": {
-			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na",
+			response:        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na",
 			disconnectAfter: 50 * ms,
 			disconnected:    true,
 		},
 		"disconnect due after the answer": {
-			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
+			response:        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
 			disconnectAfter: time.Minute,
 			status:          200,
 		},
 		"closed before the disconnect was due": {
-			answer:          "HTTP/1.1 20",
+			response:        "HTTP/1.1 20",
 			disconnectAfter: time.Minute,
 			gatewayCloses:   true,
 		},
@@ -45,13 +45,13 @@
 			gatewayCloses: true,
 		},
 		"rejected and no disconnect due": {
-			answer: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-			status: 503,
+			response: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
+			status:   503,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, gateway := connectedPair(t)
-			io.WriteString(gateway, c.answer)
+			io.WriteString(gateway, c.response)
 			if c.gatewayCloses {
 				gateway.CloseWrite()
 			}
--- a/internal/lab/soak/protocol.go
+++ b/internal/lab/soak/protocol.go
@@ -15,8 +15,8 @@
 
 // Limits of time that both the clients and Check go by.
 const (
-	lateAnswerLimit = 500 * time.Millisecond // an answer so long after the client's deadline still counts as one
-	timingMargin    = 50 * time.Millisecond  // measured over sockets, every limit is so much longer
+	lateResponseLimit = 500 * time.Millisecond // an answer so long after the client's deadline still counts as one
+	timingMargin      = 50 * time.Millisecond  // measured over sockets, every limit is so much longer
 )
 
 // dialTimeout is how long clients and proxies wait for a connection.
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -93,7 +93,7 @@
 // mayResend tells whether a client sends a request again: its connection ended with no byte of an answer. The requests
 // of a process that got SIGKILL with no SIGTERM before may have been executed, and are not sent again.
 func (r *runner) mayResend(attempt ClientAttempt) bool {
-	answered := attempt.Status != 0 || attempt.AnswerStarted
+	answered := attempt.Status != 0 || attempt.ResponseStarted
 	sent := attempt.SentAt != 0
 	if answered || !sent || attempt.Disconnected || isTimeout(attempt.Err) {
 		return false
