--- a/internal/lab/backend/instances.go
+++ b/internal/lab/backend/instances.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// MaxInstances is how many backends one pool can stand in for.
+	// MaxInstances is the largest number of backends that one pool can stand in for.
 	MaxInstances = 1 << 23
 
-	firstIP = 127<<24 | 1<<16 // 127.1.0.0, clear of 127.0.0.1
+	firstIP = 127<<24 | 1<<16 // 127.1.0.0, so that 127.0.0.1 is not used
 )
 
-// Instances returns count backends with their addresses, which get the zones and machine
-// types in turn. Start must have been called; count is MaxInstances at most.
+// Instances returns the endpoint list entries of the pool's first count backends. Zones and machine types
+// are assigned in rotation. Start must have been called before; count is at most MaxInstances.
 func (p *Pool) Instances(count int, zones, machineTypes []string) []gateway.EndpointEntry {
 	entries := make([]gateway.EndpointEntry, count)
 	for i := range entries {
@@ -36,7 +36,7 @@
 	return entries
 }
 
-// address is the host and port of the backend with an index.
+// address returns the host and port of the backend with the given index.
 func (p *Pool) address(index int) string {
 	ip := firstIP + index
 	port := p.listeners[index%len(p.listeners)].Addr().(*net.TCPAddr).Port
--- a/internal/lab/backend/pool.go
+++ b/internal/lab/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend stands in for a fleet of backends. Each has an address of its own
-// in 127.0.0.0/8; a few listeners serve them all.
+// Package backend is a stand-in for a fleet of backends. Each backend has its own address
+// in 127.0.0.0/8; a few listeners serve all of them.
 package backend
 
 import (
@@ -17,28 +17,28 @@
 	"amberlb/internal/lab/netstats"
 )
 
-// maxConns is the most open connections of all backends; a further one is closed at once.
+// maxConns is the limit of open connections to all backends together. Connections above it are closed at once.
 const maxConns = 20_000
 
-// Options say what the backends do.
+// Options configure the backends.
 type Options struct {
-	ServiceTime time.Duration // of each request; the load brings the variance
-	Listeners   int           // number of ports, over which the backends are spread
+	ServiceTime time.Duration // the same for every request; the variance comes from the load
+	Listeners   int           // number of ports that the backends are spread over
 }
 
-// Stats is what the backends have seen since the start.
+// Stats holds the counts of all backends since the start of the pool.
 type Stats struct {
-	Requests            uint64 // without health checks
+	Requests            uint64 // excluding health checks
 	Probes              uint64 // health checks: calls of /health/live and /stats
 	Handshakes          uint64 // connections accepted
 	OpenConns           int    // connections open now
-	PeakConns           int    // connections open at one time, at most
-	PeakConnsPerBackend int    // connections open at one time at one backend, at most
-	BackendsReached     int    // distinct backends that got a request
+	PeakConns           int    // largest number of connections open at the same time
+	PeakConnsPerBackend int    // largest number of connections open at the same time to one backend
+	BackendsReached     int    // number of backends that got at least one request
 	Traffic             netstats.Traffic
 }
 
-// Pool is the stand-in. Its methods may be called from many goroutines.
+// Pool serves the requests of all backends. Its methods may be called concurrently.
 type Pool struct {
 	options   Options
 	listeners []*netstats.Listener
@@ -53,23 +53,23 @@
 	peakConns           int
 	peakConnsPerBackend int
 	backendsReached     int
-	endpoints           map[netip.AddrPort]*endpoint // those that ever had a connection
+	endpoints           map[netip.AddrPort]*endpoint // backends that have had a connection
 }
 
 // endpoint is the state of one backend.
 type endpoint struct {
 	openConns int
-	reached   bool // it got a request
+	reached   bool // it has got a request
 }
 
-// New makes a pool. Listeners under 1 count as 1.
+// New creates a pool. If options.Listeners is below 1, the pool has one listener.
 func New(options Options) *Pool {
 	options.Listeners = max(options.Listeners, 1)
 	return &Pool{options: options, endpoints: make(map[netip.AddrPort]*endpoint)}
 }
 
 // Start listens on ports that the system chooses, and serves until ctx ends or
-// Close.
+// Close is called.
 func (p *Pool) Start(ctx context.Context) error {
 	for range p.options.Listeners {
 		inner, err := listenOnLoopbackDevice(ctx)
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// listenOnLoopbackDevice listens on a port of all addresses, but bound to the loopback
-// device, so that every address of 127.0.0.0/8 reaches it and nothing from outside does.
+// listenOnLoopbackDevice listens on one port of all addresses, and binds the socket to the
+// loopback device: it can be reached at every address of 127.0.0.0/8, but not from other machines.
 func listenOnLoopbackDevice(ctx context.Context) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, rawConn syscall.RawConn) error {
 		var bindErr error
@@ -98,7 +98,7 @@
 	return config.Listen(ctx, "tcp4", "0.0.0.0:0")
 }
 
-// Close resets all connections and waits for their goroutines.
+// Close stops listening, resets all connections and waits until their goroutines have ended.
 func (p *Pool) Close() error {
 	var err error
 	for _, listener := range p.listeners {
@@ -119,7 +119,7 @@
 	return stats
 }
 
-// connStats returns the counts that mu guards.
+// connStats returns the counts that are guarded by mu.
 func (p *Pool) connStats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,8 +132,8 @@
 	}
 }
 
-// connOpened counts a connection to the backend at an address. It returns nil if too many
-// are open.
+// connOpened counts a new connection to the backend at an address and returns the backend's state. It returns nil
+// if maxConns connections are already open.
 func (p *Pool) connOpened(address net.Addr) *endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,7 +154,7 @@
 	return e
 }
 
-// connClosed counts the close of a connection.
+// connClosed counts the close of a connection to a backend.
 func (p *Pool) connClosed(e *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +162,7 @@
 	p.openConns--
 }
 
-// countRequest counts a request at a backend.
+// countRequest counts a request to a backend.
 func (p *Pool) countRequest(e *endpoint) {
 	p.requests.Add(1)
 	p.mu.Lock()
--- a/internal/lab/backend/pool_test.go
+++ b/internal/lab/backend/pool_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Each backend of a pool has an address of its own, and connections and requests are counted at each.
+// Each backend of a pool has its own address, and connections and requests are counted for each backend.
 func TestBackendsAreCountedSeparately(t *testing.T) {
 	pool := New(Options{ServiceTime: time.Millisecond, Listeners: 2})
 	if err := pool.Start(t.Context()); err != nil {
@@ -19,16 +19,17 @@
 	defer pool.Close()
 	entries := pool.Instances(300, []string{"a", "b"}, []string{"m1", "m2"})
 	addresses := make(map[string]bool)
-	placements := make(map[string]int) // by zone and machine type
+	placements := make(map[string]int) // number of entries by zone and machine type
 	for _, entry := range entries {
 		addresses[entry.HostPort] = true
 		placements[entry.Zone+entry.MachineType]++
 	}
 	if len(addresses) != 300 || placements["am1"] != 75 || placements["bm2"] != 75 || entries[299].ID != "b-00300" {
-		t.Fatalf("%d addresses, %v", len(addresses), placements)
+		t.Fatalf("%d addresses, entries by zone and machine type %v", len(addresses), placements)
 	}
 
-	// Three connections to the last backend, one to each of two others; all but the last one send requests.
+	// Three connections to the last backend and one to each of two others. All except the last connection carry
+	// requests.
 	var conns []net.Conn
 	for n, i := range []int{299, 299, 299, 0, 1} {
 		conn, err := net.Dial("tcp", entries[i].HostPort)
@@ -42,7 +43,7 @@
 			sendRequests(t, conn)
 		}
 	}
-	awaitStats(t, pool, "all open", func(s Stats) bool { return s.OpenConns == 5 })
+	awaitStats(t, pool, "waiting for all connections to be open", func(s Stats) bool { return s.OpenConns == 5 })
 	s := pool.Stats()
 	if s.Requests != 8 || s.Probes != 4 || s.Handshakes != 5 || s.PeakConns != 5 || s.PeakConnsPerBackend != 3 ||
 		s.BackendsReached != 2 || s.Traffic.Conns != 5 {
@@ -51,7 +52,9 @@
 	for _, conn := range conns {
 		conn.Close()
 	}
-	awaitStats(t, pool, "all closed", func(s Stats) bool { return s.OpenConns == 0 && s.PeakConns == 5 })
+	awaitStats(t, pool, "waiting for all connections to be closed", func(s Stats) bool {
+		return s.OpenConns == 0 && s.PeakConns == 5
+	})
 }
 
 // sendRequests sends two requests and a health check, one after another, and reads their responses.
@@ -75,7 +78,7 @@
 	}
 }
 
-// awaitStats waits until the pool's counts are as wanted.
+// awaitStats waits until reached returns true for the pool's counts.
 func awaitStats(t *testing.T, pool *Pool, what string, reached func(Stats) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !reached(pool.Stats()); time.Sleep(time.Millisecond) {
--- a/internal/lab/backend/serve.go
+++ b/internal/lab/backend/serve.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	idleTimeout  = 30 * time.Second // a connection without requests for so long is closed
-	writeTimeout = 10 * time.Second // for a caller that doesn't read its response
-	maxLineBytes = 4 << 10          // of a request
+	idleTimeout  = 30 * time.Second // a connection with no request for this long is closed
+	writeTimeout = 10 * time.Second // bounds the wait for a client that doesn't read its response
+	maxLineBytes = 4 << 10          // of a line of a request
 )
 
-// okResponse is the response to all requests.
+// okResponse is the response to every request, including health checks.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n"
 
 // serve serves the requests of one connection, one at a time.
@@ -46,7 +46,7 @@
 	}
 }
 
-// isHealthCheck tells whether a request is a health check, which is answered at once.
+// isHealthCheck reports whether a request is a health check. Health checks are answered without delay.
 func isHealthCheck(q *request.Request) bool {
 	target := string(q.Target)
 	return target == "/health/live" || target == "/stats"
--- a/internal/lab/ctxtime/sleep.go
+++ b/internal/lab/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for a while that the end of a context cuts short.
+// Package ctxtime has a sleep that ends early when a context ends.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a duration. It returns false if ctx ends before.
+// Sleep waits for duration and returns true. If ctx ends first, it returns false at once.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/lab/netstats/conn.go
+++ b/internal/lab/netstats/conn.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn counts its payload. Its segments are read from the kernel when the traffic is
-// requested, and for the last time as it closes.
+// conn is an accepted connection that counts its payload. The number of its segments is
+// read from the kernel whenever the traffic is requested, and for the last time just
+// before the connection is closed.
 type conn struct {
 	net.Conn
 	listener *Listener
@@ -30,17 +31,17 @@
 }
 
 func (c *conn) Close() error {
-	c.listener.connClosed(c) // while the kernel still tells the segments
+	c.listener.connClosed(c) // first, since the kernel reports the segments of open connections only
 	return c.Conn.Close()
 }
 
-// traffic is the connection's traffic so far. Conns is 0, since the listener counts it.
+// traffic returns the connection's traffic so far. Its Conns is 0, since the listener counts the connections.
 func (c *conn) traffic() Traffic {
 	return Traffic{BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(), Segments: segments(c.Conn)}
 }
 
-// segments returns the TCP segments of a connection in both directions, 0 if the
-// kernel doesn't tell them.
+// segments returns the number of TCP segments of a connection in both directions, or 0 if
+// the kernel doesn't report it.
 func segments(c net.Conn) (count uint64) {
 	systemConn, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/lab/netstats/listener.go
+++ b/internal/lab/netstats/listener.go
@@ -1,5 +1,5 @@
-// Package netstats counts the traffic of a listener: payload, TCP segments and
-// connections, so that a run can tell what its gateways cost a network.
+// Package netstats counts the payload bytes, TCP segments and connections of a listener, so
+// that an experiment can report how much network traffic its gateways cause.
 package netstats
 
 import (
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// acceptRetryDelay is waited after an accept that failed.
+// acceptRetryDelay is the delay after a failed accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Listener counts the traffic of the connections that it accepts. Its methods
-// may be called from many goroutines.
+// Listener is a net.Listener that counts the traffic of the connections that it accepts. Its
+// methods may be called concurrently.
 type Listener struct {
 	net.Listener
 
 	mu            sync.Mutex
 	openConns     map[*conn]struct{}
-	closedTraffic Traffic // of closed connections, but Conns of all
+	closedTraffic Traffic // of the closed connections; its Conns also counts the open ones
 	closed        bool
 }
 
-// Listen wraps a listener. Segments stay 0 for connections that are not TCP.
+// Listen wraps a listener so that its traffic is counted. Segments are counted for TCP connections only.
 func Listen(listener net.Listener) *Listener {
 	return &Listener{Listener: listener, openConns: make(map[*conn]struct{})}
 }
 
-// ListenLoopback listens on a port of loopback that the system chooses.
+// ListenLoopback listens on a port of 127.0.0.1 that the system chooses.
 func ListenLoopback() (*Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 	return Listen(listener), nil
 }
 
-// Accept waits for the next connection, whose traffic counts until it is closed.
+// Accept waits for the next connection and returns it. The traffic of the connection is counted until it is closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -55,8 +55,8 @@
 	return c, nil
 }
 
-// Serve accepts connections until the listener is closed, and handles each on a
-// goroutine of its own, for which serving waits. handle closes its connection.
+// Serve accepts connections until the listener is closed, and calls handle for each on its
+// own goroutine, which is added to serving. handle has to close the connection.
 func (l *Listener) Serve(serving *sync.WaitGroup, handle func(net.Conn)) {
 	for {
 		accepted, err := l.Accept()
@@ -64,14 +64,14 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // the process is out of file descriptors, most likely
+			time.Sleep(acceptRetryDelay) // most likely the process has no free file descriptor
 			continue
 		}
 		serving.Go(func() { handle(accepted) })
 	}
 }
 
-// Traffic is the traffic of all connections so far, open or closed.
+// Traffic returns the traffic of all connections so far, open or closed.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 	return total
 }
 
-// ResetConns closes all open connections with a reset. The listener goes on.
+// ResetConns resets all open connections. The listener keeps accepting new ones.
 func (l *Listener) ResetConns() {
 	for _, c := range l.open() {
 		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
@@ -104,7 +104,7 @@
 }
 
 // CloseAll closes the listener and resets all its connections. It returns nil if the
-// listener is closed already.
+// listener was already closed.
 func (l *Listener) CloseAll() error {
 	l.mu.Lock()
 	l.closed = true
@@ -117,7 +117,8 @@
 	return err
 }
 
-// connClosed moves a connection's traffic to that of the closed ones, once.
+// connClosed adds the traffic of a connection that is being closed to closedTraffic. Further calls for the same
+// connection do nothing.
 func (l *Listener) connClosed(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/netstats/listener_test.go
+++ b/internal/lab/netstats/listener_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The traffic counts all payload, segments and connections, also of connections that are closed.
+// Payload, segments and connections are counted, and the counts include connections that have been closed.
 func TestTrafficIsWhatWasSent(t *testing.T) {
 	listener, err := ListenLoopback()
 	if err != nil {
@@ -40,10 +40,10 @@
 		if got.BytesIn != conns*in || got.BytesOut != conns*out || got.Conns != conns {
 			t.Errorf("got %+v", got)
 		}
-		// A segment of loopback holds up to 64 KiB, so each connection needs three of data
-		// at least beside its handshake.
+		// A segment on loopback holds up to 64 KiB, so each connection needs at least three data
+		// segments in addition to its handshake.
 		if got.Segments < conns*4 || got.Bytes() != conns*(in+out)+52*got.Segments {
-			t.Errorf("%d segments, %d bytes", got.Segments, got.Bytes())
+			t.Errorf("%d segments, %d bytes on the wire", got.Segments, got.Bytes())
 		}
 		return got
 	}
--- a/internal/lab/netstats/traffic.go
+++ b/internal/lab/netstats/traffic.go
@@ -1,22 +1,22 @@
 package netstats
 
-// segmentHeaderBytes is the size of a segment without its payload: IPv4 20, TCP 20,
-// timestamps 12.
+// segmentHeaderBytes is the size of a segment's headers: 20 bytes for IPv4, 20 for TCP
+// and 12 for the TCP timestamps option.
 const segmentHeaderBytes = 52
 
-// Traffic is what passed over the connections of a listener in both directions.
+// Traffic counts the traffic over the connections of a listener, in both directions.
 type Traffic struct {
-	BytesIn  uint64 // payload that the listener's side read
-	BytesOut uint64 // payload that the listener's side wrote
-	Segments uint64 // TCP segments by TCP_INFO, pure acknowledgements among them
+	BytesIn  uint64 // payload that the listener's process read
+	BytesOut uint64 // payload that the listener's process wrote
+	Segments uint64 // TCP segments as counted by TCP_INFO, including pure acknowledgements
 	Conns    uint64 // connections accepted
 }
 
-// Bytes returns the bytes on the wire, headers included. What follows a
-// connection's close (its FIN and the acknowledgement) is not counted.
+// Bytes returns the bytes on the wire, including headers. Segments that follow the
+// close of a connection (the FIN and its acknowledgement) are not counted.
 func (t Traffic) Bytes() uint64 { return t.BytesIn + t.BytesOut + segmentHeaderBytes*t.Segments }
 
-// Plus is the sum of both.
+// Plus returns the sum of t and other.
 func (t Traffic) Plus(other Traffic) Traffic {
 	return Traffic{
 		BytesIn:  t.BytesIn + other.BytesIn,
--- a/internal/lab/request/request.go
+++ b/internal/lab/request/request.go
@@ -1,6 +1,6 @@
-// Package request reads HTTP/1.1 requests for the stand-ins, which must bear many
-// of them cheaply. It reads what the gateway writes: neither chunked bodies nor folded
-// header lines.
+// Package request parses HTTP/1.1 requests for the stand-ins, which have to handle many
+// of them at little cost. It supports only the requests that the gateway writes: chunked
+// bodies and folded header lines are not accepted.
 package request
 
 import (
@@ -10,25 +10,25 @@
 	"strconv"
 )
 
-// maxHeaderLines is the most header lines of a request.
+// maxHeaderLines is the largest number of header lines that a request may have.
 const maxHeaderLines = 100
 
-// ErrMalformed is returned for a request that can't be read; its connection is of no
-// use afterwards.
+// ErrMalformed is returned for a request that can't be parsed. No further request can
+// be read from its connection.
 var ErrMalformed = errors.New("malformed request")
 
 // Request is a request without its body. The zero value is ready for Read, which may be called
-// again for the next request of a connection.
+// again to read the next request of a connection.
 type Request struct {
 	Method []byte // valid until the next Read
 	Target []byte // valid until the next Read
-	Close  bool   // no other request follows on the connection
+	Close  bool   // the header has "Connection: close": no other request follows on the connection
 
-	line []byte // request line, which Method and Target are parts of
+	line []byte // copy of the request line; Method and Target are slices of it
 }
 
-// Read reads a complete request and discards its body. A line must fit in reader's
-// buffer. The error is ErrMalformed, or that of the connection.
+// Read reads a complete request and discards its body. Each line must fit in reader's
+// buffer. The error is ErrMalformed or the connection's read error.
 func (q *Request) Read(reader *bufio.Reader) error {
 	if err := q.readRequestLine(reader); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	return err
 }
 
-// readRequestLine reads the method and the target.
+// readRequestLine reads the request line and sets Method and Target.
 func (q *Request) readRequestLine(reader *bufio.Reader) error {
 	line, err := readLine(reader)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// readHeader reads the header lines up to the blank one, and returns the length of the body.
+// readHeader reads the header lines and the blank line after them. It sets Close and returns the length of the body.
 func (q *Request) readHeader(reader *bufio.Reader) (bodyLength int, err error) {
 	q.Close = false
 	for range maxHeaderLines {
@@ -86,7 +86,7 @@
 	return 0, ErrMalformed
 }
 
-// readLine returns the next line without its end, valid until the next read.
+// readLine returns the next line without its line ending. The line is valid until the next read.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
