--- a/internal/lab/counter/call.go
+++ b/internal/lab/counter/call.go
@@ -10,21 +10,22 @@
 	"amberlb/internal/lab/request"
 )
 
-// Limits of what a call may state.
+// Limits of the values in a call.
 const (
 	maxNameBytes      = 64
 	maxAmount         = 1e9
-	maxLifetimeMillis = 60_000 // a longer lifetime counts as this
+	maxLifetimeMillis = 60_000 // a longer lifetime is reduced to this
 )
 
-// call adds an amount to a name.
+// call is a request to add an amount to the total of a name.
 type call struct {
 	name     []byte // valid until the next request is read
 	amount   float64
-	lifetime time.Duration // of the name, if this is its first call
+	lifetime time.Duration // of the name; used only if this call creates the name
 }
 
-// parseCall parses a call, whose name is not unescaped. The status is 200, or that of the response to an invalid call.
+// parseCall parses a call. Percent-encoding in the name is not decoded. status is 200 for a valid call, else the status
+// of the error response.
 func parseCall(q *request.Request) (parsed call, status int) {
 	path, query, _ := bytes.Cut(q.Target, []byte("?"))
 	name, found := bytes.CutPrefix(path, []byte("/v1/count/"))
@@ -33,7 +34,7 @@
 	}
 	amountText, lifetimeText := parseQuery(query)
 	amount, err := strconv.ParseFloat(string(amountText), 64)
-	if err != nil || !(math.Abs(amount) <= maxAmount) { // also if it is NaN
+	if err != nil || !(math.Abs(amount) <= maxAmount) { // the negation also rejects NaN
 		return call{}, http.StatusBadRequest
 	}
 	lifetimeMillis, err := strconv.ParseUint(string(lifetimeText), 10, 63)
@@ -44,7 +45,8 @@
 	return call{name: name, amount: amount, lifetime: lifetime}, http.StatusOK
 }
 
-// parseQuery returns the two values of a call's query, the last ones if they are repeated.
+// parseQuery returns the values of add and ttl_ms in a call's query. Of a repeated parameter, the last value is
+// returned.
 func parseQuery(query []byte) (amount, lifetimeMillis []byte) {
 	for len(query) > 0 {
 		var pair []byte
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	idleTimeout  = 10 * time.Second      // a connection without calls or responses for so long is closed
-	writeTimeout = 10 * time.Second      // for a caller that doesn't read its responses
-	pollInterval = 20 * time.Millisecond // between looks at the service clock, whose speed a fault may change
-	maxLineBytes = 2 << 10               // of a request
-	maxPending   = 4096                  // calls without a response on a connection; further ones are read later
+	idleTimeout  = 10 * time.Second      // a connection with no calls and no pending responses for this long is closed
+	writeTimeout = 10 * time.Second      // bounds the wait for a client that doesn't read its responses
+	pollInterval = 20 * time.Millisecond // longest sleep of the writer: a fault may change the service clock's speed
+	maxLineBytes = 2 << 10               // of a line of a request
+	maxPending   = 4096                  // calls on a connection that wait for a response; further ones are read later
 )
 
-// conn is a connection. One goroutine reads its calls; another writes the responses, but only while some are pending, so
-// that an idle connection costs one goroutine.
+// conn is a connection of a client. One goroutine reads its calls. A second one, the writer, writes the responses; it
+// runs only while some are pending, so that an idle connection needs only one goroutine.
 type conn struct {
 	net.Conn
 	counter *Counter
 
 	mu      sync.Mutex
-	changed *sync.Cond // pending has become shorter, or writing has ended
+	changed *sync.Cond // signals that pending has become shorter or that writing is false
 	pending []response // in the order of their calls
-	writing bool       // the writer's goroutine runs
-	muted   bool       // a call was left without a response, so none may follow
+	writing bool       // the writer is running
+	muted   bool       // a call gets no response, so later calls must not get one either
 }
 
-// serve serves a connection until it ends.
+// serve handles the calls of a connection until it ends, and closes it.
 func (c *Counter) serve(netConn net.Conn) {
 	defer netConn.Close()
 	k := &conn{Conn: netConn, counter: c}
@@ -42,7 +42,7 @@
 	k.awaitWriter()
 }
 
-// awaitWriter waits for the end of the writer's goroutine.
+// awaitWriter waits until the writer has ended.
 func (k *conn) awaitWriter() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -51,7 +51,8 @@
 	}
 }
 
-// readCalls handles calls until the caller closes, is idle for too long, or sends a malformed request.
+// readCalls reads and handles calls until the client closes the connection, is idle for too long, or sends a malformed
+// request.
 func (k *conn) readCalls() {
 	reader := bufio.NewReaderSize(k.Conn, maxLineBytes)
 	var q request.Request
@@ -70,7 +71,8 @@
 	}
 }
 
-// awaitCall waits for the next call. It returns false if none comes.
+// awaitCall waits for the first byte of the next call. It returns false if the connection has ended or is idle for too
+// long.
 func (k *conn) awaitCall(reader *bufio.Reader) bool {
 	for {
 		k.SetReadDeadline(time.Now().Add(idleTimeout))
@@ -84,14 +86,15 @@
 	}
 }
 
-// isIdle tells whether the caller waits for no response.
+// isIdle reports whether the client is not waiting for any response.
 func (k *conn) isIdle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.pending) == 0 && !k.writing && !k.muted
 }
 
-// enqueueResponse handles a call and enqueues its response. readErr is not nil for a malformed request.
+// enqueueResponse handles a call, enqueues its response, and starts the writer if it is not running. readErr is not nil
+// if the request is malformed.
 func (k *conn) enqueueResponse(q *request.Request, readErr error) {
 	k.counter.callCount.Add(1)
 	fault := k.counter.currentFault.Load()
@@ -111,7 +114,7 @@
 	}
 }
 
-// respond returns the response to a request, which is malformed if readErr is not nil.
+// respond handles a request and returns its response. readErr is not nil if the request is malformed.
 func (c *Counter) respond(fault *faultState, q *request.Request, readErr error) response {
 	if readErr != nil {
 		return response{status: http.StatusBadRequest}
@@ -123,7 +126,7 @@
 	return c.handleCall(fault, parsed)
 }
 
-// writeResponses writes responses as they become due, until none is pending.
+// writeResponses is the writer: it writes responses as they become due, until none is pending.
 func (k *conn) writeResponses() {
 	var text []byte
 	for {
@@ -141,8 +144,8 @@
 	}
 }
 
-// takeDue takes the responses that are due and appends their text to a buffer. Where none is due, wait is when to call
-// it again. Once none is pending, done is true and the writer has to end.
+// takeDue removes the responses that are due from pending, appends their text to buffer, and returns it. If none is due,
+// wait is the time after which to call it again. If none is pending, done is true and the writer has to end.
 func (k *conn) takeDue(buffer []byte) (text []byte, wait time.Duration, done bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -171,7 +174,8 @@
 	return buffer, 0, false
 }
 
-// countDue returns how many of the pending responses are due. One that is not holds back those behind it.
+// countDue returns how many of the pending responses can be written. Responses are written in the order of their calls,
+// so a response that is not due yet delays all later ones.
 func (k *conn) countDue(serviceNow time.Duration) int {
 	due := 0
 	for due < len(k.pending) && k.pending[due].due <= serviceNow {
@@ -180,7 +184,7 @@
 	return due
 }
 
-// writeText writes the text of responses. If that fails, the connection is closed, which ends its reader.
+// writeText writes the text of responses. If that fails, it closes the connection, which also ends the reading of calls.
 func (k *conn) writeText(text []byte) {
 	k.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := k.Write(text); err == nil {
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -1,7 +1,7 @@
-// Package counter stands in for the counter service of the protocol: named totals
-// with a lifetime, calls pipelined on HTTP/1.1, and a service time that limits the
-// rate of calls. The protocol's limit on the connections of one gateway is left out,
-// since on loopback all callers look alike.
+// Package counter is a stand-in for the protocol's counter service. It holds named totals
+// that expire after a lifetime, accepts pipelined HTTP/1.1 calls, and limits the rate of
+// calls by a service time. It doesn't enforce the protocol's limit on the connections of
+// one gateway, since on loopback it can't tell gateways apart by their address.
 package counter
 
 import (
@@ -16,31 +16,31 @@
 	"amberlb/internal/lab/netstats"
 )
 
-// Options are the counter's capacity: Shards / ServiceTime calls a second, if names
-// are spread evenly.
+// Options define the counter's capacity, which is Shards / ServiceTime calls a second if
+// the calls are spread evenly over the shards.
 type Options struct {
-	Shards      int           // names are spread over so many by xxhash; each serves one call at a time
-	ServiceTime time.Duration // length of a call's turn at its shard
-	MaxQueued   int           // calls that wait at a shard at most; further ones are rejected with 503
+	Shards      int           // number of shards, over which names are spread by xxhash; each serves one call at a time
+	ServiceTime time.Duration // time for which a call occupies its shard
+	MaxQueued   int           // largest number of calls waiting at a shard; further ones are rejected with 503
 }
 
-// Stats is what the counter has done since its start.
+// Stats holds the counts since the start of the counter.
 type Stats struct {
 	Calls     uint64 // calls read completely
-	Rejected  uint64 // of these, answered 503
-	Names     int    // alive now
-	PeakNames int    // alive at one time, at most
+	Rejected  uint64 // calls that were answered with 503
+	Names     int    // names that exist now
+	PeakNames int    // largest number of names that existed at the same time
 	Traffic   netstats.Traffic
 }
 
-// Counter is the stand-in. Its methods may be called from many goroutines.
+// Counter is the stand-in server. Its methods may be called concurrently.
 type Counter struct {
 	options   Options
 	startedAt time.Time
 	shards    []*shard
 
 	currentFault atomic.Pointer[faultState]
-	faultMu      sync.Mutex // held while state is replaced
+	faultMu      sync.Mutex // held while currentFault is replaced
 
 	callCount     atomic.Uint64
 	rejectedCount atomic.Uint64
@@ -49,10 +49,10 @@
 
 	listener *netstats.Listener
 	serving  sync.WaitGroup
-	closed   atomic.Bool // no response is written any more
+	closed   atomic.Bool // from then on, no response is written
 }
 
-// New makes a counter without a fault. Shards under 1 count as 1.
+// New creates a counter with no fault. If options.Shards is below 1, it has one shard.
 func New(options Options) *Counter {
 	options.Shards = max(options.Shards, 1)
 	c := &Counter{options: options, startedAt: time.Now(), shards: make([]*shard, options.Shards)}
@@ -63,8 +63,8 @@
 	return c
 }
 
-// Start listens on a port of loopback that the system chooses, and serves until
-// ctx ends or Close.
+// Start listens on a port of 127.0.0.1 that the system chooses, and serves until
+// ctx ends or Close is called.
 func (c *Counter) Start(ctx context.Context) (address string, err error) {
 	listener, err := netstats.ListenLoopback()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close resets all connections and waits for their goroutines.
+// Close stops listening, resets all connections and waits until their goroutines have ended.
 func (c *Counter) Close() error {
 	if c.listener == nil {
 		return nil
@@ -86,13 +86,13 @@
 	return err
 }
 
-// closeListener resets all connections and ends the service.
+// closeListener closes the listener and resets all connections, without waiting for their goroutines.
 func (c *Counter) closeListener() error {
 	c.closed.Store(true)
 	return c.listener.CloseAll()
 }
 
-// Stats returns the counts so far. Start must have been called.
+// Stats returns the counts so far. Start must have been called before.
 func (c *Counter) Stats() Stats {
 	stats := Stats{Calls: c.callCount.Load(), Rejected: c.rejectedCount.Load(), Traffic: c.listener.Traffic()}
 	for _, s := range c.shards {
@@ -105,7 +105,7 @@
 	return stats
 }
 
-// Reset removes all names, as a restart of the counter does.
+// Reset removes all names, as a restart of a counter service does.
 func (c *Counter) Reset() {
 	for _, s := range c.shards {
 		s.mu.Lock()
@@ -114,10 +114,11 @@
 	}
 }
 
-// now is the time since the counter was made.
+// now returns the time since the counter was created.
 func (c *Counter) now() time.Duration { return time.Since(c.startedAt) }
 
-// handleCall takes a call's turn at its shard and returns the response.
+// handleCall schedules a call at its shard, adds its amount to the total, and returns the response. A call that the
+// shard or the fault rejects adds nothing.
 func (c *Counter) handleCall(fault *faultState, parsed call) response {
 	s := c.shards[xxhash.Sum64(parsed.name)%uint64(len(c.shards))]
 	s.mu.Lock()
@@ -135,7 +136,8 @@
 	return response{status: http.StatusOK, total: total, due: due}
 }
 
-// countNames counts a name that was created, if one was, and those that expired before.
+// countNames updates the number of names and its peak: expired names have been removed and, if created is true, one has
+// been added.
 func (c *Counter) countNames(created bool, expired int) {
 	count := c.nameCount.Add(-int64(expired))
 	if created {
@@ -149,7 +151,7 @@
 	}
 }
 
-// reject counts a call that is rejected and returns its response.
+// reject counts a rejected call and returns its response.
 func (c *Counter) reject() response {
 	c.rejectedCount.Add(1)
 	return response{status: http.StatusServiceUnavailable}
--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// caller is one connection to a counter.
+// caller is a client with one connection to a counter.
 type caller struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// start starts a counter, which ends with the test. dial connects to it.
+// start starts a counter that is closed at the end of the test. dial opens a connection to it.
 func start(t *testing.T, options Options) (c *Counter, dial func() *caller) {
 	t.Helper()
 	c = New(options)
@@ -43,7 +43,7 @@
 	}
 }
 
-// write writes a call.
+// write sends a call.
 func (c *caller) write(name string, amount float64) {
 	fmt.Fprintf(c, "POST /v1/count/%s?add=%v&ttl_ms=60000 HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n", name, amount)
 }
@@ -73,11 +73,11 @@
 	c.t.Helper()
 	gotStatus, gotTotal := c.read()
 	if gotStatus != status || gotTotal != total {
-		c.t.Fatalf("got %d, total %v; want %d, %v", gotStatus, gotTotal, status, total)
+		c.t.Fatalf("got status %d, total %v; want %d, %v", gotStatus, gotTotal, status, total)
 	}
 }
 
-// awaitCalls waits until so many calls have been read.
+// awaitCalls waits until the counter has read the given number of calls.
 func (c *Counter) awaitCalls(t *testing.T, calls uint64) {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); c.Stats().Calls < calls; time.Sleep(time.Millisecond) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Responses to pipelined calls come in their order, with exact totals.
+// Responses to pipelined calls arrive in the order of the calls, with exact totals.
 func TestPipelinedTotalsAreExactAndInOrder(t *testing.T) {
 	c, dial := start(t, Options{Shards: 7, ServiceTime: 20 * time.Microsecond, MaxQueued: 10_000})
 	client := dial()
@@ -109,7 +109,7 @@
 	}
 }
 
-// An invalid call gets its status, adds nothing, and leaves the connection in use.
+// An invalid call is answered with 400 or 404 and adds nothing, and its connection remains usable.
 func TestInvalidCallsAddNothing(t *testing.T) {
 	_, dial := start(t, Options{})
 	client := dial()
@@ -124,7 +124,7 @@
 	} {
 		fmt.Fprintf(client, "POST %s HTTP/1.1\r\nContent-Length: 2\r\n\r\nxx", target)
 		if got, _ := client.read(); got != status {
-			t.Errorf("%s: %d, want %d", target, got, status)
+			t.Errorf("%s: status %d, want %d", target, got, status)
 		}
 	}
 	client.write("n", 1)
@@ -154,7 +154,7 @@
 	}
 }
 
-// A shard rejects calls while MaxQueued wait at it.
+// A shard rejects calls while MaxQueued calls are waiting at it.
 func TestCallsAboveMaxQueuedAreRejected(t *testing.T) {
 	s := New(Options{}).shards[0]
 	const serviceTime, maxQueued = time.Millisecond, 2
@@ -173,7 +173,7 @@
 		{10 * serviceTime, 11 * serviceTime, true},
 	} {
 		if due, ok := s.schedule(c.at, serviceTime, maxQueued); due != c.due || ok != c.ok {
-			t.Errorf("at %v: due %v, %v; want %v, %v", c.at, due, ok, c.due, c.ok)
+			t.Errorf("at %v: due %v, ok %v; want %v, %v", c.at, due, ok, c.due, c.ok)
 		}
 	}
 
@@ -183,14 +183,14 @@
 	c.awaitCalls(t, 1)
 	second.write("n", 1)
 	second.want(503, 0)
-	c.SetFault(Fault{SlowFactor: 1e-9}) // it applies to a turn under way too
+	c.SetFault(Fault{SlowFactor: 1e-9}) // also shortens the service of the first call, which has begun
 	first.want(200, 1)
 	if stats := c.Stats(); stats.Calls != 2 || stats.Rejected != 1 {
 		t.Errorf("%+v", stats)
 	}
 }
 
-// Calls are rejected or left unanswered as the fault says, and answered again after it.
+// Calls are rejected or left unanswered while there is such a fault, and answered again after it.
 func TestFaults(t *testing.T) {
 	c, dial := start(t, Options{Shards: 1, MaxQueued: 10})
 	client := dial()
@@ -214,7 +214,7 @@
 	client.want(200, 1)
 }
 
-// Close ends connections whose calls still wait for their turn.
+// Close returns at once, even if a call is in service for another hour.
 func TestCloseDoesNotWaitForQueuedCalls(t *testing.T) {
 	c, dial := start(t, Options{ServiceTime: time.Hour})
 	dial().write("n", 1)
--- a/internal/lab/counter/response.go
+++ b/internal/lab/counter/response.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// response is the answer to a call.
+// response is the response to a call.
 type response struct {
-	status int           // as in HTTP: 200, 400, 404 or 503
-	total  float64       // of the name, with status 200
-	due    time.Duration // on the service clock; 0: at once
+	status int           // HTTP status: 200, 400, 404 or 503
+	total  float64       // of the name, if status is 200
+	due    time.Duration // time on the service clock at which it is sent; 0: at once
 }
 
-// appendHTTP appends the response as HTTP.
+// appendHTTP appends the response in HTTP/1.1 format to text.
 func (r response) appendHTTP(text []byte) []byte {
 	switch r.status {
 	case http.StatusOK:
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// shard serves the calls for its names, one at a time in the order of their arrival.
-// It reads no clock; times are passed to it. Its methods need mu to be held.
+// shard holds a part of the names and serves their calls one at a time, in the order of
+// their arrival. It reads no clock: its methods are given the time. mu must be held during
+// its methods.
 type shard struct {
 	mu          sync.Mutex
-	finishTimes []time.Duration // ends of the turns that are not over, in order, on the service clock
+	finishTimes []time.Duration // of the calls in service or waiting, in order, on the service clock
 	names       map[string]*entry
-	byExpiry    expiryHeap // the same names
+	byExpiry    expiryHeap // the same names, by the time at which they expire
 }
 
-// entry is the total of a name.
+// entry is a name with its total.
 type entry struct {
 	name      string
 	total     float64
-	expiresAt time.Duration // set by the first call, and not moved by later ones
+	expiresAt time.Duration // set by the first call; later calls do not extend it
 }
 
-// schedule gives a call a turn of the length serviceTime after those already reserved. due is its end; it and
-// serviceNow are on the service clock. ok is false if maxQueued calls wait already.
+// schedule schedules a call that takes serviceTime, to be served after all calls scheduled before it. due is the time at
+// which its service ends; due and serviceNow are on the service clock. ok is false, and the call is not scheduled, if
+// maxQueued calls are already waiting.
 func (s *shard) schedule(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
 	finished := 0
 	for finished < len(s.finishTimes) && s.finishTimes[finished] <= serviceNow {
 		finished++
 	}
 	s.finishTimes = s.finishTimes[finished:]
-	if len(s.finishTimes) > maxQueued { // one has its turn, the others wait
+	if len(s.finishTimes) > maxQueued { // the first one is in service, the others wait
 		return 0, false
 	}
 	serviceStart := serviceNow
@@ -42,8 +44,8 @@
 	return due, true
 }
 
-// add adds to a name, which it creates if there is none, with a lifetime from now. expired is how many names expired
-// before.
+// add adds an amount to the total of a name, and returns the new total. A name that doesn't exist is created and expires
+// after lifetime. expired is the number of expired names that were removed before.
 func (s *shard) add(
 	now time.Duration, name []byte, amount float64, lifetime time.Duration,
 ) (total float64, created bool, expired int) {
@@ -59,7 +61,7 @@
 	return e.total, created, expired
 }
 
-// evictExpired removes the names that have expired and returns how many.
+// evictExpired removes the names that have expired and returns their number.
 func (s *shard) evictExpired(now time.Duration) (expired int) {
 	for len(s.byExpiry) > 0 && s.byExpiry[0].expiresAt <= now {
 		delete(s.names, heap.Pop(&s.byExpiry).(*entry).name)
@@ -68,7 +70,7 @@
 	return expired
 }
 
-// removeAll removes all names and returns how many there were.
+// removeAll removes all names and returns their number.
 func (s *shard) removeAll() (removed int) {
 	removed = len(s.names)
 	s.names = make(map[string]*entry)
@@ -76,17 +78,17 @@
 	return removed
 }
 
-// expiryHeap is a heap of names, that which expires first on top. See container/heap.
+// expiryHeap is a heap of entries for container/heap. The entry that expires first is on top.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push appends an entry.
+// Push appends an entry, as container/heap requires.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*entry)) }
 
-// Pop removes the last entry.
+// Pop removes the last entry and returns it, as container/heap requires.
 func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
--- a/internal/lab/discovery/handler.go
+++ b/internal/lab/discovery/handler.go
@@ -14,7 +14,7 @@
 	maxWatchTimeout = 60 * time.Second
 )
 
-// handleList handles a call.
+// handleList handles a request for the list of backends.
 func (s *Server) handleList(w http.ResponseWriter, request *http.Request) {
 	s.callCount.Add(1)
 	query := request.URL.Query()
@@ -27,7 +27,7 @@
 	timeout := time.Duration(min(timeoutMillis, maxWatchTimeout.Milliseconds())) * time.Millisecond
 	encoded, err := s.awaitList(request.Context(), since, timeout)
 	if err != nil {
-		return // the caller has left, or the server ends
+		return // the client has disconnected, or the server is closing
 	}
 	s.countList(encoded)
 	w.Header().Set("Content-Type", "application/json")
@@ -35,7 +35,7 @@
 	w.Write(encoded.body)
 }
 
-// queryInt returns an integer of a query that is not below 0; it is 0 if the query does not state it.
+// queryInt parses a query parameter as a non-negative integer. It returns 0 if the query has no such parameter.
 func queryInt(query url.Values, key string) (int64, error) {
 	if !query.Has(key) {
 		return 0, nil
@@ -44,8 +44,9 @@
 	return int64(value), err
 }
 
-// awaitList returns the list for a caller that has the generation since (0: none), once
-// there is a newer generation or the timeout is over. The error is ctx's.
+// awaitList waits while since is the current generation, but at most for timeout, and returns the
+// list for a client that has the generation since (0: none). A full list also waits for the rate
+// limiter. It returns ctx's error if ctx ends first.
 func (s *Server) awaitList(ctx context.Context, since int64, timeout time.Duration) (*encodedList, error) {
 	if err := s.awaitChange(ctx, since, timeout); err != nil {
 		return nil, err
@@ -60,7 +61,8 @@
 	return s.list.since(since), nil
 }
 
-// awaitChange waits while a generation is the current one, for the timeout at most.
+// awaitChange waits until generation is not the current one any more, but at most for timeout. It returns ctx's error
+// if ctx ends first.
 func (s *Server) awaitChange(ctx context.Context, generation int64, timeout time.Duration) error {
 	if timeout <= 0 {
 		return nil
@@ -81,21 +83,21 @@
 	}
 }
 
-// watch returns the current generation, and a channel that is closed at the next one.
+// watch returns the current generation, and a channel that is closed when the next one is made.
 func (s *Server) watch() (changed <-chan struct{}, generation int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed, s.list.generation
 }
 
-// needsFullList tells whether a caller that has a generation gets the full list.
+// needsFullList reports whether a client that has the generation since has to be sent the full list.
 func (s *Server) needsFullList(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.list.hasChangesSince(since)
 }
 
-// countList counts a list that is sent.
+// countList counts a list that is about to be sent.
 func (s *Server) countList(encoded *encodedList) {
 	if encoded.full {
 		s.fullListCount.Add(1)
--- a/internal/lab/discovery/list.go
+++ b/internal/lab/discovery/list.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	maxChanges       = 1024 // that are remembered; a caller with an older generation gets the full list
+	maxChanges       = 1024 // number of changes that are kept; a client with an older generation gets the full list
 	lifecycleRemoved = "Gone"
 )
 
-// list is the list of backends with its last changes. It has no lock.
+// list is the list of backends with its last changes. Its methods must not be called concurrently.
 type list struct {
 	generation int64
 	instances  []gateway.EndpointEntry
-	indexByID  map[string]int // in instances
-	changes    []change       // the last ones; each made a generation
+	indexByID  map[string]int // index in instances
+	changes    []change       // the last ones, oldest first; each made one generation
 
-	// Encoded lists of this generation.
+	// Cache of the lists encoded for the current generation.
 	encodedFull   *encodedList           // nil until it is requested
-	encodedDeltas map[int64]*encodedList // by the generation that they start from
+	encodedDeltas map[int64]*encodedList // by the generation that the client has
 }
 
-// change is what made one generation.
+// change holds the entries of the delta that made a generation.
 type change struct {
 	generation int64
 	entries    []gateway.EndpointEntry
 }
 
-// encodedList is a list that is encoded once and sent to many callers.
+// encodedList is a full list or a delta, encoded once and sent to many clients.
 type encodedList struct {
 	body    []byte // JSON
 	entries int
 	full    bool // else it is a delta
 }
 
-// newList makes a list of generation 1.
+// newList creates a list of generation 1.
 func newList(instances []gateway.EndpointEntry) *list {
 	l := &list{generation: 1, indexByID: make(map[string]int), encodedDeltas: make(map[int64]*encodedList)}
 	l.apply(instances)
 	return l
 }
 
-// applyDelta makes the next generation. An entry that is Gone is removed.
+// applyDelta makes the next generation by adding or replacing entries. Entries with the lifecycle Gone are removed.
 func (l *list) applyDelta(entries []gateway.EndpointEntry) {
 	l.generation++
 	l.apply(entries)
@@ -55,7 +55,7 @@
 	clear(l.encodedDeltas)
 }
 
-// apply puts entries into the instances, and removes those that are Gone.
+// apply adds or replaces entries in instances, and removes those with the lifecycle Gone.
 func (l *list) apply(entries []gateway.EndpointEntry) {
 	for _, entry := range entries {
 		index, known := l.indexByID[entry.ID]
@@ -72,7 +72,7 @@
 	}
 }
 
-// removeAt removes an instance, and moves the last one to its place.
+// removeAt removes an instance and moves the last one into its place.
 func (l *list) removeAt(index int) {
 	removed := l.instances[index].ID
 	last := len(l.instances) - 1
@@ -82,14 +82,14 @@
 	delete(l.indexByID, removed)
 }
 
-// hasChangesSince tells whether all changes after a generation are remembered.
+// hasChangesSince reports whether all changes after a generation are still kept, so that a delta can be made.
 func (l *list) hasChangesSince(generation int64) bool {
 	oldest := l.generation - int64(len(l.changes))
 	return generation > 0 && generation <= l.generation && generation >= oldest
 }
 
-// since returns the list for a caller that has a generation: what changed after it if that is remembered, else the full
-// list.
+// since returns the list for a client that has a generation: the delta since then if all changes are still kept, else
+// the full list.
 func (l *list) since(generation int64) *encodedList {
 	if l.hasChangesSince(generation) {
 		return l.deltaSince(generation)
@@ -97,7 +97,7 @@
 	return l.full()
 }
 
-// full returns the full list.
+// full returns the encoded full list.
 func (l *list) full() *encodedList {
 	if l.encodedFull == nil {
 		l.encodedFull = l.encode(l.instances, true)
@@ -105,13 +105,13 @@
 	return l.encodedFull
 }
 
-// deltaSince returns the newest entry of each instance that changed after a generation.
+// deltaSince returns an encoded delta with the newest entry of each instance that changed after a generation.
 func (l *list) deltaSince(generation int64) *encodedList {
 	if encoded := l.encodedDeltas[generation]; encoded != nil {
 		return encoded
 	}
 	entries := []gateway.EndpointEntry{}
-	indexByID := make(map[string]int) // in entries
+	indexByID := make(map[string]int) // index in entries
 	for _, c := range l.changes {
 		if c.generation <= generation {
 			continue
@@ -130,14 +130,14 @@
 	return encoded
 }
 
-// encode encodes entries as a list of this generation.
+// encode encodes entries as a full list or a delta of the current generation.
 func (l *list) encode(entries []gateway.EndpointEntry, full bool) *encodedList {
 	if entries == nil {
-		entries = []gateway.EndpointEntry{} // nil would be encoded as null, which is no list
+		entries = []gateway.EndpointEntry{} // nil would be encoded as null instead of an empty array
 	}
 	body, err := json.Marshal(gateway.EndpointList{Generation: l.generation, Reset: full, Entries: entries})
 	if err != nil {
-		panic(err) // an infinite weight, which the lab never makes
+		panic(err) // only an infinite or NaN weight can fail, and the lab uses neither
 	}
 	return &encodedList{body: body, entries: len(entries), full: full}
 }
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// maxCatchUp is how late a turn may come without delaying those after it: the
-// system's timers are that coarse.
+// maxCatchUp is how late a permit may be granted without delaying the permits after it. It
+// covers the imprecision of the system's timers, so that late timers don't lower the rate.
 const maxCatchUp = 10 * time.Millisecond
 
-// rateLimiter grants turns at a limited rate, in the order of the calls of wait. A call
-// whose context ends leaves the queue and uses no turn.
+// rateLimiter grants permits at a limited rate, in the order of the calls of wait. A call
+// whose context ends leaves the queue without using a permit.
 type rateLimiter struct {
-	interval time.Duration // between two turns
-	permits  chan struct{} // unbuffered, so that a turn goes to the call that has waited longest
+	interval time.Duration // between two permits
+	permits  chan struct{} // unbuffered, so that each permit goes to the call that has waited longest
 }
 
 func newRateLimiter(perSecond float64) *rateLimiter {
@@ -23,7 +23,7 @@
 	}
 }
 
-// run grants turns until ctx ends. A turn that no call waits for is kept for the next one.
+// run grants permits until ctx ends. If no call is waiting, one permit is kept for the next call.
 func (l *rateLimiter) run(ctx context.Context) {
 	next := time.Now()
 	for {
@@ -45,7 +45,7 @@
 	}
 }
 
-// wait waits for a turn. The error is ctx's, if it ends first.
+// wait waits for a permit. It returns ctx's error if ctx ends first.
 func (l *rateLimiter) wait(ctx context.Context) error {
 	select {
 	case <-l.permits:
--- a/internal/lab/discovery/server.go
+++ b/internal/lab/discovery/server.go
@@ -1,5 +1,6 @@
-// Package discovery stands in for the discovery service: it sends the list of
-// backends, in full or as a delta, to callers that poll it or watch for a change.
+// Package discovery is a stand-in for the discovery service. It sends the list of backends
+// to its clients, in full or as a delta. Clients poll it, or watch it: a watch is a request
+// that is answered at the next change of the list, or after its timeout.
 package discovery
 
 import (
@@ -14,27 +15,27 @@
 	"amberlb/internal/lab/netstats"
 )
 
-// Options limit the server.
+// Options configure the server.
 type Options struct {
-	FullListsPerSecond float64 // to all callers together; further calls wait for their turn. 0: no limit
+	FullListsPerSecond float64 // rate limit for all clients together, above which requests wait; 0: no limit
 }
 
-// Stats is what the server has done since its start.
+// Stats holds the counts since the start of the server. Calls are requests for the list.
 type Stats struct {
 	Calls      uint64
-	FullLists  uint64 // sent
-	DeltaLists uint64 // sent, empty ones among them
-	Entries    uint64 // in the lists sent
+	FullLists  uint64 // full lists sent
+	DeltaLists uint64 // deltas sent, including empty ones
+	Entries    uint64 // entries in all lists sent
 	Traffic    netstats.Traffic
 }
 
-// Server is the stand-in. Its methods may be called from many goroutines.
+// Server is the stand-in server. Its methods may be called concurrently.
 type Server struct {
 	fullListLimiter *rateLimiter // nil: no limit
 
 	mu      sync.Mutex
 	list    *list
-	changed chan struct{} // closed at the next change, and replaced
+	changed chan struct{} // closed at the next change, which replaces it
 
 	callCount      atomic.Uint64
 	fullListCount  atomic.Uint64
@@ -46,7 +47,7 @@
 	serving    sync.WaitGroup
 }
 
-// New makes a server whose list is of generation 1 and holds these instances.
+// New creates a server whose list has generation 1 and contains instances.
 func New(instances []gateway.EndpointEntry, options Options) *Server {
 	s := &Server{list: newList(instances), changed: make(chan struct{})}
 	if options.FullListsPerSecond > 0 {
@@ -55,8 +56,8 @@
 	return s
 }
 
-// Start listens on a port of loopback that the system chooses, and serves until
-// ctx ends or Close.
+// Start listens on a port of 127.0.0.1 that the system chooses, and serves until
+// ctx ends or Close is called.
 func (s *Server) Start(ctx context.Context) (address string, err error) {
 	listener, err := netstats.ListenLoopback()
 	if err != nil {
@@ -76,12 +77,12 @@
 	}
 	s.serving.Go(func() {
 		defer cancel()
-		s.httpServer.Serve(s.listener) // the error is that of a closed listener
+		s.httpServer.Serve(s.listener) // it returns once the listener is closed
 	})
 	return listener.Addr().String(), nil
 }
 
-// Close resets all connections and waits for their goroutines.
+// Close stops listening, resets all connections and waits until their goroutines have ended.
 func (s *Server) Close() error {
 	if s.listener == nil {
 		return nil
@@ -91,8 +92,8 @@
 	return errors.Join(err, s.httpServer.Shutdown(context.Background()))
 }
 
-// ApplyDelta changes the list by entries, of which those that are Gone are removed, and
-// notifies the watches. It returns the new generation.
+// ApplyDelta adds entries to the list or replaces the existing ones with the same ids; entries
+// with the lifecycle Gone are removed. It answers the open watches and returns the new generation.
 func (s *Server) ApplyDelta(entries []gateway.EndpointEntry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,7 @@
 	return s.list.generation
 }
 
-// Stats returns the counts so far. Start must have been called.
+// Stats returns the counts so far. Start must have been called before.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Calls:      s.callCount.Load(),
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -12,12 +12,12 @@
 	"amberlb/internal/gateway"
 )
 
-// instance is an entry of the list.
+// instance returns an entry for the list.
 func instance(id, lifecycle string) gateway.EndpointEntry {
 	return gateway.EndpointEntry{ID: id, HostPort: "127.1.0.0:1", Zone: "a", Lifecycle: lifecycle, Weight: 1}
 }
 
-// start starts a server, which ends with the test. get sends a call with a query and returns the list.
+// start starts a server that is closed at the end of the test. get requests the list with a query and returns it.
 func start(
 	t *testing.T, instances ...gateway.EndpointEntry,
 ) (server *Server, get func(query string) gateway.EndpointList) {
@@ -46,7 +46,8 @@
 	}
 }
 
-// want checks a list's generation, kind and entries, written id:lifecycle.
+// want checks a list's generation, whether it is a full list (reset) or a delta, and its entries, which are given as
+// id:lifecycle.
 func want(t *testing.T, list gateway.EndpointList, generation int64, reset bool, entries ...string) {
 	t.Helper()
 	got := []string{}
@@ -60,7 +61,7 @@
 	}
 }
 
-// A watch is answered with the change as soon as there is one, and with an empty delta after its timeout.
+// A watch is answered with the delta as soon as the list changes, or with an empty delta after its timeout.
 func TestWatchIsNotifiedOfAChange(t *testing.T) {
 	server, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
 	want(t, get(""), 1, true, "x:Ready", "y:Ready")
@@ -75,7 +76,7 @@
 	}
 	want(t, <-notified, 2, false, "y:Terminating")
 	if d := time.Since(changed); d > 30*time.Second {
-		t.Errorf("the watch was answered after %v, which is its timeout and no notification", d)
+		t.Errorf("the watch was answered after %v: at its timeout, not at the change", d)
 	}
 	want(t, get("?since=2&timeout_ms=1"), 2, false)
 	stats := server.Stats()
@@ -85,7 +86,8 @@
 	}
 }
 
-// A caller gets a delta while all changes after its generation are remembered, else the full list.
+// A client gets a delta while all changes after its generation are still kept, else the full list. A delta has only
+// the newest entry of each backend.
 func TestOldGenerationGetsTheFullList(t *testing.T) {
 	server, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
 	for i := range maxChanges {
@@ -94,12 +96,12 @@
 	const last = maxChanges + 2
 	server.ApplyDelta([]gateway.EndpointEntry{instance("x", "Gone"), instance("z", "Ready")})
 	want(t, get("?since=2"), last, false, "y:Ready", "x:Gone", "z:Ready")
-	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // y was Terminating first
+	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // y was Terminating between
 	want(t, get("?since=1"), last, true, "y:Ready", "z:Ready")
 	want(t, get(fmt.Sprintf("?since=%d&timeout_ms=60000", last+1)), last, true, "y:Ready", "z:Ready")
 }
 
-// Turns come at the limiter's rate, and calls that leave the queue use none.
+// Permits are granted at the limiter's rate, and calls that leave the queue use none.
 func TestFullListsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -122,7 +124,7 @@
 				served++
 			}
 		}
-		if served != 51 { // the first at once, then 10 a second
+		if served != 51 { // the first one at once, then 10 per second
 			t.Errorf("%d full lists in 5 s, want 51", served)
 		}
 		cancel()
