--- a/internal/lab/soak/acceptor.go
+++ b/internal/lab/soak/acceptor.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// acceptor accepts the connections of a stand-in on a port of loopback and serves each on a goroutine of its own. Its
-// methods may be called from many goroutines.
+// acceptor accepts connections for a stand-in on a port of 127.0.0.1, and handles each on its own goroutine. Its methods
+// may be called concurrently.
 type acceptor struct {
 	listener net.Listener
-	conns    connSet        // closed by Close, so that the handlers end
-	serving  sync.WaitGroup // the accept loop and the handlers
+	conns    connSet        // open connections; Close closes them, which ends their handlers
+	serving  sync.WaitGroup // for the accept loop and the handlers
 }
 
 // listen starts listening on a port that the system chooses.
@@ -20,7 +20,8 @@
 	return err
 }
 
-// start begins to accept. handle adds its connections to a.conns and removes them as it returns.
+// start starts the accept loop, which calls handle for each connection. handle has to add its connections to a.conns
+// and to remove them before it returns.
 func (a *acceptor) start(handle func(net.Conn)) {
 	a.serving.Go(func() {
 		for {
@@ -33,25 +34,25 @@
 	})
 }
 
-// Address is where the stand-in listens.
+// Address returns the address on which the stand-in listens.
 func (a *acceptor) Address() string { return a.listener.Addr().String() }
 
-// Close closes all connections and waits for their goroutines.
+// Close stops listening, closes all connections and waits until their goroutines have ended.
 func (a *acceptor) Close() {
 	a.listener.Close()
 	a.conns.close()
 	a.serving.Wait()
 }
 
-// connSet holds the open connections of a stand-in, so that they can be closed together. The zero value is empty; its
-// methods may be called from many goroutines.
+// connSet is a set of the open connections of a stand-in, which can be closed together. The zero value is an empty set.
+// Its methods may be called concurrently.
 type connSet struct {
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// add adds connections. Once the set is closed it closes them instead, and returns false.
+// add adds connections to the set. If the set has been closed, add closes the connections instead and returns false.
 func (s *connSet) add(conns ...net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	return true
 }
 
-// remove closes connections and takes them out of the set.
+// remove closes connections and removes them from the set.
 func (s *connSet) remove(conns ...net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// close closes all connections, also those that are added later.
+// close closes all connections in the set. Connections that are added later are closed at once.
 func (s *connSet) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// Behavior is what a backend does with a request.
+// Behavior defines how a backend handles one request.
 type Behavior struct {
-	ServiceTime time.Duration // before the answer
+	ServiceTime time.Duration // time from the request to its response
 	Hang        bool          // the request is never answered
 }
 
-// BackendAttempt is what a backend saw of one request. Times are of the run's clock.
+// BackendAttempt is a backend's record of one attempt of a request. Times are on the run's clock.
 type BackendAttempt struct {
 	ID          string // of the request
 	Backend     string
 	FirstByteAt time.Duration // when its first byte was read
 	ReceivedAt  time.Duration // when it was complete
-	EndedAt     time.Duration // when it was answered, or its connection ended; 0: neither until the run's end
-	Timeout     time.Duration // how long the gateway said that it would wait
+	EndedAt     time.Duration // when it was answered or its connection ended; 0: neither had happened at the end of the run
+	Timeout     time.Duration // how long the gateway waits for the response, by the timeout header
 	Answered    bool
 }
 
-// Backend is a stand-in for one backend. Its methods may be called from many goroutines.
+// Backend is a stand-in for one backend. Its methods may be called concurrently.
 type Backend struct {
 	acceptor
 	Name     string
@@ -40,8 +40,8 @@
 	attempts []*BackendAttempt
 }
 
-// StartBackend starts a backend on a port of loopback that the system chooses. behavior is called once for each
-// request, from many goroutines.
+// StartBackend starts a backend on a port of 127.0.0.1 that the system chooses. behavior is called once for each
+// request, concurrently.
 func StartBackend(name string, clock Clock, behavior func(now time.Duration) Behavior) (*Backend, error) {
 	b := &Backend{Name: name, clock: clock, behavior: behavior}
 	if err := b.listen(); err != nil {
@@ -51,7 +51,7 @@
 	return b, nil
 }
 
-// Attempts returns what the backend has seen so far.
+// Attempts returns the attempts that the backend has received so far.
 func (b *Backend) Attempts() []BackendAttempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +74,8 @@
 	}
 }
 
-// serveRequest serves the next request of a connection. It returns false once the connection is of no further use.
+// serveRequest serves the next request of a connection. It returns false if no further request can be read from the
+// connection.
 func (b *Backend) serveRequest(conn net.Conn, reader *bufio.Reader) (reusable bool) {
 	attempt, err := b.receive(reader)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return answered
 }
 
-// receive reads the next request and records it. The error is one of the connection or of a malformed request, which
-// is not recorded.
+// receive reads the next request and records it. It returns an error, and records nothing, if the connection fails or
+// the request is malformed.
 func (b *Backend) receive(reader *bufio.Reader) (*BackendAttempt, error) {
 	if _, err := reader.Peek(1); err != nil {
 		return nil, err
@@ -102,7 +103,7 @@
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
 		return nil, err
 	}
-	timeoutMillis, _ := strconv.Atoi(request.Header.Get(timeoutHeader)) // 0 if it can't be read
+	timeoutMillis, _ := strconv.Atoi(request.Header.Get(timeoutHeader)) // 0 if the header is missing or invalid
 	attempt := &BackendAttempt{
 		ID:          request.Header.Get(idHeader),
 		Backend:     b.Name,
@@ -116,11 +117,12 @@
 	return attempt, nil
 }
 
-// respond answers a request with its id once it is served. It returns false if the connection ended before, as it does
-// in any case where the behavior is to hang.
+// respond waits for the service time and sends the response, whose body is the request's id. It returns false if the
+// connection ended before the response was sent. If the behavior is to hang, it waits for the end of the connection and
+// returns false.
 func respond(conn net.Conn, reader *bufio.Reader, id string, behavior Behavior) bool {
 	if behavior.Hang {
-		reader.ReadByte() // returns as the connection ends: no further request is due on it
+		reader.ReadByte() // returns when the connection ends, since no further request is sent on it
 		return false
 	}
 	peerClosed, stopWatch := watchClose(conn, reader)
@@ -134,8 +136,8 @@
 	}
 }
 
-// watchClose reports the end of a connection on which no bytes are due. stop ends the watch and waits for its
-// goroutine, after which the connection may be read again.
+// watchClose watches for the end of a connection while no bytes are expected on it; it closes peerClosed when the
+// connection ends. stop ends the watch; once it has returned, the connection may be read again.
 func watchClose(conn net.Conn, reader *bufio.Reader) (peerClosed <-chan struct{}, stop func()) {
 	done := make(chan struct{})
 	closed := make(chan struct{})
@@ -146,13 +148,13 @@
 		}
 	}()
 	return closed, func() {
-		conn.SetReadDeadline(time.Unix(1, 0)) // in the past: the watch returns at once
+		conn.SetReadDeadline(time.Unix(1, 0)) // in the past, so that the pending Peek fails at once
 		<-done
 		conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// isTimeout tells whether an error is that of a deadline that has passed.
+// isTimeout reports whether an error was caused by a read or write deadline.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -8,52 +8,55 @@
 	"time"
 )
 
-// Limits of time that gateways are held to. timingMargin is added to those that are measured over sockets.
+// Time limits that gateways have to keep. Check adds timingMargin to those that are measured over sockets.
 const (
-	// closeRaceWindow is how long after it was sent a request may cross the close of its connection, pauses and the
-	// proxy's delays included.
+	// closeRaceWindow is how long after a request was sent its connection may end without a response, because the
+	// gateway was closing the idle connection when the request was sent. It includes pauses of the process and the
+	// delays of the proxy.
 	closeRaceWindow = 300 * time.Millisecond
 
-	// disconnectGrace is how long after its client's close an attempt may still begin.
+	// disconnectGrace is how long after the client has disconnected an attempt of its request may still begin.
 	disconnectGrace = 100 * time.Millisecond
 
-	// timeoutSlack is by how much a timeout sent to a backend may exceed what the client has left.
+	// timeoutSlack is by how much the timeout sent to a backend may exceed the time that the client has left.
 	timeoutSlack = 150 * time.Millisecond
 
-	// readyTimeout is how long after its start a process must be ready.
+	// readyTimeout is the time from the start of a process within which it has to be ready.
 	readyTimeout = 10 * time.Second
 
-	// drainGrace is how long after the notification of a drain an attempt may still begin. The settings of the gateways
-	// state it too.
+	// drainGrace is how long after gateways were notified of the drain of a backend an attempt at it may still begin. It
+	// is also part of the gateways' settings.
 	drainGrace = 2 * time.Second
 
-	// overlapTolerance is by how much two attempts may overlap, since the end of one is seen late.
+	// overlapTolerance is by how much two attempts of a request may overlap in the backends' records, since a backend
+	// notices the end of an attempt late.
 	overlapTolerance = 150 * time.Millisecond
 
-	// killObservationSlack is how long before the recorded SIGKILL its connections may be seen to end.
+	// killObservationSlack is how long before the recorded time of a SIGKILL a client may see its connection to that
+	// process end.
 	killObservationSlack = 50 * time.Millisecond
 )
 
-// Verdict is what Check found. Each request that was sent completely and reached a gateway counts in one of the numbers
-// or has a violation.
+// Verdict is the result of Check. Each request that was sent completely and reached a gateway is counted in one of the
+// numbers or has a violation.
 type Verdict struct {
 	Violations     []Violation
-	ExcusedByKill  int // requests without an answer at a stop's SIGKILL, sent early enough to be excused
-	KilledUnwarned int // requests that ended with a process that got SIGKILL with no SIGTERM before
-	CloseRaces     int // requests that crossed the close of their connection unread
-	Served         int // answered 200
-	Rejected       int // answered 429 or 503
-	Failed         int // answered otherwise
+	ExcusedByKill  int // requests ended by a stop's SIGKILL, sent within KillDelay after SIGTERM
+	KilledUnwarned int // requests ended by a hard kill (see Stop)
+	CloseRaces     int // requests that the gateway never read, as it was closing the idle connection
+	Served         int // answered with 200
+	Rejected       int // answered with 429 or 503
+	Failed         int // answered with another status
 	Disconnected   int // the client disconnected
 }
 
-// processID identifies a process among all gateways'.
+// processID identifies a process among those of all gateways.
 type processID struct {
 	gateway int
 	number  int
 }
 
-// checker joins the records of a run.
+// checker joins the records of a run and collects the verdict.
 type checker struct {
 	history         History
 	backendAttempts map[string][]BackendAttempt // by request id
@@ -61,7 +64,7 @@
 	verdict         Verdict
 }
 
-// Check finds the violations in what was recorded of a run.
+// Check searches the records of a run for violations of the invariants.
 func Check(history History) Verdict {
 	c := newChecker(history)
 	duplicatesChecked := map[string]bool{}
@@ -96,12 +99,13 @@
 	return c
 }
 
-// processOf returns the process that a client was connected to, nil if it is not known.
+// processOf returns the process that the attempt's connection was made to, or nil if it is not known.
 func (c *checker) processOf(attempt *ClientAttempt) *Process {
 	return c.processes[processID{attempt.Gateway, attempt.ProcessNumber}]
 }
 
-// backendAttemptsOf returns the backends' attempts that a client's attempt can have caused.
+// backendAttemptsOf returns the backend attempts that a client attempt may have caused: those of the same request that
+// began after the client attempt began and, unless the client disconnected, before it ended.
 func (c *checker) backendAttemptsOf(attempt *ClientAttempt) []BackendAttempt {
 	var caused []BackendAttempt
 	for _, b := range c.backendAttempts[attempt.ID] {
@@ -113,7 +117,7 @@
 	return caused
 }
 
-// addViolation adds a violation that a client's attempt shows.
+// addViolation adds a violation found in a client attempt.
 func (c *checker) addViolation(invariant Invariant, attempt *ClientAttempt, format string, args ...any) {
 	c.verdict.Violations = append(c.verdict.Violations, Violation{
 		Invariant:       invariant,
@@ -124,19 +128,19 @@
 	})
 }
 
-// addProcessViolation adds a violation that a process shows.
+// addProcessViolation adds a violation found in the record of a process.
 func (c *checker) addProcessViolation(invariant Invariant, process *Process, detail string) {
 	violation := Violation{Invariant: invariant, Detail: detail, Process: process}
 	c.verdict.Violations = append(c.verdict.Violations, violation)
 }
 
-// checkResponse checks that an attempt got its one final answer in time, and counts what became of it.
+// checkResponse checks that an attempt got a complete response in time, and counts the outcome.
 func (c *checker) checkResponse(attempt *ClientAttempt) {
 	switch {
 	case attempt.Disconnected:
 		c.verdict.Disconnected++
 	case attempt.SentAt == 0 || attempt.TargetDialFailed:
-		// The request never was complete, or never reached a gateway: no answer is due.
+		// No response is due: the request was not sent completely, or never reached a gateway.
 	case attempt.Status != 0:
 		c.countResponse(attempt.Status)
 		c.checkResponseTime(attempt)
@@ -156,80 +160,80 @@
 	}
 }
 
-// checkResponseTime checks that a complete answer came in time.
+// checkResponseTime checks that a complete response came in time.
 func (c *checker) checkResponseTime(attempt *ClientAttempt) {
 	if late := attempt.EndedAt - attempt.Deadline(); late > lateResponseLimit+timingMargin {
-		c.addViolation(LostRequest, attempt, "the answer came %.3f s after the client's time", late.Seconds())
+		c.addViolation(LostRequest, attempt, "the response came %.3f s after the client's deadline", late.Seconds())
 	}
 }
 
-// checkMissingResponse judges an attempt without a complete answer. What a SIGKILL or the close of an idle connection
-// excuses is counted; all else is a lost request.
+// checkMissingResponse classifies an attempt without a complete response. It is counted if a SIGKILL or the close of an
+// idle connection excuses it; otherwise it is a lost request.
 func (c *checker) checkMissingResponse(attempt *ClientAttempt) {
 	process := c.processOf(attempt)
 	switch {
-	case endedByKill(attempt, process) && process.hardKilled: // such a process owes no answer
+	case endedByKill(attempt, process) && process.hardKilled: // no response is owed after a hard kill
 		c.verdict.KilledUnwarned++
 	case endedByKill(attempt, process) && attempt.SentAt <= process.SigtermAt+KillDelay:
 		c.verdict.ExcusedByKill++
 	case len(c.backendAttemptsOf(attempt)) > 0:
-		c.addViolation(LostRequest, attempt, "a request that had been sent to a backend got no whole answer")
+		c.addViolation(LostRequest, attempt, "a request that had been sent to a backend got no complete response")
 	case attempt.ResponseStarted:
-		c.addViolation(LostRequest, attempt, "an answer was cut")
+		c.addViolation(LostRequest, attempt, "a response was truncated")
 	case isTimeout(attempt.Err):
-		c.addViolation(LostRequest, attempt, "no answer came by %s after the client's time", lateResponseLimit)
+		c.addViolation(LostRequest, attempt, "no response came within %s after the client's deadline", lateResponseLimit)
 	case attempt.EndedAt-attempt.SentAt > closeRaceWindow:
-		c.addViolation(LostRequest, attempt, "the connection ended %.3f s after the request was whole",
+		c.addViolation(LostRequest, attempt, "the connection ended %.3f s after the request was complete",
 			(attempt.EndedAt - attempt.SentAt).Seconds())
 	case attempt.Resent:
-		c.addViolation(LostRequest, attempt, "the second connection ended with no answer as well")
+		c.addViolation(LostRequest, attempt, "the connection of the resend ended without a response as well")
 	default:
 		c.verdict.CloseRaces++
 	}
 }
 
-// endedByKill tells whether the attempt's connection ended with the SIGKILL of its process.
+// endedByKill reports whether the attempt ended after its process got SIGKILL, allowing for killObservationSlack.
 func endedByKill(attempt *ClientAttempt, process *Process) bool {
 	return process != nil && process.SigkillAt > 0 && attempt.EndedAt >= process.SigkillAt-killObservationSlack
 }
 
-// checkBackendAttempts checks when the backends' attempts began, and which timeout they were sent with.
+// checkBackendAttempts checks the times at which the backend attempts began, and the timeouts sent with them.
 func (c *checker) checkBackendAttempts(attempt *ClientAttempt) {
 	for _, b := range c.backendAttemptsOf(attempt) {
 		if attempt.Disconnected && b.FirstByteAt > attempt.EndedAt+disconnectGrace+timingMargin {
-			c.addViolation(SentAfterDisconnect, attempt, "an attempt began %.3f s after the client had left",
+			c.addViolation(SentAfterDisconnect, attempt, "an attempt began %.3f s after the client had disconnected",
 				(b.FirstByteAt - attempt.EndedAt).Seconds())
 		}
 		notifiedAt, removed := c.history.removalNotifiedAt(b.Backend, b.FirstByteAt)
 		if removed && b.FirstByteAt > notifiedAt+drainGrace+timingMargin {
-			c.addViolation(SentToDrained, attempt, "an attempt began %.3f s after the drain of %s was told",
+			c.addViolation(SentToDrained, attempt, "an attempt began %.3f s after gateways were notified of the drain of %s",
 				(b.FirstByteAt - notifiedAt).Seconds(), b.Backend)
 		}
 		remaining := attempt.Deadline() - b.FirstByteAt
 		if attempt.SentAt > 0 && b.Timeout > remaining+timeoutSlack+timingMargin {
-			c.addViolation(TimeoutTooLong, attempt, "a backend was told %.3f s when %.3f were left",
+			c.addViolation(TimeoutTooLong, attempt, "a backend got a timeout of %.3f s when the client had %.3f s left",
 				b.Timeout.Seconds(), remaining.Seconds())
 		}
 	}
 }
 
-// checkDuplicates checks that a non-idempotent request ran at most once, and that no request had two attempts in flight
-// at once.
+// checkDuplicates checks that a non-idempotent request was executed at most once, and that no request had two attempts
+// in flight at the same time.
 func (c *checker) checkDuplicates(attempt *ClientAttempt) {
 	executions := slices.Clone(c.backendAttempts[attempt.ID])
 	slices.SortFunc(executions, func(a, b BackendAttempt) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
 	if attempt.Class == string(NonIdempotent) && len(executions) > 1 {
-		c.addViolation(DuplicateExecution, attempt, "it ran %d times", len(executions))
+		c.addViolation(DuplicateExecution, attempt, "the request was executed %d times", len(executions))
 	}
 	for i := 1; i < len(executions); i++ {
 		previous := executions[i-1]
 		if previous.EndedAt == 0 || previous.EndedAt > executions[i].ReceivedAt+overlapTolerance {
-			c.addViolation(DuplicateExecution, attempt, "two attempts were out at once")
+			c.addViolation(DuplicateExecution, attempt, "two attempts were in flight at the same time")
 		}
 	}
 }
 
-// checkProcess checks the start and the end of a process.
+// checkProcess checks that a process became ready in time and did not end by itself with an error.
 func (c *checker) checkProcess(process *Process) {
 	startup := process.ReadyAt - process.StartedAt
 	switch {
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// attemptAt is an attempt of the request "a" at the backend "b".
+// attemptAt returns an attempt of the request "a" at the backend "b".
 func attemptAt(firstByteAt, endedAt, timeout time.Duration) BackendAttempt {
 	return BackendAttempt{
 		ID:          "a",
@@ -22,7 +22,7 @@
 	}
 }
 
-// Attempts of a client, for the cases of TestCheck to change.
+// Client attempts that the cases of TestCheckFindsEachViolation use, with changes.
 var (
 	sentAttempt = ClientAttempt{
 		ID:            "a",
@@ -44,20 +44,20 @@
 	return attempt
 }
 
-// nineSecondsIn moves an attempt to nine seconds after the start of the run.
+// nineSecondsIn changes the times of an attempt so that it begins nine seconds after the start of the run.
 func nineSecondsIn(attempt *ClientAttempt) {
 	attempt.FirstByteAt = 9 * time.Second
 	attempt.SentAt = 9 * time.Second
 	attempt.EndedAt = 9050 * ms
 }
 
-// checkCase is what was recorded of one request, and the invariant that it breaks.
+// checkCase holds the records of one request, and the invariant that they violate.
 type checkCase struct {
 	violated        Invariant // "": none
 	change          func(*ClientAttempt)
 	clientAttempt   ClientAttempt
 	backendAttempts []BackendAttempt
-	process         Process // its gateway and number are filled in
+	process         Process // the test sets its gateway and number
 	listChanges     []ListChange
 	outages         []Outage
 }
@@ -72,7 +72,7 @@
 		clientAttempt:   unansweredAttempt,
 		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
 	},
-	"connection ended unread": {
+	"connection closed before the request was read": {
 		clientAttempt: unansweredAttempt,
 	},
 	"connection ended long after the request": {
@@ -195,7 +195,7 @@
 	},
 }
 
-// Check reports each invariant where it is broken, and only there.
+// Check reports a violation of each invariant where there is one, and none elsewhere.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for name, c := range checkCases {
 		t.Run(name, func(t *testing.T) {
@@ -213,9 +213,9 @@
 			})
 			switch {
 			case c.violated == "" && len(verdict.Violations) > 0, c.violated != "" && len(verdict.Violations) != 1:
-				t.Errorf("%v", verdict.Violations)
+				t.Errorf("violations: %v", verdict.Violations)
 			case c.violated != "" && verdict.Violations[0].Invariant != c.violated:
-				t.Errorf("found %s", verdict.Violations[0].Invariant)
+				t.Errorf("found a violation of %q", verdict.Violations[0].Invariant)
 			}
 		})
 	}
--- a/internal/lab/soak/class.go
+++ b/internal/lab/soak/class.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Class is one class of requests in a gateway's settings.
+// Class is a class of requests in the settings of a gateway.
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	Deadline    time.Duration // from a request's arrival to its final answer
+	Deadline    time.Duration // from the arrival of a request to its final response
 }
 
-// Idempotency says how often a request may be executed. Its values are the words of the settings.
+// Idempotency defines whether a request may be executed more than once. Its values are those of the settings.
 type Idempotency string
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = "repeatable"
-	IdempotentByKey Idempotency = "by_key" // the backends execute a request with the same key once
+	IdempotentByKey Idempotency = "by_key" // backends execute requests with the same idempotency key only once
 	NonIdempotent   Idempotency = "once"
 )
 
 const (
-	// KillDelay is the time from the longest deadline after SIGTERM to the earliest SIGKILL.
+	// KillDelay is the time by which the earliest SIGKILL follows the end of the longest deadline, counted from SIGTERM.
+	// See KillAfter.
 	KillDelay = 700 * time.Millisecond
 
-	maxCountedDeadline = 3 * time.Second // a longer deadline counts as this for the earliest SIGKILL
+	maxCountedDeadline = 3 * time.Second // KillAfter counts a longer deadline as this
 )
 
-// KillAfter is the time from SIGTERM to the earliest SIGKILL.
+// KillAfter returns the time from SIGTERM to the earliest SIGKILL: the longest deadline of the classes, of which
+// at most 3 s count, plus KillDelay.
 func KillAfter(classes []Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// ClientAttempt is what a client saw of sending a request once. Times are of the run's clock.
+// ClientAttempt is a client's record of sending a request once. Times are on the run's clock.
 type ClientAttempt struct {
 	ID               string // of the request
 	Class            string
 	Gateway          int           // number
 	ProcessNumber    int           // number of the gateway's process when the connection was made, from 1
-	Resent           bool          // sent again, since the first connection ended with no byte of an answer
+	Resent           bool          // second sending, after the first connection ended without any byte of a response
 	FirstByteAt      time.Duration // when the first byte was sent
-	SentAt           time.Duration // when the last byte was sent; 0: it never was
+	SentAt           time.Duration // when the last byte was sent; 0: the request was not sent completely
 	Timeout          time.Duration // how long the client waits, from SentAt
-	EndedAt          time.Duration // when the answer was complete or the client stopped waiting
-	Disconnected     bool          // the client closed the connection
-	TargetDialFailed bool          // the connection never reached the gateway
-	Status           int           // of the complete answer; 0: there is none
-	ResponseStarted  bool          // some bytes of an answer came
-	Err              error         // why there is no complete answer
+	EndedAt          time.Duration // when the response was complete, or the client stopped waiting
+	Disconnected     bool          // the client closed the connection before the response was complete
+	TargetDialFailed bool          // the proxy in front of the gateway could not connect to it
+	Status           int           // of the complete response; 0: there is none
+	ResponseStarted  bool          // at least one byte of a response came
+	Err              error         // why there is no complete response
 }
 
-// Deadline is when the client's timeout is over.
+// Deadline returns the time at which the client's timeout ends.
 func (a ClientAttempt) Deadline() time.Duration { return a.SentAt + a.Timeout }
 
-// Conn is one connection of a client to a gateway.
+// Conn is a connection of a client to a gateway.
 type Conn struct {
 	net.Conn
 	reader        *bufio.Reader
@@ -41,7 +41,8 @@
 	proxy         *Proxy // between client and gateway; nil: none
 }
 
-// Dial connects a client to an address.
+// Dial opens a connection to the address of a gateway or of the proxy in front of it. gateway and processNumber are
+// recorded in the attempts on the connection.
 func Dial(clock Clock, address string, gateway, processNumber int) (*Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -56,18 +57,18 @@
 	}, nil
 }
 
-// closeProbeTimeout is how long PeerClosed waits for the end of an idle connection.
+// closeProbeTimeout is how long PeerClosed waits for the close of an idle connection to show.
 const closeProbeTimeout = 100 * time.Microsecond
 
-// PeerClosed tells whether the gateway has closed an idle connection, as far as its client can know.
+// PeerClosed reports whether the gateway has closed the idle connection, as far as the client can see yet.
 func (c *Conn) PeerClosed() bool {
 	c.SetReadDeadline(time.Now().Add(closeProbeTimeout))
 	_, err := c.reader.Peek(1)
 	return !isTimeout(err)
 }
 
-// Do sends a request and waits for its answer, until the latest moment at which one would count. reusable tells whether
-// another request may follow on the connection.
+// Do sends a request and waits for its response, until the latest time at which a response still counts. reusable
+// reports whether another request may be sent on the connection.
 func (c *Conn) Do(request Request) (attempt ClientAttempt, reusable bool) {
 	attempt = ClientAttempt{
 		ID:            request.ID,
@@ -81,14 +82,15 @@
 	c.SetReadDeadline(time.Now().Add(timeout))
 	reusable = c.receive(request, &attempt)
 	attempt.EndedAt = c.clock.Now()
-	// A client may disconnect in the middle of an answer too, and then what it has read of it can't be parsed.
+	// A client may also disconnect in the middle of a response. Then the error is that of parsing a truncated response,
+	// so the disconnect is recognized by the time and not by the error.
 	attempt.Disconnected = attempt.Err != nil && attempt.SentAt > 0 && request.DisconnectAfter > 0 &&
 		attempt.EndedAt >= attempt.SentAt+request.DisconnectAfter
 	attempt.TargetDialFailed = c.proxy != nil && c.proxy.TargetDialFailed(c.LocalAddr())
 	return attempt, reusable
 }
 
-// send writes a request and returns how long the client waits for an answer from now on.
+// send writes a request and returns how long the client waits for the response from now on.
 func (c *Conn) send(request Request, attempt *ClientAttempt) time.Duration {
 	attempt.Err = c.writeRequest(request)
 	if attempt.Err != nil {
@@ -101,7 +103,7 @@
 	return request.Timeout + lateResponseLimit + timingMargin
 }
 
-// writeRequest writes a request, in as many pieces as it says.
+// writeRequest writes a request in request.Pieces pieces.
 func (c *Conn) writeRequest(request Request) error {
 	text := request.encode()
 	pieces := max(request.Pieces, 1)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// receive reads the answer, and tells whether the connection may be used again.
+// receive reads the response into attempt. reusable reports whether the connection may be used again.
 func (c *Conn) receive(request Request, attempt *ClientAttempt) (reusable bool) {
 	if _, err := c.reader.Peek(1); err != nil {
 		attempt.Err = err
@@ -134,7 +136,7 @@
 	return !response.Close && attempt.Err == nil
 }
 
-// readResponse reads a complete response. One of status 200 must have the request's id as its body.
+// readResponse reads a complete response. The body of a response with status 200 has to be the request's id.
 func (c *Conn) readResponse(id string) (*http.Response, error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -145,7 +147,7 @@
 		return nil, err
 	}
 	if response.StatusCode == http.StatusOK && string(body) != id {
-		return nil, fmt.Errorf("answered with %q", body)
+		return nil, fmt.Errorf("response body is %q, not the request's id", body)
 	}
 	return response, nil
 }
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// A client that disconnects is told apart from one whose connection the gateway closed during an answer, wherever in
-// the answer that is.
+// An attempt is recorded as disconnected if the client closed the connection, and not if the gateway did, wherever in
+// the response that happens.
 func TestDisconnectIsDistinguishedFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		response        string
-		disconnectAfter time.Duration // 0: the client stays
+		disconnectAfter time.Duration // 0: the client does not disconnect
 		gatewayCloses   bool
 		disconnected    bool
 		status          int
@@ -64,7 +64,7 @@
 	}
 }
 
-// connectedPair returns both ends of a connection over loopback, which the test's end closes.
+// connectedPair returns both ends of a connection over loopback, which are closed at the end of the test.
 func connectedPair(t *testing.T) (client *Conn, gateway *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lab/soak/clock.go
+++ b/internal/lab/soak/clock.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Clock tells the time since the start of a run. It is monotonic, and all records of a run share one.
+// Clock measures the time since the start of a run. It is monotonic; all records of a run use the same clock.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (c Clock) Now() time.Duration { return time.Since(c.start) }
 
 // At converts a time since the start to a time.Time, for timers and deadlines.
--- a/internal/lab/soak/discoveryfaults.go
+++ b/internal/lab/soak/discoveryfaults.go
@@ -6,14 +6,14 @@
 	"amberlb/internal/gateway"
 )
 
-// Lifecycles of an entry in the list of backends.
+// Lifecycle values of an entry in the list of backends.
 const (
 	lifecycleReady    = "Ready"
 	lifecycleDraining = "Terminating"
 	lifecycleRemoved  = "Gone"
 )
 
-// runDrains plays the drains: each backend drains, is removed from the list and comes back.
+// runDrains carries out the planned drains: each backend is listed as draining, removed from the list, and added again.
 func (r *runner) runDrains(ctx context.Context) {
 	for _, drain := range r.plan.Drains {
 		if !r.sleepUntil(ctx, drain.DrainAt) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// setLifecycle changes a backend's entry in the list, and records the change.
+// setLifecycle changes the lifecycle of a backend in the list, and records the change.
 func (r *runner) setLifecycle(backend int, lifecycle string) {
 	entry := r.standins.entries[backend]
 	entry.Lifecycle = lifecycle
@@ -42,7 +42,7 @@
 	r.listChanges = append(r.listChanges, change)
 }
 
-// runOutages plays the outages of discovery.
+// runOutages carries out the planned outages of discovery.
 func (r *runner) runOutages(ctx context.Context) {
 	for _, outage := range r.plan.Outages {
 		if !r.sleepUntil(ctx, outage.From) {
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,10 +1,12 @@
-// Package soak runs gateways, each a process of its own, under faults that a seed draws, and checks what became of
-// every request. The faults are series of signals, restarts, backends that hang, paused processes, clients that keep
-// using open connections until the SIGKILL, write slowly, disconnect, or use up the file descriptors, and a proxy in
-// front of each gateway that delays and splits bytes.
+// Package soak runs gateways, each in its own process, injects random faults, and checks the outcome of every request.
+// Gateways get signals, are paused, killed and restarted. Backends hang, drain and return, and discovery has outages.
+// Clients keep using open connections until the SIGKILL, write slowly, disconnect, or use up the file descriptors of a
+// gateway. Proxies in front of gateways and backends delay and split bytes; those in front of backends also reset
+// connections.
 //
-// NewPlan draws a plan, Run plays it and Check judges what was recorded. Clients and backends each keep records with
-// times of one monotonic clock. Check joins the records and names each request that was lost, answered late, executed
-// twice, sent with too long a timeout, or sent after its client had disconnected. The invariants are those of the
-// protocol's description; requests that it excuses are counted separately.
+// NewPlan generates a plan from a seed, Run carries it out, and Check examines the records. Clients and backends keep
+// their records separately, with times on one monotonic clock. Check joins them by the ids of the requests, and reports
+// each request that was lost, answered late, executed twice, sent to a backend with too long a timeout, or sent to a
+// backend after its client had disconnected. The invariants are those of the protocol's description; requests that the
+// description excuses are counted separately.
 package soak
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -9,26 +9,27 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// startTimeout is how long is waited for a gateway to be ready.
+// startTimeout is how long startProcess waits for a gateway to be ready.
 const startTimeout = 30 * time.Second
 
-// gatewayNode is one gateway, of which one process runs at a time, and the proxy in front of it.
+// gatewayNode is a gateway with the proxy in front of it. The gateway has at most one running process at a time; each
+// restart starts a new one.
 type gatewayNode struct {
 	number  int
 	options GatewayOptions
 	proxy   *Proxy
 
-	// The goroutine that plays the gateway's stops owns these.
-	process *gatewayprocess.Gateway // nil while none runs
-	current Process                 // record of the process that runs
+	// Used only by the goroutine that starts or stops the gateway at the time.
+	process *gatewayprocess.Gateway // the running process; nil: none
+	current Process                 // record of the running process
 
 	mu             sync.Mutex
-	processNumber  int  // of the process that runs, or of the last one
-	inRotation     bool // clients open new connections to it
-	lastHardKilled int  // number of the last process that got SIGKILL with no SIGTERM before
+	processNumber  int  // of the running process, or of the last one
+	inRotation     bool // clients open new connections to the gateway
+	lastHardKilled int  // number of the last process with a hard kill; 0: none
 }
 
-// newGatewayNode starts the proxy of a gateway, which has no process yet.
+// newGatewayNode creates a gateway and starts its proxy, but no process yet.
 func (r *runner) newGatewayNode(number int) (*gatewayNode, error) {
 	address, err := gatewayprocess.FreeAddress()
 	if err != nil {
@@ -49,7 +50,7 @@
 	return &gatewayNode{number: number, options: options, proxy: proxy}, nil
 }
 
-// close kills the process, if one runs, and closes the proxy.
+// close kills the running process, if there is one, and closes the proxy.
 func (n *gatewayNode) close() {
 	if n.process != nil {
 		n.process.Close()
@@ -57,7 +58,7 @@
 	n.proxy.Close()
 }
 
-// nextProcessNumber counts one more process and returns its number.
+// nextProcessNumber counts the process that is about to start, and returns its number.
 func (n *gatewayNode) nextProcessNumber() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,7 +66,7 @@
 	return n.processNumber
 }
 
-// rotation returns the number of the process that runs, and whether clients open new connections to it.
+// rotation returns the number of the running process, and whether clients open new connections to it.
 func (n *gatewayNode) rotation() (processNumber int, inRotation bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,28 +80,28 @@
 	n.inRotation = inRotation
 }
 
-// setHardKilled notes that the process that runs gets SIGKILL with no SIGTERM before.
+// setHardKilled records that the running process gets a hard kill.
 func (n *gatewayNode) setHardKilled() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastHardKilled = n.processNumber
 }
 
-// wasHardKilled tells whether a process got SIGKILL with no SIGTERM before.
+// wasHardKilled reports whether the process with a number is the last one that got a hard kill.
 func (n *gatewayNode) wasHardKilled(processNumber int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lastHardKilled == processNumber
 }
 
-// startProcess starts a gateway's next process, and lets clients connect to it once it is ready.
+// startProcess starts the next process of a gateway, and puts it in rotation once it is ready.
 func (r *runner) startProcess(ctx context.Context, n *gatewayNode) error {
 	n.current = Process{Gateway: n.number, Number: n.nextProcessNumber(), StartedAt: r.clock.Now()}
 	options, err := n.options.ProcessOptions()
 	if err != nil {
 		return err
 	}
-	// The end of the run doesn't kill the process: it is stopped like any other.
+	// Without ctx's cancellation, so that the process is not killed at the end of the run but stopped as in a restart.
 	n.process, err = gatewayprocess.Start(context.WithoutCancel(ctx), r.options.Program, options)
 	if err != nil {
 		return err
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// recordEnd waits for the end of a gateway's process, by force if it still runs, and records it.
+// recordEnd records the end of a gateway's process. If the process is still running, it is killed first.
 func (r *runner) recordEnd(n *gatewayNode) {
 	n.current.Err = n.process.Close()
 	n.current.EndedAt = r.clock.Now()
--- a/internal/lab/soak/gatewayoptions.go
+++ b/internal/lab/soak/gatewayoptions.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	planName        = "standard" // the settings' only plan
-	gatewayMemoryMB = 192        // limit of a gateway, MiB
+	planName        = "standard" // name of the only customers' plan in the settings
+	gatewayMemoryMB = 192        // memory limit of a gateway, MiB
 )
 
-// GatewayOptions are the configuration of a gateway.
+// GatewayOptions configure one gateway.
 type GatewayOptions struct {
 	Name            string
-	Listen          string // address for clients
-	Discovery       string // address
-	DescriptorLimit int    // file descriptors that it may use
+	Listen          string // address on which it accepts clients
+	Discovery       string // address of discovery
+	DescriptorLimit int    // limit of open file descriptors
 	Classes         []Class
-	Env             []string // environment variables for its program
+	Env             []string // additional environment variables of the process
 }
 
-// ProcessOptions are the options as those of a gateway process.
+// ProcessOptions returns the options for package gatewayprocess, with settings for the classes.
 func (o GatewayOptions) ProcessOptions() (gatewayprocess.Options, error) {
 	settings, err := json.Marshal(newSettings(o.Classes))
 	return gatewayprocess.Options{
@@ -37,7 +37,7 @@
 	}, err
 }
 
-// settings are the deployment settings that a soak needs, by the settings' keys. Times are in seconds.
+// settings are the parts of the deployment settings that the soak sets. Times are in seconds.
 type settings struct {
 	FleetSize   int                `json:"fleetSize"`
 	TickS       float64            `json:"tickS"`
@@ -50,7 +50,7 @@
 	FamilyInfo  familyInfoSettings `json:"familyInfo"`
 }
 
-// allowedSettings are what the gateway is allowed to do.
+// allowedSettings define which measures the gateway may take.
 type allowedSettings struct {
 	Cancel          bool    `json:"cancel"`
 	ConnectTimeoutS float64 `json:"connectTimeoutS"`
@@ -60,13 +60,13 @@
 	MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
 }
 
-// obligationSettings are the limits of time that the gateway has to keep.
+// obligationSettings are the time limits that the gateway has to keep.
 type obligationSettings struct {
 	AnswerSlackS float64 `json:"answerSlackS"`
 	DrainGraceS  float64 `json:"drainGraceS"`
 }
 
-// classSettings are those of one class. The last two are left out unless it is idempotent by key.
+// classSettings are the settings of one class. KeyScope and WindowS are omitted unless the class is idempotent by key.
 type classSettings struct {
 	Name       string      `json:"name"`
 	Effect     Idempotency `json:"effect"`
@@ -78,18 +78,18 @@
 	WindowS    float64     `json:"windowS,omitempty"`
 }
 
-// planSettings are those of one plan.
+// planSettings are the settings of one customers' plan.
 type planSettings struct {
 	Name string  `json:"name"`
 	Pays float64 `json:"pays"`
 }
 
-// familyInfoSettings are those that depend on the kind of deployment.
+// familyInfoSettings are the settings that depend on the kind of deployment.
 type familyInfoSettings struct {
 	MostUnits float64 `json:"mostUnits"`
 }
 
-// newSettings returns the settings of a gateway that serves these classes.
+// newSettings returns the settings of a gateway that serves the given classes.
 func newSettings(classes []Class) settings {
 	s := settings{
 		FleetSize:  1,
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// History is all that was recorded in a run. All times in it are of the run's clock.
+// History holds all records of a run. All times are on the run's clock.
 type History struct {
 	ClientAttempts  []ClientAttempt
 	BackendAttempts []BackendAttempt
@@ -11,49 +11,49 @@
 	Outages         []Outage     // of discovery
 }
 
-// Process is one process of a gateway, from its start to its end.
+// Process is the record of one process of a gateway, from its start to its end.
 type Process struct {
 	Gateway    int // number
-	Number     int // of the gateway's processes, from 1
+	Number     int // counts the processes of the gateway, from 1
 	StartedAt  time.Duration
 	ReadyAt    time.Duration
 	SigtermAt  time.Duration // 0: it got no SIGTERM
 	SigkillAt  time.Duration // 0: it got no SIGKILL
 	EndedAt    time.Duration // 0: it did not end
-	Err        error         // of its end: nil for exit status 0 alone
-	Log        string        // the end of its log
+	Err        error         // how it ended; nil only for exit status 0
+	Log        string        // the last part of its log
 	signals    []signalRecord
-	hardKilled bool // it got SIGKILL with no SIGTERM before
+	hardKilled bool // it got a hard kill (see Stop), or SIGKILL because the run was interrupted during its start
 	neverReady bool
 }
 
-// signalRecord is a signal that a process got.
+// signalRecord is the record of a signal sent to a process.
 type signalRecord struct {
 	At   time.Duration
 	Name string
 }
 
-// ListChange is a change of one entry of the list of backends.
+// ListChange is the record of a change of one entry in the list of backends.
 type ListChange struct {
 	Backend string
 	At      time.Duration
-	Ready   bool // else it drains, or is removed
+	Ready   bool // true: the backend is in service; false: it drains or is removed
 }
 
 const (
-	watchDelay     = 300 * time.Millisecond // within this, a watch notifies the gateways of a change
-	maxNotifyDelay = 6 * time.Second        // or within this, after an outage of discovery
+	watchDelay     = 300 * time.Millisecond // longest time until an open watch has notified the gateways of a change
+	maxNotifyDelay = 6 * time.Second        // the same after an outage of discovery, when gateways have to open a new watch
 )
 
-// removalNotifiedAt is when gateways count as notified of the last change of a backend before a moment. removed tells
-// whether that change took the backend out of service.
+// removalNotifiedAt returns whether a backend was listed as out of service (draining or removed) at a moment, and the
+// time from which gateways are taken to know it. If the backend was in service, at has no meaning.
 func (h *History) removalNotifiedAt(backend string, moment time.Duration) (at time.Duration, removed bool) {
 	for _, change := range h.ListChanges {
 		if change.Backend != backend || change.At > moment {
 			continue
 		}
 		if !change.Ready && removed {
-			continue // it was out of service already
+			continue // it was already out of service
 		}
 		at = h.notifiedAt(change)
 		removed = !change.Ready
@@ -61,11 +61,11 @@
 	return at, removed
 }
 
-// notifiedAt is when gateways count as notified of a change.
+// notifiedAt returns the time from which gateways are taken to know of a change.
 func (h *History) notifiedAt(change ListChange) time.Duration {
 	at := change.At + watchDelay
 	for _, outage := range h.Outages {
-		// A watch that was silenced by the outage is opened again only after a while.
+		// A watch that was open during the outage stays silent, and gateways open a new one only after a while.
 		if change.At > outage.From-watchDelay && change.At < outage.To+maxNotifyDelay {
 			at = max(change.At, outage.To) + maxNotifyDelay
 		}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Plan is what a run plays. Times in it count from the start of the run. The same seed and duration give the same plan.
+// Plan defines one run of the soak: its gateways, backends and clients, and the faults with their times, which count
+// from the start of the run. The same seed and duration give the same plan. It is unrelated to the plans of customers.
 type Plan struct {
 	Seed              uint64
 	Duration          time.Duration
 	Gateways          int
 	Backends          int
-	HangingBackends   int // number of the backends that hang while a gateway stops
-	ClientsPerGateway int // concurrent clients for each gateway
-	DescriptorLimit   int // file descriptors that a gateway may use
-	IdleConns         int // idle connections that are kept open at each gateway
+	HangingBackends   int // number of backends that hang while a gateway stops
+	ClientsPerGateway int // number of concurrent clients for each gateway
+	DescriptorLimit   int // limit of open file descriptors of a gateway
+	IdleConns         int // number of idle connections held open to each gateway
 	Classes           []Class
 	ClientFaults      NetworkFaults // between clients and gateways
 	BackendFaults     NetworkFaults // between gateways and backends
@@ -24,60 +25,63 @@
 	Outages           []Outage      // of discovery, by time
 }
 
-// Drain takes a backend out of service and brings it back. The backend goes on answering all the while.
+// Drain takes a backend out of service and brings it back. The backend keeps answering requests all the time.
 type Drain struct {
 	Backend   int           // number
-	DrainAt   time.Duration // when the list says that it drains
+	DrainAt   time.Duration // when it is listed as draining
 	RemovedAt time.Duration // when it is removed from the list
-	ReadyAt   time.Duration // when it is back in the list
+	ReadyAt   time.Duration // when it is added to the list again
 }
 
-// Outage is a time in which discovery is silent: connections to it are accepted, but nothing is forwarded on them, then
-// or later.
+// Outage is a time during which discovery does not answer. Connections to it are still accepted, but nothing is
+// forwarded on them, not even after the outage.
 type Outage struct{ From, To time.Duration }
 
-// Stop is one restart of a gateway: a series of signals, SIGKILL at the earliest moment if the process has not ended,
-// and a start soon after its end.
+// Stop is one restart of a gateway. Its process gets SIGTERM and other signals and, if it has not ended by then, SIGKILL
+// at the earliest time that the protocol allows (see KillAfter). A new process is started soon after its end. In a hard
+// kill, the process gets only SIGKILL, with no SIGTERM before, and owes no responses to the requests that it had.
 type Stop struct {
 	Gateway            int             // number
-	At                 time.Duration   // of SIGTERM
-	Signals            []PlannedSignal // beside that SIGTERM
-	OutOfRotationDelay time.Duration   // from SIGTERM until clients open no new connections to the gateway
+	At                 time.Duration   // of SIGTERM, or of SIGKILL in a hard kill
+	Signals            []PlannedSignal // signals in addition to SIGTERM
+	OutOfRotationDelay time.Duration   // from At until clients open no new connections to the gateway
 	RestartDelay       time.Duration   // from the end of the process to the next start
-	HardKill           bool            // the process gets SIGKILL alone, with no SIGTERM before
+	HardKill           bool            // end the process by a hard kill
 }
 
-// PlannedSignal is one more signal of a stop. SIGSTOP and SIGCONT as a pair pause the process.
+// PlannedSignal is a signal that is sent in a stop in addition to its SIGTERM. A pair of SIGSTOP and SIGCONT pauses the
+// process.
 type PlannedSignal struct {
-	Offset time.Duration // since SIGTERM; below 0: before it
+	Offset time.Duration // from SIGTERM; negative: before it
 	Signal syscall.Signal
 }
 
-// longestDeadlines are those that plans draw from: some far below and above what counts for a SIGKILL, and that of an
-// incident.
+// longestDeadlines are the longest deadlines of classes that a plan may have. They lie far below maxCountedDeadline, at
+// it, and above it; one is that of an incident.
 var longestDeadlines = []time.Duration{
 	300 * time.Millisecond,
 	600 * time.Millisecond,
 	1200 * time.Millisecond,
-	2412 * time.Millisecond, // the incident's
+	2412 * time.Millisecond, // that of the incident
 	3 * time.Second,
 	4500 * time.Millisecond,
 }
 
 const (
-	earliestFault = 1500 * time.Millisecond // clients are at work by then
+	earliestFault = 1500 * time.Millisecond // by then, clients are sending requests
 	endMargin     = 500 * time.Millisecond  // from the last fault to the end of the run
 
-	maxPause              = 150 * time.Millisecond // of a process, by SIGSTOP
+	maxPause              = 150 * time.Millisecond // of a process between SIGSTOP and SIGCONT
 	minOutOfRotationDelay = 200 * time.Millisecond
 	maxOutOfRotationDelay = 400 * time.Millisecond
 	maxOutage             = 3 * time.Second
 
-	lowDescriptorLimit     = 192 // file descriptors of a gateway with as many idle connections
+	lowDescriptorLimit     = 192 // with as many idle connections, so that the gateway runs out of file descriptors
 	defaultDescriptorLimit = 1024
 )
 
-// NewPlan draws a plan. The order of the draws is part of what a seed means: a change of it makes every seed another.
+// NewPlan generates a random plan from a seed. The order of the calls of the random number generator must not change, or
+// every seed would give another plan than before.
 func NewPlan(seed uint64, duration time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	longestDeadline := longestDeadlines[rng.IntN(len(longestDeadlines))]
@@ -103,7 +107,7 @@
 	return p
 }
 
-// newClasses draws a class of each kind of idempotency. At least one has the longest deadline.
+// newClasses generates a class of each kind of idempotency. At least one has the longest deadline.
 func newClasses(rng *rand.Rand, longestDeadline time.Duration) []Class {
 	var classes []Class
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
@@ -120,7 +124,7 @@
 	return classes
 }
 
-// newClientFaults draws the faults between clients and gateways.
+// newClientFaults generates the network faults between clients and gateways.
 func newClientFaults(rng *rand.Rand) NetworkFaults {
 	if rng.IntN(2) != 0 {
 		return NetworkFaults{}
@@ -131,7 +135,7 @@
 	}
 }
 
-// newBackendFaults draws the faults between gateways and backends.
+// newBackendFaults generates the network faults between gateways and backends.
 func newBackendFaults(rng *rand.Rand) NetworkFaults {
 	if rng.IntN(2) != 0 {
 		return NetworkFaults{}
@@ -144,7 +148,7 @@
 	}
 }
 
-// newDrains draws which backends drain and when. Most never do, and no two at a time.
+// newDrains chooses which backends drain and when. Most backends never drain, and no two drain at the same time.
 func newDrains(rng *rand.Rand, backends int, duration time.Duration) []Drain {
 	if rng.IntN(2) == 0 {
 		return nil
@@ -163,7 +167,7 @@
 	}
 }
 
-// newOutages draws at most one outage of discovery, and none in a short run.
+// newOutages generates at most one outage of discovery, and none in a short run.
 func newOutages(rng *rand.Rand, duration time.Duration) []Outage {
 	if rng.IntN(3) != 0 || duration <= 4*maxOutage {
 		return nil
@@ -172,7 +176,7 @@
 	return []Outage{{From: from, To: from + randomDuration(rng, time.Second, maxOutage)}}
 }
 
-// newStops draws the stops of all gateways in turn. The next gateway's stop may begin before the last one's end.
+// newStops generates the stops, in which the gateways take turns. A stop may begin before the previous one has ended.
 func newStops(rng *rand.Rand, gateways int, killAfter, duration time.Duration) []Stop {
 	maxInterval := killAfter + time.Second
 	var stops []Stop
@@ -183,7 +187,7 @@
 	return stops
 }
 
-// newStop draws the signals of a stop.
+// newStop generates one stop.
 func newStop(rng *rand.Rand, gateway int, at time.Duration) Stop {
 	s := Stop{
 		Gateway:            gateway,
@@ -215,7 +219,7 @@
 	return s
 }
 
-// randomDuration draws a time from low up to high, which is above low.
+// randomDuration returns a random duration of at least low and less than high, which has to be above low.
 func randomDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Int64N(int64(high-low)))
 }
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// The same seed gives the same plan, another seed another one.
+// The same seed gives the same plan, and another seed a different one.
 func TestSeedDeterminesPlan(t *testing.T) {
 	first := NewPlan(7, time.Minute)
 	same := NewPlan(7, time.Minute)
 	other := NewPlan(8, time.Minute)
 	if len(first.Stops) == 0 || len(first.Stops) != len(same.Stops) || first.Stops[0].At != same.Stops[0].At ||
 		first.Backends != same.Backends {
-		t.Errorf("%+v\n%+v", first, same)
+		t.Errorf("plans of the same seed have no stops or differ:\n%+v\n%+v", first, same)
 	}
 	if first.Stops[0].RestartDelay == other.Stops[0].RestartDelay {
-		t.Error("two seeds give one plan")
+		t.Error("seeds 7 and 8 give the same first restart delay")
 	}
 	for seed := range uint64(200) {
 		plan := NewPlan(seed, 10*time.Second)
--- a/internal/lab/soak/protocol.go
+++ b/internal/lab/soak/protocol.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The protocol's headers that the stand-ins read or write.
+// Header fields of the protocol that the clients or backends of the soak read or write.
 const (
 	idHeader      = "X-Correlation-Id"
-	timeoutHeader = "X-Time-Left-Ms" // milliseconds that the sender waits for the answer
+	timeoutHeader = "X-Time-Left-Ms" // milliseconds for which the sender waits for the response
 	classHeader   = "X-Service-Class"
 	planHeader    = "X-Tier"
 	clientHeader  = "X-Api-Key"
@@ -13,11 +13,11 @@
 	termsHeader   = "X-Call-Terms"
 )
 
-// Limits of time that both the clients and Check go by.
+// Time limits that both the clients and Check use.
 const (
-	lateResponseLimit = 500 * time.Millisecond // an answer so long after the client's deadline still counts as one
-	timingMargin      = 50 * time.Millisecond  // measured over sockets, every limit is so much longer
+	lateResponseLimit = 500 * time.Millisecond // after the client's deadline, within which a response is still accepted
+	timingMargin      = 50 * time.Millisecond  // added to every limit that is measured over sockets
 )
 
-// dialTimeout is how long clients and proxies wait for a connection.
+// dialTimeout is how long clients and proxies wait for a connection to be established.
 const dialTimeout = time.Second
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -7,16 +7,15 @@
 	"time"
 )
 
-// NetworkFaults is what a proxy does to the bytes that pass it. The zero value forwards them as they come.
+// NetworkFaults define the faults that a proxy injects into connections. With the zero value it injects none.
 type NetworkFaults struct {
-	MaxDelay      time.Duration // each piece is delayed by a random time below this
-	SplitShare    float64       // share of the pieces that are forwarded in two
-	ResetShare    float64       // share of the connections that are reset at a random moment of their use
-	MaxResetDelay time.Duration // such a connection is reset within this time of its start
+	MaxDelay      time.Duration // each piece (the bytes of one read) is delayed by a random time below this
+	SplitShare    float64       // share of the pieces that are forwarded in two parts
+	ResetShare    float64       // share of the connections that are reset at a random time
+	MaxResetDelay time.Duration // time from the start of a connection within which it is reset
 }
 
-// Proxy forwards the bytes of connections to another address, with faults. Its methods may be called from many
-// goroutines.
+// Proxy forwards connections to a target address and injects faults into them. Its methods may be called concurrently.
 type Proxy struct {
 	acceptor
 	target string
@@ -24,12 +23,12 @@
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	failedDials    map[string]bool // addresses of clients for which the target could not be reached
-	blackholed     bool            // no bytes pass
+	failedDials    map[string]bool // addresses of clients for whose connections the dial of the target failed
+	blackholed     bool            // nothing is forwarded
 	blackholeStart chan struct{}   // closed when the next blackhole begins
 }
 
-// StartProxy starts a proxy on a port of loopback that the system chooses.
+// StartProxy starts a proxy on a port of 127.0.0.1 that the system chooses.
 func StartProxy(target string, faults NetworkFaults, seed uint64) (*Proxy, error) {
 	p := &Proxy{
 		target:         target,
@@ -45,15 +44,15 @@
 	return p, nil
 }
 
-// TargetDialFailed tells whether the connection of a client from this address never reached the target.
+// TargetDialFailed reports whether the proxy could not connect to the target for the connection from a client address.
 func (p *Proxy) TargetDialFailed(client net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failedDials[client.String()]
 }
 
-// SetBlackhole stops all forwarding, or resumes it. Bytes that a connection carried during a blackhole are lost, so
-// such a connection stays silent until one of its ends closes it.
+// SetBlackhole begins or ends a blackhole. Connections that are open at any time during a blackhole drop all bytes from
+// then on, even after it, until one of their ends closes them. Connections opened later are forwarded as usual.
 func (p *Proxy) SetBlackhole(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +63,8 @@
 	p.blackholed = on
 }
 
-// blackholeStarted returns a channel that is closed once a connection that begins now is in a blackhole.
+// blackholeStarted returns a channel that is closed once there is a blackhole. During a blackhole, the channel is
+// already closed.
 func (p *Proxy) blackholeStarted() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,21 +76,21 @@
 	return p.blackholeStart
 }
 
-// recordFailedDial records that the connection of a client never reached the target.
+// recordFailedDial records that the dial of the target failed for the connection of a client.
 func (p *Proxy) recordFailedDial(client net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failedDials[client.String()] = true
 }
 
-// randomlyTrue is true for a share of its calls.
+// randomlyTrue returns true for a share of its calls, at random.
 func (p *Proxy) randomlyTrue(share float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64() < share
 }
 
-// randomDelay draws a time below limit; it is 0 where limit is.
+// randomDelay returns a random duration below limit, or 0 if limit is not above 0.
 func (p *Proxy) randomDelay(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/internal/lab/soak/proxyforward.go
+++ b/internal/lab/soak/proxyforward.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// proxyBufferBytes is the most that a proxy forwards as one piece.
+// proxyBufferBytes is the largest size of a piece.
 const proxyBufferBytes = 16 << 10
 
-// forward carries one connection until both of its directions have ended.
+// forward forwards one connection until both of its directions have ended.
 func (p *Proxy) forward(downstream *net.TCPConn) {
 	conn, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
@@ -35,8 +35,8 @@
 	directions.Wait()
 }
 
-// copyOneWay carries one direction of a connection, its end included. Once blackholed is closed, it drops what it
-// reads.
+// copyOneWay forwards one direction of a connection, including its end or its reset. Once blackholed is closed, it drops
+// the bytes that it reads.
 func (p *Proxy) copyOneWay(to, from *net.TCPConn, blackholed <-chan struct{}) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
@@ -49,7 +49,7 @@
 			continue
 		}
 		if n > 0 && p.writePiece(to, buffer[:n]) != nil {
-			from.Close() // the receiver is gone, so what is still sent can't be forwarded
+			from.Close() // the receiver has closed, so further bytes can't be forwarded
 			return
 		}
 		switch {
@@ -63,7 +63,7 @@
 	}
 }
 
-// isClosed tells whether a channel on which nothing is sent is closed.
+// isClosed reports whether a channel is closed. Nothing may ever be sent on the channel.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
@@ -73,7 +73,7 @@
 	}
 }
 
-// writePiece forwards a piece, delayed or in two where the faults have it so.
+// writePiece forwards a piece, delayed and in two parts if the faults say so.
 func (p *Proxy) writePiece(to net.Conn, piece []byte) error {
 	if p.faults.MaxDelay > 0 {
 		time.Sleep(p.randomDelay(p.faults.MaxDelay))
@@ -90,7 +90,7 @@
 	return err
 }
 
-// resetConns closes connections with a reset.
+// resetConns closes connections with a TCP reset.
 func resetConns(conns ...*net.TCPConn) {
 	for _, conn := range conns {
 		conn.SetLinger(0)
--- a/internal/lab/soak/request.go
+++ b/internal/lab/soak/request.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Request is what a client sends.
+// Request is a request of a client.
 type Request struct {
 	ID              string
 	Class           string // name of its class
 	Method          string
 	Key             string        // idempotency key; "": none
-	BodyBytes       int           // bytes
-	Timeout         time.Duration // how long the client waits for the answer, from the last byte sent
-	Pieces          int           // number of pieces that it is written in; 0 stands for 1
-	PieceGap        time.Duration // between two pieces
-	DisconnectAfter time.Duration // from the last byte sent until the client closes the connection; 0: it does not
+	BodyBytes       int           // size of the body in bytes
+	Timeout         time.Duration // how long the client waits for the response, from the last byte sent
+	Pieces          int           // number of pieces in which it is written; 0 means 1
+	PieceGap        time.Duration // pause between two pieces
+	DisconnectAfter time.Duration // time from the last byte sent until the client closes the connection; 0: it does not
 }
 
-// encode is the request as HTTP.
+// encode returns the request in HTTP/1.1 format.
 func (q Request) encode() string {
 	const clientID = 7
 	var text strings.Builder
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -10,17 +10,17 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// settleTime is waited after the end of the last gateway, for attempts to end at the backends.
+// settleTime is the wait after the end of the last gateway, so that the backends see the end of all attempts.
 const settleTime = 2 * time.Second
 
-// Options are those of a run.
+// Options configure a run.
 type Options struct {
 	Program gatewayprocess.Program
-	Env     []string // environment variables for the program
+	Env     []string // additional environment variables of the gateways
 	Log     *slog.Logger
 }
 
-// Result is what a run gave.
+// Result is the result of a run.
 type Result struct {
 	Plan    Plan
 	History History
@@ -28,7 +28,7 @@
 	Partial bool // the run was interrupted
 }
 
-// runner plays one plan.
+// runner carries out one plan.
 type runner struct {
 	plan     Plan
 	options  Options
@@ -38,13 +38,13 @@
 
 	mu             sync.Mutex
 	clientAttempts []ClientAttempt
-	processes      []Process // those that have ended
+	processes      []Process // processes that have ended
 	listChanges    []ListChange
 	requestCount   int
 }
 
-// Run plays a plan and checks what was recorded. The error is that of a run that could not be set up. All that was
-// started has ended when Run returns.
+// Run carries out a plan and checks the records. It returns an error if the run could not be set up. When Run returns,
+// everything that it started has ended.
 func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
 	r := &runner{plan: plan, options: options, clock: NewClock()}
 	defer r.close()
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// runPlan runs the clients and plays the faults until the plan's duration is over. It returns true if ctx ended before.
+// runPlan runs the clients and injects the faults until the plan's duration is over. interrupted is true if ctx ended
+// before.
 func (r *runner) runPlan(ctx context.Context) (interrupted bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Until(r.clock.At(r.plan.Duration)))
 	defer cancel()
@@ -96,7 +97,7 @@
 	return !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// history returns what was recorded. It is called once all that records has ended.
+// history returns all records. It may be called only when everything that adds records has ended.
 func (r *runner) history() History {
 	return History{
 		ClientAttempts:  r.clientAttempts,
@@ -107,7 +108,7 @@
 	}
 }
 
-// close ends what is still running.
+// close stops everything that is still running.
 func (r *runner) close() {
 	for _, n := range r.gateways {
 		n.close()
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	minServiceTime = 2 * time.Millisecond // of a backend
+	minServiceTime = 2 * time.Millisecond // service times of the backends
 	maxServiceTime = 40 * time.Millisecond
-	hangLead       = 200 * time.Millisecond // from when backends begin to hang to the SIGTERM
+	hangLead       = 200 * time.Millisecond // time before SIGTERM at which backends begin to hang
 )
 
-// standins are the services that the gateways of a run talk to. Each is reached through a proxy. The zero value has
-// none.
+// standins are the stand-ins of a run: backends and discovery. Gateways reach each of them through a proxy. In the zero
+// value, none is started.
 type standins struct {
 	backends       []*Backend
-	backendProxies []*Proxy                // in front of the backends, by number
-	entries        []gateway.EndpointEntry // of the backends in the list, by number
+	backendProxies []*Proxy                // in front of the backends, by number of the backend
+	entries        []gateway.EndpointEntry // entries of the backends in discovery's list, by number of the backend
 	discovery      *discovery.Server
 	discoveryProxy *Proxy
 }
 
-// start starts the stand-ins. What was started before an error is ended by close.
+// start starts the stand-ins. After an error, close has to be called too, to stop those that were already started.
 func (s *standins) start(ctx context.Context, plan Plan, clock Clock) error {
 	for number := range plan.Backends {
 		if err := s.startBackend(number, plan, clock); err != nil {
@@ -36,7 +36,7 @@
 		}
 	}
 	s.discovery = discovery.New(slices.Clone(s.entries), discovery.Options{})
-	// The end of the run doesn't end discovery: the gateways still need it while they stop.
+	// Without ctx's cancellation: gateways still need discovery while they are stopped at the end of the run.
 	address, err := s.discovery.Start(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return err
 }
 
-// startBackend starts a backend and its proxy, and adds it to the entries.
+// startBackend starts a backend and its proxy, and adds its entry to entries.
 func (s *standins) startBackend(number int, plan Plan, clock Clock) error {
 	b, err := StartBackend(fmt.Sprintf("b-%d", number), clock, newBehavior(plan, number))
 	if err != nil {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// newBehavior returns the behavior of the backend with a number. Some backends hang from just before a SIGTERM to the
-// SIGKILL after it.
+// newBehavior returns a function that returns the behavior of the backend with a number at a time. During each stop of a
+// gateway, from hangLead before SIGTERM until the time of the SIGKILL, plan.HangingBackends backends hang.
 func newBehavior(plan Plan, number int) func(now time.Duration) Behavior {
 	rng := rand.New(rand.NewPCG(plan.Seed, uint64(100+number)))
 	killAfter := KillAfter(plan.Classes)
@@ -87,7 +87,7 @@
 	}
 }
 
-// backendAttempts returns what all backends have seen so far.
+// backendAttempts returns the attempts that all backends have received so far.
 func (s *standins) backendAttempts() []BackendAttempt {
 	var attempts []BackendAttempt
 	for _, b := range s.backends {
@@ -96,7 +96,7 @@
 	return attempts
 }
 
-// close ends what was started.
+// close stops the stand-ins that were started.
 func (s *standins) close() {
 	for _, proxy := range s.backendProxies {
 		proxy.Close()
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -11,10 +11,10 @@
 	"amberlb/internal/lab/ctxtime"
 )
 
-// stopLead is how long before a stop's SIGTERM the stop begins, since some of its signals may come before.
+// stopLead is how long before SIGTERM the handling of a stop begins, since a plan may send other signals before SIGTERM.
 const stopLead = time.Second
 
-// runStops plays the stops of one gateway, each with the restart after it.
+// runStops carries out the planned stops of one gateway, each with the restart after it.
 func (r *runner) runStops(ctx context.Context, n *gatewayNode) {
 	for _, stop := range r.plan.Stops {
 		if stop.Gateway != n.number {
@@ -28,7 +28,7 @@
 			return
 		}
 		if err := r.startProcess(ctx, n); err != nil && ctx.Err() == nil {
-			r.options.Log.Error("a gateway does not start", "gateway", n.number, "error", err)
+			r.options.Log.Error("gateway failed to start", "gateway", n.number, "error", err)
 		}
 		if n.process == nil {
 			return
@@ -36,7 +36,8 @@
 	}
 }
 
-// stopProcess ends a process as a planned restart does, with the other signals of the stop.
+// stopProcess carries out a stop: it sends the signals and, if the process is still running at the time of the SIGKILL,
+// the SIGKILL too. It returns once the process has ended.
 func (r *runner) stopProcess(n *gatewayNode, stop Stop) {
 	if stop.HardKill {
 		r.hardKillProcess(n, stop)
@@ -55,13 +56,13 @@
 	r.recordEnd(n)
 }
 
-// timedSignal is a signal with the time at which it is due.
+// timedSignal is a signal with the time at which to send it.
 type timedSignal struct {
 	at     time.Duration
 	signal syscall.Signal
 }
 
-// timedSignals are the signals of a stop by time, its SIGTERM among them.
+// timedSignals returns the signals of a stop in the order of their times, including its SIGTERM.
 func (s Stop) timedSignals() []timedSignal {
 	signals := []timedSignal{{s.At, syscall.SIGTERM}}
 	for _, planned := range s.Signals {
@@ -71,8 +72,8 @@
 	return signals
 }
 
-// sendSignals sends the signals of a stop that are due before its SIGKILL, until the process ends. It returns when the
-// SIGKILL is due, which counts from the first SIGTERM as it was sent.
+// sendSignals sends the signals of a stop that are due before the SIGKILL, until the process ends. killAt is the time at
+// which the SIGKILL is due, counted from when the first SIGTERM was actually sent.
 func (r *runner) sendSignals(n *gatewayNode, stop Stop) (killAt time.Duration) {
 	killAfter := KillAfter(r.plan.Classes)
 	killAt = stop.At + killAfter
@@ -93,7 +94,7 @@
 	return killAt
 }
 
-// hardKillProcess ends a process by SIGKILL alone. Clients go on connecting to it for the stop's front delay.
+// hardKillProcess ends a process by a hard kill. Clients keep connecting to it for the stop's OutOfRotationDelay.
 func (r *runner) hardKillProcess(n *gatewayNode, stop Stop) {
 	r.waitUntil(n, stop.At)
 	n.setHardKilled()
@@ -105,7 +106,7 @@
 	r.recordEnd(n)
 }
 
-// stopRemaining stops the processes that still run, at the end of the run.
+// stopRemaining stops the processes that are still running at the end of the run.
 func (r *runner) stopRemaining() {
 	var stopping sync.WaitGroup
 	for _, n := range r.gateways {
@@ -116,7 +117,7 @@
 	stopping.Wait()
 }
 
-// waitUntil waits for a time of the run's clock. It returns false if the gateway's process ends before.
+// waitUntil waits until a time on the run's clock. It returns false if the gateway's process ends before.
 func (r *runner) waitUntil(n *gatewayNode, at time.Duration) bool {
 	select {
 	case <-n.process.Done():
@@ -126,7 +127,7 @@
 	}
 }
 
-// sleepUntil waits for a time of the run's clock. It returns false if ctx ends before.
+// sleepUntil waits until a time on the run's clock. It returns false if ctx ends before.
 func (r *runner) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return ctxtime.Sleep(ctx, time.Until(r.clock.At(at)))
 }
--- a/internal/lab/soak/violation.go
+++ b/internal/lab/soak/violation.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Invariant names what a gateway must keep.
+// Invariant identifies a property that must hold for every request or process.
 type Invariant string
 
-// The invariants that are checked, each by what a violation of it is.
+// The invariants that Check checks, each described by its violation.
 const (
-	LostRequest         Invariant = "lost"       // a request that was accepted got no complete answer in time
+	LostRequest         Invariant = "lost"       // an accepted request got no complete response in time
 	DuplicateExecution  Invariant = "duplicate"  // a non-idempotent request ran twice, or two attempts overlapped
-	TimeoutTooLong      Invariant = "overtime"   // the timeout sent to a backend was longer than the client had left
+	TimeoutTooLong      Invariant = "overtime"   // the timeout sent to a backend exceeded the time that the client had left
 	SentAfterDisconnect Invariant = "after left" // an attempt began after the client had disconnected
-	SentToDrained       Invariant = "drained"    // an attempt began at a backend that had been draining for long
+	SentToDrained       Invariant = "drained"    // an attempt began at a backend long after its drain began
 	UnexpectedExit      Invariant = "crash"      // a process ended by itself with an error
-	NotReady            Invariant = "not ready"  // a process took too long to be ready
+	NotReady            Invariant = "not ready"  // a process did not become ready in time
 )
 
-// Violation is a broken invariant with the records that show it.
+// Violation is a violation of an invariant, with the records that show it.
 type Violation struct {
 	Invariant       Invariant
 	Detail          string
-	ClientAttempt   *ClientAttempt // nil where the violation is a process's
+	ClientAttempt   *ClientAttempt // nil if the violation concerns a process only
 	BackendAttempts []BackendAttempt
-	Process         *Process // nil where none is known
+	Process         *Process // nil if it is not known
 }
 
-// String tells all that is known of a violation, a line for each record.
+// String describes a violation, with one line for each record and each signal.
 func (v Violation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s", v.Invariant, v.Detail)
@@ -48,14 +48,14 @@
 }
 
 func describeClientAttempt(a *ClientAttempt) string {
-	return fmt.Sprintf("\n  client: %s %s to gateway %d: bytes %.3f to %.3f, would wait %.3f until %.3f, ended %.3f: "+
-		"status %d, left %t, resent %t, %v",
+	return fmt.Sprintf("\n  client: %s %s to gateway %d: sent %.3f to %.3f, timeout %.3f until %.3f, ended %.3f: "+
+		"status %d, disconnected %t, resent %t, %v",
 		a.ID, a.Class, a.Gateway, a.FirstByteAt.Seconds(), a.SentAt.Seconds(), a.Timeout.Seconds(),
 		a.Deadline().Seconds(), a.EndedAt.Seconds(), a.Status, a.Disconnected, a.Resent, a.Err)
 }
 
 func describeBackendAttempt(a *BackendAttempt) string {
-	return fmt.Sprintf("\n  backend %s: bytes %.3f to %.3f, told %.3f, ended %.3f, answered %t",
+	return fmt.Sprintf("\n  backend %s: received %.3f to %.3f, timeout %.3f, ended %.3f, answered %t",
 		a.Backend, a.FirstByteAt.Seconds(), a.ReceivedAt.Seconds(), a.Timeout.Seconds(), a.EndedAt.Seconds(),
 		a.Answered)
 }
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxFirstRequestDelay = 1200 * time.Millisecond // from connecting to the first request; gateways wait for 2.5 s
+	maxFirstRequestDelay = 1200 * time.Millisecond // from connecting to the first request; gateways wait 2.5 s for it
 	maxThinkTime         = 150 * time.Millisecond  // between two requests of a client
-	redialInterval       = 20 * time.Millisecond   // between two attempts of a client to connect
-	idleConnInterval     = 5 * time.Millisecond    // between two idle connections
+	redialInterval       = 20 * time.Millisecond   // between two attempts of a client to open a connection
+	idleConnInterval     = 5 * time.Millisecond    // between the opening of two idle connections
 	maxPieceGap          = 150 * time.Millisecond  // between two pieces of a slow request
 	maxBodyBytes         = 2000
-	minResendTimeout     = time.Millisecond // a request with less of its timeout left is not sent again
+	minResendTimeout     = time.Millisecond // a request is not sent again with less of its timeout left
 )
 
-// anyGateway stands for no gateway that dialGateway leaves out.
+// anyGateway, as the argument excluded of dialGateway, excludes no gateway.
 const anyGateway = -1
 
-// runClient is one client: it opens one connection after another, and uses each for as long as it stays open.
+// runClient runs one client, which opens one connection after another and uses each for as long as it stays open.
 func (r *runner) runClient(ctx context.Context, number uint64) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 10_000+number))
 	for ctx.Err() == nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// useConn sends requests on a connection for as long as it stays open, and closes it.
+// useConn sends requests on a connection, one at a time, for as long as it stays open. Then it closes the connection.
 func (r *runner) useConn(ctx context.Context, rng *rand.Rand, conn *Conn) {
 	defer conn.Close()
 	if rng.IntN(3) == 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// dialGateway opens a connection to a random gateway in rotation other than the excluded one. It returns nil if there
-// is none that accepts it.
+// dialGateway opens a connection to a random gateway that is in rotation and not the excluded one. It returns nil if no
+// connection can be opened.
 func (r *runner) dialGateway(rng *rand.Rand, excluded int) *Conn {
 	for _, number := range rng.Perm(len(r.gateways)) {
 		n := r.gateways[number]
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// sendWithResend sends a request and, if its connection ends with no byte of an answer, sends it once more on a new
-// connection. reusable tells whether another request may follow on conn.
+// sendWithResend sends a request and, if mayResend allows it, sends it once more on a connection to another gateway.
+// reusable reports whether another request may be sent on conn.
 func (r *runner) sendWithResend(rng *rand.Rand, conn *Conn) (reusable bool) {
 	request := r.nextRequest(rng)
 	attempt, reusable := conn.Do(request)
@@ -90,8 +90,8 @@
 	return false
 }
 
-// mayResend tells whether a client sends a request again: its connection ended with no byte of an answer. The requests
-// of a process that got SIGKILL with no SIGTERM before may have been executed, and are not sent again.
+// mayResend reports whether a client may send a request again: its connection must have ended without any byte of a
+// response. Requests to a process that got a hard kill may have been executed, so they are not sent again.
 func (r *runner) mayResend(attempt ClientAttempt) bool {
 	answered := attempt.Status != 0 || attempt.ResponseStarted
 	sent := attempt.SentAt != 0
@@ -101,14 +101,14 @@
 	return !r.gateways[attempt.Gateway].wasHardKilled(attempt.ProcessNumber)
 }
 
-// recordAttempt adds an attempt to the records of the run.
+// recordAttempt adds a client attempt to the records of the run.
 func (r *runner) recordAttempt(attempt ClientAttempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clientAttempts = append(r.clientAttempts, attempt)
 }
 
-// nextRequest draws the next request.
+// nextRequest generates the next request at random.
 func (r *runner) nextRequest(rng *rand.Rand) Request {
 	class := r.plan.Classes[rng.IntN(len(r.plan.Classes))]
 	request := Request{ID: r.nextRequestID(), Class: class.Name, Method: "GET", Timeout: class.Deadline}
@@ -120,10 +120,10 @@
 		request.Key = request.ID
 	}
 	switch rng.IntN(12) {
-	case 0, 1: // a slow client
+	case 0, 1: // the client writes slowly
 		request.Pieces = 2 + rng.IntN(4)
 		request.PieceGap = randomDuration(rng, 0, maxPieceGap)
-	case 2: // a client that disconnects
+	case 2: // the client disconnects
 		request.DisconnectAfter = randomDuration(rng, time.Millisecond, class.Deadline)
 	}
 	return request
@@ -137,7 +137,8 @@
 	return fmt.Sprintf("%016x", r.requestCount)
 }
 
-// holdIdleConns keeps idle connections open at a gateway, as many as the plan says.
+// holdIdleConns keeps plan.IdleConns idle connections to a gateway open. It replaces them one after another, since the
+// gateway closes them.
 func (r *runner) holdIdleConns(ctx context.Context, n *gatewayNode) {
 	if r.plan.IdleConns == 0 {
 		return
@@ -152,8 +153,8 @@
 	}()
 	for next := 0; ctxtime.Sleep(ctx, idleConnInterval); next = (next + 1) % len(conns) {
 		if conns[next] != nil {
-			conns[next].Close() // the gateway has most likely closed it
+			conns[next].Close() // the gateway has probably closed its end already
 		}
-		conns[next], _ = net.DialTimeout("tcp", n.options.Listen, dialTimeout) // an error leaves nil
+		conns[next], _ = net.DialTimeout("tcp", n.options.Listen, dialTimeout) // nil after an error
 	}
 }
