--- a/internal/lab/backend/instances.go
+++ b/internal/lab/backend/instances.go
@@ -11,11 +11,11 @@
 	// MaxInstances is the largest number of backends that one pool can stand in for.
 	MaxInstances = 1 << 23
 
-	firstIP = 127<<24 | 1<<16 // 127.1.0.0, so that 127.0.0.1 is not used
+	firstIP = 127<<24 | 1<<16 // 127.1.0.0, so that no backend gets 127.0.0.1
 )
 
 // Instances returns the endpoint list entries of the pool's first count backends. Zones and machine types
-// are assigned in rotation. Start must have been called before; count is at most MaxInstances.
+// are assigned in turn. Start must have been called before; count is at most MaxInstances.
 func (p *Pool) Instances(count int, zones, machineTypes []string) []gateway.EndpointEntry {
 	entries := make([]gateway.EndpointEntry, count)
 	for i := range entries {
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -136,8 +136,8 @@
 	return response{status: http.StatusOK, total: total, due: due}
 }
 
-// countNames updates the number of names and its peak: expired names have been removed and, if created is true, one has
-// been added.
+// countNames updates the number of names and its peak. created is true if a name was added; expired is the number of
+// names that were removed before.
 func (c *Counter) countNames(created bool, expired int) {
 	count := c.nameCount.Add(-int64(expired))
 	if created {
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -20,7 +20,7 @@
 // so that a change of the factor also applies to calls that are already scheduled.
 type faultState struct {
 	Fault
-	faultStart          time.Duration // when the fault was set, since the creation of the counter
+	faultStart          time.Duration // time of SetFault since the creation of the counter
 	serviceClockAtFault time.Duration // reading of the service clock at faultStart
 }
 
--- a/internal/lab/counter/response.go
+++ b/internal/lab/counter/response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// response is the response to a call.
+// response holds the response to a call until it is due.
 type response struct {
 	status int           // HTTP status: 200, 400, 404 or 503
 	total  float64       // of the name, if status is 200
--- a/internal/lab/request/request.go
+++ b/internal/lab/request/request.go
@@ -1,6 +1,6 @@
 // Package request parses HTTP/1.1 requests for the stand-ins, which have to handle many
-// of them at little cost. It supports only the requests that the gateway writes: chunked
-// bodies and folded header lines are not accepted.
+// of them at little cost. It supports only the requests that the gateway writes, which
+// have neither chunked bodies nor folded header lines.
 package request
 
 import (
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -10,12 +10,12 @@
 
 // Time limits that gateways have to keep. Check adds timingMargin to those that are measured over sockets.
 const (
-	// closeRaceWindow is how long after a request was sent its connection may end without a response, because the
-	// gateway was closing the idle connection when the request was sent. It includes pauses of the process and the
-	// delays of the proxy.
+	// closeRaceWindow is the longest time from sending a request to the end of its connection that counts as a close
+	// race: the request was sent while the gateway was closing the idle connection. It includes pauses of the process
+	// and the delays of the proxy.
 	closeRaceWindow = 300 * time.Millisecond
 
-	// disconnectGrace is how long after the client has disconnected an attempt of its request may still begin.
+	// disconnectGrace is the time after a client's disconnect during which an attempt of its request may still begin.
 	disconnectGrace = 100 * time.Millisecond
 
 	// timeoutSlack is by how much the timeout sent to a backend may exceed the time that the client has left.
@@ -24,16 +24,16 @@
 	// readyTimeout is the time from the start of a process within which it has to be ready.
 	readyTimeout = 10 * time.Second
 
-	// drainGrace is how long after gateways were notified of the drain of a backend an attempt at it may still begin. It
-	// is also part of the gateways' settings.
+	// drainGrace is the time during which an attempt at a draining backend may still begin, counted from when gateways
+	// were notified of the drain. It is also part of the gateways' settings.
 	drainGrace = 2 * time.Second
 
 	// overlapTolerance is by how much two attempts of a request may overlap in the backends' records, since a backend
 	// notices the end of an attempt late.
 	overlapTolerance = 150 * time.Millisecond
 
-	// killObservationSlack is how long before the recorded time of a SIGKILL a client may see its connection to that
-	// process end.
+	// killObservationSlack is how long before the recorded time of a SIGKILL a client may record the end of a connection
+	// that the SIGKILL ended.
 	killObservationSlack = 50 * time.Millisecond
 )
 
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -195,7 +195,7 @@
 	},
 }
 
-// Check reports a violation of each invariant where there is one, and none elsewhere.
+// Check finds the violation in each case that has one, and none in the other cases.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for name, c := range checkCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/soak/class.go
+++ b/internal/lab/soak/class.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// KillDelay is the time by which the earliest SIGKILL follows the end of the longest deadline, counted from SIGTERM.
+	// KillDelay is the part of the time from SIGTERM to the earliest SIGKILL that comes on top of the longest deadline.
 	// See KillAfter.
 	KillDelay = 700 * time.Millisecond
 
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -14,13 +14,13 @@
 type ClientAttempt struct {
 	ID               string // of the request
 	Class            string
-	Gateway          int           // number
+	Gateway          int           // number of the gateway
 	ProcessNumber    int           // number of the gateway's process when the connection was made, from 1
 	Resent           bool          // second sending, after the first connection ended without any byte of a response
 	FirstByteAt      time.Duration // when the first byte was sent
 	SentAt           time.Duration // when the last byte was sent; 0: the request was not sent completely
 	Timeout          time.Duration // how long the client waits, from SentAt
-	EndedAt          time.Duration // when the response was complete, or the client stopped waiting
+	EndedAt          time.Duration // when the response was complete, the connection ended, or the client stopped waiting
 	Disconnected     bool          // the client closed the connection before the response was complete
 	TargetDialFailed bool          // the proxy in front of the gateway could not connect to it
 	Status           int           // of the complete response; 0: there is none
@@ -36,7 +36,7 @@
 	net.Conn
 	reader        *bufio.Reader
 	clock         Clock
-	gateway       int    // number
+	gateway       int    // number of the gateway
 	processNumber int    // number of the gateway's process when the connection was made
 	proxy         *Proxy // between client and gateway; nil: none
 }
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -19,7 +19,7 @@
 	options GatewayOptions
 	proxy   *Proxy
 
-	// Used only by the goroutine that starts or stops the gateway at the time.
+	// Owned by the goroutine that currently starts or stops the gateway.
 	process *gatewayprocess.Gateway // the running process; nil: none
 	current Process                 // record of the running process
 
@@ -87,7 +87,7 @@
 	n.lastHardKilled = n.processNumber
 }
 
-// wasHardKilled reports whether the process with a number is the last one that got a hard kill.
+// wasHardKilled reports whether the process with the given number is the last one that got a hard kill.
 func (n *gatewayNode) wasHardKilled(processNumber int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/gatewayoptions.go
+++ b/internal/lab/soak/gatewayoptions.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	planName        = "standard" // name of the only customers' plan in the settings
+	planName        = "standard" // name of the only plan of customers in the settings
 	gatewayMemoryMB = 192        // memory limit of a gateway, MiB
 )
 
@@ -78,7 +78,7 @@
 	WindowS    float64     `json:"windowS,omitempty"`
 }
 
-// planSettings are the settings of one customers' plan.
+// planSettings are the settings of one plan of customers.
 type planSettings struct {
 	Name string  `json:"name"`
 	Pays float64 `json:"pays"`
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -13,7 +13,7 @@
 
 // Process is the record of one process of a gateway, from its start to its end.
 type Process struct {
-	Gateway    int // number
+	Gateway    int // number of the gateway
 	Number     int // counts the processes of the gateway, from 1
 	StartedAt  time.Duration
 	ReadyAt    time.Duration
@@ -45,8 +45,8 @@
 	maxNotifyDelay = 6 * time.Second        // the same after an outage of discovery, when gateways have to open a new watch
 )
 
-// removalNotifiedAt returns whether a backend was listed as out of service (draining or removed) at a moment, and the
-// time from which gateways are taken to know it. If the backend was in service, at has no meaning.
+// removalNotifiedAt returns the time from which gateways are taken to know that a backend is out of service (draining or
+// removed). removed is false, and at has no meaning, if the backend was in service at the given moment.
 func (h *History) removalNotifiedAt(backend string, moment time.Duration) (at time.Duration, removed bool) {
 	for _, change := range h.ListChanges {
 		if change.Backend != backend || change.At > moment {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -27,7 +27,7 @@
 
 // Drain takes a backend out of service and brings it back. The backend keeps answering requests all the time.
 type Drain struct {
-	Backend   int           // number
+	Backend   int           // number of the backend
 	DrainAt   time.Duration // when it is listed as draining
 	RemovedAt time.Duration // when it is removed from the list
 	ReadyAt   time.Duration // when it is added to the list again
@@ -41,7 +41,7 @@
 // at the earliest time that the protocol allows (see KillAfter). A new process is started soon after its end. In a hard
 // kill, the process gets only SIGKILL, with no SIGTERM before, and owes no responses to the requests that it had.
 type Stop struct {
-	Gateway            int             // number
+	Gateway            int             // number of the gateway
 	At                 time.Duration   // of SIGTERM, or of SIGKILL in a hard kill
 	Signals            []PlannedSignal // signals in addition to SIGTERM
 	OutOfRotationDelay time.Duration   // from At until clients open no new connections to the gateway
@@ -56,13 +56,13 @@
 	Signal syscall.Signal
 }
 
-// longestDeadlines are the longest deadlines of classes that a plan may have. They lie far below maxCountedDeadline, at
-// it, and above it; one is that of an incident.
+// longestDeadlines are the values from which a plan's longest class deadline is chosen. Some are far below
+// maxCountedDeadline, one is equal to it and one is above it; one is the deadline of an incident.
 var longestDeadlines = []time.Duration{
 	300 * time.Millisecond,
 	600 * time.Millisecond,
 	1200 * time.Millisecond,
-	2412 * time.Millisecond, // that of the incident
+	2412 * time.Millisecond, // the deadline of the incident
 	3 * time.Second,
 	4500 * time.Millisecond,
 }
@@ -76,11 +76,11 @@
 	maxOutOfRotationDelay = 400 * time.Millisecond
 	maxOutage             = 3 * time.Second
 
-	lowDescriptorLimit     = 192 // with as many idle connections, so that the gateway runs out of file descriptors
+	lowDescriptorLimit     = 192 // with as many idle connections, which use up the file descriptors
 	defaultDescriptorLimit = 1024
 )
 
-// NewPlan generates a random plan from a seed. The order of the calls of the random number generator must not change, or
+// NewPlan generates a random plan from a seed. The order of the calls to the random number generator must not change, or
 // every seed would give another plan than before.
 func NewPlan(seed uint64, duration time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
--- a/internal/lab/soak/protocol.go
+++ b/internal/lab/soak/protocol.go
@@ -15,7 +15,7 @@
 
 // Time limits that both the clients and Check use.
 const (
-	lateResponseLimit = 500 * time.Millisecond // after the client's deadline, within which a response is still accepted
+	lateResponseLimit = 500 * time.Millisecond // how long after the client's deadline a response is still accepted
 	timingMargin      = 50 * time.Millisecond  // added to every limit that is measured over sockets
 )
 
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// newBehavior returns a function that returns the behavior of the backend with a number at a time. During each stop of a
-// gateway, from hangLead before SIGTERM until the time of the SIGKILL, plan.HangingBackends backends hang.
+// newBehavior returns the behavior of the backend with the given number, as a function of the time. During each stop of
+// a gateway, from hangLead before SIGTERM until the time of the SIGKILL, plan.HangingBackends backends hang.
 func newBehavior(plan Plan, number int) func(now time.Duration) Behavior {
 	rng := rand.New(rand.NewPCG(plan.Seed, uint64(100+number)))
 	killAfter := KillAfter(plan.Classes)
