--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// caller is a client with one connection to a counter.
-type caller struct {
+// testClient is a client with one connection to a counter.
+type testClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
 // start starts a counter that is closed at the end of the test. dial opens a connection to it.
-func start(t *testing.T, options Options) (c *Counter, dial func() *caller) {
+func start(t *testing.T, options Options) (c *Counter, dial func() *testClient) {
 	t.Helper()
 	c = New(options)
 	address, err := c.Start(t.Context())
@@ -31,7 +31,7 @@
 			t.Error(err)
 		}
 	})
-	return c, func() *caller {
+	return c, func() *testClient {
 		t.Helper()
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -39,17 +39,17 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(time.Minute))
-		return &caller{t, conn, bufio.NewReader(conn)}
+		return &testClient{t, conn, bufio.NewReader(conn)}
 	}
 }
 
 // write sends a call.
-func (c *caller) write(name string, amount float64) {
+func (c *testClient) write(name string, amount float64) {
 	fmt.Fprintf(c, "POST /v1/count/%s?add=%v&ttl_ms=60000 HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n", name, amount)
 }
 
 // read returns the status and total of the next response.
-func (c *caller) read() (status int, total float64) {
+func (c *testClient) read() (status int, total float64) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -69,7 +69,7 @@
 }
 
 // want checks the status and total of the next response.
-func (c *caller) want(status int, total float64) {
+func (c *testClient) want(status int, total float64) {
 	c.t.Helper()
 	gotStatus, gotTotal := c.read()
 	if gotStatus != status || gotTotal != total {
