--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// attemptAt is an attempt of the request "a" at the backend "b".
+// attemptAt returns an attempt of the request "a" at the backend "b".
 func attemptAt(firstByteAt, endedAt, timeout time.Duration) BackendAttempt {
 	return BackendAttempt{
 		ID:          "a",
@@ -22,7 +22,7 @@
 	}
 }
 
-// Attempts of a client, for the cases of TestCheck to change.
+// Client attempts that the cases of TestCheckFindsEachViolation use, with changes.
 var (
 	sentAttempt = ClientAttempt{
 		ID:            "a",
@@ -44,21 +44,21 @@
 	return attempt
 }
 
-// nineSecondsIn moves an attempt to nine seconds after the start of the run.
+// nineSecondsIn changes the times of an attempt so that it begins nine seconds after the start of the run.
 func nineSecondsIn(attempt *ClientAttempt) {
 	attempt.FirstByteAt = 9 * time.Second
 	attempt.SentAt = 9 * time.Second
 	attempt.EndedAt = 9050 * ms
 }
 
-// checkCase is what was recorded of one request, and the invariant that it breaks.
+// checkCase holds the records of one request, and the invariant that they violate.
 type checkCase struct {
 	violated        Invariant // "": none
 	change          func(*ClientAttempt)
 	clientAttempt   ClientAttempt
 	backendAttempts []BackendAttempt
-	process         Process // its gateway and number are filled in
-	changes         []ListChange
+	process         Process // the test sets its gateway and number
+	listChanges     []ListChange
 	outages         []Outage
 }
 
@@ -72,7 +72,7 @@
 		clientAttempt:   unansweredAttempt,
 		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
 	},
-	"connection ended unread": {
+	"connection closed before the request was read": {
 		clientAttempt: unansweredAttempt,
 	},
 	"connection ended long after the request": {
@@ -87,7 +87,7 @@
 	},
 	"gateway never reached": {
 		clientAttempt: unansweredAttempt,
-		change:        func(a *ClientAttempt) { a.Resent, a.Unreached = true, true },
+		change:        func(a *ClientAttempt) { a.Resent, a.TargetDialFailed = true, true },
 	},
 	"request never complete": {
 		clientAttempt: unansweredAttempt,
@@ -96,7 +96,7 @@
 	"answer truncated": {
 		violated:      LostRequest,
 		clientAttempt: unansweredAttempt,
-		change:        func(a *ClientAttempt) { a.AnswerStarted = true },
+		change:        func(a *ClientAttempt) { a.ResponseStarted = true },
 	},
 	"no answer": {
 		violated:      LostRequest,
@@ -152,31 +152,31 @@
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 8 * time.Second}},
 	},
 	"drained just now": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: 7 * time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: 7 * time.Second}},
 	},
 	"drained and ready again": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}, {Backend: "b", At: 2 * time.Second, Ready: true}},
 	},
 	"drained during an outage of discovery": {
 		clientAttempt:   servedAttempt,
 		change:          nineSecondsIn,
 		backendAttempts: []BackendAttempt{attemptAt(9*time.Second, 9*time.Second, 900*ms)},
-		changes:         []ListChange{{Backend: "b", At: time.Second}},
+		listChanges:     []ListChange{{Backend: "b", At: time.Second}},
 		outages:         []Outage{{0, 2 * time.Second}},
 	},
 	"SIGKILL with no SIGTERM before": {
 		clientAttempt:   unansweredAttempt,
 		backendAttempts: []BackendAttempt{attemptAt(110*ms, 150*ms, 900*ms)},
-		process:         Process{SigkillAt: 150 * ms, killedUnwarned: true},
+		process:         Process{SigkillAt: 150 * ms, hardKilled: true},
 	},
 	"process ended with an error": {
 		violated:      UnexpectedExit,
@@ -195,7 +195,7 @@
 	},
 }
 
-// Check reports each invariant where it is broken, and only there.
+// Check finds the violation in each case that has one, and none in the other cases.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for name, c := range checkCases {
 		t.Run(name, func(t *testing.T) {
@@ -208,14 +208,14 @@
 				ClientAttempts:  []ClientAttempt{c.clientAttempt},
 				BackendAttempts: c.backendAttempts,
 				Processes:       []Process{c.process},
-				ListChanges:     c.changes,
+				ListChanges:     c.listChanges,
 				Outages:         c.outages,
 			})
 			switch {
 			case c.violated == "" && len(verdict.Violations) > 0, c.violated != "" && len(verdict.Violations) != 1:
-				t.Errorf("%v", verdict.Violations)
+				t.Errorf("violations: %v", verdict.Violations)
 			case c.violated != "" && verdict.Violations[0].Invariant != c.violated:
-				t.Errorf("found %s", verdict.Violations[0].Invariant)
+				t.Errorf("found a violation of %q", verdict.Violations[0].Invariant)
 			}
 		})
 	}
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// A client that disconnects is told apart from one whose connection the gateway closed during an answer, wherever in
-// the answer that is.
-func TestDisconnectIsToldFromAClosedConnection(t *testing.T) {
+// An attempt is recorded as disconnected if the client closed the connection, and not if the gateway did, wherever in
+// the response that happens.
+func TestDisconnectIsDistinguishedFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer          string
-		disconnectAfter time.Duration // 0: the client stays
+		response        string
+		disconnectAfter time.Duration // 0: the client does not disconnect
 		gatewayCloses   bool
 		disconnected    bool
 		status          int
@@ -22,22 +22,22 @@
 			disconnected:    true,
 		},
 		"disconnect in the status line": {
-			answer:          "HTTP/1.1 20",
+			response:        "HTTP/1.1 20",
 			disconnectAfter: 50 * ms,
 			disconnected:    true,
 		},
 		"disconnect in the body": {
-			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na",
+			response:        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na",
 			disconnectAfter: 50 * ms,
 			disconnected:    true,
 		},
 		"disconnect due after the answer": {
-			answer:          "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
+			response:        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
 			disconnectAfter: time.Minute,
 			status:          200,
 		},
 		"closed before the disconnect was due": {
-			answer:          "HTTP/1.1 20",
+			response:        "HTTP/1.1 20",
 			disconnectAfter: time.Minute,
 			gatewayCloses:   true,
 		},
@@ -45,13 +45,13 @@
 			gatewayCloses: true,
 		},
 		"rejected and no disconnect due": {
-			answer: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-			status: 503,
+			response: "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
+			status:   503,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, gateway := connectedPair(t)
-			io.WriteString(gateway, c.answer)
+			io.WriteString(gateway, c.response)
 			if c.gatewayCloses {
 				gateway.CloseWrite()
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-// connectedPair returns both ends of a connection over loopback, which the test's end closes.
+// connectedPair returns both ends of a connection over loopback, which are closed at the end of the test.
 func connectedPair(t *testing.T) (client *Conn, gateway *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
