--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return 0, err
 	}
-	results, err := playSeeds(ctx, args, program, log)
+	results, err := runSeeds(ctx, args, program, log)
 	status, interrupted := printSoakResults(stdout, results)
 	if err == nil && interrupted {
 		err = errInterrupted
@@ -71,9 +71,9 @@
 	return status, err
 }
 
-// playSeeds plays the seeds, so many at a time as the arguments say, and returns a result for each. That of a seed that
+// runSeeds plays the seeds, so many at a time as the arguments say, and returns a result for each. That of a seed that
 // was never begun is the zero value. The error is that of the first run that could not be set up.
-func playSeeds(
+func runSeeds(
 	ctx context.Context, args soakArguments, program gatewayprocess.Program, log *slog.Logger,
 ) ([]soak.Result, error) {
 	results := make([]soak.Result, args.Seeds)
--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -28,30 +28,30 @@
 	if processes > maxProcesses {
 		return fmt.Errorf("fleet.processes: %d processes are more than %d", processes, maxProcesses)
 	}
-	availableMB, err := machineMB()
+	availableMB, err := machineMemoryMB()
 	if err != nil {
 		return err
 	}
-	if neededMB := e.memoryMB(); neededMB > maxMemoryShare*availableMB {
+	if neededMB := e.totalMemoryMB(); neededMB > maxMemoryShare*availableMB {
 		return fmt.Errorf("fleet: about %.0f MB are needed, more than half of the machine's %.0f MB",
 			neededMB, availableMB)
 	}
 	return nil
 }
 
-// memoryMB estimates the memory of all processes together. Gateway processes and hollow gateways don't run at the same
+// totalMemoryMB estimates the memory of all processes together. Gateway processes and hollow gateways don't run at the same
 // time.
-func (e *Experiment) memoryMB() float64 {
+func (e *Experiment) totalMemoryMB() float64 {
 	allHollowMB := 0.0
 	for _, job := range e.hollowJobs() {
-		allHollowMB += float64(e.jobMB(job))
+		allHollowMB += float64(e.hollowProcessMemoryMB(job))
 	}
 	gatewaysMB := float64(e.Fleet.GatewayProcesses * e.Fleet.MemoryMB)
 	return labMB + backendMB*float64(e.Backends.Count+e.spareBackends()) + max(gatewaysMB, allHollowMB)
 }
 
-// jobMB estimates the memory of one process of hollow gateways.
-func (e *Experiment) jobMB(job hollowJob) int {
+// hollowProcessMemoryMB estimates the memory of one process of hollow gateways.
+func (e *Experiment) hollowProcessMemoryMB(job hollowJob) int {
 	needed := hollowProcessMB + float64(job.gateways)*(hollowMB+hollowBackendMB*float64(e.Backends.Count))
 	for _, g := range e.groupsOf(job) {
 		needed += customerMB * float64(g.Customers*g.SubsetSize)
@@ -59,8 +59,8 @@
 	return int(needed)
 }
 
-// machineMB is the memory of this machine.
-func machineMB() (float64, error) {
+// machineMemoryMB is the memory of this machine.
+func machineMemoryMB() (float64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -28,11 +28,11 @@
 			expanded = append(expanded, g)
 		}
 		for _, size := range g.SubsetSizes {
-			ofSize := g
-			ofSize.Name = fmt.Sprintf("%s-%d", g.Name, size)
-			ofSize.SubsetSize = size
-			ofSize.SubsetSizes = nil
-			expanded = append(expanded, ofSize)
+			sized := g
+			sized.Name = fmt.Sprintf("%s-%d", g.Name, size)
+			sized.SubsetSize = size
+			sized.SubsetSizes = nil
+			expanded = append(expanded, sized)
 		}
 	}
 	return expanded
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -155,11 +155,11 @@
 
 // hollowGateways is the number of hollow gateways.
 func (e *Experiment) hollowGateways() int {
-	ofGroups := 0
+	groupGateways := 0
 	for _, g := range e.Groups {
-		ofGroups += g.Gateways
+		groupGateways += g.Gateways
 	}
-	return max(ofGroups, e.Fleet.HollowGateways)
+	return max(groupGateways, e.Fleet.HollowGateways)
 }
 
 // neededGateways is the smallest size of the fleet that the experiment can be run with.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -187,12 +187,12 @@
 		nextRank := 2
 		nextGroup := 0
 		for _, job := range e.hollowJobs() {
-			ofGroups := 0
+			groupGateways := 0
 			for _, g := range e.Groups[job.firstGroup : job.firstGroup+job.groupCount] {
-				ofGroups += g.Gateways
+				groupGateways += g.Gateways
 			}
 			if job.firstRank != nextRank || job.gateways < 1 ||
-				job.groupCount > 0 && (job.firstGroup != nextGroup || ofGroups != job.gateways) {
+				job.groupCount > 0 && (job.firstGroup != nextGroup || groupGateways != job.gateways) {
 				t.Errorf("%d processes: %+v after %d", processes, job, nextRank)
 			}
 			nextRank = job.firstRank + job.gateways
--- a/internal/lab/experiment/hollowjob.go
+++ b/internal/lab/experiment/hollowjob.go
@@ -63,7 +63,7 @@
 		ServiceS:     e.Backends.ServiceTimeMS / 1000,
 		WarmS:        e.WarmupSeconds,
 		RunS:         e.Seconds,
-		MemoryMB:     e.jobMB(job),
+		MemoryMB:     e.hollowProcessMemoryMB(job),
 		StartSpreadS: e.Restart.StaggerS,
 	}
 	firstRank := job.firstRank
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -25,10 +25,10 @@
 		ready += float64(result.Ready.Count)
 		cpuShares += result.CPUSeconds / result.SpanS
 		memoryMB += result.PeakMB
-		metrics.raise("hollow_ready_p50_s", result.Ready.P50)
-		metrics.raise("hollow_ready_p90_s", result.Ready.P90)
-		metrics.raise("hollow_ready_p99_s", result.Ready.P99)
-		metrics.raise("hollow_ready_max_s", result.Ready.Max)
+		metrics.setMax("hollow_ready_p50_s", result.Ready.P50)
+		metrics.setMax("hollow_ready_p90_s", result.Ready.P90)
+		metrics.setMax("hollow_ready_p99_s", result.Ready.P99)
+		metrics.setMax("hollow_ready_max_s", result.Ready.Max)
 		for i := range result.Groups {
 			group := &result.Groups[i]
 			p.run.Groups[group.Name] = groupMetrics(group)
--- a/internal/lab/experiment/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -82,7 +82,7 @@
 // describeMachine describes this machine. What can't be read is left out.
 func describeMachine() Machine {
 	machine := Machine{Cores: runtime.NumCPU()}
-	machine.MemoryMB, _ = machineMB() // the checks have read it before
+	machine.MemoryMB, _ = machineMemoryMB() // the checks have read it before
 	if load, err := os.ReadFile("/proc/loadavg"); err == nil {
 		averages := strings.Fields(string(load))[:3]
 		machine.Load = strings.Join(averages, " ")
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -76,8 +76,8 @@
 }
 
 // metricExists tells whether a run has a metric of this name, or its groups have if ofGroup.
-func metricExists(name string, ofGroup bool) bool {
-	return slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name && m.perGroup == ofGroup })
+func metricExists(name string, forGroup bool) bool {
+	return slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name && m.perGroup == forGroup })
 }
 
 // primaryMetrics are those of a run, or of its groups if perGroup, that are printed in the table.
@@ -98,5 +98,5 @@
 	}
 }
 
-// raise sets a metric to a value that is above what it has.
-func (m Metrics) raise(name string, value float64) { m[name] = max(m[name], value) }
+// setMax sets a metric to a value that is above what it has.
+func (m Metrics) setMax(name string, value float64) { m[name] = max(m[name], value) }
--- a/internal/lab/experiment/slope.go
+++ b/internal/lab/experiment/slope.go
@@ -19,8 +19,8 @@
 
 // isPrimary tells whether the slope is of a metric that is printed in the table.
 func (s *Slope) isPrimary() bool {
-	ofGroup := s.Group != ""
-	return slices.ContainsFunc(primaryMetrics(ofGroup), func(m metric) bool { return m.name == s.Metric })
+	perGroup := s.Group != ""
+	return slices.ContainsFunc(primaryMetrics(perGroup), func(m metric) bool { return m.name == s.Metric })
 }
 
 // points are the values of a swept key with the values of a metric there.
@@ -34,7 +34,7 @@
 	var slopes []Slope
 	for _, version := range []string{Baseline, Candidate} {
 		for _, m := range metrics {
-			byGroup := pointsOf(runs, version, m)
+			byGroup := pointsByGroup(runs, version, m)
 			for _, group := range slices.Sorted(maps.Keys(byGroup)) {
 				slope, ok := leastSquares(byGroup[group].xs, byGroup[group].ys)
 				if !ok {
@@ -50,8 +50,8 @@
 	return slopes
 }
 
-// pointsOf returns the points of a version's metric by group. Those of a metric of the whole run are of the group "".
-func pointsOf(runs []Run, version string, m metric) map[string]*points {
+// pointsByGroup returns the points of a version's metric by group. Those of a metric of the whole run are of the group "".
+func pointsByGroup(runs []Run, version string, m metric) map[string]*points {
 	byGroup := map[string]*points{}
 	for _, run := range runs {
 		if run.Version != version {
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -13,8 +13,8 @@
 // table writes rows of cells, whose columns are aligned once it is flushed.
 type table struct{ writer *tabwriter.Writer }
 
-// row writes a row. One without cells is an empty line.
-func (t table) row(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
+// writeRow writes a row. One without cells is an empty line.
+func (t table) writeRow(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
 
 // Print prints the primary metrics, a column for each run, then the groups, the
 // slopes of a sweep, and the bounds.
@@ -36,7 +36,7 @@
 	for i := range r.Runs {
 		header = append(header, r.label(&r.Runs[i]))
 	}
-	t.row(header...)
+	t.writeRow(header...)
 	for _, m := range primaryMetrics(false) {
 		cells := []string{m.name}
 		measuredAtAll := false
@@ -46,7 +46,7 @@
 			cells = append(cells, formatMetric(value, measured))
 		}
 		if measuredAtAll {
-			t.row(cells...)
+			t.writeRow(cells...)
 		}
 	}
 }
@@ -56,19 +56,19 @@
 	if len(run.Groups) == 0 {
 		return
 	}
-	t.row()
+	t.writeRow()
 	header := []string{"group, " + r.label(run)}
 	for _, m := range primaryMetrics(true) {
 		header = append(header, m.name)
 	}
-	t.row(header...)
+	t.writeRow(header...)
 	for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
 		cells := []string{name}
 		for _, m := range primaryMetrics(true) {
 			value, measured := run.Groups[name][m.name]
 			cells = append(cells, formatMetric(value, measured))
 		}
-		t.row(cells...)
+		t.writeRow(cells...)
 	}
 }
 
@@ -77,12 +77,12 @@
 	if len(r.Slopes) == 0 {
 		return
 	}
-	t.row()
-	t.row("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
+	t.writeRow()
+	t.writeRow("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
 	for i := range r.Slopes {
 		s := &r.Slopes[i]
 		if s.isPrimary() {
-			t.row(s.Metric, s.Version, s.Group, formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.R2))
+			t.writeRow(s.Metric, s.Version, s.Group, formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.R2))
 		}
 	}
 }
@@ -96,13 +96,13 @@
 		}
 		broken++
 		if broken == 1 {
-			t.row()
-			t.row("broken bound", "group", "at", "most", "least", "got")
+			t.writeRow()
+			t.writeRow("broken bound", "group", "at", "most", "least", "got")
 		}
 		r.printBroken(t, &r.Verdicts[i])
 	}
-	t.row()
-	t.row(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
+	t.writeRow()
+	t.writeRow(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
 }
 
 // printBroken prints a bound that was broken.
@@ -115,14 +115,14 @@
 	if r.Experiment.Sweep != "" {
 		at = formatNumber(v.Value)
 	}
-	t.row(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
+	t.writeRow(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
 }
 
 // printPartial prints what was not measured to its end.
 func (r *Report) printPartial(t table) {
 	for i := range r.Runs {
 		for _, reason := range r.Runs[i].Partial {
-			t.row("PARTIAL: " + r.label(&r.Runs[i]) + ": " + reason)
+			t.writeRow("PARTIAL: " + r.label(&r.Runs[i]) + ": " + reason)
 		}
 	}
 }
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -139,17 +139,17 @@
 // validateBounds finds a bound that states no limit, or is of no metric or group that exists.
 func (e *Experiment) validateBounds() error {
 	for _, b := range e.Bounds {
-		ofGroup := b.Group != ""
+		perGroup := b.Group != ""
 		switch {
-		case !metricExists(b.Metric, ofGroup):
+		case !metricExists(b.Metric, perGroup):
 			scope := "a run"
-			if ofGroup {
+			if perGroup {
 				scope = "a group"
 			}
 			return fmt.Errorf("bound: no figure of %s is named %q", scope, b.Metric)
 		case b.Max == nil && b.Min == nil:
 			return fmt.Errorf("bound %q: neither most nor least is stated", b.Metric)
-		case ofGroup && !slices.ContainsFunc(e.Groups, b.appliesTo):
+		case perGroup && !slices.ContainsFunc(e.Groups, b.appliesTo):
 			return fmt.Errorf("bound %q: no group is named %q", b.Metric, b.Group)
 		}
 	}
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -36,9 +36,9 @@
 	var verdicts []Verdict
 	for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
 		if b.matches(name) {
-			ofGroup := b
-			ofGroup.Group = name
-			verdicts = append(verdicts, ofGroup.evaluate(run.Value, run.Groups[name]))
+			groupBound := b
+			groupBound.Group = name
+			verdicts = append(verdicts, groupBound.evaluate(run.Value, run.Groups[name]))
 		}
 	}
 	if len(verdicts) == 0 {
