--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -6,41 +6,41 @@
 	"os"
 )
 
-// maxMemoryShare is the share of the machine's memory that an experiment may need.
+// maxMemoryShare is the largest share of the machine's memory that an experiment may need.
 const maxMemoryShare = 0.5
 
-// Estimates of what the parts of an experiment need in memory, MB.
+// Estimated memory use, in MB.
 const (
-	labMB           = 256.0  // this process, without the list
-	backendMB       = 0.002  // a backend: its entry, and the copies of it that are being sent
-	hollowProcessMB = 64.0   // a process of hollow gateways, without them
-	hollowMB        = 0.3    // a hollow gateway, without its list
-	hollowBackendMB = 0.0012 // a backend in the list of a hollow gateway
+	labMB           = 256.0  // this process, without the endpoint list
+	backendMB       = 0.002  // a backend in this process: its list entry, and the copies of it that are being sent
+	hollowProcessMB = 64.0   // a process of hollow gateways, without the gateways
+	hollowMB        = 0.3    // a hollow gateway, without its endpoint list
+	hollowBackendMB = 0.0012 // a backend in the endpoint list of a hollow gateway
 	customerMB      = 0.002  // a customer at one hollow gateway of its subset
 )
 
-// validateCapacity finds an experiment that is too large for this machine, or has nothing to measure.
+// validateCapacity returns an error if the experiment has no gateways or is too large for this machine.
 func (e *Experiment) validateCapacity() error {
 	if e.Fleet.GatewayProcesses == 0 && e.hollowGateways() == 0 {
-		return errors.New("fleet: there is no gateway, real or hollow")
+		return errors.New("fleet: both real and hollow are 0, so there is no gateway")
 	}
 	processes := 1 + e.Fleet.GatewayProcesses + len(e.hollowJobs())
 	if processes > maxProcesses {
-		return fmt.Errorf("fleet.processes: %d processes are more than %d", processes, maxProcesses)
+		return fmt.Errorf("fleet.processes: %d processes exceed the limit of %d", processes, maxProcesses)
 	}
 	availableMB, err := machineMemoryMB()
 	if err != nil {
 		return err
 	}
 	if neededMB := e.totalMemoryMB(); neededMB > maxMemoryShare*availableMB {
-		return fmt.Errorf("fleet: about %.0f MB are needed, more than half of the machine's %.0f MB",
+		return fmt.Errorf("fleet: the experiment needs about %.0f MB, more than half of the machine's %.0f MB",
 			neededMB, availableMB)
 	}
 	return nil
 }
 
-// totalMemoryMB estimates the memory of all processes together. Gateway processes and hollow gateways don't run at the same
-// time.
+// totalMemoryMB estimates the memory of all processes. Gateway processes and hollow gateways never run at the same time,
+// so only the larger of the two counts.
 func (e *Experiment) totalMemoryMB() float64 {
 	allHollowMB := 0.0
 	for _, job := range e.hollowJobs() {
@@ -59,7 +59,7 @@
 	return int(needed)
 }
 
-// machineMemoryMB is the memory of this machine.
+// machineMemoryMB returns the memory of this machine.
 func machineMemoryMB() (float64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/lab/experiment/churn.go
+++ b/internal/lab/experiment/churn.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	churnInterval = 100 * time.Millisecond // between two batches of changes of the list
-	drainGrace    = 2 * time.Second        // from when a backend drains until it is removed from the list
+	churnInterval = 100 * time.Millisecond // between two updates of the endpoint list
+	drainGrace    = 2 * time.Second        // from the start of a backend's draining until its removal from the list
 )
 
-// Lifecycles of an entry in the list of backends.
+// Lifecycle states of an entry in the endpoint list.
 const (
 	lifecycleDraining = "Terminating"
 	lifecycleRemoved  = "Gone"
 )
 
-// spareBackends is the number of backends that churn may need in a phase beside those that are listed.
+// spareBackends returns the number of backends by which churn may replace listed ones during a phase.
 func (e *Experiment) spareBackends() int {
 	return int(e.Churn.ReplacementsPerSecond * e.phaseTimeout().Seconds())
 }
 
-// startChurn replaces backends in the list until stop is called, which waits for the end.
+// startChurn starts a goroutine that replaces backends in the endpoint list. stop ends the goroutine and waits for it.
 func (s *standins) startChurn(ctx context.Context, replacementsPerSecond float64) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var churning sync.WaitGroup
@@ -35,8 +35,8 @@
 	}
 }
 
-// replaceBackends replaces so many backends a second until ctx ends or no spare ones remain. A backend that is replaced
-// drains first, and is removed from the list after the grace of drains.
+// replaceBackends replaces backends at the given rate until ctx ends. It stops replacing when no spare backends remain.
+// A replaced backend is listed as draining first, and is removed from the list after drainGrace.
 func (s *standins) replaceBackends(ctx context.Context, replacementsPerSecond float64) {
 	if replacementsPerSecond <= 0 {
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// replaceOldest takes the oldest backend out of the listed ones and puts a spare one in its place, which has just
-// started. It returns the entries of both: the old one drains.
+// replaceOldest replaces the oldest listed backend by a spare one that starts now. It returns the changed entries of
+// both; the old backend is draining.
 func (s *standins) replaceOldest(now time.Time) (old, next gateway.EndpointEntry) {
 	old = s.listedBackends[0]
 	old.Lifecycle = lifecycleDraining
@@ -77,17 +77,17 @@
 	return old, next
 }
 
-// drainingBackend is a backend that drains.
+// drainingBackend is a backend that was replaced and is draining.
 type drainingBackend struct {
 	since time.Time
 	entry gateway.EndpointEntry
 }
 
-// drainQueue holds the backends that drain, the longest first.
+// drainQueue holds the draining backends in the order in which they began to drain.
 type drainQueue []drainingBackend
 
-// popRemoved takes out the backends whose grace is over and returns their entries, by which they are removed from the
-// list.
+// popRemoved dequeues the backends that have drained for drainGrace, and returns the entries that remove them from the
+// endpoint list.
 func (q *drainQueue) popRemoved(now time.Time) []gateway.EndpointEntry {
 	var removed []gateway.EndpointEntry
 	for len(*q) > 0 && now.Sub((*q)[0].since) >= drainGrace {
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// applyDefaults expands the groups that stand for several, and sets what the file
-// leaves out.
+// applyDefaults expands the groups with several subset sizes, and replaces values of 0 by
+// their defaults.
 func (e *Experiment) applyDefaults() {
 	e.Groups = expandGroups(e.Groups)
 	for i := range e.Groups {
@@ -20,7 +20,7 @@
 	setDefault(&fleet.Gateways, e.neededGateways())
 }
 
-// expandGroups replaces each group of several subset sizes by a group of each size, whose name tells the size.
+// expandGroups replaces each group that has SubsetSizes by one group for each size, and appends the size to its name.
 func expandGroups(groups []Group) []Group {
 	var expanded []Group
 	for _, g := range groups {
@@ -38,7 +38,7 @@
 	return expanded
 }
 
-// setDefault sets a value that is 0.
+// setDefault sets a value that is 0 to its default.
 func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value == 0 {
 		*value = defaultValue
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,26 +1,30 @@
-// Package experiment reads an experiment of the fleet lab, runs gateways between
-// stand-ins of all services that they talk to, and reports what was measured
-// against the bounds that the experiment states.
+// Package experiment reads an experiment file of the fleet lab, runs gateways against
+// stand-ins of all services that a gateway talks to, and compares the measured metrics
+// with the bounds in the file.
+//
+// There are two kinds of gateways. A gateway process is the deployed program. Hollow
+// gateways share a few processes: they decide and talk to discovery and the counter as the
+// program does, but have no sockets to clients and backends (see gateway.Hollow).
 package experiment
 
-// Experiment is what an experiment's file states. Times are in seconds where the
-// key ends in _s or _seconds and in milliseconds where it ends in _ms. A key that the
-// file leaves out is 0, for which a field may state a default.
+// Experiment is the content of an experiment file. Times are in seconds if the key ends in
+// _s or _seconds, and in milliseconds if it ends in _ms. A key that is missing from the
+// file is 0, which some fields replace by a default.
 type Experiment struct {
-	Purpose string `toml:"shows" json:"shows"` // a few words on what the experiment shows
-	Seed    uint64 `toml:"seed" json:"seed"`   // of all that is drawn at random
+	Purpose string `toml:"shows" json:"shows"` // short description of what the experiment shows
+	Seed    uint64 `toml:"seed" json:"seed"`   // seed of all random numbers
 
-	// Seconds is the length of the load that is measured, WarmupSeconds that of the
-	// load before it, which is not.
+	// Seconds is the duration of the measured load. WarmupSeconds is the duration of the
+	// load before it, which is not measured.
 	Seconds       float64 `toml:"seconds" json:"seconds"`
 	WarmupSeconds float64 `toml:"warm_seconds" json:"warm_seconds"`
 
-	// IdleSeconds is how long gateway processes are measured without requests,
-	// before the load.
+	// IdleSeconds is how long the gateway processes are measured without requests, before
+	// the load starts.
 	IdleSeconds float64 `toml:"quiet_seconds" json:"quiet_seconds"`
 
-	// Sweep is a key with the values that it takes, KEY=VALUE,VALUE and so on; "":
-	// there is no sweep.
+	// Sweep is KEY=VALUE,VALUE,...: the experiment runs once for each value of the key.
+	// "" means a single run.
 	Sweep string `toml:"over" json:"over,omitempty"`
 
 	Fleet     Fleet     `toml:"fleet" json:"fleet"`
@@ -34,126 +38,131 @@
 	Bounds    []Bound   `toml:"bound" json:"bound,omitempty"`
 }
 
-// Fleet says which gateways there are. The gateway processes have the first ranks, the
-// groups' hollow gateways follow, then the hollow ones that no group uses.
+// Fleet configures the gateways. A gateway's rank is its index in the fleet: gateway
+// processes have the lowest ranks, then come the hollow gateways of the groups, then the
+// hollow gateways that belong to no group.
 type Fleet struct {
-	// Gateways is the size of the fleet, of which some may not be started here.
-	// Default: as many as are needed.
+	// Gateways is the fleet size that the gateways are configured with. It may exceed the
+	// number of gateways that are started. Default: the smallest size that the rest of the
+	// experiment allows.
 	Gateways int `toml:"gateways" json:"gateways"`
 
 	// GatewayProcesses is the number of gateways that are started as processes.
 	GatewayProcesses int `toml:"real" json:"real"`
 
-	// HollowGateways is the number of hollow gateways, of which the groups' are the
-	// first. Default: the groups' alone.
+	// HollowGateways is the number of hollow gateways, including those of the groups.
+	// Default: those of the groups only.
 	HollowGateways int `toml:"hollow" json:"hollow"`
 
 	// HollowProcesses is the number of processes that the hollow gateways are
 	// distributed over. Default: 1.
 	HollowProcesses int `toml:"processes" json:"processes"`
 
-	// MemoryMB and Cores are the limits of a gateway process. Default: 256 and 1.
+	// MemoryMB and Cores are the limits of each gateway process. Defaults: 256 and 1.
 	MemoryMB int     `toml:"memory_mb" json:"memory_mb"`
 	Cores    float64 `toml:"cores" json:"cores"`
 
-	// ReadyTimeoutS is how long is waited for a gateway to be ready. Default: 10.
+	// ReadyTimeoutS is the time within which a gateway has to become ready. Default: 10.
 	ReadyTimeoutS float64 `toml:"ready_within_s" json:"ready_within_s"`
 }
 
-// Backends are the backends behind all gateways.
+// Backends configures the backends, which all gateways share.
 type Backends struct {
 	Count         int     `toml:"count" json:"count"`
 	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"`
 }
 
-// Counter is the size of the counter service.
+// Counter configures the stand-in of the counter service.
 type Counter struct {
 	Shards        int     `toml:"parts" json:"parts"`           // 0: there is no counter
-	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"` // of a call
-	MaxQueued     int     `toml:"waiting" json:"waiting"`       // calls that wait at a shard at most
+	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"` // of one call
+	MaxQueued     int     `toml:"waiting" json:"waiting"`       // maximum number of calls queued at a shard
 }
 
-// Discovery is how fast lists are sent.
+// Discovery configures the stand-in of the discovery service.
 type Discovery struct {
-	FullListsPerSecond float64 `toml:"whole_per_second" json:"whole_per_second"` // 0: no limit
+	FullListsPerSecond float64 `toml:"whole_per_second" json:"whole_per_second"` // maximum rate; 0: no limit
 }
 
-// Group is a set of customers who share hollow gateways of consecutive ranks, which no
-// other group uses.
+// Group is a set of customers that send requests to the same hollow gateways. The gateways
+// have consecutive ranks and belong to no other group.
 type Group struct {
 	Name string `toml:"name" json:"name"`
 
-	// Gateways is the number of gateways that the customers share. Default: the
-	// subset size.
+	// Gateways is the number of gateways of the group. Default: SubsetSize.
 	Gateways int `toml:"gateways" json:"gateways"`
 
-	// SubsetSize is the number of gateways that each customer reaches.
+	// SubsetSize is the number of gateways that each customer sends requests to.
 	SubsetSize int `toml:"spread" json:"spread"`
 
-	// SubsetSizes, if there are any, make the group stand for one of each size.
+	// SubsetSizes, if not empty, replaces the group by one group for each subset size.
 	SubsetSizes []int `toml:"spreads" json:"spreads,omitempty"`
 
 	Customers int `toml:"customers" json:"customers"`
 
-	// RequestsPerSecond is the rate of a customer, in the mean over the group.
+	// RequestsPerSecond is the mean request rate of a customer of the group.
 	RequestsPerSecond float64 `toml:"per_second" json:"per_second"`
 
-	// ZipfExponent is that of the rates over the customers; 0: all are alike.
+	// ZipfExponent is the exponent of the Zipf distribution of the request rate over the
+	// customers. 0 gives all customers the same rate.
 	ZipfExponent float64 `toml:"zipf" json:"zipf"`
 
 	// UnitsPerRequest is the cost of a request. Default: 1.
 	UnitsPerRequest float64 `toml:"units" json:"units"`
 
-	// Utilization is the share of its quota that a customer of mean rate uses.
+	// Utilization is the share of its quota that a customer with the mean rate uses.
 	Utilization float64 `toml:"use" json:"use"`
 
-	// BurstS is the quota's burst, in seconds of its rate.
+	// BurstS is the burst of the quota, in seconds of its rate.
 	BurstS float64 `toml:"burst_s" json:"burst_s"`
 
-	// ShiftingWeights makes the shares of a customer's gateways uneven and change.
+	// ShiftingWeights distributes the requests of a customer unevenly over its gateways and
+	// changes the distribution from time to time.
 	ShiftingWeights bool `toml:"shift" json:"shift"`
 }
 
-// Tenants are the customers of the gateway processes. Their quotas come in steps of
-// two: each uses at most Utilization of its own, and more than half of that.
+// Tenants configures the customers of the gateway processes. The quota of each plan is half
+// that of the plan before it, so that each tenant uses at most Utilization of its quota, and
+// more than half of Utilization.
 type Tenants struct {
 	Count int `toml:"count" json:"count"`
 
-	// ZipfExponent is that of the rates over the tenants; 0: all are alike.
+	// ZipfExponent is the exponent of the Zipf distribution of the request rate over the
+	// tenants. 0 gives all tenants the same rate.
 	ZipfExponent float64 `toml:"zipf" json:"zipf"`
 
-	// RequestsPerGateway is the rate at each gateway process, in requests a second.
+	// RequestsPerGateway is the request rate of each gateway process, in requests a second.
 	RequestsPerGateway float64 `toml:"per_gateway" json:"per_gateway"`
 
-	// SubsetSize is the number of gateways that each tenant reaches. Default: 1.
+	// SubsetSize is the number of gateways that each tenant sends requests to. Default: 1.
 	SubsetSize int `toml:"spread" json:"spread"`
 
 	Utilization float64 `toml:"use" json:"use"`
 
-	// BurstS is the quota's burst, in seconds of its rate.
+	// BurstS is the burst of the quota, in seconds of its rate.
 	BurstS float64 `toml:"burst_s" json:"burst_s"`
 }
 
-// Churn is how many backends are replaced a second, from when the gateways are ready.
+// Churn configures the replacement of backends, which begins once the gateways are ready.
 type Churn struct {
 	ReplacementsPerSecond float64 `toml:"per_second" json:"per_second"`
 }
 
-// Restart starts the hollow gateways over a while instead of at once.
+// Restart configures how the hollow gateways are started.
 type Restart struct {
-	StaggerS float64 `toml:"within_s" json:"within_s"` // from the first start to the last
+	StaggerS float64 `toml:"within_s" json:"within_s"` // time between the first and the last start; 0: all at once
 }
 
-// Bound is a limit of a metric. It holds for the runs, or for all groups whose name
-// matches a pattern (see path.Match). One that states neither limit is invalid.
+// Bound limits a metric of each run or, if Group is set, of each group whose name matches
+// the pattern Group (see path.Match). At least one of Max and Min has to be set.
 type Bound struct {
 	Metric string   `toml:"figure" json:"figure"`
-	Group  string   `toml:"group" json:"group,omitempty"` // pattern; "": the bound is one of the runs
+	Group  string   `toml:"group" json:"group,omitempty"` // pattern; "": Metric is a metric of the whole run
 	Max    *float64 `toml:"most" json:"most,omitempty"`
 	Min    *float64 `toml:"least" json:"least,omitempty"`
 }
 
-// hollowGateways is the number of hollow gateways.
+// hollowGateways returns the number of hollow gateways.
 func (e *Experiment) hollowGateways() int {
 	groupGateways := 0
 	for _, g := range e.Groups {
@@ -162,7 +171,7 @@
 	return max(groupGateways, e.Fleet.HollowGateways)
 }
 
-// neededGateways is the smallest size of the fleet that the experiment can be run with.
+// neededGateways returns the smallest fleet size that the experiment can run with.
 func (e *Experiment) neededGateways() int {
 	return max(e.Fleet.GatewayProcesses+e.hollowGateways(), e.Tenants.SubsetSize)
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"amberlb/internal/wire"
 )
 
-// validExperiment is an experiment that could be run.
+// validExperiment is the text of a valid experiment file.
 const validExperiment = `
 shows = "a test"
 seconds = 1
@@ -39,7 +39,7 @@
 most = 0.1
 `
 
-// writeExperiment writes an experiment to a file and returns its path.
+// writeExperiment writes an experiment to a temporary file and returns its path.
 func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "test.toml")
@@ -49,16 +49,16 @@
 	return path
 }
 
-// An error in an experiment is one line that names the key.
+// The error for an invalid experiment file or sweep is one line that names the invalid key.
 func TestReadErrorNamesTheKey(t *testing.T) {
 	if _, err := Read(writeExperiment(t, validExperiment), ""); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		old   string // text of validExperiment
-		new   string // in its place
+		old   string // text in validExperiment
+		new   string // replaces old
 		sweep string
-		named string // what the error names
+		named string // expected in the error
 	}{
 		{"real = 2", "real = 2\nhelow = 3", "", `line 6: unknown key "fleet.helow"`},
 		{"use = 0.5\nburst_s = 3\n[[bound]]", "used = 1\n[[bound]]", "", `unknown key "group.used"`},
@@ -83,12 +83,12 @@
 	} {
 		_, err := Read(writeExperiment(t, strings.Replace(validExperiment, c.old, c.new, 1)), c.sweep)
 		if err == nil || !strings.Contains(err.Error(), c.named) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q, over %q: %v; %s should be named in one line", c.new, c.old, c.sweep, err, c.named)
+			t.Errorf("%q instead of %q, sweep %q: got %v, want one line with %s", c.new, c.old, c.sweep, err, c.named)
 		}
 	}
 }
 
-// The experiments in the lab directory are valid.
+// The experiment files in the directory lab are valid.
 func TestExperimentsOfTheLabAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 6 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// readPoints reads an experiment and returns those at the points of its sweep.
+// readPoints reads an experiment and returns the experiments at the points of its sweep.
 func readPoints(t *testing.T, text, sweep string) []Experiment {
 	t.Helper()
 	e, err := Read(writeExperiment(t, text), sweep)
@@ -115,7 +115,7 @@
 	return points
 }
 
-// A point of a sweep changes the swept key alone, and nothing of the other points.
+// Each point of a sweep changes only the swept key, and does not affect the other points.
 func TestSweepChangesItsKeyAlone(t *testing.T) {
 	points := readPoints(t, validExperiment, "spread=1,4")
 	if len(points) != 2 {
@@ -135,8 +135,8 @@
 	}
 }
 
-// Gateways can parse the settings, and the plans in them are the quotas that the
-// experiment states.
+// A gateway can parse the settings, and the plans in them have the quotas that follow from
+// the rates and utilizations in the experiment.
 func TestSettingsStateTheQuotas(t *testing.T) {
 	e := readPoints(t, validExperiment, "")[0]
 	text, err := e.settings(1)
@@ -175,11 +175,11 @@
 		}
 	}
 	if math.Abs(total-20) > 1e-6 {
-		t.Errorf("%g requests a second in all", total)
+		t.Errorf("%g requests a second in total, want 20", total)
 	}
 }
 
-// Every hollow gateway is in one process, and all gateways of a group are in the same.
+// Each hollow gateway runs in exactly one process, and all gateways of a group run in the same process.
 func TestGroupsAreNotSplitOverProcesses(t *testing.T) {
 	for _, processes := range []int{1, 2, 7} {
 		fleet := fmt.Sprintf("real = 2\nhollow = 12\nprocesses = %d", processes)
@@ -193,18 +193,18 @@
 			}
 			if job.firstRank != nextRank || job.gateways < 1 ||
 				job.groupCount > 0 && (job.firstGroup != nextGroup || groupGateways != job.gateways) {
-				t.Errorf("%d processes: %+v after %d", processes, job, nextRank)
+				t.Errorf("%d processes: job %+v, next rank %d", processes, job, nextRank)
 			}
 			nextRank = job.firstRank + job.gateways
 			nextGroup += job.groupCount
 		}
 		if nextRank != 14 || nextGroup != 2 || len(e.hollowJobs()) > 2*processes {
-			t.Errorf("%d processes: up to %d, %d groups", processes, nextRank, nextGroup)
+			t.Errorf("%d processes: the jobs end at rank %d and have %d groups", processes, nextRank, nextGroup)
 		}
 	}
 }
 
-// The line of least squares and its R2 are exact, and there is none through a single value of x.
+// leastSquares computes the line and R2, and reports that there is no line if all x are equal.
 func TestLeastSquares(t *testing.T) {
 	line, ok := leastSquares([]float64{1, 2, 4}, []float64{5, 7, 11})
 	if !ok || math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9 || math.Abs(line.R2-1) > 1e-9 ||
@@ -217,12 +217,12 @@
 	}
 	line, ok = leastSquares([]float64{3, 3}, []float64{1, 2})
 	if ok {
-		t.Errorf("through one value: %+v", line)
+		t.Errorf("got a line through points of equal x: %+v", line)
 	}
 }
 
-// A bound applies to the candidate at every point and in every group that it matches,
-// and is broken where its metric was not measured.
+// A bound applies to each run of the candidate and to each matching group, and is broken if
+// its metric was not measured.
 func TestBoundsApplyToTheCandidate(t *testing.T) {
 	limit := 1.0
 	bounds := []Bound{{Metric: "ready_s", Max: &limit}, {Metric: "tries", Group: "a*", Min: &limit}}
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -16,18 +16,18 @@
 	sampleInterval   = 250 * time.Millisecond
 )
 
-// errListTimeout is returned where the hollow gateways did not get their lists in time.
-var errListTimeout = errors.New("hollow gateways are without a list in time")
+// errListTimeout is returned if not all hollow gateways got their endpoint list in time.
+var errListTimeout = errors.New("not all hollow gateways got an endpoint list in time")
 
-// measureHollow measures hollow gateways and the groups of customers behind them.
+// measureHollow measures the hollow gateways and the requests of the groups.
 func (p *phase) measureHollow(ctx context.Context) error {
 	e := p.experiment
-	p.log.Info("hollow gateways start", "gateways", e.hollowGateways(), "groups", len(e.Groups))
+	p.log.Info("starting hollow gateways", "gateways", e.hollowGateways(), "groups", len(e.Groups))
 	start := p.standins.sample()
 	children, err := p.startHollowProcesses(ctx)
 	defer func() {
 		for _, child := range children {
-			child.Stop(hollowStopGrace) // after a failure; those that have ended stay as they are
+			child.Stop(hollowStopGrace) // ends the processes after an error; no effect on exited ones
 		}
 	}()
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// startHollowProcesses starts the processes of the hollow gateways. It returns those that were started also where one
-// was not.
+// startHollowProcesses starts the processes of the hollow gateways. If one fails to start, it returns the error together
+// with the processes started before.
 func (p *phase) startHollowProcesses(ctx context.Context) ([]*proc.Process, error) {
 	var children []*proc.Process
 	for _, job := range p.experiment.hollowJobs() {
@@ -73,7 +73,7 @@
 	return children, nil
 }
 
-// allExited returns a channel that is closed when all processes have ended.
+// allExited returns a channel that is closed when all processes have exited.
 func allExited(children []*proc.Process) <-chan struct{} {
 	exited := make(chan struct{})
 	go func() {
@@ -85,8 +85,8 @@
 	return exited
 }
 
-// measureLists waits until as many full lists are sent as there are hollow gateways, and records how fast that was.
-// start is a sample from before their start.
+// measureLists waits until discovery has sent as many full lists as there are hollow gateways, and records the rate and
+// the traffic. start is a sample taken before the gateways were started.
 func (p *phase) measureLists(ctx context.Context, start sample, exited <-chan struct{}) error {
 	e := p.experiment
 	timeout := seconds(e.Fleet.ReadyTimeoutS + e.Restart.StaggerS)
@@ -97,12 +97,11 @@
 	tookSeconds := listed.at.Sub(start.at).Seconds()
 	p.run.Metrics["hollow_lists_per_s"] = float64(listed.discovery.FullLists) / tookSeconds
 	p.run.Metrics["hollow_list_bytes"] = float64(listed.discovery.Traffic.Bytes())
-	p.log.Info("lists are out", "seconds", tookSeconds)
+	p.log.Info("endpoint lists sent", "seconds", tookSeconds)
 	return nil
 }
 
-// awaitLists waits until so many full lists are sent and returns a sample of that time, or of the time at which all
-// processes have ended.
+// awaitLists waits until discovery has sent count full lists or exited is closed, and returns a sample of that time.
 func (s *standins) awaitLists(
 	ctx context.Context, count int, timeout time.Duration, exited <-chan struct{},
 ) (sample, error) {
@@ -117,13 +116,13 @@
 		case <-deadline:
 			return sample{}, errListTimeout
 		case <-exited:
-			return s.sample(), nil // their results tell more
+			return s.sample(), nil // the caller reports why the processes exited
 		case <-time.After(listPollInterval):
 		}
 	}
 }
 
-// sampleUntil samples the stand-ins at intervals until done is closed. The last sample is of that time.
+// sampleUntil samples the stand-ins every sampleInterval until done is closed, and a last time then.
 func (s *standins) sampleUntil(ctx context.Context, done <-chan struct{}) ([]sample, error) {
 	var samples []sample
 	for {
--- a/internal/lab/experiment/hollowjob.go
+++ b/internal/lab/experiment/hollowjob.go
@@ -6,21 +6,22 @@
 	"amberlb/internal/lab/hollow"
 )
 
-// hollowJob says which hollow gateways and groups one process runs.
+// hollowJob is the part of the hollow gateways and groups that one process runs. The ranks of its gateways and the
+// indices of its groups are consecutive.
 type hollowJob struct {
-	firstRank  int // of its gateways, whose ranks are consecutive
-	gateways   int // number
-	firstGroup int // index of the first of its groups, which are consecutive
+	firstRank  int // rank of its first gateway
+	gateways   int // number of its gateways
+	firstGroup int // index of its first group
 	groupCount int
 }
 
-// groupsOf are the groups of a job.
+// groupsOf returns the groups of a job.
 func (e *Experiment) groupsOf(job hollowJob) []Group {
 	return e.Groups[job.firstGroup : job.firstGroup+job.groupCount]
 }
 
-// hollowJobs distributes the hollow gateways over processes: first those of the groups, then those of no group. All
-// gateways of a group are in one process, since the quotas of its customers are checked there.
+// hollowJobs distributes the hollow gateways over processes: first the gateways of the groups, then those that belong to
+// no group. All gateways of a group are in one process, because that process checks the quotas of the group's customers.
 func (e *Experiment) hollowJobs() []hollowJob {
 	processes := e.Fleet.HollowProcesses
 	groupProcesses := min(processes, len(e.Groups))
@@ -46,7 +47,7 @@
 	return jobs
 }
 
-// encodeJob is what the process of a job reads, as JSON.
+// encodeJob returns the JSON that the process of a job reads from its standard input.
 func (e *Experiment) encodeJob(job hollowJob, s *standins) ([]byte, error) {
 	settings, err := e.settings(job.firstRank)
 	if err != nil {
@@ -76,7 +77,7 @@
 			Customers: g.Customers,
 			PerSecond: g.RequestsPerSecond,
 			Zipf:      g.ZipfExponent,
-			Plan:      job.firstGroup + i, // the groups' plans are the settings' first
+			Plan:      job.firstGroup + i, // the settings list the plans of the groups first
 			Units:     g.UnitsPerRequest,
 			Shift:     g.ShiftingWeights,
 		})
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -9,8 +9,9 @@
 	"amberlb/internal/lab/proc"
 )
 
-// collectResults records the results of the processes of hollow gateways. Their times to be ready are those of the
-// slowest process. It returns for each process how long its load was measured, in seconds.
+// collectResults waits for the processes of the hollow gateways and records their results. Each quantile of the time
+// until a gateway is ready is that of the slowest process. It returns for each process how long its load was measured,
+// in seconds.
 func (p *phase) collectResults(children []*proc.Process) (measuredSeconds []float64, err error) {
 	metrics := p.run.Metrics
 	ready := 0.0
@@ -42,19 +43,19 @@
 	return measuredSeconds, nil
 }
 
-// awaitResult waits for the end of a process of hollow gateways and reads its result.
+// awaitResult waits until a process of hollow gateways exits, and decodes its result.
 func awaitResult(child *proc.Process) (*hollow.Result, error) {
 	if err := child.Wait(); err != nil {
-		return nil, fmt.Errorf("hollow gateways ended with %w: %s", err, child.Stderr())
+		return nil, fmt.Errorf("hollow gateways: process exited with %w: %s", err, child.Stderr())
 	}
 	var result hollow.Result
 	if err := json.Unmarshal(child.Stdout(), &result); err != nil {
-		return nil, fmt.Errorf("result of hollow gateways: %w", err)
+		return nil, fmt.Errorf("hollow gateways: decoding the result: %w", err)
 	}
 	return &result, nil
 }
 
-// groupMetrics are the metrics of a group.
+// groupMetrics returns the metrics of a group.
 func groupMetrics(result *hollow.GroupResult) Metrics {
 	attempts := float64(result.Tries)
 	calls := float64(result.Calls)
@@ -73,8 +74,9 @@
 	return metrics
 }
 
-// recordControlMetrics records the control traffic while the load of all processes was measured. The last sample is of
-// their end; measuredSeconds tell for each process how long before that its load began to be measured.
+// recordControlMetrics records the control traffic during the time in which the load of all processes was measured.
+// The last sample was taken when the processes had exited. measuredSeconds says for each process how long before that
+// its measurement began.
 func (e *Experiment) recordControlMetrics(samples []sample, measuredSeconds []float64, metrics Metrics) {
 	end := samples[len(samples)-1].at
 	from := end.Add(-seconds(slices.Min(measuredSeconds)))
--- a/internal/lab/experiment/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -12,14 +12,14 @@
 
 // Lab runs experiments.
 type Lab struct {
-	Versions []Version // measured one after the other at each point of a sweep; one is Candidate
+	Versions []Version // measured one after the other at each point of a sweep; one of them is Candidate
 	Root     string    // root directory of the repository
 	Log      *slog.Logger
 }
 
-// Run runs the experiment of a file, at each of the values that it sweeps, and returns the report. When ctx ends, what
-// was started is ended, and the report says what is partial. The error is one of the experiment, found before anything
-// is started.
+// Run runs the experiment, once for each version and value of the sweep, and returns the report. file is only recorded
+// in the report. If ctx ends, Run stops everything that it started, and the report says which runs are partial. An error
+// means that the experiment is invalid; it is returned before anything is started.
 func (l *Lab) Run(ctx context.Context, file string, e Experiment) (*Report, error) {
 	sweep, points, err := e.sweepPoints()
 	if err != nil {
@@ -50,7 +50,8 @@
 	return report, nil
 }
 
-// runPoint measures a version at one point of a sweep, where the key has a value; it is "" without a sweep.
+// runPoint measures a version at one point of a sweep. key and value are the swept key and its value at the point; key
+// is "" without a sweep.
 func (l *Lab) runPoint(ctx context.Context, point *Experiment, version Version, key string, value float64) Run {
 	if key != "" {
 		l.Log.Info("point", "version", version.Name, key, value)
@@ -64,8 +65,8 @@
 	return run
 }
 
-// commitID names the commit of a checkout, with "-dirty" behind it if there are changes beside. It is "unknown" outside
-// a repository.
+// commitID returns the id of the commit that is checked out in root, with the suffix "-dirty" if there are uncommitted
+// changes. Outside a repository it returns "unknown".
 func commitID(root string) string {
 	head, err := exec.Command("git", "-C", root, "rev-parse", "HEAD").Output()
 	if err != nil {
@@ -79,10 +80,10 @@
 	return commit
 }
 
-// describeMachine describes this machine. What can't be read is left out.
+// describeMachine describes this machine. Values that can't be read are left empty.
 func describeMachine() Machine {
 	machine := Machine{Cores: runtime.NumCPU()}
-	machine.MemoryMB, _ = machineMemoryMB() // the checks have read it before
+	machine.MemoryMB, _ = machineMemoryMB() // no error expected: validateCapacity has read it before
 	if load, err := os.ReadFile("/proc/loadavg"); err == nil {
 		averages := strings.Fields(string(load))[:3]
 		machine.Load = strings.Join(averages, " ")
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -2,85 +2,86 @@
 
 import "slices"
 
-// Metrics are what one run measured, by name. A metric that could not be measured
-// is not among them.
+// Metrics holds the measured values of one run or group by the name of the metric. A metric
+// that could not be measured is absent.
 type Metrics map[string]float64
 
-// metric is a value that a bound may name.
+// metric describes a metric of the report.
 type metric struct {
-	name     string // ends in its unit; a share or a count has none
-	perGroup bool   // of a group of customers, not of the whole run
+	name     string // ends in the unit; shares and counts have none
+	perGroup bool   // measured for each group of customers, not for the whole run
 	primary  bool   // printed in the table
 }
 
-// metrics are all that may be measured, in the order of the table.
+// metrics lists all metrics, in the order of the table. A share is a fraction between 0 and 1. Traffic is
+// counted in bytes on the wire.
 var metrics = []metric{
-	// Gateway processes.
-	{name: "ready_s", primary: true},                   // from the start of the slowest gateway until it is ready
-	{name: "never_ready", primary: true},               // gateways that were not ready in time
-	{name: "list_bytes", primary: true},                // of a full list
-	{name: "quiet_core_share", primary: true},          // of a core, by a gateway without requests
-	{name: "quiet_control_bytes_per_s", primary: true}, // of a gateway without requests, on the wire
-	{name: "requests"},                                 // that were scheduled
-	{name: "requests_per_s", primary: true},            // at a gateway
-	{name: "served_share", primary: true},
-	{name: "refused_share", primary: true},
-	{name: "failed_share", primary: true},
-	{name: "dropped"}, // requests that were not sent, since too many were in flight
-	{name: "cpu_ms_per_request", primary: true},
-	{name: "added_p50_ms", primary: true}, // latency beyond the backend's service
+	// Gateway processes. The metrics from requests on are those of the measured load.
+	{name: "ready_s", primary: true},                   // time until the slowest gateway is ready
+	{name: "never_ready", primary: true},               // number of gateways that were not ready in time
+	{name: "list_bytes", primary: true},                // size of the full endpoint list
+	{name: "quiet_core_share", primary: true},          // share of a core that a gateway without requests uses
+	{name: "quiet_control_bytes_per_s", primary: true}, // control traffic of a gateway without requests
+	{name: "requests"},                                 // number of scheduled requests
+	{name: "requests_per_s", primary: true},            // request rate of each gateway
+	{name: "served_share", primary: true},              // requests answered 200, of all scheduled requests
+	{name: "refused_share", primary: true},             // requests answered 429 or 503, of all scheduled requests
+	{name: "failed_share", primary: true},              // all others but the dropped, of all scheduled requests
+	{name: "dropped"},                                  // number of requests not sent because too many were in flight
+	{name: "cpu_ms_per_request", primary: true},        // CPU time of the gateways
+	{name: "added_p50_ms", primary: true},              // added_*: latency without the backend's service time
 	{name: "added_p90_ms"},
 	{name: "added_p99_ms", primary: true},
 	{name: "added_p999_ms", primary: true},
 	{name: "added_max_ms"},
-	{name: "late_p99_ms", primary: true},                // of that, how late the request was sent: noise
-	{name: "memory_peak_mb", primary: true},             // of the largest gateway
-	{name: "control_bytes_per_s", primary: true},        // of a gateway on the wire: counter and discovery
-	{name: "counter_bytes_per_s", primary: true},        // of that, the counter's
-	{name: "counter_calls_per_request", primary: true},  // as the counter received them
-	{name: "counter_turned_away_share"},                 // of the calls
-	{name: "counter_names"},                             // alive at the end
-	{name: "backend_connections"},                       // most open at one time
-	{name: "backend_connections_at_one", primary: true}, // most open at one backend
-	{name: "backend_handshakes_per_request"},            // new connections
-	{name: "backends_reached"},                          // that got a request
+	{name: "late_p99_ms", primary: true},                // how late the lab sent requests: noise in the added latency
+	{name: "memory_peak_mb", primary: true},             // peak memory of the largest gateway
+	{name: "control_bytes_per_s", primary: true},        // traffic of a gateway with the counter and discovery
+	{name: "counter_bytes_per_s", primary: true},        // traffic of a gateway with the counter
+	{name: "counter_calls_per_request", primary: true},  // calls that the counter received
+	{name: "counter_turned_away_share"},                 // calls that the counter rejected, of those that it received
+	{name: "counter_names"},                             // number of unexpired names at the counter at the end
+	{name: "backend_connections"},                       // peak number of open connections to all backends
+	{name: "backend_connections_at_one", primary: true}, // peak number of open connections to one backend
+	{name: "backend_handshakes_per_request"},            // new connections to backends
+	{name: "backends_reached"},                          // number of backends that received a request
 
-	// Hollow gateways.
-	{name: "hollow_ready_p50_s", primary: true}, // from the start of a gateway until it has its list
+	// Hollow gateways. "Measured load" is the load after the warm-up.
+	{name: "hollow_ready_p50_s", primary: true}, // hollow_ready_*_s: time until a gateway has its endpoint list
 	{name: "hollow_ready_p90_s", primary: true},
 	{name: "hollow_ready_p99_s", primary: true},
 	{name: "hollow_ready_max_s", primary: true},
-	{name: "hollow_ready", primary: true},               // gateways that had their list at the end
-	{name: "hollow_lists", primary: true},               // full lists sent in all
-	{name: "hollow_lists_per_s", primary: true},         // until there were as many as gateways
-	{name: "hollow_list_bytes", primary: true},          // on the wire until then
-	{name: "hollow_control_bytes_per_s", primary: true}, // of a gateway on the wire, after the warm time
-	{name: "hollow_counter_calls"},                      // as the counter received them, from the start
-	{name: "hollow_counter_calls_per_s", primary: true}, // of all gateways, after the warm-up
-	{name: "hollow_counter_turned_away_share", primary: true},
-	{name: "hollow_cpu_share", primary: true}, // of a core, by a gateway, after the warm-up
-	{name: "hollow_memory_mb", primary: true}, // peak of all their processes together
+	{name: "hollow_ready", primary: true},                     // number of gateways that got an endpoint list
+	{name: "hollow_lists", primary: true},                     // number of full lists sent until the end
+	{name: "hollow_lists_per_s", primary: true},               // rate of full lists until one was sent for each gateway
+	{name: "hollow_list_bytes", primary: true},                // discovery traffic until then
+	{name: "hollow_control_bytes_per_s", primary: true},       // control traffic of a gateway during the measured load
+	{name: "hollow_counter_calls"},                            // calls that the counter received, warm-up included
+	{name: "hollow_counter_calls_per_s", primary: true},       // calls of all gateways during the measured load
+	{name: "hollow_counter_turned_away_share", primary: true}, // calls that the counter rejected during the measured load
+	{name: "hollow_cpu_share", primary: true},                 // share of a core used by a gateway during that load
+	{name: "hollow_memory_mb", primary: true},                 // sum of the peak memory of all processes
 
-	// Groups of customers, after the warm-up.
-	{name: "tries", perGroup: true},
-	{name: "calls_per_request", perGroup: true, primary: true},
-	{name: "calls_unanswered_share", perGroup: true}, // of the calls
-	{name: "refused_share", perGroup: true, primary: true},
-	{name: "refused_inside_share", perGroup: true, primary: true},    // rejected though the quota had the units, of the attempts
-	{name: "refused_half_full_share", perGroup: true, primary: true}, // rejected with half of the burst or more unused, of the attempts
-	{name: "beyond_share", perGroup: true, primary: true},            // forwarded beyond the quota, of the attempts
-	{name: "failed_share", perGroup: true},
-	{name: "dropped", perGroup: true},
-	{name: "p50_ms", perGroup: true},
+	// Groups of customers, during the measured load. Shares are of the attempts where nothing else is said.
+	{name: "tries", perGroup: true},                                  // number of attempts
+	{name: "calls_per_request", perGroup: true, primary: true},       // calls to the counter per attempt
+	{name: "calls_unanswered_share", perGroup: true},                 // of the calls to the counter
+	{name: "refused_share", perGroup: true, primary: true},           // rejected
+	{name: "refused_inside_share", perGroup: true, primary: true},    // rejected although the quota had the units
+	{name: "refused_half_full_share", perGroup: true, primary: true}, // rejected with half of the burst or more unused
+	{name: "beyond_share", perGroup: true, primary: true},            // forwarded beyond the quota
+	{name: "failed_share", perGroup: true},                           // neither served nor rejected nor dropped
+	{name: "dropped", perGroup: true},                                // not sent because too many were in flight (a count)
+	{name: "p50_ms", perGroup: true},                                 // p50_ms, p99_ms: latency of served requests
 	{name: "p99_ms", perGroup: true, primary: true},
 }
 
-// metricExists tells whether a run has a metric of this name, or its groups have if ofGroup.
+// metricExists reports whether there is a metric with this name: one of groups if forGroup, else one of the whole run.
 func metricExists(name string, forGroup bool) bool {
 	return slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name && m.perGroup == forGroup })
 }
 
-// primaryMetrics are those of a run, or of its groups if perGroup, that are printed in the table.
+// primaryMetrics returns the metrics that are printed in the table: those of groups if perGroup, else those of the run.
 func primaryMetrics(perGroup bool) []metric {
 	var primary []metric
 	for _, m := range metrics {
@@ -91,12 +92,12 @@
 	return primary
 }
 
-// setRatio sets a metric to the ratio of part to total. It is not measured where total is 0.
+// setRatio sets a metric to part / total. If total is 0, the metric stays absent.
 func (m Metrics) setRatio(name string, part, total float64) {
 	if total > 0 {
 		m[name] = part / total
 	}
 }
 
-// setMax sets a metric to a value that is above what it has.
+// setMax raises a metric to value, unless it is higher already.
 func (m Metrics) setMax(name string, value float64) { m[name] = max(m[name], value) }
--- a/internal/lab/experiment/processes.go
+++ b/internal/lab/experiment/processes.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	requestClass  = "lookup" // the settings' only class
+	requestClass  = "lookup" // the only class in the settings
 	clientTimeout = 2 * time.Second
-	settleTime    = time.Second // after the gateways are ready, before they are measured idle
+	settleTime    = time.Second // between the gateways' readiness and the idle measurement
 )
 
-// measureProcesses measures gateway processes: their start, then idle, then under load.
+// measureProcesses measures the gateway processes: first their start, then without requests, then under load.
 func (p *phase) measureProcesses(ctx context.Context) (err error) {
 	listBytes, err := p.standins.listBytes(ctx)
 	if err != nil {
@@ -43,10 +43,11 @@
 	return p.measureLoad(ctx, gateways)
 }
 
-// startProcesses starts the gateway processes. It returns those that were started also where one was not.
+// startProcesses starts the gateway processes. If one fails to start, it returns the error together with the gateways
+// started before.
 func (p *phase) startProcesses(ctx context.Context) ([]*gatewayprocess.Gateway, error) {
 	fleet := &p.experiment.Fleet
-	p.log.Info("gateways start", "gateways", fleet.GatewayProcesses, "backends", p.experiment.Backends.Count)
+	p.log.Info("starting gateways", "gateways", fleet.GatewayProcesses, "backends", p.experiment.Backends.Count)
 	var gateways []*gatewayprocess.Gateway
 	for rank := range fleet.GatewayProcesses {
 		settings, err := p.experiment.settings(rank)
@@ -70,8 +71,8 @@
 	return gateways, nil
 }
 
-// awaitReady waits for all gateways. If one is not ready in time, no more can be measured, which is a metric too and no
-// error.
+// awaitReady waits until all gateways are ready. A gateway that is not ready in time is counted in the metric never_ready
+// and is no error, but then ready is false and nothing else can be measured.
 func (p *phase) awaitReady(ctx context.Context, gateways []*gatewayprocess.Gateway) (ready bool, err error) {
 	neverReady := 0
 	slowest := time.Duration(0)
@@ -92,7 +93,7 @@
 	return neverReady == 0, nil
 }
 
-// measureIdle measures gateways without requests.
+// measureIdle measures the gateways without requests.
 func (p *phase) measureIdle(ctx context.Context, gateways []*gatewayprocess.Gateway) error {
 	if p.experiment.IdleSeconds == 0 {
 		return nil
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// measureLoad measures gateways under load.
+// measureLoad measures the gateways under load.
 func (p *phase) measureLoad(ctx context.Context, gateways []*gatewayprocess.Gateway) error {
 	e := p.experiment
 	requests := e.newLoad(len(gateways))
@@ -138,7 +139,7 @@
 	return context.Cause(ctx)
 }
 
-// newLoad returns the load on so many gateways.
+// newLoad returns the load of the tenants on this number of gateways.
 func (e *Experiment) newLoad(gateways int) *gatewayprocess.Load {
 	tenants, _ := e.tenants()
 	return &gatewayprocess.Load{
@@ -152,17 +153,17 @@
 	}
 }
 
-// span is what was sampled at both ends of a while.
+// span holds the samples taken at the start and at the end of a measurement.
 type span struct {
 	before sample
 	after  sample
-	used   proc.Usage // by the gateways: their CPU time together, and the largest peak of memory up to the end
+	used   proc.Usage // CPU time of all gateways during the span; PeakRSS of the largest gateway since its start
 }
 
-// seconds is the span's length.
+// seconds returns the length of the span.
 func (s *span) seconds() float64 { return s.after.at.Sub(s.before.at).Seconds() }
 
-// measureSpan samples the stand-ins and the gateways now and after a while.
+// measureSpan samples the stand-ins and the gateways, waits for length, and samples them again.
 func (s *standins) measureSpan(
 	ctx context.Context, gateways []*gatewayprocess.Gateway, length time.Duration,
 ) (*span, error) {
@@ -181,7 +182,8 @@
 	return &span{before: before, after: after, used: used}, nil
 }
 
-// sampleUsage samples the stand-ins and the gateways: their CPU time together, and the peak memory of the largest.
+// sampleUsage samples the stand-ins and the usage of the gateways: the sum of their CPU times, and the peak memory of
+// the largest gateway.
 func (s *standins) sampleUsage(gateways []*gatewayprocess.Gateway) (sample, proc.Usage, error) {
 	var total proc.Usage
 	for _, g := range gateways {
@@ -195,7 +197,7 @@
 	return s.sample(), total, nil
 }
 
-// recordLoadMetrics records the metrics of a load on so many gateways.
+// recordLoadMetrics records the metrics of a load on this number of gateways.
 func (e *Experiment) recordLoadMetrics(metrics Metrics, result *gatewayprocess.Result, span *span, gateways int) {
 	scheduled := float64(result.Scheduled)
 	metrics["requests"] = scheduled
@@ -223,7 +225,8 @@
 	metrics["backends_reached"] = float64(backends.BackendsReached)
 }
 
-// recordLoadControlMetrics records the metrics of the control traffic of so many gateways and requests.
+// recordLoadControlMetrics records the metrics of the control traffic during a load. requests and gateways are the
+// numbers of requests and of gateways.
 func (e *Experiment) recordLoadControlMetrics(metrics Metrics, span *span, requests float64, gateways int) {
 	discoveryTraffic, counterTraffic := span.after.controlTraffic(&span.before, gateways)
 	metrics["control_bytes_per_s"] = discoveryTraffic + counterTraffic
--- a/internal/lab/experiment/read.go
+++ b/internal/lab/experiment/read.go
@@ -10,9 +10,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Read reads the experiment at path and validates it. It returns the experiment as
-// the file states it, without defaults, but with sweep in place of the file's own
-// unless it is "". Errors are one line, which names the key.
+// Read reads and validates the experiment file at path. If sweep is not "", it replaces the
+// sweep in the file. Defaults are not applied to the returned experiment. The text of an
+// error is one line that names the invalid key.
 func Read(path, sweep string) (Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return e, nil
 }
 
-// parseExperiment parses the text of an experiment. A key that it does not know is an error.
+// parseExperiment parses the text of an experiment file. An unknown key is an error.
 func parseExperiment(text []byte) (Experiment, error) {
 	var e Experiment
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&e)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Candidate and Baseline name the versions of the programs that a report compares.
-// Bounds apply to Candidate alone.
+// Candidate and Baseline are the names of the versions that a report compares: the version
+// that fleetlab belongs to, and an earlier one. Bounds apply to Candidate only.
 const (
 	Candidate = "after"
 	Baseline  = "before"
 )
 
-// Report is all that an experiment gave.
+// Report is the result of an experiment.
 type Report struct {
 	File       string     `json:"file"`
 	Experiment Experiment `json:"experiment"` // as the file states it
 	Seed       uint64     `json:"seed"`
-	Commit     string     `json:"commit"`             // of this version; "unknown" outside a repository
-	Baseline   string     `json:"baseline,omitempty"` // directory of the earlier version
+	Commit     string     `json:"commit"`             // commit of Candidate; "unknown" outside a repository
+	Baseline   string     `json:"baseline,omitempty"` // directory of the version Baseline; "" if there is none
 	Started    time.Time  `json:"started"`
 	DurationS  float64    `json:"took_s"`
 	Machine    Machine    `json:"machine"`
-	Partial    bool       `json:"partial"` // something was not measured to its end; the runs say what
+	Partial    bool       `json:"partial"` // at least one run was not completed; its Partial says why
 	Passed     bool       `json:"kept"`    // all bounds were kept
 	Runs       []Run      `json:"runs"`
 	Slopes     []Slope    `json:"slopes,omitempty"`
 	Verdicts   []Verdict  `json:"bounds,omitempty"`
 }
 
-// Machine is what the experiment ran on.
+// Machine describes the machine that the experiment ran on.
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Load     string  `json:"load"` // the kernel's load averages at the start
+	Load     string  `json:"load"` // load averages of the kernel at the start
 }
 
-// Run is one version at one point of a sweep.
+// Run holds the metrics of one version at one point of a sweep.
 type Run struct {
 	Version string             `json:"version"`
-	Key     string             `json:"key,omitempty"` // what was swept, and its value here
+	Key     string             `json:"key,omitempty"` // swept key, whose value is Value; "" without a sweep
 	Value   float64            `json:"value"`
 	Metrics Metrics            `json:"figures"`
 	Groups  map[string]Metrics `json:"groups,omitempty"`
-	Partial []string           `json:"partial,omitempty"` // what was not measured to its end, and why
+	Partial []string           `json:"partial,omitempty"` // the phases that were not completed, and why
 }
 
-// Write writes the report to a file, as JSON. It makes the file's directory if there is none.
+// Write writes the report to a file, as JSON. It creates the file's directory if it doesn't exist.
 func (r *Report) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -11,38 +11,39 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// phaseMargin is the time that a phase may take beside the times that the file states.
+// phaseMargin is the time that a phase may take in addition to the times in the experiment file.
 const phaseMargin = 20 * time.Second
 
-// Version is a version of the programs that are measured.
+// Version is a version of the measured programs.
 type Version struct {
 	Name     string                 // Candidate or Baseline
 	Gateway  gatewayprocess.Program // starts a gateway process
-	Fleetlab string                 // path of the program whose command `hollow` runs hollow gateways
+	Fleetlab string                 // path of the fleetlab program, whose command `hollow` runs hollow gateways
 }
 
-// phase is one phase of a run under way: its gateways talk to stand-ins that no other phase uses.
+// phase is one half of a run: it measures either the gateway processes or the hollow gateways, with stand-ins that no
+// other phase uses.
 type phase struct {
 	experiment *Experiment
 	version    Version
 	standins   *standins
-	run        *Run // takes what is measured
+	run        *Run // receives the metrics
 	log        *slog.Logger
 }
 
 // measureFunc measures the gateways of a phase.
 type measureFunc func(*phase, context.Context) error
 
-// errPhaseTimeout is the cause where a phase was ended by force.
-var errPhaseTimeout = errors.New("it took too long")
+// errPhaseTimeout is the cancellation cause of a phase that exceeds phaseTimeout.
+var errPhaseTimeout = errors.New("the phase took too long")
 
-// phaseTimeout is the time after which a phase is ended by force.
+// phaseTimeout returns the time after which a phase is cancelled.
 func (e *Experiment) phaseTimeout() time.Duration {
 	return seconds(e.Fleet.ReadyTimeoutS+e.IdleSeconds+e.WarmupSeconds+e.Seconds+e.Restart.StaggerS) + phaseMargin
 }
 
-// runVersion measures one version: the gateway processes first, then, with the machine to themselves, the hollow
-// gateways. A phase that failed is reported as partial.
+// runVersion measures one version. The gateway processes and the hollow gateways are measured one after the other, so
+// that they don't compete for the machine. A phase that fails is reported as partial.
 func (e *Experiment) runVersion(ctx context.Context, v Version, log *slog.Logger) Run {
 	run := Run{Version: v.Name, Metrics: Metrics{}, Groups: map[string]Metrics{}}
 	if e.Fleet.GatewayProcesses > 0 {
@@ -54,7 +55,7 @@
 	return run
 }
 
-// runPhase runs a phase and adds to the run what it measured, and why it is partial if it is.
+// runPhase runs a phase and adds its metrics to the run. If the phase fails, it adds the reason to run.Partial.
 func (e *Experiment) runPhase(
 	ctx context.Context, name string, measure measureFunc, version Version, run *Run, log *slog.Logger,
 ) {
@@ -70,12 +71,12 @@
 		return
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		err = cause // what failed did so since the phase was ended
+		err = cause // the error is a consequence of the cancellation
 	}
 	run.Partial = append(run.Partial, name+": "+oneLine(err))
 }
 
-// measureWithStandins starts the stand-ins for measure, and ends them when it returns.
+// measureWithStandins starts the stand-ins, calls measure, and closes the stand-ins.
 func (p *phase) measureWithStandins(ctx context.Context, measure measureFunc) error {
 	started, err := startStandins(ctx, p.experiment)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return measure(p, ctx)
 }
 
-// sleep waits, or returns why ctx ended.
+// sleep waits for d. If ctx ends before, it returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	if !ctxtime.Sleep(ctx, d) {
 		return context.Cause(ctx)
@@ -94,5 +95,5 @@
 	return nil
 }
 
-// oneLine is the text of an error without its line breaks.
+// oneLine returns the text of an error, with line breaks replaced by blanks.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -6,16 +6,17 @@
 	"fmt"
 )
 
-// minBurstRequests is the smallest burst of a quota, in requests, however low its rate.
+// minBurstRequests is the smallest burst of a quota, in requests. It applies to quotas with a low rate.
 const minBurstRequests = 4.0
 
-// settingsTemplate is a deployment of no site, which states all but the plans, the fleet
-// and the counter.
+// settingsTemplate holds the deployment settings that all experiments share. The plans, the
+// fleet and the counter are added to it. It describes no existing site.
 //
 //go:embed settings.json
 var settingsTemplate []byte
 
-// planJSON is a plan in the settings' form: a quota and a weight, nothing else.
+// planJSON is a plan as encoded in the settings. It has a quota and weights; the other keys
+// of a plan are left out.
 type planJSON struct {
 	Name            string  `json:"name"`
 	Rate            float64 `json:"unitsPerS"` // units a second
@@ -25,7 +26,8 @@
 	OverQuotaWeight float64 `json:"overWorth"`
 }
 
-// newPlan is a plan of a rate in units a second, with a burst of so many seconds of it but of a few requests at least.
+// newPlan returns a plan with a quota of unitsPerSecond. Its burst is burstS seconds of that rate, and at least
+// minBurstRequests requests.
 func newPlan(name string, unitsPerSecond, burstS, unitsPerRequest float64) planJSON {
 	return planJSON{
 		Name:            name,
@@ -37,18 +39,18 @@
 	}
 }
 
-// settings are those of the gateway of a rank: the groups' plans in their order,
-// then the tenants'.
+// settings returns the deployment settings for the gateway with this rank. Their plans are
+// one for each group, in the order of the groups, followed by the plans of the tenants.
 func (e *Experiment) settings(rank int) (json.RawMessage, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(settingsTemplate, &settings); err != nil {
-		return nil, fmt.Errorf("template of the settings: %w", err)
+		return nil, fmt.Errorf("settings template: %w", err)
 	}
 	plans, maxUnits := e.groupPlans()
 	_, tenantPlans := e.tenants()
 	plans = append(plans, tenantPlans...)
 	if len(plans) == 0 {
-		plans = []planJSON{newPlan("unused", 1, 1, 1)} // settings must have a plan
+		plans = []planJSON{newPlan("unused", 1, 1, 1)} // settings without a plan are invalid
 	}
 	settings["packages"] = plans
 	settings["fleetSize"] = e.Fleet.Gateways
@@ -60,7 +62,8 @@
 	return json.Marshal(settings)
 }
 
-// groupPlans are the plans of the groups, and the most units that a request of any group, or of a tenant, costs.
+// groupPlans returns a plan for each group, and the highest cost in units of a request of any group or tenant.
+// Requests of tenants cost 1.
 func (e *Experiment) groupPlans() (plans []planJSON, maxUnits float64) {
 	maxUnits = 1
 	for _, g := range e.Groups {
--- a/internal/lab/experiment/slope.go
+++ b/internal/lab/experiment/slope.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Slope is a line through a metric's values at the points of a sweep, by least squares:
-// metric = Intercept + Slope x value.
+// Slope is a least-squares line through the values of a metric at the points of a sweep:
+// metric = Intercept + Slope x value of the swept key.
 type Slope struct {
 	Version   string  `json:"version"`
 	Metric    string  `json:"figure"`
@@ -17,19 +17,19 @@
 	Points    int     `json:"points"`
 }
 
-// isPrimary tells whether the slope is of a metric that is printed in the table.
+// isPrimary reports whether the metric of the slope is printed in the table.
 func (s *Slope) isPrimary() bool {
 	perGroup := s.Group != ""
 	return slices.ContainsFunc(primaryMetrics(perGroup), func(m metric) bool { return m.name == s.Metric })
 }
 
-// points are the values of a swept key with the values of a metric there.
+// points pairs the values of the swept key with the values of a metric.
 type points struct {
-	xs []float64 // of the key
-	ys []float64 // of the metric
+	xs []float64 // values of the swept key
+	ys []float64 // values of the metric
 }
 
-// fitSlopes fits a line to every metric that was measured at two values or more.
+// fitSlopes fits a line to every metric that was measured at two or more values of the swept key.
 func fitSlopes(runs []Run) []Slope {
 	var slopes []Slope
 	for _, version := range []string{Baseline, Candidate} {
@@ -50,7 +50,8 @@
 	return slopes
 }
 
-// pointsByGroup returns the points of a version's metric by group. Those of a metric of the whole run are of the group "".
+// pointsByGroup returns the points of a version's metric by group name. The points of a metric of the whole run have the
+// key "".
 func pointsByGroup(runs []Run, version string, m metric) map[string]*points {
 	byGroup := map[string]*points{}
 	for _, run := range runs {
@@ -76,7 +77,7 @@
 	return byGroup
 }
 
-// leastSquares is the line through the points. ok is false if they all have one value of x.
+// leastSquares returns the least-squares line through the points. ok is false if all points have the same x.
 func leastSquares(xs, ys []float64) (line Slope, ok bool) {
 	n := float64(len(xs))
 	var meanX, meanY float64
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -16,27 +16,27 @@
 // backendListeners is the number of ports that the backends share.
 const backendListeners = 4
 
-// Zones and machine types of the backends, which get them in turn.
+// Zones and machine types, which are assigned to the backends in turn.
 var (
 	zones        = []string{"zone-1", "zone-2", "zone-3", "zone-4", "zone-5", "zone-6", "zone-7", "zone-8"}
 	machineTypes = []string{"standard"}
 )
 
-// standins are the services that the gateways of one phase of a run talk to. Each phase has its own, so that all their
-// traffic is this phase's.
+// standins are the services that the gateways of one phase talk to. Each phase has its own stand-ins, so that they count
+// the traffic of that phase only.
 type standins struct {
 	discovery        *discovery.Server
 	discoveryAddress string
-	counter          *counter.Counter // nil: none
+	counter          *counter.Counter // nil without a counter
 	counterAddress   string           // "" without a counter
 	backends         *backend.Pool
 
-	// startChurn's goroutine owns these while it runs.
-	listedBackends []gateway.EndpointEntry // that are ready, the longest in the list first
-	spareBackends  []gateway.EndpointEntry // that will take the place of listed ones
+	// Only the goroutine of startChurn uses these while it runs.
+	listedBackends []gateway.EndpointEntry // ready backends in the endpoint list, the oldest first
+	spareBackends  []gateway.EndpointEntry // backends that will replace listed ones
 }
 
-// startStandins starts the stand-ins, which serve until ctx ends or close.
+// startStandins starts the stand-ins. They serve until ctx ends or close is called.
 func startStandins(ctx context.Context, e *Experiment) (*standins, error) {
 	s := &standins{backends: backend.New(backend.Options{
 		ServiceTime: millis(e.Backends.ServiceTimeMS),
@@ -88,7 +88,7 @@
 	s.backends.Close()
 }
 
-// sample is what the stand-ins have counted up to one time.
+// sample holds the counters of the stand-ins at one time.
 type sample struct {
 	at        time.Time
 	discovery discovery.Stats
@@ -104,8 +104,8 @@
 	return now
 }
 
-// controlTraffic is the traffic of the control connections since an earlier sample, in bytes on the wire a second of
-// each of so many gateways.
+// controlTraffic returns the mean traffic of one gateway's connections to discovery and to the counter since an earlier
+// sample, in bytes on the wire per second. gateways is the number of gateways that caused the traffic.
 func (s *sample) controlTraffic(since *sample, gateways int) (discovery, counter float64) {
 	gatewaySeconds := s.at.Sub(since.at).Seconds() * float64(gateways)
 	discovery = float64(s.discovery.Traffic.Bytes()-since.discovery.Traffic.Bytes()) / gatewaySeconds
@@ -113,7 +113,7 @@
 	return discovery, counter
 }
 
-// listBytes requests the full list, as a gateway does at its start, and returns the size of the body.
+// listBytes requests the full endpoint list, as a gateway does at its start, and returns the size of the response body.
 func (s *standins) listBytes(ctx context.Context) (int64, error) {
 	url := "http://" + s.discoveryAddress + "/registry/instances"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -128,8 +128,8 @@
 	return io.Copy(io.Discard, response.Body)
 }
 
-// millis converts milliseconds.
+// millis converts milliseconds to a duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// seconds converts seconds.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// sweepSetters set the keys that a sweep may take through values.
+// sweepSetters holds a function for each key that can be swept, which sets the key's value in an experiment.
 var sweepSetters = map[string]func(*Experiment, float64){
 	"backends":    func(e *Experiment, v float64) { e.Backends.Count = int(v) },
 	"churn":       func(e *Experiment, v float64) { e.Churn.ReplacementsPerSecond = v },
@@ -25,14 +25,14 @@
 	"whole_per_second": func(e *Experiment, v float64) { e.Discovery.FullListsPerSecond = v },
 }
 
-// setSubsetSize gives each customer a subset of this size, and a group as many gateways at least.
+// setSubsetSize sets the subset size of all customers. A group with fewer gateways than that gets more gateways.
 func setSubsetSize(e *Experiment, v float64) {
 	size := int(v)
 	e.Tenants.SubsetSize = size
 	e.updateGroups(func(g *Group) {
 		g.SubsetSize = size
 		if len(g.SubsetSizes) > 0 {
-			g.SubsetSizes = []int{size} // so that the size stays in the group's name, as bounds expect
+			g.SubsetSizes = []int{size} // keeps the size in the group's name, which the patterns of bounds match
 		}
 		if g.Gateways > 0 {
 			g.Gateways = max(g.Gateways, size)
@@ -40,7 +40,8 @@
 	})
 }
 
-// updateGroups changes the groups of e alone, not those of the experiment that it was copied from.
+// updateGroups calls change for each group of e. It copies the groups first, since e may share them with the experiment
+// that e is a copy of.
 func (e *Experiment) updateGroups(change func(*Group)) {
 	e.Groups = slices.Clone(e.Groups)
 	for i := range e.Groups {
@@ -48,13 +49,13 @@
 	}
 }
 
-// sweep is a key with the values that it takes, one after another.
+// sweep is a key and the values at which the experiment is run, one after another.
 type sweep struct {
-	key    string    // "": the experiment is run once, as the file states it
+	key    string    // "": the experiment is run once, without a swept key
 	values []float64 // a single 0 without a key
 }
 
-// parseSweep parses KEY=VALUE,VALUE and so on. "" is no sweep.
+// parseSweep parses KEY=VALUE,VALUE,... The text "" means that there is no swept key.
 func parseSweep(text string) (sweep, error) {
 	if text == "" {
 		return sweep{values: []float64{0}}, nil
@@ -64,7 +65,7 @@
 		return sweep{}, fmt.Errorf("over: %q is not KEY=VALUE,VALUE", text)
 	}
 	if sweepSetters[key] == nil {
-		return sweep{}, fmt.Errorf("over: no key %q can be swept", key)
+		return sweep{}, fmt.Errorf("over: the key %q can't be swept", key)
 	}
 	parsed := sweep{key: key}
 	for word := range strings.SplitSeq(list, ",") {
@@ -77,7 +78,7 @@
 	return parsed, nil
 }
 
-// sweepPoints are the experiments at the points of the sweep, valid and with the defaults applied.
+// sweepPoints returns the sweep and, for each of its values, the experiment to run, validated and with defaults applied.
 func (e Experiment) sweepPoints() (sweep, []Experiment, error) {
 	parsed, err := parseSweep(e.Sweep)
 	if err != nil {
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -10,14 +10,14 @@
 	"text/tabwriter"
 )
 
-// table writes rows of cells, whose columns are aligned once it is flushed.
+// table writes rows of cells. Flushing the writer aligns the columns.
 type table struct{ writer *tabwriter.Writer }
 
-// writeRow writes a row. One without cells is an empty line.
+// writeRow writes a row of cells. Without cells, it writes an empty line.
 func (t table) writeRow(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
 
-// Print prints the primary metrics, a column for each run, then the groups, the
-// slopes of a sweep, and the bounds.
+// Print prints the primary metrics with a column for each run, then the metrics of the
+// groups, the slopes of a sweep, the broken bounds, and what is partial.
 func (r *Report) Print(out io.Writer) {
 	t := table{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
 	defer t.writer.Flush()
@@ -30,7 +30,7 @@
 	r.printPartial(t)
 }
 
-// printRunMetrics prints the metrics of the runs, a row for each that any run measured.
+// printRunMetrics prints the metrics of the runs, with a row for each metric that at least one run measured.
 func (r *Report) printRunMetrics(t table) {
 	header := []string{"figure"}
 	for i := range r.Runs {
@@ -51,7 +51,7 @@
 	}
 }
 
-// printGroupMetrics prints the metrics of a run's groups, a row for each group.
+// printGroupMetrics prints the metrics of a run's groups, with a row for each group.
 func (r *Report) printGroupMetrics(t table, run *Run) {
 	if len(run.Groups) == 0 {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// printBounds prints the bounds that were broken, and how many were kept.
+// printBounds prints the broken bounds, and the numbers of kept and broken ones.
 func (r *Report) printBounds(t table) {
 	broken := 0
 	for i := range r.Verdicts {
@@ -105,7 +105,7 @@
 	t.writeRow(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
 }
 
-// printBroken prints a bound that was broken.
+// printBroken prints a broken bound.
 func (r *Report) printBroken(t table, v *Verdict) {
 	measured := "not measured"
 	if v.Measured != nil {
@@ -118,7 +118,7 @@
 	t.writeRow(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
 }
 
-// printPartial prints what was not measured to its end.
+// printPartial prints why runs are partial.
 func (r *Report) printPartial(t table) {
 	for i := range r.Runs {
 		for _, reason := range r.Runs[i].Partial {
@@ -127,7 +127,8 @@
 	}
 }
 
-// label names a run among those of the report.
+// label returns a heading that distinguishes a run from the other runs of the report: the value of the swept key, the
+// version, or both.
 func (r *Report) label(run *Run) string {
 	var words []string
 	if run.Key != "" {
@@ -139,7 +140,7 @@
 	return strings.Join(words, " ")
 }
 
-// formatMetric is "-" for a metric that was not measured.
+// formatMetric formats the value of a metric, or "-" if it was not measured.
 func formatMetric(value float64, measured bool) string {
 	if !measured {
 		return "-"
@@ -147,7 +148,7 @@
 	return formatNumber(value)
 }
 
-// formatLimit is "" for a limit that is not stated.
+// formatLimit formats a limit of a bound, or "" if the bound does not set it.
 func formatLimit(limit *float64) string {
 	if limit == nil {
 		return ""
@@ -155,7 +156,7 @@
 	return formatNumber(*limit)
 }
 
-// formatNumber prints three significant digits, and all of the integer part from 1000 on.
+// formatNumber formats a number with three significant digits, and as an integer if its absolute value is at least 1000.
 func formatNumber(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return strconv.FormatFloat(value, 'f', 0, 64)
--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -7,19 +7,19 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// firstTenantID is the lowest id of the gateway processes' tenants. It is above those of all hollow customers.
+// firstTenantID is the lowest customer id of the tenants. It is above the ids of all customers of hollow gateways.
 const firstTenantID = 1 << 32
 
-// tenants are the customers of the gateway processes, the busiest first, and their plans: one for each halving of the
-// rate. The subset of a tenant consists of gateway processes as far as there are enough; beyond them it goes on among
-// gateways that are not started here.
+// tenants returns the customers of the gateway processes in order of falling request rate, and their plans. Each plan
+// has half the quota of the plan before it. If a tenant's subset is larger than the number of gateway processes, the rest
+// of it are ranks of gateways that are not started.
 func (e *Experiment) tenants() ([]gatewayprocess.Tenant, []planJSON) {
 	if e.Fleet.GatewayProcesses == 0 {
 		return nil, nil
 	}
 	config := &e.Tenants
 	busiestRate := e.busiestTenantRate()
-	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // subsets that start at these are all processes
+	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // number of subsets that are all processes
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
 	for i := range config.Count {
@@ -39,7 +39,7 @@
 	return tenants, plans
 }
 
-// busiestTenantRate is the quota of the busiest tenant, in units a second.
+// busiestTenantRate returns the quota of the tenant with the highest request rate, in units a second.
 func (e *Experiment) busiestTenantRate() float64 {
 	config := &e.Tenants
 	zipfSum := 0.0
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Limits of what an experiment may start on this machine.
+// Limits of the size of an experiment.
 const (
-	maxProcesses = 300     // child processes, and this one
-	maxSeconds   = 3600    // of any of the times, s
-	maxBackends  = 200_000 // that are ever in the list
+	maxProcesses = 300     // child processes and this process
+	maxSeconds   = 3600    // of each duration in the file, s
+	maxBackends  = 200_000 // listed during a phase in total, including those added by churn
 	maxTenants   = 1 << 20
 )
 
-// rangeCheck is a value of the file with the range that it has to be in.
+// rangeCheck is a value from the file and its valid range.
 type rangeCheck struct {
 	key   string
 	value float64
@@ -25,7 +25,7 @@
 	max   float64
 }
 
-// check returns an error that names the key of a value out of its range. NaN is out of every range.
+// check returns an error that names the key if the value is out of range. NaN is always out of range.
 func (c rangeCheck) check() error {
 	if !(c.value >= c.min && c.value <= c.max) {
 		return fmt.Errorf("%s: %g is not between %g and %g", c.key, c.value, c.min, c.max)
@@ -33,11 +33,10 @@
 	return nil
 }
 
-// validate returns an error that names the first key with which the experiment can't be run. It expects the defaults to
-// be applied.
+// validate returns an error that names the first invalid key. Defaults have to be applied before.
 func (e *Experiment) validate() error {
 	if strings.TrimSpace(e.Purpose) == "" {
-		return errors.New("shows: a few words are wanted on what the experiment shows")
+		return errors.New("shows: a description of what the experiment shows is missing")
 	}
 	for _, c := range e.rangeChecks() {
 		if err := c.check(); err != nil {
@@ -53,7 +52,7 @@
 	return e.validateCapacity()
 }
 
-// rangeChecks are the checks of all numbers, in the order in which they are reported.
+// rangeChecks returns the checks of all numbers, in the order in which they are made.
 func (e *Experiment) rangeChecks() []rangeCheck {
 	checks := e.fleetChecks()
 	checks = append(checks, e.standinChecks()...)
@@ -64,10 +63,10 @@
 		checks = append(checks, e.Groups[i].checks()...)
 	}
 	listed := float64(e.Backends.Count + e.spareBackends())
-	return append(checks, rangeCheck{"churn.per_second: backends that it needs in all", listed, 1, maxBackends})
+	return append(checks, rangeCheck{"churn.per_second: total number of backends", listed, 1, maxBackends})
 }
 
-// fleetChecks are the checks of the times and of the gateways.
+// fleetChecks returns the checks of the durations and of the fleet.
 func (e *Experiment) fleetChecks() []rangeCheck {
 	fleet := &e.Fleet
 	return []rangeCheck{
@@ -84,7 +83,7 @@
 	}
 }
 
-// standinChecks are the checks of what the gateways talk to, and of the changes during a run.
+// standinChecks returns the checks of the stand-ins, of churn and of the restart.
 func (e *Experiment) standinChecks() []rangeCheck {
 	return []rangeCheck{
 		{"backends.count", float64(e.Backends.Count), 1, maxBackends},
@@ -123,20 +122,20 @@
 	}
 }
 
-// validateGroupNames finds a group without a name of its own.
+// validateGroupNames returns an error if a group has no name or the name of another group.
 func (e *Experiment) validateGroupNames() error {
 	seen := map[string]bool{}
 	for _, g := range e.Groups {
-		unnamed := g.Name == "" || g.Name[0] == '-' // a group of several spreads without a name is called "-5" by now
+		unnamed := g.Name == "" || g.Name[0] == '-' // expandGroups has made "-5" of an empty name
 		if unnamed || seen[g.Name] {
-			return fmt.Errorf("group: the name %q is empty or stands twice", g.Name)
+			return fmt.Errorf("group: the name %q is empty or not unique", g.Name)
 		}
 		seen[g.Name] = true
 	}
 	return nil
 }
 
-// validateBounds finds a bound that states no limit, or is of no metric or group that exists.
+// validateBounds returns an error if a bound has no limit, or names an unknown metric or group.
 func (e *Experiment) validateBounds() error {
 	for _, b := range e.Bounds {
 		perGroup := b.Group != ""
@@ -148,7 +147,7 @@
 			}
 			return fmt.Errorf("bound: no figure of %s is named %q", scope, b.Metric)
 		case b.Max == nil && b.Min == nil:
-			return fmt.Errorf("bound %q: neither most nor least is stated", b.Metric)
+			return fmt.Errorf("bound %q: neither most nor least is set", b.Metric)
 		case perGroup && !slices.ContainsFunc(e.Groups, b.appliesTo):
 			return fmt.Errorf("bound %q: no group is named %q", b.Metric, b.Group)
 		}
@@ -156,10 +155,10 @@
 	return nil
 }
 
-// appliesTo tells whether the bound's pattern matches a group's name.
+// appliesTo reports whether the bound's pattern matches the name of the group.
 func (b Bound) appliesTo(g Group) bool { return b.matches(g.Name) }
 
-// matches tells whether the bound's pattern matches the name of a group. A malformed pattern matches none.
+// matches reports whether the bound's pattern matches the name of a group. A malformed pattern matches no name.
 func (b Bound) matches(groupName string) bool {
 	matched, err := path.Match(b.Group, groupName)
 	return err == nil && matched
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Verdict says whether a bound was kept at one run.
+// Verdict says whether a run kept a bound.
 type Verdict struct {
 	Bound
-	Value    float64  `json:"value"`         // of the swept key
-	Measured *float64 `json:"got,omitempty"` // nil: the metric was not measured, and the bound not kept
+	Value    float64  `json:"value"`         // value of the swept key
+	Measured *float64 `json:"got,omitempty"` // nil: the metric was not measured, so the bound is not kept
 	Passed   bool     `json:"kept"`
 }
 
-// evaluateBounds evaluates the bounds at each run of the candidate.
+// evaluateBounds evaluates the bounds for each run of the candidate.
 func evaluateBounds(bounds []Bound, runs []Run) []Verdict {
 	var verdicts []Verdict
 	for i := range runs {
@@ -27,8 +27,8 @@
 	return verdicts
 }
 
-// evaluateRun evaluates the bound at a run, with a verdict for each group if it is one of groups. Where no group was
-// measured, the bound is not kept.
+// evaluateRun evaluates the bound for a run. A bound of groups gives a verdict for each matching group; if none was
+// measured, it gives a single verdict that the bound is not kept.
 func (b Bound) evaluateRun(run *Run) []Verdict {
 	if b.Group == "" {
 		return []Verdict{b.evaluate(run.Value, run.Metrics)}
@@ -47,7 +47,7 @@
 	return verdicts
 }
 
-// evaluate evaluates the bound on the metrics of a run or of a group.
+// evaluate evaluates the bound for the metrics of a run or a group. value is that of the swept key.
 func (b Bound) evaluate(value float64, metrics Metrics) Verdict {
 	verdict := Verdict{Bound: b, Value: value}
 	if measured, ok := metrics[b.Metric]; ok {
