--- a/internal/lab/gatewayprocess/address.go
+++ b/internal/lab/gatewayprocess/address.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Each process takes addresses of a network 127.N.0.0/16, where N is one of networkCount from firstNetwork on, so that
-// those of two processes differ most likely.
+// Each process takes addresses from a network 127.N.0.0/16. N is derived from the process id and has networkCount
+// possible values from firstNetwork on, so that the addresses of two processes most likely differ.
 const (
 	firstNetwork = 16
 	networkCount = 200
@@ -16,8 +16,8 @@
 // addressCount counts the calls of FreeAddress.
 var addressCount atomic.Uint32
 
-// FreeAddress finds an address that nothing listens at. Each call takes another one of 127.0.0.0/8, clear of 127.0.0.1: a
-// port that is free there for a moment may be taken by a connection that some program makes.
+// FreeAddress returns a host and port that no program listens on. Each call returns a different address of 127.0.0.0/8.
+// It avoids 127.0.0.1, where an outgoing connection of any program may take a port that was free a moment ago.
 func FreeAddress() (string, error) {
 	count := addressCount.Add(1)
 	network := firstNetwork + os.Getpid()%networkCount
--- a/internal/lab/gatewayprocess/gateway.go
+++ b/internal/lab/gatewayprocess/gateway.go
@@ -1,5 +1,5 @@
-// Package gatewayprocess starts gateways as a deployment does, each a process of its
-// own, and sends them the requests of many tenants.
+// Package gatewayprocess starts gateways as child processes, in the way a deployment starts
+// them, and sends them the requests of many tenants.
 package gatewayprocess
 
 import (
@@ -19,29 +19,29 @@
 const (
 	readyPath         = "/health/ready"
 	readyPollInterval = 10 * time.Millisecond
-	readyPollTimeout  = time.Second     // of one poll
-	stopGrace         = 4 * time.Second // from SIGTERM to SIGKILL: the longest deadline and what a shutdown takes
-	configEnv         = "EDGE_CONFIG"   // environment variable with the configuration's path
+	readyPollTimeout  = time.Second     // limit of one poll
+	stopGrace         = 4 * time.Second // from SIGTERM to SIGKILL: the longest deadline plus the time of a shutdown
+	configEnv         = "EDGE_CONFIG"   // environment variable with the path of the configuration file
 )
 
-// ErrReadyTimeout is returned for a gateway that runs and has not become ready in time.
+// ErrReadyTimeout is returned for a gateway that runs but did not become ready in time.
 var ErrReadyTimeout = errors.New("the gateway is not ready in time")
 
-// Program is how a gateway is started.
+// Program says how to start a gateway.
 type Program struct {
-	Command string // for the shell; it must exec the program, so that the signals reach it
+	Command string // shell command; it must exec the program, so that signals reach the program
 	Dir     string // working directory of the command
 }
 
 // Gateway is a gateway process.
 type Gateway struct {
-	Address    string // for clients
+	Address    string // host and port for clients
 	startedAt  time.Time
-	configPath string // in a temporary directory of its own
+	configPath string // the only file in a temporary directory
 	process    *proc.Process
 }
 
-// Start starts a gateway, which is killed when ctx ends. Stop or Close must be called in any case.
+// Start starts a gateway, which is killed when ctx ends. Stop or Close must be called even then.
 func Start(ctx context.Context, program Program, options Options) (*Gateway, error) {
 	if options.Listen == "" {
 		address, err := FreeAddress()
@@ -86,8 +86,8 @@
 // removeConfig removes the configuration file and its directory.
 func (g *Gateway) removeConfig() { os.RemoveAll(filepath.Dir(g.configPath)) }
 
-// WaitReady waits until the gateway is ready and returns how long that took from its start. The error is ErrReadyTimeout
-// after the timeout, which counts from the start too, or else says why the gateway can't become ready.
+// WaitReady waits until the gateway is ready and returns the time since its start. timeout counts from the start too. The
+// error is ErrReadyTimeout if the timeout is over, or else says why the gateway can't become ready.
 func (g *Gateway) WaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
 	client := &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(g.startedAt) < timeout {
@@ -95,7 +95,7 @@
 		case <-ctx.Done():
 			return 0, context.Cause(ctx)
 		case <-g.process.Done():
-			return 0, fmt.Errorf("the gateway has ended: %s", lastLine(g.process.Stderr()))
+			return 0, fmt.Errorf("the gateway has exited: %s", lastLine(g.process.Stderr()))
 		case <-time.After(readyPollInterval):
 		}
 		if g.isReady(client) {
@@ -105,7 +105,7 @@
 	return 0, ErrReadyTimeout
 }
 
-// isReady polls the gateway's readiness. It is not ready also where it doesn't listen yet.
+// isReady polls the gateway's readiness endpoint. It returns false if the gateway doesn't listen yet.
 func (g *Gateway) isReady(client *http.Client) bool {
 	response, err := client.Get("http://" + g.Address + readyPath)
 	if err != nil {
@@ -115,19 +115,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// lastLine is the last line of a text that is not blank.
+// lastLine returns the last line of text that is not blank.
 func lastLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	return lines[len(lines)-1]
 }
 
-// Usage is what the gateway's process has used so far. It is an error if it has ended.
+// Usage returns the resource usage of the gateway's process. It returns an error if the process has exited.
 func (g *Gateway) Usage() (proc.Usage, error) { return proc.ReadUsage(g.process.Pid) }
 
-// Log is the end of what the gateway has written to its log.
+// Log returns the end of the gateway's log.
 func (g *Gateway) Log() string { return g.process.Stderr() }
 
-// Signal sends a signal, unless the process has ended.
+// Signal sends a signal to the gateway's process, unless it has exited.
 func (g *Gateway) Signal(signal syscall.Signal) {
 	select {
 	case <-g.process.Done():
@@ -136,22 +136,22 @@
 	}
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the gateway's process has exited.
 func (g *Gateway) Done() <-chan struct{} { return g.process.Done() }
 
-// Close kills the process if it runs, and returns the error of its end: nil for exit status 0 alone.
+// Close kills the process if it runs, and removes the configuration file. It returns nil only for exit status 0.
 func (g *Gateway) Close() error {
 	defer g.removeConfig()
 	g.Signal(syscall.SIGKILL)
 	return g.process.Wait()
 }
 
-// Stop ends the gateway with SIGTERM, or with SIGKILL if that takes too long. It
-// returns the error of its end: nil for exit status 0 alone.
+// Stop sends SIGTERM, and SIGKILL if the gateway has not exited after stopGrace, and removes
+// the configuration file. It returns nil only for exit status 0.
 func (g *Gateway) Stop() error {
 	defer g.removeConfig()
 	if err := g.process.Stop(stopGrace); err != nil {
-		return fmt.Errorf("the gateway ended with %w: %s", err, lastLine(g.process.Stderr()))
+		return fmt.Errorf("the gateway exited with %w: %s", err, lastLine(g.process.Stderr()))
 	}
 	return nil
 }
--- a/internal/lab/gatewayprocess/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -13,27 +13,28 @@
 	"amberlb/internal/lab/load"
 )
 
-// maxInFlight is the most requests in flight; further ones are dropped and counted.
+// maxInFlight is the limit of requests in flight. Requests beyond it are dropped and counted.
 const maxInFlight = 4096
 
 // Tenant is a customer of the gateways.
 type Tenant struct {
-	ID           uint64 // under 2^33
+	ID           uint64 // below 2^33
 	Plan         string
-	SubsetSize   int // number of its gateways, whose ranks are consecutive
-	FirstGateway int // rank of the first of them
+	SubsetSize   int // number of the tenant's gateways, whose ranks are consecutive
+	FirstGateway int // rank of the tenant's first gateway
 }
 
-// Load is an open-loop load on the gateways: Poisson arrivals, Zipf over the tenants,
-// each request to one of its tenant's gateways.
+// Load is an open-loop load on the gateways. Requests arrive as a Poisson process and are
+// distributed over the tenants by a Zipf distribution. Each is sent to a random gateway out
+// of its tenant's.
 type Load struct {
 	Seed              uint64
 	RequestsPerSecond float64 // over all gateways
 	Tenants           []Tenant
-	ZipfExponent      float64 // of the tenants' rates; the first tenant has the highest
-	Class             string  // requests of it are sent with GET
+	ZipfExponent      float64 // of the distribution over Tenants; the first tenant has the highest rate
+	Class             string  // class of all requests, which are sent with GET
 	ClientTimeout     time.Duration
-	ServiceTime       time.Duration // of the backends, which is no part of the latency that the gateways add
+	ServiceTime       time.Duration // service time of the backends, which AddedLatency does not include
 }
 
 // Result counts the requests that were due after the warm-up:
@@ -43,19 +44,19 @@
 	Served       uint64         // answered 200
 	Rejected     uint64         // answered 429 or 503
 	Failed       uint64         // answered otherwise, or not at all
-	Dropped      uint64         // not sent, since too many were in flight
-	AddedLatency load.Quantiles // of the served, ms: latency beyond the backends' service time
-	ScheduleLag  load.Quantiles // of all, ms: how late this process sent them, a part of AddedLatency
+	Dropped      uint64         // not sent because too many were in flight
+	AddedLatency load.Quantiles // of served requests, ms: latency without the backends' service time
+	ScheduleLag  load.Quantiles // of all sent requests, ms: how late this process sent them, which AddedLatency includes
 }
 
-// loadRun is a load that runs.
+// loadRun is the state of a running load.
 type loadRun struct {
 	*Load
-	gateways     []*Gateway // by rank
+	gateways     []*Gateway // in order of rank
 	client       *http.Client
-	rng          *rand.Rand // of all that is drawn for a request
+	rng          *rand.Rand // draws the tenant, the gateway and the id of each request
 	popularity   *load.TenantDistribution
-	measuredFrom time.Time // requests that are due from here on count
+	measuredFrom time.Time // only requests that are due from this time on are counted
 
 	served       atomic.Uint64
 	rejected     atomic.Uint64
@@ -65,8 +66,8 @@
 	scheduleLag  load.LatencyHistogram
 }
 
-// Run sends the load from start on, for the warm-up and then for the time that is measured. It returns when all
-// requests are answered, or when ctx ends. The gateways have the ranks 0 and up.
+// Run sends the load from start on, first for the duration warmup and then for the duration measured, whose requests are
+// counted. It returns when all requests are answered or ctx ends. The rank of a gateway is its index in gateways.
 func (l *Load) Run(ctx context.Context, gateways []*Gateway, start time.Time, warmup, measured time.Duration) Result {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -85,23 +86,23 @@
 	return r.result()
 }
 
-// isMeasured tells whether a request that is due at a time counts.
+// isMeasured reports whether a request with this due time is counted.
 func (r *loadRun) isMeasured(due time.Time) bool { return !due.Before(r.measuredFrom) }
 
-// count adds a request to a counter, if it counts.
+// count increments a counter if the request is due after the warm-up.
 func (r *loadRun) count(due time.Time, counter *atomic.Uint64) {
 	if r.isMeasured(due) {
 		counter.Add(1)
 	}
 }
 
-// issue draws the request that is due and sends it on a goroutine of its own, which calls done at its end.
+// issue draws a request and sends it in a new goroutine, which calls done at the end.
 func (r *loadRun) issue(ctx context.Context, due time.Time, done func()) {
 	tenant := &r.Tenants[r.popularity.Sample(r.rng)]
 	if r.isMeasured(due) {
 		r.scheduleLag.Record(time.Since(due))
 	}
-	runningGateways := min(tenant.SubsetSize, len(r.gateways)-tenant.FirstGateway) // of its subset
+	runningGateways := min(tenant.SubsetSize, len(r.gateways)-tenant.FirstGateway) // started gateways of the subset
 	target := r.gateways[tenant.FirstGateway+r.rng.IntN(runningGateways)]
 	request := r.newRequest(target, tenant, due, r.rng.Uint64())
 	go func() {
@@ -110,7 +111,7 @@
 	}()
 }
 
-// send sends a request and counts what came of it.
+// send sends a request and counts its outcome.
 func (r *loadRun) send(request *http.Request, due time.Time) {
 	status, err := doRequest(r.client, request)
 	switch {
@@ -142,11 +143,11 @@
 	return result
 }
 
-// newRequest returns a request as the front end would send it.
+// newRequest returns a request with the headers that the front end in front of the gateways sends.
 func (l *Load) newRequest(gateway *Gateway, tenant *Tenant, due time.Time, id uint64) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, "http://"+gateway.Address+"/"+l.Class, nil)
 	if err != nil {
-		panic(err) // the address is one that the gateway listens at
+		panic(err) // the gateway listens at the address, so the URL is valid
 	}
 	remaining := max(l.ClientTimeout-time.Since(due), time.Millisecond)
 	request.Host = "origin.svc"
@@ -157,14 +158,14 @@
 		"X-Api-Key":        fmt.Sprintf("%016x", tenant.ID),
 		"X-Time-Left-Ms":   strconv.FormatInt(remaining.Milliseconds(), 10),
 		"X-Call-Terms":     fmt.Sprintf("units=1,spread=%d,first=%d", tenant.SubsetSize, tenant.FirstGateway),
-		"User-Agent":       "", // none is sent
+		"User-Agent":       "", // not sent
 	} {
 		request.Header.Set(name, value)
 	}
 	return request
 }
 
-// doRequest sends a request and returns the status of the complete answer.
+// doRequest sends a request, reads the whole response and returns its status.
 func doRequest(client *http.Client, request *http.Request) (status int, err error) {
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/lab/gatewayprocess/options.go
+++ b/internal/lab/gatewayprocess/options.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// defaultDescriptorLimit is the limit of file descriptors where none is stated.
+// defaultDescriptorLimit is the limit of file descriptors if Options.DescriptorLimit is 0.
 const defaultDescriptorLimit = 4096
 
-// Options are one gateway's.
+// Options configures one gateway.
 type Options struct {
 	Name            string
 	Discovery       string // address
 	Counter         string // address; "": there is no counter
 	Seed            uint64
-	Cores           float64         // limit of the gateway
-	MemoryMB        int             // limit of the gateway
-	Settings        json.RawMessage // of the deployment
-	Listen          string          // address for clients; "": a free one
-	DescriptorLimit int             // limit of file descriptors; 0: what the lab needs
-	Env             []string        // environment variables beside the one of the configuration's path
+	Cores           float64         // CPU limit
+	MemoryMB        int             // memory limit
+	Settings        json.RawMessage // deployment settings
+	Listen          string          // address for clients; "": a free address
+	DescriptorLimit int             // limit of file descriptors; 0: defaultDescriptorLimit
+	Env             []string        // environment variables in addition to configEnv
 }
 
-// configFile is the gateway's configuration file, by its keys.
+// configFile is the content of the gateway's configuration file.
 type configFile struct {
 	Counter   string          `json:"counter"`
 	Discovery string          `json:"discovery"`
@@ -33,14 +33,14 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// configLimits are the limits in a configuration file.
+// configLimits holds the resource limits in a configuration file.
 type configLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// ConfigFile is the gateway's configuration file.
+// ConfigFile returns the content of the gateway's configuration file.
 func (o Options) ConfigFile() ([]byte, error) {
 	descriptorLimit := o.DescriptorLimit
 	if descriptorLimit == 0 {
--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -7,21 +7,21 @@
 	"amberlb/policy"
 )
 
-// defaultRetryAfter is how long a rejected client waits that got no Retry-After.
+// defaultRetryAfter is the time before a client's retry if the rejection had no Retry-After.
 const defaultRetryAfter = 50 * time.Millisecond
 
-// attempt is one request of a client to one gateway.
+// attempt is one attempt of a client's request, at one gateway.
 type attempt struct {
 	customer     *customer
 	id           string
 	gatewayIndex int       // in the customer's subset
-	due          time.Time // when the client's first attempt was due
-	measured     bool      // it counts in the result
+	due          time.Time // due time of the request's first attempt
+	measured     bool      // the attempt is counted in the result
 	isRetry      bool
-	done         func() // called when the client has its final answer
+	done         func() // called when the client got its final answer
 }
 
-// send sends an attempt to its gateway.
+// send submits an attempt to its gateway.
 func (g *groupLoad) send(a attempt) {
 	request := policy.Request{
 		Customer:     a.customer.id,
@@ -47,7 +47,7 @@
 	}
 }
 
-// onAnswer counts an attempt. Its client retries, or is done.
+// onAnswer counts an attempt that was answered. The client then retries, or the request is done.
 func (g *groupLoad) onAnswer(a attempt, status int, retryAfter time.Duration) {
 	if a.measured {
 		g.countAnswer(a, status)
@@ -66,7 +66,8 @@
 	time.AfterFunc(retryAfter, func() { g.send(a) })
 }
 
-// countAnswer counts an attempt in the result. A rejection is judged by what the customer's bucket holds now.
+// countAnswer counts an attempt in the result. A rejection is classified by the units that are in the customer's bucket
+// now.
 func (g *groupLoad) countAnswer(a attempt, status int) {
 	now := time.Since(g.startedAt)
 	hasUnits := a.customer.bucket.CanTake(now, g.Units)
@@ -96,7 +97,7 @@
 	})
 }
 
-// isRejection tells whether a status is one by which a gateway rejects a request.
+// isRejection reports whether a gateway uses the status for requests that it rejects.
 func isRejection(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	maxInFlight       = 1 << 16         // requests of a group
-	minWeightInterval = 7 * time.Second // between two draws of a customer's weights
+	maxInFlight       = 1 << 16         // limit of a group's requests in flight
+	minWeightInterval = 7 * time.Second // shortest time for which a customer's weights are kept
 	maxWeightInterval = 18 * time.Second
 )
 
-// groupLoad is the load of one group.
+// groupLoad generates the load of one group and counts its results.
 type groupLoad struct {
 	Group
 	gateways       []*gateway.Hollow
 	retryRejected  bool
-	deadline       time.Duration // of the group's class
-	warmup         time.Duration // length of the load that is not measured
-	duration       time.Duration // length of all load
-	startedAt      time.Time     // of the load, and of the buckets
-	rng            *rand.Rand    // runLoad's
+	deadline       time.Duration // of requests of the group's class
+	warmup         time.Duration // duration of the load before the measurement
+	duration       time.Duration // duration of the whole load, warm-up included
+	startedAt      time.Time     // start of the load and time 0 of the buckets
+	rng            *rand.Rand    // used by the goroutine of runLoad only
 	customers      []customer
 	popularity     *load.TenantDistribution
 	pendingClients sync.WaitGroup // clients without a final answer
 	latency        load.LatencyHistogram
 
 	mu     sync.Mutex
-	result GroupResult // without the calls and the latency, which finish adds
+	result GroupResult // Calls, CallsUnanswered and Latency are set by finish
 }
 
-// customer is one customer of a group. All but the bucket is runLoad's.
+// customer is one customer of a group. Only the goroutine of runLoad uses it, except for the bucket.
 type customer struct {
 	id            policy.CustomerID
-	firstGateway  int // of its subset, from the group's first
+	firstGateway  int // index of the first gateway of its subset in the group
 	bucket        *oracle.TokenBucket
-	weights       []float64     // of the gateways of its subset; nil: even
-	nextWeightsAt time.Duration // since the start of the load, when the weights are drawn again
+	weights       []float64     // of the gateways of its subset; nil: equal weights
+	nextWeightsAt time.Duration // time since the start of the load at which the weights are drawn again
 }
 
-// newGroupLoads makes the loads of all groups.
+// newGroupLoads returns the loads of all groups.
 func (h *jobRun) newGroupLoads() []*groupLoad {
 	groups := make([]*groupLoad, len(h.Groups))
 	for i, group := range h.Groups {
@@ -73,7 +73,7 @@
 	plan := h.deployment.Plans[group.Plan]
 	for i := range g.customers {
 		g.customers[i] = customer{
-			id:           policy.CustomerID(group.First + i*h.Fleet), // unique, since no other group has this First
+			id:           policy.CustomerID(group.First + i*h.Fleet), // unique, since First is below Fleet and differs by group
 			firstGateway: g.rng.IntN(group.Gateways - group.Spread + 1),
 			bucket:       oracle.New(plan.Rate, plan.Burst),
 		}
@@ -84,13 +84,13 @@
 	return g
 }
 
-// counterCalls are calls of a group's gateways to the counter.
+// counterCalls counts calls of gateways to the counter.
 type counterCalls struct {
 	made       uint64
-	unanswered uint64 // of these
+	unanswered uint64 // calls out of made that got no answer
 }
 
-// counterCalls are the calls of the group's gateways so far.
+// counterCalls returns the number of calls to the counter that the group's gateways have made so far.
 func (g *groupLoad) counterCalls() counterCalls {
 	var total counterCalls
 	for _, h := range g.gateways {
@@ -101,7 +101,7 @@
 	return total
 }
 
-// runLoad sends the load, and returns once all of it is over or ctx ends.
+// runLoad generates the load. It returns when all requests are done or ctx ends.
 func (g *groupLoad) runLoad(ctx context.Context, start time.Time) {
 	g.startedAt = start
 	arrivals := load.NewPoisson(g.rng, g.PerSecond*float64(g.Customers))
@@ -131,11 +131,11 @@
 	load.RunOpenLoop(ctx, arrivals, start, g.duration, maxInFlight, issue, dropped)
 }
 
-// isMeasured tells whether a request that is due at a time comes after the warm-up.
+// isMeasured reports whether a due time is after the warm-up.
 func (g *groupLoad) isMeasured(due time.Time) bool { return due.Sub(g.startedAt) >= g.warmup }
 
-// pickGateway draws the gateway of a customer's subset that a request is sent to. at is the time since the start of the
-// load.
+// pickGateway draws the gateway for a request from the customer's subset, and returns its index in the subset. at is the
+// time since the start of the load.
 func (g *groupLoad) pickGateway(c *customer, at time.Duration) int {
 	if c.weights == nil {
 		return g.rng.IntN(g.Spread)
@@ -154,10 +154,10 @@
 			return i
 		}
 	}
-	return g.Spread - 1 // the sum was rounded
+	return g.Spread - 1 // reached only by rounding errors
 }
 
-// drawWeights draws the weights of a customer's gateways, and when they are drawn again.
+// drawWeights draws the weights of a customer's gateways, and the time at which they are drawn again.
 func (g *groupLoad) drawWeights(c *customer, at time.Duration) {
 	interval := minWeightInterval + time.Duration(g.rng.Int64N(int64(maxWeightInterval-minWeightInterval)))
 	c.nextWeightsAt = at + interval
@@ -166,15 +166,15 @@
 	}
 }
 
-// updateResult changes the result.
+// updateResult changes the result under its lock.
 func (g *groupLoad) updateResult(update func(*GroupResult)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	update(&g.result)
 }
 
-// finish returns the result. It is called once the gateways have ended, so that each client has its answer. callsBefore
-// are the calls to the counter before the measured load.
+// finish waits for the last answers and returns the result. The gateways must have ended, so that every request is
+// answered. callsBefore counts the calls to the counter that were made before the measured load.
 func (g *groupLoad) finish(callsBefore counterCalls) GroupResult {
 	g.pendingClients.Wait()
 	calls := g.counterCalls()
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -15,7 +15,7 @@
 	"amberlb/internal/lab/oracle"
 )
 
-// settings are those of a deployment with a plan without a quota and one with.
+// settings are deployment settings with two plans: "none" has no quota, "basic" has one.
 const settings = `{"tickS": 0.002, "localities": ["a"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": true, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -23,8 +23,8 @@
 	"packages": [{"name": "none", "pays": 1}, {"name": "basic", "pays": 1, "unitsPerS": 20, "depth": 10}],
 	"familyInfo": {"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 2}}`
 
-// newJob returns a job with a group without a quota and one that uses twice its own, and the counter that its gateways
-// call.
+// newJob returns a job with two groups, and the counter that its gateways call. The group "free" has no quota. In the
+// group "paid", the mean rate of a customer is twice its quota.
 func newJob(t *testing.T) (Job, *counter.Counter) {
 	t.Helper()
 	discoveryServer := discovery.New([]gateway.EndpointEntry{
@@ -76,19 +76,19 @@
 			t.Errorf("counts don't add up: %+v", g)
 		}
 		if g.Served == 0 || g.Failed+g.Dropped > 0 || g.Latency.P50 < 10 {
-			t.Errorf("service: %+v", g)
+			t.Errorf("unexpected failures, drops or latency: %+v", g)
 		}
 		calls += g.Calls
 	}
 	free, paid := result.Groups[0], result.Groups[1]
 	if free.Name != "free" || free.Refused+free.Beyond+free.Calls+free.Repeats > 0 {
-		t.Errorf("without a quota: %+v", free)
+		t.Errorf("group without a quota: %+v", free)
 	}
 	if paid.Refused == 0 || paid.Repeats == 0 || paid.Calls == 0 || paid.CallsUnanswered > 0 {
-		t.Errorf("beyond its quota: %+v", paid)
+		t.Errorf("group that exceeds its quota: %+v", paid)
 	}
 	if received := counterServer.Stats().Calls; received < calls {
-		t.Errorf("%d calls reported, %d at the counter", calls, received)
+		t.Errorf("%d calls reported, but the counter received %d", calls, received)
 	}
 	if result.Gateways != 7 || result.Ready.Count != 7 || result.Requests != free.Tries+paid.Tries ||
 		result.CPUSeconds <= 0 || result.PeakMB <= 0 || result.SpanS < job.RunS {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Run returns when its context ends, under load and before there is a list.
+// Run returns when its context ends, under load and while the gateways wait for their first endpoint list.
 func TestRunEndsWithItsContext(t *testing.T) {
 	job, _ := newJob(t)
 	job.RunS = 3600
@@ -109,18 +109,18 @@
 	ctx, cancel = context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := Run(ctx, job); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("without a list: %v", err)
+		t.Errorf("without an endpoint list: %v", err)
 	}
 }
 
 // The error of an invalid job says what is invalid.
 func TestInvalidJobs(t *testing.T) {
 	for want, invalidate := range map[string]func(*Job){
-		"not among 20":      func(j *Job) { j.First = 14 },
-		"not all in this":   func(j *Job) { j.Groups[0].First = 9 },
-		"sets of 4 among 3": func(j *Job) { j.Groups[0].Spread = 4 },
-		"no such plan":      func(j *Job) { j.Groups[1].Plan = 2 },
-		"share gateways":    func(j *Job) { j.Groups[1].First = 12 },
+		"not among 20":         func(j *Job) { j.First = 14 },
+		"not all in this":      func(j *Job) { j.Groups[0].First = 9 },
+		"subsets of 4 among 3": func(j *Job) { j.Groups[0].Spread = 4 },
+		"no such plan":         func(j *Job) { j.Groups[1].Plan = 2 },
+		"share gateways":       func(j *Job) { j.Groups[1].First = 12 },
 		"tick": func(j *Job) {
 			j.Settings = json.RawMessage(strings.Replace(settings, `"tickS": 0.002`, `"tickS": 0`, 1))
 		},
@@ -133,7 +133,8 @@
 	}
 }
 
-// Rejections are judged by what the bucket holds at that time, forwarded attempts by whether it has the units.
+// A rejection is classified by the units in the customer's bucket at that time. A forwarded attempt is counted as beyond
+// the quota if the bucket lacks its units.
 func TestRejectionsAreJudgedByTheBucket(t *testing.T) {
 	c := &customer{bucket: oracle.New(1e-9, 10)}
 	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
@@ -147,6 +148,6 @@
 		g.onForwarded(attempt{customer: c, measured: true})
 	}
 	if r := g.result; r.Refused != 6 || r.RefusedInside != 5 || r.RefusedHalfFull != 3 || r.Beyond != 1 {
-		t.Errorf("judged %+v", r)
+		t.Errorf("got %+v", r)
 	}
 }
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -1,5 +1,5 @@
-// Package hollow runs many hollow gateways in one process, under load, and compares
-// what they admit and reject with exact quotas.
+// Package hollow runs many hollow gateways (see gateway.Hollow) under load in one process,
+// and compares which requests they admit and reject with the exact quotas of the customers.
 package hollow
 
 import (
@@ -12,80 +12,82 @@
 	"amberlb/internal/wire"
 )
 
-// maxCustomerIDs is the limit of the customers' ids, which are below it.
+// maxCustomerIDs is the upper limit of customer ids: every id is below it.
 const maxCustomerIDs = 1 << 33
 
-// Job is what one process has to run. The names of its fields, and of those of Group,
-// Result and GroupResult, are their keys in JSON, which versions of the lab exchange.
+// Job describes the gateways and the load of one process. A job and its result are passed
+// between processes as JSON, possibly of different versions of the lab. The names of the
+// fields of Job, Group, Result and GroupResult are the JSON keys and must not change.
 type Job struct {
 	Seed         uint64
-	Settings     json.RawMessage // the deployment's; rank and size of the fleet are set for each gateway
+	Settings     json.RawMessage // deployment settings, in which each gateway's rank and the fleet size are replaced
 	First        int             // rank of this process's first gateway
 	Gateways     int             // number of this process's gateways, whose ranks are consecutive
-	Fleet        int             // size of the fleet, over all processes
+	Fleet        int             // number of gateways in the fleet, over all processes
 	Discovery    string          // address
 	Counter      string          // address
 	ServiceS     float64         // service time of the backends, s
-	WarmS        float64         // length of the load that is not measured, s
-	RunS         float64         // length of the load after it, which is measured, s
+	WarmS        float64         // duration of the warm-up, whose requests are not measured, s
+	RunS         float64         // duration of the measured load, which follows the warm-up, s
 	Groups       []Group
-	MemoryMB     int     // soft limit of the process; 0: none
-	StartSpreadS float64 // time over which the gateways start, at even intervals, s
-	Retry        bool    // rejected clients retry once, after Retry-After or else 50 ms, marked, at another gateway
+	MemoryMB     int     // soft memory limit of the process; 0: none
+	StartSpreadS float64 // time over which the starts of the gateways are spread evenly, s
+	Retry        bool    // clients retry a rejection once, marked, at another gateway, after Retry-After or else 50 ms
 }
 
-// Group is a set of customers who share consecutive gateways, which no other group uses.
+// Group is a set of customers that send requests to the same gateways. The gateways have
+// consecutive ranks and belong to no other group.
 type Group struct {
 	Name      string
 	First     int // rank of the group's first gateway
 	Gateways  int // number of the group's gateways
-	Spread    int // size of a customer's subset: consecutive gateways at a seeded place in the group
+	Spread    int // subset size: each customer uses this many consecutive gateways, the first of which is drawn at random
 	Customers int
-	PerSecond float64 // rate of one customer, in the mean over the group, in requests a second
-	Zipf      float64 // exponent of the customers' shares of the load; 0: even
+	PerSecond float64 // mean rate of a customer of the group, in requests a second
+	Zipf      float64 // exponent of the Zipf distribution of the load over the customers; 0: even
 	Plan      int     // index in the settings
 	Class     int     // index in the settings
 	Units     float64 // cost of each request
-	Shift     bool    // a customer's gateways get uneven shares, drawn anew every 7 to 18 s; else even ones
+	Shift     bool    // uneven shares of a customer's gateways, drawn again every 7 to 18 s; false: even shares
 }
 
-// Result is what a job gave.
+// Result is the result of a job.
 type Result struct {
 	Groups     []GroupResult
-	Ready      load.Quantiles // from a gateway's start to its first list, s
+	Ready      load.Quantiles // time from a gateway's start to its first endpoint list, s
 	Gateways   int
 	Requests   uint64  // attempts of all groups
-	SpanS      float64 // from the start of the measured load to the last answer, s
-	CPUSeconds float64 // of the process in that span
-	PeakMB     float64 // of the process since its start
+	SpanS      float64 // time from the start of the measured load to the last answer, s
+	CPUSeconds float64 // CPU time of the process in that span
+	PeakMB     float64 // peak memory of the process since its start
 }
 
-// GroupResult counts the requests of one group that were due after the warm-up, and their attempts:
+// GroupResult counts the attempts of one group for requests that were due after the warm-up:
 // Tries = Served + Refused + Failed + Dropped.
 type GroupResult struct {
 	Name            string
 	Tries           uint64         // attempts
 	Served          uint64         // answered 200
-	Refused         uint64         // answered 429 or 503
+	Refused         uint64         // rejected: answered 429 or 503
 	Failed          uint64         // answered otherwise
-	Dropped         uint64         // not sent, since too many were in flight
-	Repeats         uint64         // attempts that were a client's retry
-	RefusedInside   uint64         // rejected while the bucket had the units
+	Dropped         uint64         // not sent because too many requests were in flight
+	Repeats         uint64         // attempts that were retries by the client
+	RefusedInside   uint64         // rejected while the customer's quota had the units
 	RefusedHalfFull uint64         // rejected while half of the burst or more was unused
-	Beyond          uint64         // forwarded while the bucket lacked the units
-	Calls           uint64         // of the group's gateways to the counter, in the measured span
-	CallsUnanswered uint64         // of these
-	Latency         load.Quantiles // of the served, from when the first attempt was due, ms
+	Beyond          uint64         // forwarded while the customer's quota lacked the units
+	Calls           uint64         // calls of the group's gateways to the counter since the warm-up
+	CallsUnanswered uint64         // calls out of Calls that got no answer
+	Latency         load.Quantiles // of served requests, from the due time of the first attempt to the answer, ms
 }
 
-// jobRun is a job that runs.
+// jobRun is the state of a running job.
 type jobRun struct {
 	Job
 	deployment wire.Deployment
-	gateways   []*gateway.Hollow // by rank, from First
+	gateways   []*gateway.Hollow // in order of rank; the first has the rank First
 }
 
-// newJobRun validates a job. Its errors say what is invalid.
+// newJobRun validates a job. The error says what is invalid.
 func newJobRun(job Job) (*jobRun, error) {
 	h := &jobRun{Job: job, gateways: make([]*gateway.Hollow, max(job.Gateways, 0))}
 	var err error
@@ -95,9 +97,10 @@
 	}
 	switch {
 	case job.First < 0 || job.Gateways < 1 || job.First+job.Gateways > job.Fleet:
-		return nil, fmt.Errorf("gateways %d to %d are not among %d", job.First, job.First+job.Gateways-1, job.Fleet)
+		return nil, fmt.Errorf("gateways %d to %d are not among %d of the fleet",
+			job.First, job.First+job.Gateways-1, job.Fleet)
 	case job.ServiceS < 0 || job.WarmS < 0 || job.RunS <= 0 || job.MemoryMB < 0 || job.StartSpreadS < 0:
-		return nil, errors.New("a time or the memory is out of range")
+		return nil, errors.New("ServiceS, WarmS, RunS, MemoryMB or StartSpreadS is out of range")
 	}
 	for n, group := range job.Groups {
 		if err := h.validateGroup(group); err != nil {
@@ -112,7 +115,7 @@
 	return h, nil
 }
 
-// overlaps tells whether two groups share gateways.
+// overlaps reports whether two groups share gateways.
 func (g Group) overlaps(other Group) bool {
 	return g.First < other.First+other.Gateways && other.First < g.First+g.Gateways
 }
@@ -122,9 +125,9 @@
 	case group.Gateways < 1 || group.First < h.First || group.First+group.Gateways > h.First+h.Gateways:
 		return errors.New("its gateways are not all in this process")
 	case group.Spread < 1 || group.Spread > group.Gateways:
-		return fmt.Errorf("sets of %d among %d gateways", group.Spread, group.Gateways)
+		return fmt.Errorf("subsets of %d among %d gateways", group.Spread, group.Gateways)
 	case group.Customers < 1 || group.PerSecond <= 0 || group.Zipf < 0 || group.Units <= 0:
-		return errors.New("customers, rate, exponent or units are out of range")
+		return errors.New("Customers, PerSecond, Zipf or Units is out of range")
 	case group.Customers > maxCustomerIDs/h.Fleet:
 		return fmt.Errorf("%d customers are too many", group.Customers)
 	case group.Plan < 0 || group.Plan >= len(h.deployment.Plans):
@@ -135,5 +138,5 @@
 	return nil
 }
 
-// errUnknownIndex is that of a group whose plan or class the settings lack.
+// errUnknownIndex is returned for a group whose plan or class is not in the settings.
 var errUnknownIndex = errors.New("the settings have no such plan or class")
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	listTimeout  = 3 * time.Minute // for a gateway's first list, after the last gateway's start
-	answerMargin = 2 * time.Second // for the last answers, after the longest deadline
+	listTimeout  = 3 * time.Minute // from the last gateway's start until every gateway has its first endpoint list
+	answerMargin = 2 * time.Second // from the longest deadline until the last answer
 )
 
-// fixedServiceTime is the backend of all hollow gateways. It serves each request in the same time.
+// fixedServiceTime simulates backends that serve every request in the same time.
 type fixedServiceTime time.Duration
 
-// Serve returns the service time of a request, which is always served.
+// Serve returns the service time, and that the request is served.
 func (s fixedServiceTime) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
 	return time.Duration(s), policy.Served
 }
 
-// Run runs the gateways of a job until its load is over and answered, or until ctx ends; all gateways have ended when
-// it returns. The load begins once all gateways have their list. Where ctx ends during the load, the result tells what
-// was done by then, and the error is ctx's.
+// Run starts the gateways of a job, runs the load once all gateways have an endpoint list, and returns when all requests
+// are answered or ctx ends. All gateways have ended by then. If ctx ends during the load, Run returns the error of ctx
+// together with the results up to that time.
 func Run(ctx context.Context, job Job) (Result, error) {
 	h, err := newJobRun(job)
 	if err != nil {
@@ -59,11 +59,11 @@
 	return result, ctx.Err()
 }
 
-// measureLoad runs the load of all groups, and records in the result what the process used after the warm-up. It returns
-// the calls to the counter that each group's gateways had made by the end of the warm-up.
+// measureLoad runs the load of all groups, and records in result the resource usage of the process after the warm-up.
+// It returns for each group the calls to the counter that its gateways made before the end of the warm-up.
 func (h *jobRun) measureLoad(ctx context.Context, groups []*groupLoad, result *Result) (callsBefore []counterCalls) {
 	start := time.Now()
-	// A gateway that hangs may never answer; its open requests fail when it is ended.
+	// A gateway that hangs may never answer. Its open requests fail when its context ends.
 	loadCtx, cancel := context.WithDeadline(ctx, start.Add(h.loadTimeout()))
 	defer cancel()
 	var loads sync.WaitGroup
@@ -84,8 +84,8 @@
 	return callsBefore
 }
 
-// startGateways starts all gateways, on goroutines that running counts, and waits for their lists. It records how long
-// each took to be ready.
+// startGateways starts all gateways, adds their goroutines to running, and waits for their first endpoint lists. It
+// records in ready how long each gateway took.
 func (h *jobRun) startGateways(ctx context.Context, running *sync.WaitGroup, ready *load.LatencyHistogram) error {
 	failed := make(chan error, h.Gateways)
 	var starting sync.WaitGroup
@@ -110,7 +110,7 @@
 	}
 }
 
-// startGateway starts a gateway and waits for its list. It returns nil also where ctx ends before.
+// startGateway starts a gateway and waits for its first endpoint list. If ctx ends before, it returns nil.
 func (h *jobRun) startGateway(
 	ctx context.Context, index int, running *sync.WaitGroup, ready *load.LatencyHistogram,
 ) error {
@@ -127,12 +127,12 @@
 		ready.Record(time.Since(startedAt))
 	case <-ctx.Done():
 	case <-time.After(seconds(h.StartSpreadS) + listTimeout):
-		return fmt.Errorf("gateway %d has no list", rank)
+		return fmt.Errorf("gateway %d got no endpoint list in time", rank)
 	}
 	return nil
 }
 
-// gatewayConfig is that of the gateway of a rank.
+// gatewayConfig returns the configuration of the gateway with this rank.
 func (h *jobRun) gatewayConfig(rank int) *gateway.Config {
 	rng := rand.New(rand.NewPCG(h.Seed, uint64(rank)<<1|1))
 	config := &gateway.Config{
@@ -147,7 +147,7 @@
 	return config
 }
 
-// loadTimeout is the time from the start of the load by which the last request is over.
+// loadTimeout returns the time from the start of the load after which no request should be open.
 func (h *jobRun) loadTimeout() time.Duration {
 	longestDeadline := 0.0
 	for _, g := range h.Groups {
@@ -156,5 +156,5 @@
 	return seconds(h.WarmS+h.RunS+longestDeadline+h.deployment.AnswerSlack) + answerMargin
 }
 
-// seconds converts seconds.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/hollow/usage.go
+++ b/internal/lab/hollow/usage.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// resourceUsage is what the process has used since its start.
+// resourceUsage is the resource usage of this process since its start.
 type resourceUsage struct {
-	cpu    time.Duration // user and system
-	peakMB float64       // resident memory
+	cpu    time.Duration // user and system time
+	peakMB float64       // peak resident memory
 }
 
-// readUsage reads the usage of this process.
+// readUsage reads the resource usage of this process.
 func readUsage() resourceUsage {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/lab/load/latency.go
+++ b/internal/lab/load/latency.go
@@ -16,14 +16,14 @@
 // significantDigits is the precision of a LatencyHistogram.
 const significantDigits = 2
 
-// LatencyHistogram is a histogram of times, exact to 1 in 100 from 1 µs to an hour. The zero value is empty; all methods
-// may be called from any goroutine.
+// LatencyHistogram is a histogram of durations from 1 µs to an hour, exact to 1 in 100. The zero value is an empty
+// histogram. Its methods are safe for concurrent use.
 type LatencyHistogram struct {
 	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // nil: nothing was recorded
+	histogram *hdrhistogram.Histogram // nil until the first call of Record
 }
 
-// Record adds a time. One that is out of range counts as the end of the range.
+// Record adds a duration. A duration out of range is recorded as the nearest end of the range.
 func (l *LatencyHistogram) Record(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,12 +31,13 @@
 		l.histogram = hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigits)
 	}
 	inRange := min(max(latency, minLatency), maxLatency)
-	l.histogram.RecordValue(inRange.Microseconds()) // the error is that of a value out of range
+	l.histogram.RecordValue(inRange.Microseconds()) // fails only for a value out of range
 }
 
-// Quantiles are quantiles of times, in the unit that was asked for. The names of its fields are their keys in JSON.
+// Quantiles holds quantiles of recorded durations, in the unit passed to LatencyHistogram.Quantiles. Processes of the
+// lab exchange it as JSON: the field names are the JSON keys and must not change.
 type Quantiles struct {
-	Count int64 // number of times
+	Count int64 // number of durations
 	P50   float64
 	P90   float64
 	P99   float64
@@ -44,7 +45,7 @@
 	Max   float64
 }
 
-// Quantiles returns the quantiles of what was recorded, as multiples of unit. All are 0 where nothing was.
+// Quantiles returns the quantiles of the recorded durations, as multiples of unit. If nothing was recorded, all are 0.
 func (l *LatencyHistogram) Quantiles(unit time.Duration) Quantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load makes open-loop load: requests are due at random moments that no answer can move, and their latency
-// counts from then.
+// Package load generates open-loop load. Requests are due at random times that don't depend on the answers to earlier
+// requests, and latency is measured from the due time.
 package load
 
 import (
@@ -17,22 +17,22 @@
 	elapsed float64 // seconds from the start to the last arrival
 }
 
-// NewPoisson makes a process of so many arrivals a second in the mean; perSecond is above 0.
+// NewPoisson returns a Poisson process with a mean rate of perSecond arrivals, which must be above 0.
 func NewPoisson(rng *rand.Rand, perSecond float64) *PoissonArrivals {
 	return &PoissonArrivals{rng: rng, meanGap: 1 / perSecond}
 }
 
-// Next is the time from the start to the next arrival.
+// Next draws the next arrival and returns the time from the start to it.
 func (a *PoissonArrivals) Next() time.Duration {
 	a.elapsed += a.rng.ExpFloat64() * a.meanGap
 	return time.Duration(a.elapsed * float64(time.Second))
 }
 
-// RunOpenLoop calls issue for each arrival that is due within duration from start, in order and on the caller's
-// goroutine; n counts arrivals from 0. issue must not wait: it starts the request and has done called once, from any
-// goroutine, when that is over. While maxInFlight requests are in flight, dropped is called instead. Both are called late
-// where the process is late; due is when the request should have begun. RunOpenLoop returns once all requests are over,
-// or when ctx ends.
+// RunOpenLoop calls issue for each arrival that is due between start and start + duration. It makes the calls in order
+// and on the caller's goroutine; n is the number of the arrival, counted from 0. issue starts the request and must not
+// block. It has to ensure that done is called once, from any goroutine, when the request is over. While maxInFlight
+// requests are in flight, RunOpenLoop calls dropped instead of issue. due is the time at which the request should have
+// been sent; the calls are late if the process is late. RunOpenLoop returns when all requests are over or ctx ends.
 func RunOpenLoop(
 	ctx context.Context, arrivals *PoissonArrivals, start time.Time, duration time.Duration, maxInFlight int,
 	issue func(due time.Time, n int, done func()), dropped func(due time.Time, n int),
@@ -57,7 +57,7 @@
 	awaitAll(ctx, inFlight)
 }
 
-// sleepUntil waits until a time, not at all if it is past. It returns false if ctx ends before.
+// sleepUntil waits until due, and does not wait if due is past. It returns false if ctx ends before.
 func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -66,9 +66,9 @@
 	return ctxtime.Sleep(ctx, wait)
 }
 
-// awaitAll waits until no request is in flight, or ctx ends.
+// awaitAll waits until no request is in flight, or ctx ends. Each request in flight occupies one slot of the channel.
 func awaitAll(ctx context.Context, inFlight chan<- struct{}) {
-	for range cap(inFlight) { // the channel is full once each request has left its place
+	for range cap(inFlight) { // takes every slot, which succeeds once no request occupies one
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// seeded returns a source of random numbers that is the same in each call.
+// seeded returns a random number generator that always has the same seed.
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // The gaps of a Poisson process are exponential: their standard deviation is their mean.
@@ -23,7 +23,7 @@
 	for range n {
 		next := arrivals.Next()
 		if next != same.Next() {
-			t.Fatal("one seed gave two processes")
+			t.Fatal("two processes with the same seed differ")
 		}
 		gap := (next - last).Seconds() * rate
 		sum += gap
@@ -33,11 +33,11 @@
 	mean := sum / n
 	deviation := math.Sqrt(squares/n - mean*mean)
 	if math.Abs(mean-1) > 0.01 || math.Abs(deviation-1) > 0.02 {
-		t.Errorf("mean gap %v and deviation %v times what was asked for", mean, deviation)
+		t.Errorf("gaps with mean %v and standard deviation %v times the expected gap", mean, deviation)
 	}
 }
 
-// Tenants get the shares of the Zipf law.
+// Tenants are drawn with the shares of the Zipf distribution.
 func TestTenantShares(t *testing.T) {
 	for exponent, want := range map[float64][3]float64{
 		0: {1. / 3, 1. / 3, 1. / 3},
@@ -51,14 +51,14 @@
 		}
 		for i := range got {
 			if math.Abs(got[i]-want[i]) > 0.01 {
-				t.Errorf("exponent %v: tenant %d has %v of the load, want %v", exponent, i, got[i], want[i])
+				t.Errorf("exponent %v: tenant %d has a share of %v, want %v", exponent, i, got[i], want[i])
 			}
 		}
 	}
 }
 
-// A stall of the process makes the requests that are due in it late, and moves or drops none: latency counts from the due
-// time.
+// When the process stalls, the requests that are due during the stall are sent late, and none is rescheduled or dropped.
+// Their delay counts as latency, because latency is measured from the due time.
 func TestStallCountsAsLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall, serviceTime = time.Second, 10 * time.Millisecond
@@ -72,7 +72,7 @@
 		late := 0
 		issue := func(due time.Time, n int, done func()) {
 			if n != calls {
-				t.Errorf("request %d came as number %d", n, calls)
+				t.Errorf("issue was called with n = %d, want %d", n, calls)
 			}
 			calls++
 			if calls == 100 {
@@ -90,7 +90,7 @@
 		RunOpenLoop(t.Context(), NewPoisson(seeded(), 100), start, 4*time.Second, 1000, issue, dropped)
 		q := latencies.Quantiles(time.Millisecond)
 		if calls != want || int(q.Count) != want {
-			t.Errorf("%d requests and %d answers of %d", calls, q.Count, want)
+			t.Errorf("%d requests and %d answers, want %d", calls, q.Count, want)
 		}
 		if late < 60 || late > 140 || q.P50 < 9.9 || q.P50 > 10.2 || q.Max < 1000 || q.Max > 1030 || q.P90 < 300 {
 			t.Errorf("%d late, latencies %+v", late, q)
@@ -101,7 +101,7 @@
 	})
 }
 
-// Requests above the limit in flight are dropped and reported, and no answer is awaited for that.
+// Requests beyond the limit of requests in flight are dropped at once, without waiting for an answer, and reported.
 func TestRequestsAboveTheLimitAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -118,10 +118,10 @@
 		dropped := func(time.Time, int) { droppedCount++ }
 		RunOpenLoop(ctx, NewPoisson(seeded(), 100), start, time.Second, 3, issue, dropped)
 		if len(doneFuncs) != 4 || droppedCount < 50 {
-			t.Errorf("%d issued and %d dropped, with a limit of three of which one ended", len(doneFuncs), droppedCount)
+			t.Errorf("%d issued and %d dropped, with a limit of 3 and one request that ended", len(doneFuncs), droppedCount)
 		}
 		if took := time.Since(start); took != time.Minute {
-			t.Errorf("with requests in flight, it ended after %v and not with its context", took)
+			t.Errorf("with requests in flight, RunOpenLoop returned after %v, not at the end of its context", took)
 		}
 	})
 }
--- a/internal/lab/load/tenants.go
+++ b/internal/lab/load/tenants.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// TenantDistribution is the shares of the requests that tenants have. The first tenant has the most.
+// TenantDistribution is a distribution of requests over tenants. The first tenant has the largest share.
 type TenantDistribution struct {
-	cumulative []float64 // for each tenant the share of all up to it, its own included
+	cumulative []float64 // for each tenant, the sum of the shares of all tenants up to and including it
 }
 
-// NewTenantDistribution distributes requests over n tenants by a Zipf law: the i-th, counted from 1, has i^-exponent of
-// what the first one has. An exponent of 0 is even.
+// NewTenantDistribution returns a Zipf distribution over n tenants: the share of the i-th tenant, counted from 1, is
+// proportional to i^-exponent. An exponent of 0 gives equal shares.
 func NewTenantDistribution(n int, exponent float64) *TenantDistribution {
 	d := &TenantDistribution{cumulative: make([]float64, n)}
 	sum := 0.0
@@ -26,7 +26,7 @@
 	return d
 }
 
-// Sample draws a tenant, counted from 0.
+// Sample draws a tenant and returns its index, counted from 0.
 func (d *TenantDistribution) Sample(rng *rand.Rand) int {
 	i, _ := slices.BinarySearch(d.cumulative, rng.Float64())
 	return min(i, len(d.cumulative)-1)
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -1,5 +1,5 @@
-// Package oracle keeps a customer's quota exactly, as the protocol counts it: one token bucket for all gateways, which no
-// gateway can see. What gateways admit and reject is compared with it.
+// Package oracle tracks the quota of a customer exactly, as the protocol defines it: with one token bucket for all
+// gateways. The gateways don't know the bucket. The lab compares their decisions with it.
 package oracle
 
 import (
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// TokenBucket is the quota of one customer. Its gateways share it: all methods may be called from any goroutine. Times
-// count from the bucket's start; one that is before the last counts as the last.
+// TokenBucket is the quota of one customer. Its methods are safe for concurrent use, since all gateways share the bucket.
+// Times are durations since the bucket's start. A time before that of an earlier call counts as the latter.
 type TokenBucket struct {
 	rate  float64 // units a second; 0: there is no quota
 	burst float64 // units
 
 	mu        sync.Mutex
-	tokens    float64 // units, at updatedAt
+	tokens    float64 // units in the bucket at updatedAt
 	updatedAt time.Duration
 }
 
-// New makes a bucket that is full and refills at rate units a second up to burst. A rate of 0 stands for no quota: every
+// New returns a full bucket of burst units that refills at rate units a second. With a rate of 0 there is no quota: every
 // request is within it.
 func New(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// refill brings the tokens up to now.
+// refill adds the tokens for the time since the last refill.
 func (b *TokenBucket) refill(now time.Duration) {
 	if now > b.updatedAt {
 		b.tokens = min(b.tokens+b.rate*(now-b.updatedAt).Seconds(), b.burst)
@@ -32,8 +32,8 @@
 	}
 }
 
-// Take charges an attempt when it is first forwarded, and tells whether it was within the quota: if the bucket had its
-// units, which it then takes. An attempt beyond the quota takes nothing.
+// Take charges an attempt when it is first forwarded, and reports whether it was within the quota. If the bucket has the
+// units, Take removes them; otherwise the attempt is beyond the quota, and the bucket is unchanged.
 func (b *TokenBucket) Take(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +48,7 @@
 	return true
 }
 
-// CanTake tells whether the bucket has the units, so that an attempt that is rejected now was within the quota.
+// CanTake reports whether the bucket has the units. If it has, an attempt that is rejected now was within the quota.
 func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,5 +56,5 @@
 	return b.rate == 0 || b.tokens >= units
 }
 
-// HalfFull tells whether half of the burst or more is unused.
+// HalfFull reports whether half of the burst or more is unused.
 func (b *TokenBucket) HalfFull(now time.Duration) bool { return b.CanTake(now, b.burst/2) }
--- a/internal/lab/oracle/tokenbucket_test.go
+++ b/internal/lab/oracle/tokenbucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The bucket refills at its rate up to its burst, and only an attempt within the quota takes units.
+// The bucket refills at its rate up to its burst, and only attempts within the quota take units.
 func TestTokenBucket(t *testing.T) {
 	bucket := New(2, 4)
 	halfFull := func(now time.Duration, _ float64) bool { return bucket.HalfFull(now) }
@@ -17,21 +17,21 @@
 		want    bool
 	}{
 		{"full at the start", 0, 4, bucket.CanTake, true},
-		{"half of it unused", 0, 0, halfFull, true},
+		{"at least half is left", 0, 0, halfFull, true},
 		{"CanTake takes nothing", 0, 3, bucket.Take, true},
 		{"less than half is left", 0, 0, halfFull, false},
 		{"too little is left", 0, 2, bucket.Take, false},
 		{"an attempt beyond the quota took nothing", 0, 1, bucket.CanTake, true},
 		{"refilled", 0.5, 2, bucket.Take, true},
 		{"an earlier time refills nothing", 0.25, 0.5, bucket.CanTake, false},
-		{"nor twice later", 0.75, 0.6, bucket.CanTake, false},
+		{"the same time refills only once", 0.75, 0.6, bucket.CanTake, false},
 		{"never more than the burst", 100, 4.1, bucket.CanTake, false},
 		{"full again", 100, 4, bucket.Take, true},
 		{"no quota", 0, 9, New(0, 0).Take, true},
 	} {
 		now := time.Duration(c.seconds * float64(time.Second))
 		if got := c.call(now, c.units); got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+			t.Errorf("%s: got %t", c.name, got)
 		}
 	}
 }
--- a/internal/lab/proc/buffer.go
+++ b/internal/lab/proc/buffer.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// boundedBuffer keeps the first or the last bytes that are written to it.
+// boundedBuffer keeps a limited number of the bytes written to it: either the first or the last ones.
 type boundedBuffer struct {
 	limit    int  // bytes
-	keepHead bool // the first bytes are kept, else the last ones
+	keepHead bool // true: keep the first bytes; false: keep the last bytes
 
 	mu   sync.Mutex
 	data []byte
 }
 
-// Write keeps what is within the limit. It never fails.
+// Write stores p as far as the limit allows. It always returns len(p) and no error.
 func (b *boundedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -30,7 +30,7 @@
 	return len(p), nil
 }
 
-// bytes returns a copy of what is kept.
+// bytes returns a copy of the stored bytes.
 func (b *boundedBuffer) bytes() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,5 +1,4 @@
-// Package proc starts the programs of a run as child processes, ends them, and
-// reads what a process has used.
+// Package proc starts and stops child processes, and reads the resource usage of processes.
 package proc
 
 import (
@@ -15,22 +14,23 @@
 const (
 	maxStderr     = 64 << 10        // bytes
 	maxStdout     = 16 << 20        // bytes
-	pipeWaitDelay = 2 * time.Second // after a child's end, for other processes that hold its pipes open
+	pipeWaitDelay = 2 * time.Second // how long Wait waits, after a child's exit, for other processes that hold its pipes open
 )
 
-// Process is a child process. Its methods may be called from many goroutines.
+// Process is a child process. Its methods are safe for concurrent use.
 type Process struct {
 	Pid int
 
 	command *exec.Cmd
 	stdout  boundedBuffer
 	stderr  boundedBuffer
-	done    chan struct{} // closed when the process has ended
-	exitErr error         // of the end; set before done is closed
+	done    chan struct{} // closed when the process has exited
+	exitErr error         // result of Wait; set before done is closed
 }
 
-// Start runs a program with env added to this process's environment and stdin as
-// its input (nil: none). It is killed when ctx ends, and when this process dies.
+// Start starts the program name with args. env is added to the environment of this process,
+// and stdin is the input of the child (nil: none). The child is killed when ctx ends, and
+// when this process dies.
 func Start(ctx context.Context, name string, env []string, stdin io.Reader, args ...string) (*Process, error) {
 	p := &Process{
 		command: exec.CommandContext(ctx, name, args...),
@@ -53,10 +53,10 @@
 	return p, nil
 }
 
-// run starts the child, reports whether that succeeded, and waits for the child's end.
+// run starts the child, sends the error or nil to started, and waits until the child exits.
 func (p *Process) run(started chan<- error) {
-	// The signal at the parent's death comes when the thread that started
-	// the child ends, so that thread is kept until the child has ended.
+	// The kernel sends Pdeathsig when the thread that started the child ends, not when the
+	// parent process does. So the goroutine keeps its thread until the child has exited.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	err := p.command.Start()
@@ -68,19 +68,19 @@
 	close(p.done)
 }
 
-// Wait returns when the process has ended: nil for exit status 0 alone.
+// Wait waits until the process has exited. It returns nil only for exit status 0.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.exitErr
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop sends SIGTERM, and SIGKILL if the process has not ended after grace. It
-// returns what Wait does.
+// Stop sends SIGTERM, and SIGKILL if the process has not exited after grace. It returns the
+// result of Wait.
 func (p *Process) Stop(grace time.Duration) error {
-	p.command.Process.Signal(syscall.SIGTERM) // the error is that of a process that has ended
+	p.command.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
 	killTimer := time.NewTimer(grace)
 	defer killTimer.Stop()
 	select {
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -13,13 +13,14 @@
 	"time"
 )
 
-// childEnv is the environment variable that makes the test binary run as a child, and says what it does.
+// childEnv is the environment variable that makes the test binary run as a child process. Its value is the child's
+// behavior.
 const childEnv = "PROC_TEST_CHILD"
 
-// busyChildBytes is the memory that a busy child uses.
+// busyChildBytes is the memory that a child with the behavior "busy" uses.
 const busyChildBytes = 64 << 20
 
-// TestMain runs the tests, or as a child what childEnv says.
+// TestMain runs the tests or, in a child process, the behavior in childEnv.
 func TestMain(m *testing.M) {
 	switch os.Getenv(childEnv) {
 	case "":
@@ -48,7 +49,7 @@
 	time.Sleep(time.Minute)
 }
 
-// startChild starts the test binary as a child.
+// startChild starts the test binary as a child with the given behavior.
 func startChild(ctx context.Context, t *testing.T, behavior string, stdin io.Reader) *Process {
 	t.Helper()
 	p, err := Start(ctx, os.Args[0], []string{childEnv + "=" + behavior}, stdin)
@@ -58,23 +59,23 @@
 	return p
 }
 
-// eventually waits until a condition holds.
+// eventually waits until holds returns true. what describes the awaited event.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal(what, "did not come")
+			t.Fatal(what, "did not come within 30 s")
 		}
 	}
 }
 
-// awaitReady waits until a child says that it is ready.
+// awaitReady waits until a child has written that it is ready.
 func awaitReady(t *testing.T, p *Process) {
 	t.Helper()
-	eventually(t, "ready", func() bool { return strings.HasSuffix(p.Stderr(), "ready\n") })
+	eventually(t, "readiness of the child", func() bool { return strings.HasSuffix(p.Stderr(), "ready\n") })
 }
 
-// The usage of a running child is read; that of one that has ended is an error.
+// ReadUsage returns plausible values for a running child, and an error for a child that has exited.
 func TestUsageOfABusyChild(t *testing.T) {
 	p := startChild(t.Context(), t, "busy", nil)
 	awaitReady(t, p)
@@ -87,14 +88,14 @@
 		t.Errorf("%+v", usage)
 	}
 	if err := p.Stop(30 * time.Second); err == nil || !strings.Contains(err.Error(), "terminated") {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Stop: %v", err)
 	}
 	if usage, err := ReadUsage(p.Pid); err == nil {
-		t.Errorf("an ended process uses %+v", usage)
+		t.Errorf("usage of an exited process: %+v", usage)
 	}
 }
 
-// The output of a child is kept within its limits, and its exit status is the error of Wait.
+// The output of a child is kept up to the limits, and Wait returns the child's exit status as an error.
 func TestOutputAndExitStatus(t *testing.T) {
 	p := startChild(t.Context(), t, "echo", strings.NewReader("a job"))
 	if err := p.Wait(); err == nil || err.Error() != "exit status 3" {
@@ -108,23 +109,23 @@
 	}
 }
 
-// A child that ignores SIGTERM gets SIGKILL after the grace, and when its context ends.
+// A child that ignores SIGTERM is killed when the grace of Stop is over, and when its context ends.
 func TestChildThatIgnoresSIGTERMIsKilled(t *testing.T) {
 	p := startChild(t.Context(), t, "stubborn", nil)
 	awaitReady(t, p)
 	if err := p.Stop(time.Millisecond); err == nil || !strings.Contains(err.Error(), "killed") {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Stop: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	p = startChild(ctx, t, "stubborn", nil)
 	awaitReady(t, p)
 	cancel()
 	if p.Wait() == nil {
-		t.Error("it ended well")
+		t.Error("the child exited with status 0")
 	}
 }
 
-// A child dies with the process that started it, also where that one is killed.
+// A child is killed when the process that started it dies, even if that process was killed itself.
 func TestNoChildOutlivesItsParent(t *testing.T) {
 	p := startChild(t.Context(), t, "parent", nil)
 	awaitReady(t, p)
@@ -136,5 +137,5 @@
 		t.Fatal(err)
 	}
 	p.Stop(0)
-	eventually(t, "the end of the child's child", func() bool { _, err := ReadUsage(pid); return err != nil })
+	eventually(t, "the exit of the child's child", func() bool { _, err := ReadUsage(pid); return err != nil })
 }
--- a/internal/lab/proc/usage.go
+++ b/internal/lab/proc/usage.go
@@ -12,14 +12,14 @@
 // clockTick is the unit of the times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU     time.Duration // user and system, in steps of 10 ms
-	PeakRSS int64         // most resident memory so far, bytes
-	RSS     int64         // resident memory now, bytes
+	CPU     time.Duration // user and system time since its start, in steps of 10 ms
+	PeakRSS int64         // peak resident memory since its start, bytes
+	RSS     int64         // current resident memory, bytes
 }
 
-// ReadUsage reads the usage of a process. It is an error if the process has ended.
+// ReadUsage reads the resource usage of a process. It returns an error if the process has exited.
 func ReadUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return usage, nil
 }
 
-// parseUsage parses the two files of a process.
+// parseUsage parses the contents of /proc/PID/stat and /proc/PID/status.
 func parseUsage(stat, status string) (usage Usage, err error) {
 	usage.CPU, err = parseCPU(stat)
 	if err != nil {
@@ -50,14 +50,14 @@
 	return usage, err
 }
 
-// parseCPU returns the CPU time in the text of stat. The process's name in it may hold
-// blanks and parentheses, so the fields are counted from the last parenthesis.
+// parseCPU returns the CPU time from the text of /proc/PID/stat. The name of the process in
+// it may contain blanks and parentheses, so fields are counted after the last parenthesis.
 func parseCPU(stat string) (time.Duration, error) {
-	const utime, stime = 11, 12 // fields behind the name
+	const utime, stime = 11, 12 // indices among the fields after the name
 	nameEnd := strings.LastIndex(stat, ") ")
 	fields := strings.Fields(stat[nameEnd+1:])
 	if nameEnd < 0 || len(fields) <= stime {
-		return 0, errors.New("stat can't be read")
+		return 0, errors.New("stat: no name or too few fields")
 	}
 	cpu := time.Duration(0)
 	for _, field := range fields[utime : stime+1] {
@@ -70,7 +70,8 @@
 	return cpu, nil
 }
 
-// parseMemory returns the value of a key of status in bytes. A process that has ended has none.
+// parseMemory returns the value of a key of /proc/PID/status in bytes. The file of a process
+// that has exited lacks the key, which is an error.
 func parseMemory(status, key string) (int64, error) {
 	for line := range strings.Lines(status) {
 		value, ok := strings.CutPrefix(line, key)
@@ -80,5 +81,5 @@
 		kib, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
 		return kib << 10, err
 	}
-	return 0, fmt.Errorf("no %s it has ended", key)
+	return 0, fmt.Errorf("status has no %q: the process has exited", key)
 }
