--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -100,7 +100,7 @@
 		return nil, fmt.Errorf("gateways %d to %d are not among %d of the fleet",
 			job.First, job.First+job.Gateways-1, job.Fleet)
 	case job.ServiceS < 0 || job.WarmS < 0 || job.RunS <= 0 || job.MemoryMB < 0 || job.StartSpreadS < 0:
-		return nil, errors.New("ServiceS, WarmS, RunS, MemoryMB or StartSpreadS is out of range")
+		return nil, errors.New("one of ServiceS, WarmS, RunS, MemoryMB and StartSpreadS is out of range")
 	}
 	for n, group := range job.Groups {
 		if err := h.validateGroup(group); err != nil {
@@ -127,7 +127,7 @@
 	case group.Spread < 1 || group.Spread > group.Gateways:
 		return fmt.Errorf("subsets of %d among %d gateways", group.Spread, group.Gateways)
 	case group.Customers < 1 || group.PerSecond <= 0 || group.Zipf < 0 || group.Units <= 0:
-		return errors.New("Customers, PerSecond, Zipf or Units is out of range")
+		return errors.New("one of Customers, PerSecond, Zipf and Units is out of range")
 	case group.Customers > maxCustomerIDs/h.Fleet:
 		return fmt.Errorf("%d customers are too many", group.Customers)
 	case group.Plan < 0 || group.Plan >= len(h.deployment.Plans):
