--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -9,8 +9,8 @@
 	"amberlb/internal/lab/hollow"
 )
 
-// runHollow runs the job of hollow gateways that it reads from stdin, as JSON, and
-// writes the result to stdout, as JSON. The lab starts this command as a child process.
+// runHollow reads a hollow.Job from stdin, runs it, and writes the hollow.Result to stdout,
+// both as JSON. The commands run and sweep start this command as a child process.
 func runHollow(ctx context.Context, stdin io.Reader, stdout io.Writer) error {
 	var job hollow.Job
 	if err := json.NewDecoder(stdin).Decode(&job); err != nil {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,7 +1,9 @@
-// Fleetlab measures gateways, as processes of their own and hollow, between
-// stand-ins of all services that they talk to. It exits with 0 if every bound of
-// the experiment was kept and nothing is partial, with 2 for an invalid file or
-// argument, else with 1.
+// Fleetlab measures gateways against stand-ins of all services that a gateway talks to (see
+// package experiment), and tests gateways under random faults (see package soak).
+//
+// The exit status is 2 if a file or an argument is invalid. Otherwise it is 0 if all bounds
+// of the experiment were kept, or the soak found no violation, and everything ran to its
+// end; else it is 1.
 package main
 
 import (
@@ -20,7 +22,7 @@
 // Exit statuses of the command.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a bound was broken, or the run itself failed
+	exitFailed = 1 // a bound was broken, the soak found a violation, or the run itself failed
 	exitUsage  = 2 // a file or an argument is invalid
 )
 
@@ -30,8 +32,8 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 }
 
-// run parses the arguments, runs the command that they name and returns the exit
-// status. An error is written to stderr as one line.
+// run parses the arguments, runs the selected command and returns the exit status. It
+// writes an error to stderr as one line.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	var parsed arguments
 	const helpNotShown = -1
@@ -40,7 +42,7 @@
 		kong.Name("fleetlab"),
 		kong.Writers(stdout, stderr),
 		kong.Exit(func(status int) { helpStatus = status }),
-		kong.Description("Measures gateways, real and hollow, between stand-ins."))
+		kong.Description("Measures gateways against stand-ins of the services that they talk to."))
 	if err != nil {
 		panic(err) // the struct tags of arguments are invalid
 	}
@@ -76,13 +78,13 @@
 	}
 }
 
-// usageError wraps the error of an invalid file or argument.
+// usageError marks an error that is caused by an invalid file or argument.
 type usageError struct{ error }
 
 // Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
-// errorStatus is the exit status for an error that is not nil.
+// errorStatus returns the exit status for a non-nil error.
 func errorStatus(err error) int {
 	if invalid := (usageError{}); errors.As(err, &invalid) {
 		return exitUsage
@@ -90,7 +92,7 @@
 	return exitFailed
 }
 
-// printError writes an error as one line, whatever line breaks are in its text.
+// printError writes an error as one line. Line breaks in its text become blanks.
 func printError(stderr io.Writer, err error) {
 	fmt.Fprintln(stderr, "fleetlab:", strings.Join(strings.Fields(err.Error()), " "))
 }
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -16,8 +16,8 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// runAsCommand is the environment variable that makes the test binary run as the
-// command, also as the child process that holds hollow gateways.
+// runAsCommand is the environment variable that makes the test binary run as fleetlab. The
+// tests need it for the child processes of hollow gateways.
 const runAsCommand = "FLEETLAB_AS_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// smallExperiment takes a few seconds.
+// smallExperiment is an experiment file that takes a few seconds to run.
 const smallExperiment = `
 shows = "a test"
 seed = 7
@@ -68,7 +68,7 @@
 most = 0
 `
 
-// writeExperiment writes an experiment to a file and returns its path.
+// writeExperiment writes an experiment to a temporary file and returns its path.
 func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.toml")
@@ -78,8 +78,8 @@
 	return path
 }
 
-// newLab returns a lab whose gateway is built from this checkout and whose hollow
-// gateways run in this test binary. It logs to log; onLine is called with each line.
+// newLab returns a lab that builds its gateway from this checkout and runs hollow gateways
+// in this test binary. It writes its log to log and calls onLine with each line.
 func newLab(t *testing.T, log *bytes.Buffer, onLine func(line string)) *experiment.Lab {
 	t.Helper()
 	dir := t.TempDir()
@@ -98,7 +98,7 @@
 	}
 }
 
-// lineObserver calls a function with each line of a log, then writes the line to a buffer.
+// lineObserver is a log writer that calls onLine with each line before writing it to a buffer.
 type lineObserver struct {
 	log    *bytes.Buffer
 	onLine func(line string)
@@ -109,8 +109,9 @@
 	return o.log.Write(line)
 }
 
-// A small experiment with a gateway process and hollow gateways: the counts of both
-// ends agree, and no request exceeds a quota that is hardly used.
+// In a small experiment with a gateway process and hollow gateways, the counts of the
+// clients, the gateways and the stand-ins agree, and no request exceeds a quota of which
+// less than a third is used.
 func TestCountsOfBothEndsAgree(t *testing.T) {
 	var log bytes.Buffer
 	lab := newLab(t, &log, func(string) {})
@@ -128,16 +129,16 @@
 	metrics := report.Runs[0].Metrics
 	sum := metrics["served_share"] + metrics["refused_share"] + metrics["failed_share"] + metrics["dropped"]/metrics["requests"]
 	if sum < 0.9999 || sum > 1.0001 {
-		t.Errorf("shares of the requests sum up to %g", sum)
+		t.Errorf("the shares of the requests add up to %g, want 1", sum)
 	}
 	for _, name := range []string{"requests", "served_share", "list_bytes", "memory_peak_mb", "counter_calls_per_request",
 		"control_bytes_per_s", "backends_reached", "hollow_memory_mb"} {
 		if metrics[name] <= 0 {
-			t.Errorf("%s: %g", name, metrics[name])
+			t.Errorf("%s: got %g, want more than 0", name, metrics[name])
 		}
 	}
 	if metrics["hollow_ready"] != 4 {
-		t.Errorf("%g hollow gateways were ready", metrics["hollow_ready"])
+		t.Errorf("%g hollow gateways were ready, want 4", metrics["hollow_ready"])
 	}
 	made := 0.0
 	unanswered := 0.0
@@ -175,8 +176,8 @@
 	}
 }
 
-// An interrupted run ends the processes that it started and reports what is partial;
-// the bounds on metrics that it did not measure are broken.
+// An interrupted experiment ends all processes that it started, reports the runs as partial,
+// keeps the metrics measured before, and counts the bounds on missing metrics as broken.
 func TestInterruptedRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var log bytes.Buffer
@@ -197,13 +198,13 @@
 	}
 	reasons := fmt.Sprint(report.Runs[0].Partial)
 	if !report.Partial || report.Passed || !strings.Contains(reasons, "real: ") || !strings.Contains(reasons, "hollow: not begun") {
-		t.Errorf("partial %t, kept %t: %s", report.Partial, report.Passed, reasons)
+		t.Errorf("partial %t, passed %t: %s", report.Partial, report.Passed, reasons)
 	}
 	if report.Runs[0].Metrics["list_bytes"] == 0 {
-		t.Error("what was measured before is gone")
+		t.Error("metrics that were measured before the interruption are missing")
 	}
 	if remaining := childProcesses(t); len(remaining) > 0 {
-		t.Errorf("processes remain: %q", remaining)
+		t.Errorf("child processes that still run: %q", remaining)
 	}
 }
 
@@ -222,7 +223,7 @@
 	return all
 }
 
-// An invalid file or argument gives one line and status 2, before anything is started.
+// An invalid file or argument gives one line on stderr and exit status 2, before anything is started.
 func TestUsageErrors(t *testing.T) {
 	valid := writeExperiment(t, smallExperiment)
 	for _, c := range []struct {
@@ -248,7 +249,7 @@
 	}
 }
 
-// An earlier version is built and started as its own deploy file says, whatever its programs are called.
+// An earlier version is built and started by the commands in its own deploy file, whatever the name of its gateway program.
 func TestBaselineIsBuiltAsItsDeployFileSays(t *testing.T) {
 	dir := t.TempDir()
 	deploy := "build = \"mkdir -p bin && echo old > bin/fleetlab && chmod +x bin/fleetlab\"\nrun = \"exec bin/earlier-name\"\n"
--- a/cmd/fleetlab/measure.go
+++ b/cmd/fleetlab/measure.go
@@ -10,8 +10,8 @@
 	"amberlb/internal/lab/experiment"
 )
 
-// runExperiment measures an experiment, prints its tables to stdout and writes the
-// JSON report. A sweep other than "" takes the place of the one that the file states.
+// runExperiment runs an experiment, prints its tables to stdout and writes the JSON report.
+// If sweep is not "", it replaces the sweep in the experiment file.
 func runExperiment(
 	ctx context.Context, args experimentArguments, sweep string, stdout, stderr io.Writer,
 ) (status int, err error) {
@@ -46,8 +46,8 @@
 	return exitOK, nil
 }
 
-// reportPath is where the report goes: to the path that was given, else to logs in
-// the repository's root under the experiment's name.
+// reportPath returns the path of the report: the argument, or by default a file in the
+// directory logs of the module root that is named after the experiment.
 func (a experimentArguments) reportPath(root string) string {
 	if a.Report != "" {
 		return a.Report
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -14,42 +14,43 @@
 	"amberlb/internal/lab/soak"
 )
 
-// Limits of the arguments of the soak.
+// Limits of the arguments of the command soak.
 const (
 	maxSeeds    = 10_000
-	maxJobs     = 8 // a run has up to four gateways
+	maxJobs     = 8 // each job runs up to four gateways
 	minDuration = 6 * time.Second
 	maxDuration = time.Hour
 )
 
-// maxPrintedViolations is how many violations of one run are printed in full.
+// maxPrintedViolations is the number of violations of one seed that are printed; the rest is only counted.
 const maxPrintedViolations = 10
 
-// errInterrupted is returned where the context ended before all seeds were played to their end.
-var errInterrupted = errors.New("interrupted: the last seeds are partial")
+// errInterrupted is returned if the context ended before the runs of all seeds were complete.
+var errInterrupted = errors.New("interrupted before the runs of all seeds were complete")
 
-// soakArguments are the arguments of the soak.
+// soakArguments declares the arguments of the command soak. Each seed determines one run: its gateways, clients and
+// faults.
 type soakArguments struct {
 	Seed  uint64        `default:"1" help:"The first seed."`
-	Seeds int           `default:"1" help:"How many seeds are played, from the first one on."`
-	For   time.Duration `default:"30s" help:"How long each is played."`
-	Jobs  int           `default:"1" help:"How many are played at a time."`
+	Seeds int           `default:"1" help:"The number of consecutive seeds to run, from the first one on."`
+	For   time.Duration `default:"30s" help:"The duration of the run of each seed."`
+	Jobs  int           `default:"1" help:"The number of seeds that run at the same time."`
 }
 
-// validate returns an error that names the argument that is out of range.
+// validate returns an error that names the first argument that is out of range.
 func (a soakArguments) validate() error {
 	switch {
 	case a.Seeds < 1 || a.Seeds > maxSeeds:
-		return fmt.Errorf("--seeds %d: 1 to %d", a.Seeds, maxSeeds)
+		return fmt.Errorf("--seeds %d: not between 1 and %d", a.Seeds, maxSeeds)
 	case a.For < minDuration || a.For > maxDuration:
-		return fmt.Errorf("--for %v: %v to %v", a.For, minDuration, maxDuration)
+		return fmt.Errorf("--for %v: not between %v and %v", a.For, minDuration, maxDuration)
 	case a.Jobs < 1 || a.Jobs > maxJobs:
-		return fmt.Errorf("--jobs %d: 1 to %d", a.Jobs, maxJobs)
+		return fmt.Errorf("--jobs %d: not between 1 and %d", a.Jobs, maxJobs)
 	}
 	return nil
 }
 
-// runSoak plays the seeds and prints a line for each, with the records of each violation below it.
+// runSoak runs all seeds and prints a line for each, followed by its violations.
 func runSoak(ctx context.Context, args soakArguments, stdout, stderr io.Writer) (status int, err error) {
 	if err := args.validate(); err != nil {
 		return 0, usageError{err}
@@ -71,8 +72,8 @@
 	return status, err
 }
 
-// runSeeds plays the seeds, so many at a time as the arguments say, and returns a result for each. That of a seed that
-// was never begun is the zero value. The error is that of the first run that could not be set up.
+// runSeeds runs all seeds, args.Jobs at the same time, and returns a result for each. If ctx ends before a seed's run is
+// started, its result is the zero value. The error is that of the first run that could not be set up.
 func runSeeds(
 	ctx context.Context, args soakArguments, program gatewayprocess.Program, log *slog.Logger,
 ) ([]soak.Result, error) {
@@ -94,8 +95,8 @@
 	return results, err
 }
 
-// printSoakResults prints the results of all seeds that were begun. interrupted tells whether any was not played to its
-// end.
+// printSoakResults prints the results of all seeds whose runs were started. interrupted is true if not all runs are
+// complete.
 func printSoakResults(stdout io.Writer, results []soak.Result) (status int, interrupted bool) {
 	status = exitOK
 	for _, result := range results {
@@ -113,20 +114,20 @@
 	return status, interrupted
 }
 
-// printSoakResult prints the summary of one seed and its violations.
+// printSoakResult prints a summary line of one seed, and its violations.
 func printSoakResult(stdout io.Writer, result soak.Result) {
 	plan := result.Plan
 	verdict := result.Verdict
 	longestDeadline := soak.KillAfter(plan.Classes) - soak.KillDelay
-	fmt.Fprintf(stdout, "seed %d: %d gateways, %d stops, longest deadline %v, crowd %d: ",
+	fmt.Fprintf(stdout, "seed %d: %d gateways, %d stops, longest deadline %v, %d idle connections: ",
 		plan.Seed, plan.Gateways, len(plan.Stops), longestDeadline, plan.IdleConns)
-	fmt.Fprintf(stdout, "%d served, %d refused, %d failed, %d left, ",
+	fmt.Fprintf(stdout, "%d served, %d rejected, %d failed, %d disconnected, ",
 		verdict.Served, verdict.Rejected, verdict.Failed, verdict.Disconnected)
-	fmt.Fprintf(stdout, "%d crossed a close, %d ended by a kill with no warning, %d excused, %d faults\n",
+	fmt.Fprintf(stdout, "%d close races, %d killed without SIGTERM, %d excused by SIGKILL, %d violations\n",
 		verdict.CloseRaces, verdict.KilledUnwarned, verdict.ExcusedByKill, len(verdict.Violations))
 	for i, violation := range verdict.Violations {
 		if i == maxPrintedViolations {
-			fmt.Fprintf(stdout, "and %d more\n", len(verdict.Violations)-i)
+			fmt.Fprintf(stdout, "and %d more violations\n", len(verdict.Violations)-i)
 			break
 		}
 		fmt.Fprintln(stdout, violation)
--- a/cmd/fleetlab/version.go
+++ b/cmd/fleetlab/version.go
@@ -15,7 +15,7 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// moduleRoot is the root directory of the module that the working directory is in.
+// moduleRoot returns the root directory of the Go module that contains the working directory.
 func moduleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -26,15 +26,15 @@
 			return dir, nil
 		}
 		if dir == filepath.Dir(dir) {
-			return "", errors.New("this is no directory of the repository")
+			return "", errors.New("neither the working directory nor a parent of it has a go.mod")
 		}
 	}
 }
 
-// buildVersions builds the versions to be measured, in the order in which they are
-// measured: the baseline that is checked out in the directory baseline, unless that is
-// "", then the version that this program belongs to. A baseline that can't be built is
-// a usageError.
+// buildVersions builds the versions to measure and returns them in the order of measuring.
+// The first is the version that is checked out in the directory baseline, unless baseline
+// is ""; the last is the version that this program belongs to. If the baseline can't be
+// built, the error is a usageError.
 func buildVersions(ctx context.Context, root, baseline string, log *slog.Logger) ([]experiment.Version, error) {
 	var versions []experiment.Version
 	if baseline != "" {
@@ -61,8 +61,8 @@
 	return experiment.Version{Name: experiment.Candidate, Gateway: program, Fleetlab: executable}, err
 }
 
-// baselineVersion builds the earlier version that is checked out in the directory dir. Its gateway is started as its own
-// deploy file says; its hollow gateways are started by the fleetlab that its build leaves in bin.
+// baselineVersion builds the earlier version that is checked out in the directory dir. Its gateway processes are started
+// by the command in its deploy file, and its hollow gateways by the program bin/fleetlab that its build makes.
 func baselineVersion(ctx context.Context, dir string, log *slog.Logger) (experiment.Version, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return experiment.Version{Name: experiment.Baseline, Gateway: program, Fleetlab: executable}, nil
 }
 
-// buildGateway builds the version in the directory root as its deploy file says, and returns its gateway.
+// buildGateway runs the build command of the version in the directory root, and returns its gateway program. Both are in
+// the deploy file.
 func buildGateway(ctx context.Context, root string, log *slog.Logger) (gatewayprocess.Program, error) {
 	deploy, err := readDeployFile(root)
 	if err != nil {
@@ -94,9 +95,10 @@
 	return gatewayprocess.Program{Command: deploy.Run, Dir: root}, nil
 }
 
-// deployFile holds the two entries of a version's deploy file that the lab needs. Both are shell commands.
+// deployFile holds the entries of a version's deploy file that the lab needs. Both are shell commands that run in the
+// root directory of the version.
 type deployFile struct {
-	Build string // builds the programs, in the version's root directory
+	Build string // builds the programs
 	Run   string // starts one gateway
 }
 
