--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -110,8 +110,8 @@
 }
 
 // In a small experiment with a gateway process and hollow gateways, the counts of the
-// clients, the gateways and the stand-ins agree, and no request exceeds a quota of which
-// less than a third is used.
+// clients, the gateways and the stand-ins agree, and no request exceeds its quota, of which
+// the customers use 0.3.
 func TestCountsOfBothEndsAgree(t *testing.T) {
 	var log bytes.Buffer
 	lab := newLab(t, &log, func(string) {})
--- a/internal/lab/experiment/churn.go
+++ b/internal/lab/experiment/churn.go
@@ -19,7 +19,7 @@
 	lifecycleRemoved  = "Gone"
 )
 
-// spareBackends returns the number of backends by which churn may replace listed ones during a phase.
+// spareBackends returns the number of backends that churn may add to the endpoint list during a phase.
 func (e *Experiment) spareBackends() int {
 	return int(e.Churn.ReplacementsPerSecond * e.phaseTimeout().Seconds())
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -9,7 +9,7 @@
 
 // Experiment is the content of an experiment file. Times are in seconds if the key ends in
 // _s or _seconds, and in milliseconds if it ends in _ms. A key that is missing from the
-// file is 0, which some fields replace by a default.
+// file is 0. A field with a default takes the default instead of 0.
 type Experiment struct {
 	Purpose string `toml:"shows" json:"shows"` // short description of what the experiment shows
 	Seed    uint64 `toml:"seed" json:"seed"`   // seed of all random numbers
@@ -122,8 +122,8 @@
 }
 
 // Tenants configures the customers of the gateway processes. The quota of each plan is half
-// that of the plan before it, so that each tenant uses at most Utilization of its quota, and
-// more than half of Utilization.
+// that of the plan before it. Each tenant has the smallest quota of which its requests use
+// no more than the share Utilization, and thus more than half of that share.
 type Tenants struct {
 	Count int `toml:"count" json:"count"`
 
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -9,9 +9,9 @@
 	"amberlb/internal/lab/proc"
 )
 
-// collectResults waits for the processes of the hollow gateways and records their results. Each quantile of the time
-// until a gateway is ready is that of the slowest process. It returns for each process how long its load was measured,
-// in seconds.
+// collectResults waits for the processes of the hollow gateways and records their results. The quantiles of the time
+// until a gateway is ready are recorded as the maximum over the processes. collectResults returns for each process how
+// long its load was measured, in seconds.
 func (p *phase) collectResults(children []*proc.Process) (measuredSeconds []float64, err error) {
 	metrics := p.run.Metrics
 	ready := 0.0
--- a/internal/lab/gatewayprocess/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -25,8 +25,8 @@
 }
 
 // Load is an open-loop load on the gateways. Requests arrive as a Poisson process and are
-// distributed over the tenants by a Zipf distribution. Each is sent to a random gateway out
-// of its tenant's.
+// distributed over the tenants by a Zipf distribution. Each is sent to a random gateway of
+// its tenant's subset.
 type Load struct {
 	Seed              uint64
 	RequestsPerSecond float64 // over all gateways
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -55,8 +55,8 @@
 
 // run starts the child, sends the error or nil to started, and waits until the child exits.
 func (p *Process) run(started chan<- error) {
-	// The kernel sends Pdeathsig when the thread that started the child ends, not when the
-	// parent process does. So the goroutine keeps its thread until the child has exited.
+	// The kernel sends Pdeathsig as soon as the thread that started the child ends, even if
+	// this process goes on. So the goroutine keeps its thread until the child has exited.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	err := p.command.Start()
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -39,10 +39,10 @@
 			syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 			used = time.Duration(usage.Utime.Nano())
 		}
-	case "stubborn":
+	case "ignore-sigterm":
 		signal.Ignore(syscall.SIGTERM)
 	case "parent":
-		p, err := Start(context.Background(), os.Args[0], []string{childEnv + "=stubborn"}, nil)
+		p, err := Start(context.Background(), os.Args[0], []string{childEnv + "=ignore-sigterm"}, nil)
 		fmt.Fprintln(os.Stderr, err, p.Pid)
 	}
 	fmt.Fprintln(os.Stderr, "ready")
@@ -111,13 +111,13 @@
 
 // A child that ignores SIGTERM is killed when the grace of Stop is over, and when its context ends.
 func TestChildThatIgnoresSIGTERMIsKilled(t *testing.T) {
-	p := startChild(t.Context(), t, "stubborn", nil)
+	p := startChild(t.Context(), t, "ignore-sigterm", nil)
 	awaitReady(t, p)
 	if err := p.Stop(time.Millisecond); err == nil || !strings.Contains(err.Error(), "killed") {
 		t.Errorf("Stop: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	p = startChild(ctx, t, "stubborn", nil)
+	p = startChild(ctx, t, "ignore-sigterm", nil)
 	awaitReady(t, p)
 	cancel()
 	if p.Wait() == nil {
