--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -10,14 +10,14 @@
 	"text/tabwriter"
 )
 
-// table writes rows of cells, whose columns are aligned once it is flushed.
+// table writes rows of cells. Flushing the writer aligns the columns.
 type table struct{ writer *tabwriter.Writer }
 
-// row writes a row. One without cells is an empty line.
-func (t table) row(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
+// writeRow writes a row of cells. Without cells, it writes an empty line.
+func (t table) writeRow(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
 
-// Print prints the primary metrics, a column for each run, then the groups, the
-// slopes of a sweep, and the bounds.
+// Print prints the primary metrics with a column for each run, then the metrics of the
+// groups, the slopes of a sweep, the broken bounds, and what is partial.
 func (r *Report) Print(out io.Writer) {
 	t := table{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
 	defer t.writer.Flush()
@@ -30,13 +30,13 @@
 	r.printPartial(t)
 }
 
-// printRunMetrics prints the metrics of the runs, a row for each that any run measured.
+// printRunMetrics prints the metrics of the runs, with a row for each metric that at least one run measured.
 func (r *Report) printRunMetrics(t table) {
 	header := []string{"figure"}
 	for i := range r.Runs {
 		header = append(header, r.label(&r.Runs[i]))
 	}
-	t.row(header...)
+	t.writeRow(header...)
 	for _, m := range primaryMetrics(false) {
 		cells := []string{m.name}
 		measuredAtAll := false
@@ -46,29 +46,29 @@
 			cells = append(cells, formatMetric(value, measured))
 		}
 		if measuredAtAll {
-			t.row(cells...)
+			t.writeRow(cells...)
 		}
 	}
 }
 
-// printGroupMetrics prints the metrics of a run's groups, a row for each group.
+// printGroupMetrics prints the metrics of a run's groups, with a row for each group.
 func (r *Report) printGroupMetrics(t table, run *Run) {
 	if len(run.Groups) == 0 {
 		return
 	}
-	t.row()
+	t.writeRow()
 	header := []string{"group, " + r.label(run)}
 	for _, m := range primaryMetrics(true) {
 		header = append(header, m.name)
 	}
-	t.row(header...)
+	t.writeRow(header...)
 	for _, name := range slices.Sorted(maps.Keys(run.Groups)) {
 		cells := []string{name}
 		for _, m := range primaryMetrics(true) {
 			value, measured := run.Groups[name][m.name]
 			cells = append(cells, formatMetric(value, measured))
 		}
-		t.row(cells...)
+		t.writeRow(cells...)
 	}
 }
 
@@ -77,17 +77,17 @@
 	if len(r.Slopes) == 0 {
 		return
 	}
-	t.row()
-	t.row("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
+	t.writeRow()
+	t.writeRow("slope over "+r.Runs[0].Key, "version", "group", "each", "from", "r2")
 	for i := range r.Slopes {
 		s := &r.Slopes[i]
 		if s.isPrimary() {
-			t.row(s.Metric, s.Version, s.Group, formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.R2))
+			t.writeRow(s.Metric, s.Version, s.Group, formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.R2))
 		}
 	}
 }
 
-// printBounds prints the bounds that were broken, and how many were kept.
+// printBounds prints the broken bounds, and the numbers of kept and broken ones.
 func (r *Report) printBounds(t table) {
 	broken := 0
 	for i := range r.Verdicts {
@@ -96,16 +96,16 @@
 		}
 		broken++
 		if broken == 1 {
-			t.row()
-			t.row("broken bound", "group", "at", "most", "least", "got")
+			t.writeRow()
+			t.writeRow("broken bound", "group", "at", "most", "least", "got")
 		}
 		r.printBroken(t, &r.Verdicts[i])
 	}
-	t.row()
-	t.row(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
+	t.writeRow()
+	t.writeRow(fmt.Sprintf("bounds: %d kept, %d broken", len(r.Verdicts)-broken, broken))
 }
 
-// printBroken prints a bound that was broken.
+// printBroken prints a broken bound.
 func (r *Report) printBroken(t table, v *Verdict) {
 	measured := "not measured"
 	if v.Measured != nil {
@@ -115,19 +115,20 @@
 	if r.Experiment.Sweep != "" {
 		at = formatNumber(v.Value)
 	}
-	t.row(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
+	t.writeRow(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
 }
 
-// printPartial prints what was not measured to its end.
+// printPartial prints why runs are partial.
 func (r *Report) printPartial(t table) {
 	for i := range r.Runs {
 		for _, reason := range r.Runs[i].Partial {
-			t.row("PARTIAL: " + r.label(&r.Runs[i]) + ": " + reason)
+			t.writeRow("PARTIAL: " + r.label(&r.Runs[i]) + ": " + reason)
 		}
 	}
 }
 
-// label names a run among those of the report.
+// label returns a heading that distinguishes a run from the other runs of the report: the value of the swept key, the
+// version, or both.
 func (r *Report) label(run *Run) string {
 	var words []string
 	if run.Key != "" {
@@ -139,7 +140,7 @@
 	return strings.Join(words, " ")
 }
 
-// formatMetric is "-" for a metric that was not measured.
+// formatMetric formats the value of a metric, or "-" if it was not measured.
 func formatMetric(value float64, measured bool) string {
 	if !measured {
 		return "-"
@@ -147,7 +148,7 @@
 	return formatNumber(value)
 }
 
-// formatLimit is "" for a limit that is not stated.
+// formatLimit formats a limit of a bound, or "" if the bound does not set it.
 func formatLimit(limit *float64) string {
 	if limit == nil {
 		return ""
@@ -155,7 +156,7 @@
 	return formatNumber(*limit)
 }
 
-// formatNumber prints three significant digits, and all of the integer part from 1000 on.
+// formatNumber formats a number with three significant digits, and as an integer if its absolute value is at least 1000.
 func formatNumber(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return strconv.FormatFloat(value, 'f', 0, 64)
