--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -124,7 +124,7 @@
 	fmt.Fprintf(stdout, "%d served, %d rejected, %d failed, %d disconnected, ",
 		verdict.Served, verdict.Rejected, verdict.Failed, verdict.Disconnected)
 	fmt.Fprintf(stdout, "%d close races, %d killed without SIGTERM, %d excused by SIGKILL, %d violations\n",
-		verdict.CloseRaces, verdict.KilledUnwarned, verdict.ExcusedByKill, len(verdict.Violations))
+		verdict.CloseRaces, verdict.HardKilled, verdict.ExcusedByKill, len(verdict.Violations))
 	for i, violation := range verdict.Violations {
 		if i == maxPrintedViolations {
 			fmt.Fprintf(stdout, "and %d more violations\n", len(verdict.Violations)-i)
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -40,14 +40,14 @@
 // Verdict is the result of Check. Each request that was sent completely and reached a gateway is counted in one of the
 // numbers or has a violation.
 type Verdict struct {
-	Violations     []Violation
-	ExcusedByKill  int // requests ended by a stop's SIGKILL, sent within KillDelay after SIGTERM
-	KilledUnwarned int // requests ended by a hard kill (see Stop)
-	CloseRaces     int // requests that the gateway never read, as it was closing the idle connection
-	Served         int // answered with 200
-	Rejected       int // answered with 429 or 503
-	Failed         int // answered with another status
-	Disconnected   int // the client disconnected
+	Violations    []Violation
+	ExcusedByKill int // requests ended by a stop's SIGKILL, sent within KillDelay after SIGTERM
+	HardKilled    int // requests ended by a hard kill (see Stop)
+	CloseRaces    int // requests that the gateway never read, as it was closing the idle connection
+	Served        int // answered with 200
+	Rejected      int // answered with 429 or 503
+	Failed        int // answered with another status
+	Disconnected  int // the client disconnected
 }
 
 // processID identifies a process among those of all gateways.
@@ -173,7 +173,7 @@
 	process := c.processOf(attempt)
 	switch {
 	case endedByKill(attempt, process) && process.hardKilled: // no response is owed after a hard kill
-		c.verdict.KilledUnwarned++
+		c.verdict.HardKilled++
 	case endedByKill(attempt, process) && attempt.SentAt <= process.SigtermAt+KillDelay:
 		c.verdict.ExcusedByKill++
 	case len(c.backendAttemptsOf(attempt)) > 0:
