--- a/policy/admission.go
+++ b/policy/admission.go
@@ -48,7 +48,7 @@
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
 		return deadline
 	}
-	return min(deadline, arrival.SentAt+class.LatencyObjective-e.timeSpentOnEarlierAttempts(arrival, class))
+	return min(deadline, arrival.SentAt+class.LatencyObjective-e.timeSpentBeforeRetry(arrival, class))
 }
 
 // timingMargin returns how many seconds before a deadline an answer is due: an event may come a tick late,
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -22,7 +22,7 @@
 	return c.usual == 0 || math.Abs(timeout-c.usual) < tolerance
 }
 
-// timeSpentOnEarlierAttempts returns the seconds that the client has certainly spent before this request, on
+// timeSpentBeforeRetry returns the seconds that the client has certainly spent before this request, on
 // earlier attempts at this or another gateway. Most requests of a class and plan have the same timeout. If
 // a request has another one, the client has cut it to the rest of its class's deadline, so the request is a
 // retry.
@@ -30,7 +30,7 @@
 // A retry whose latency objective has passed earns nothing, but uses units, a counter call and backend time
 // that other requests could use. A client's first attempt must not be mistaken for a retry, so the result is
 // 0 as long as the usual timeout is unknown.
-func (e *Engine) timeSpentOnEarlierAttempts(r Request, class *Class) float64 {
+func (e *Engine) timeSpentBeforeRetry(r Request, class *Class) float64 {
 	timeout := r.Deadline - r.SentAt
 	tolerance := e.timingMargin()
 	observed := &e.clientTimeouts[r.Class*len(e.settings.Plans)+r.Plan]
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -24,20 +24,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	vocabulary := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true}
-	deciding := 0
+	filesWithoutDecisions := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true}
+	decisionFiles := 0
 	for _, f := range files {
 		name := f.Name()
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		if decides := !vocabulary[name]; decides != named[name] {
+		if decides := !filesWithoutDecisions[name]; decides != named[name] {
 			t.Errorf("%s: contains decisions %t, listed under policy %t", name, decides, named[name])
 		}
 		if !named[name] {
 			continue
 		}
-		deciding++
+		decisionFiles++
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 			}
 		}
 	}
-	if deciding != len(named) {
-		t.Errorf("%d files contain decisions, but %d are listed under policy", deciding, len(named))
+	if decisionFiles != len(named) {
+		t.Errorf("%d files contain decisions, but %d are listed under policy", decisionFiles, len(named))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -113,10 +113,10 @@
 
 // endAttempts ends each attempt that the actions start, and each further one that follows from that, with the event
 // that end returns. Request, attempt and backend of the event are filled in.
-func (d *engineDriver) endAttempts(actions []Action, end func(SendAttempt) AttemptEnded) {
+func (d *engineDriver) endAttempts(actions []Action, endEvent func(SendAttempt) AttemptEnded) {
 	for len(actions) > 0 {
 		for _, s := range actionsOf[SendAttempt](actions[:1]) {
-			event := end(s)
+			event := endEvent(s)
 			event.Request = s.Request
 			event.Attempt = len(d.engine.requests[s.Request].attempts) - 1
 			event.Backend = s.Backend
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -17,13 +17,13 @@
 }
 
 // record adds the latency of a served attempt, in seconds.
-func (s *latencyStats) record(elapsed float64) {
+func (s *latencyStats) record(latency float64) {
 	if s.mean == 0 {
-		s.mean = elapsed
-		s.deviation = elapsed / 2
+		s.mean = latency
+		s.deviation = latency / 2
 	}
-	s.deviation += overallLatencyGain * (math.Abs(elapsed-s.mean) - s.deviation)
-	s.mean += overallLatencyGain * (elapsed - s.mean)
+	s.deviation += overallLatencyGain * (math.Abs(latency-s.mean) - s.deviation)
+	s.mean += overallLatencyGain * (latency - s.mean)
 }
 
 // slowThreshold returns the seconds after which an attempt has taken longer than almost all others.
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -22,12 +22,12 @@
 // concurrencyLimiter limits the number of attempts that this gateway has in flight. The limit is 0 until the
 // first backend is known.
 type concurrencyLimiter struct {
-	limit          float64 // attempts; with many gateways it can be below 1
-	lastCut        float64 // clock time at which the limit was last cut
-	inFlight       int     // attempts, including abandoned ones
-	meanInFlight   float64 // attempts; mean over limitAveragingWindow
-	latencyRatio   float64 // mean latency ratio, in which a single one counts as 1 at most
-	latencyRatioAt float64 // clock time at which latencyRatio was last updated
+	limit              float64 // attempts; with many gateways it can be below 1
+	lastCut            float64 // clock time at which the limit was last cut
+	inFlight           int     // attempts, including abandoned ones
+	meanInFlight       float64 // attempts; mean over limitAveragingWindow
+	meanLatencyRatio   float64 // mean latency ratio, in which a single one counts as 1 at most
+	meanLatencyRatioAt float64 // clock time at which meanLatencyRatio was last updated
 }
 
 // updateMeanInFlight updates the mean of attempts in flight from the clock time previous to now.
@@ -51,23 +51,23 @@
 
 // adjust records the latency ratio of an attempt and adjusts the limit: it is cut when latency approaches the
 // objective, at most once per cutInterval seconds, and grows slowly while it is in use and latency is low.
-func (l *concurrencyLimiter) adjust(now, ratio, cutInterval, backendsPerGateway float64) {
-	l.recordLatencyRatio(now, ratio)
+func (l *concurrencyLimiter) adjust(now, latencyRatio, cutInterval, backendsPerGateway float64) {
+	l.recordLatencyRatio(now, latencyRatio)
 	switch {
-	case l.latencyRatio > latencyRatioHigh && now-l.lastCut > cutInterval:
+	case l.meanLatencyRatio > latencyRatioHigh && now-l.lastCut > cutInterval:
 		l.limit = max(l.limit*limitCutFactor, minLimitPerBackend*backendsPerGateway)
 		l.lastCut = now
-	case l.latencyRatio < latencyRatioLow && l.inUse():
+	case l.meanLatencyRatio < latencyRatioLow && l.inUse():
 		l.limit += min(1, backendsPerGateway) / max(l.limit, 1)
 	}
 }
 
 // recordLatencyRatio updates the mean latency ratio. The less often attempts end, the more each one counts.
-func (l *concurrencyLimiter) recordLatencyRatio(now, ratio float64) {
-	gain := (now - l.latencyRatioAt) / limitAveragingWindow
+func (l *concurrencyLimiter) recordLatencyRatio(now, latencyRatio float64) {
+	gain := (now - l.meanLatencyRatioAt) / limitAveragingWindow
 	gain = min(max(gain, minLatencyRatioGain), maxLatencyRatioGain)
-	l.latencyRatioAt = now
-	l.latencyRatio += gain * (min(ratio, 1) - l.latencyRatio)
+	l.meanLatencyRatioAt = now
+	l.meanLatencyRatio += gain * (min(latencyRatio, 1) - l.meanLatencyRatio)
 }
 
 // inUse reports whether enough attempts are in flight that a higher limit would be used.
@@ -80,9 +80,9 @@
 
 // adjustLimit adjusts the limit by the latency ratio of an attempt. The limit is cut at most once per round
 // trip.
-func (e *Engine) adjustLimit(ratio float64) {
-	roundTrip := max(e.latency.mean, e.settings.Tick)
-	e.limiter.adjust(e.now, ratio, roundTrip, e.backendsPerGateway())
+func (e *Engine) adjustLimit(latencyRatio float64) {
+	cutInterval := max(e.latency.mean, e.settings.Tick)
+	e.limiter.adjust(e.now, latencyRatio, cutInterval, e.backendsPerGateway())
 }
 
 // backendsPerGateway returns the number of backends divided by the number of gateways, 0 if no backend is
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -75,7 +75,7 @@
 // slow start tokens.
 func (e *Engine) isCandidate(req *request, b *backend) bool {
 	return b.State == Ready &&
-		req.sharesDedupeScope(b) &&
+		req.mayExecuteAt(b) &&
 		e.slowStartAllows(b) &&
 		!req.inFlightAt(b)
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -61,10 +61,10 @@
 	return n > 0 && req.attempts[n-1].backend == b
 }
 
-// sharesDedupeScope reports whether an attempt at the backend cannot execute the request a second time with
+// mayExecuteAt reports whether an attempt at the backend cannot execute the request a second time with
 // effect: no earlier attempt may have been executed, the request is idempotent, or the backend drops the
 // duplicate.
-func (req *request) sharesDedupeScope(b *backend) bool {
+func (req *request) mayExecuteAt(b *backend) bool {
 	if !req.mayHaveExecuted || req.class.Idempotency == Idempotent {
 		return true
 	}
--- a/policy/send.go
+++ b/policy/send.go
@@ -25,7 +25,7 @@
 func (e *Engine) maySend(req *request, b *backend) bool {
 	return req.awaitsAnswer() &&
 		b.State == Ready &&
-		req.sharesDedupeScope(b) &&
+		req.mayExecuteAt(b) &&
 		!e.dedupeWindowOver(req) &&
 		e.attemptsRemain(req) &&
 		e.mayRunConcurrently(req)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -42,8 +42,8 @@
 	if b.StartedAt == 0 || window <= 0 || e.now-b.StartedAt >= window {
 		return 1
 	}
-	age := max(e.now-b.StartedAt, 0) / window
-	return e.settings.SlowStartMinShare + (1-e.settings.SlowStartMinShare)*age
+	elapsedShare := max(e.now-b.StartedAt, 0) / window
+	return e.settings.SlowStartMinShare + (1-e.settings.SlowStartMinShare)*elapsedShare
 }
 
 // slowStartAllows updates the tokens of a backend in slow start, and reports whether the backend may get an
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -318,11 +318,11 @@
 	for second := range 8 {
 		// The capacity of a backend in slow start, as a share of a warm backend's.
 		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*(float64(second)+0.5)/set.SlowStartWindow
-		each := float64(sendsStarting[second]) / starting
-		usual := float64(sendsWarm[second]) / warm
-		if each < 0.4*share*usual || each > 1.6*share*usual {
+		sendsPerStarting := float64(sendsStarting[second]) / starting
+		sendsPerWarm := float64(sendsWarm[second]) / warm
+		if sendsPerStarting < 0.4*share*sendsPerWarm || sendsPerStarting > 1.6*share*sendsPerWarm {
 			t.Errorf("second %d: a backend in slow start got %.2f attempts and a warm one %.2f, want a share of about %.2f",
-				second, each, usual, share)
+				second, sendsPerStarting, sendsPerWarm, share)
 		}
 	}
 }
