--- a/policy/actions.go
+++ b/policy/actions.go
@@ -8,7 +8,7 @@
 	ReasonQuota       Reason = iota // the customer's quota has too few units left
 	ReasonConcurrency               // the customer's concurrency limit allows no attempts at this gateway
 	ReasonTooLate                   // the request arrived with too little time left
-	ReasonQueue                     // the request would wait in the queue for longer than it can
+	ReasonQueue                     // the expected wait in the queue is longer than the request's remaining time
 	ReasonNotSent                   // no attempt was started in time
 	ReasonNoAnswer                  // an attempt was started, but no backend responded in time
 	ReasonNoAttempts                // the request's last attempt failed, and no retry could be started
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -45,7 +45,8 @@
 
 // answerBy returns the clock time by which an arriving request is to be answered: timingMargin before the
 // client's deadline, or the end of the latency objective if that is earlier. Later answers earn nothing. Only
-// the deadline counts if late answers of the class have a weight or its objective is not fixed.
+// the deadline counts if late answers of the class earn a share of the weight, or if its latency objective
+// grows with the request's work.
 func (e *Engine) answerBy(arrival Request, class *Class) float64 {
 	deadline := arrival.Deadline - e.timingMargin()
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A retry earns nothing if the client has already spent its latency objective on earlier attempts, so it is rejected.
+// A retry is rejected if the latency objective had already passed when the client sent the retry, since it earns nothing.
 func TestRetryPastItsLatencyObjectiveIsRejected(t *testing.T) {
 	set := testSettings()
 	d := startEngine(t, set, readyBackends(4)...)
@@ -41,10 +41,10 @@
 	}
 	for id := range RequestID(4) {
 		if sendWithTimeout(10+id, 1.4) != 1 {
-			t.Error("a client's first attempt was rejected")
+			t.Error("a request that is not a retry was rejected")
 		}
 	}
-	// Of its two seconds the client has spent 1.1. The latency objective is 0.8.
+	// The client has spent 1.1 s of the deadline of 2 s. The latency objective is 0.8 s.
 	if sendWithTimeout(20, 0.9) != 0 {
 		t.Error("a retry past its latency objective was sent")
 	}
@@ -53,7 +53,8 @@
 	}
 }
 
-// In a burst most answers are immediate rejections. Timers for them would wake the gateway twice per request.
+// In a burst most requests are rejected immediately. Timers for rejected requests would wake
+// the gateway twice per request.
 func TestImmediateRejectionSetsNoTimers(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(4)...)
 	id := d.sendRequest(0, 0, 1)
@@ -68,8 +69,8 @@
 	}
 }
 
-// A real gateway handles a request some time after the client sent it. This delay counts towards the latency objective,
-// and must not make the client's timeout look like a different one.
+// Outside the simulator, a gateway handles a request some time after the client sent it. This delay counts towards the
+// latency objective, and must not make the timeout of the request look like that of a retry.
 func TestLatencyObjectiveCountsFromSending(t *testing.T) {
 	set := testSettings()
 	set.Plans[0].Rate = 0
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -20,7 +20,7 @@
 	onlyAction[FailRequest](t, out)
 }
 
-// A keyed retry must arrive within the dedupe window even if it has to wait for its connection.
+// A keyed retry must reach its backend within the dedupe window even if the retry has to wait for a connection.
 func TestKeyedRetryArrivesWithinItsDedupeWindow(t *testing.T) {
 	for _, c := range []struct {
 		after   float64 // seconds since the first attempt
@@ -56,7 +56,7 @@
 				t.Errorf("retried: %v, want %v", got, c.retried)
 			}
 			if !c.retried && len(actionsOf[FailRequest](out)) != 1 {
-				t.Errorf("the request was not failed: %v", out)
+				t.Errorf("want one FailRequest, got %v", out)
 			}
 		})
 	}
--- a/policy/deployfile_test.go
+++ b/policy/deployfile_test.go
@@ -7,8 +7,8 @@
 )
 
 // The list "policy" in the deploy file names exactly the files of this package that contain decisions: all but the
-// package comment, the settings, the events and the actions. Lines in the listed files are short enough to be read side
-// by side.
+// package comment, the settings, the events and the actions. Lines in the listed files have at most 110 characters, so
+// that two files can be read side by side.
 func TestDeployFileListsDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// After a client has disconnected, events that concern its request still arrive. None of them may start an attempt,
-// neither a first one nor a retry nor a hedged request.
+// After a client has disconnected, events that concern its request still arrive. None of these events may start an
+// attempt: no first attempt, no retry and no hedged request.
 func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
 	slow := func(id RequestID) Event {
 		return TimerFired{Token: timerToken{kind: slowAttemptTimer, request: id}.pack()}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -8,7 +8,7 @@
 	now              float64    // clock time of the event that is being handled
 	rng              *rand.Rand // the only source of randomness, so that runs can be replayed
 	actions          []Action   // the actions of the event that is being handled
-	startedAt        float64    // clock time that New was called with
+	startedAt        float64    // clock time passed to New
 	lastMaintenance  float64    // clock time of the last round of maintenance
 	shutdownAnswerBy float64    // clock time by which every request must be answered; 0: no shutdown
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -72,8 +72,8 @@
 // String returns the outcome's name in metrics and logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Event is something that has happened at the gateway. It is passed to Engine.Handle together
-// with the clock time at which it happened.
+// Event is something that has happened at the gateway. It is passed to Engine.Handle together with the clock
+// time at which it happened.
 type Event interface{ event() }
 
 // EndpointsUpdated reports a new endpoint list, a change of the list, or a failure of discovery.
@@ -132,8 +132,7 @@
 // ClientDisconnected reports that the client of a request no longer waits for an answer.
 type ClientDisconnected struct{ Request RequestID }
 
-// TimerFired reports that a timer has expired. Token is the Token of the SetTimer that started
-// the timer.
+// TimerFired reports that a timer has expired. Token is the Token of the SetTimer that started the timer.
 type TimerFired struct{ Token uint64 }
 
 // CounterReply reports how the oldest open CounterAdd for a name ended.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// smallBurstSettings returns settings in which plan 1 has a low rate, and a burst that, divided among two gateways, doesn't
-// cover a request of two units: such a request needs a counter call.
+// smallBurstSettings returns settings in which plan 1 has a low rate and a small burst. Half of the burst, the part of
+// one of two gateways, doesn't cover a request of two units, so a request of two units needs a counter call.
 func smallBurstSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
@@ -45,8 +45,8 @@
 	return set
 }
 
-// refillingWindowSettings returns settings in which plan 1 has a ceiling. Two gateways then track its quota exactly, by counter
-// calls alone.
+// refillingWindowSettings returns settings in which plan 1 has a ceiling. With a ceiling, two gateways use upfront
+// leasing in refilling windows.
 func refillingWindowSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
@@ -64,7 +64,7 @@
 	nextID      RequestID
 }
 
-// startEngine returns the driver of a new engine that knows the backends, at clock time 100.
+// startEngine returns the driver of a new engine that starts at clock time 100 and knows the backends.
 func startEngine(t *testing.T, set Settings, backends ...Backend) *engineDriver {
 	t.Helper()
 	d := &engineDriver{t: t, now: 100}
@@ -102,8 +102,8 @@
 	return d.nextID
 }
 
-// grantCounterCalls answers each counter call among the actions as if it were the first for its name, and returns the
-// actions that follow from the replies.
+// grantCounterCalls replies to each counter call among the actions with the total that the first call for a name gets.
+// It returns the actions that follow from the replies.
 func (d *engineDriver) grantCounterCalls(actions []Action) (all []Action) {
 	for _, c := range actionsOf[CounterAdd](actions) {
 		all = append(all, d.engine.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
@@ -111,8 +111,8 @@
 	return all
 }
 
-// endAttempts ends each attempt that the actions start, and each further one that follows from that, with the event
-// that end returns. Request, attempt and backend of the event are filled in.
+// endAttempts ends each attempt that the actions start, and each retry that the engine then starts, with the event that
+// endEvent returns. It sets the fields Request, Attempt and Backend of the event.
 func (d *engineDriver) endAttempts(actions []Action, endEvent func(SendAttempt) AttemptEnded) {
 	for len(actions) > 0 {
 		for _, s := range actionsOf[SendAttempt](actions[:1]) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// timerFired returns the event of a timer that belongs to a request, or to none if id is 0.
+// timerFired returns the event of a timer that belongs to a request, or to no request if id is 0.
 func timerFired(kind timerKind, id RequestID) TimerFired {
 	return TimerFired{Token: timerToken{kind: kind, request: id}.pack()}
 }
@@ -141,7 +141,7 @@
 	return found
 }
 
-// onlyAction returns the only action of a type, and fails the test if there are none or several.
+// onlyAction returns the only action of a type. It fails the test if there is no such action or more than one.
 func onlyAction[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
 	found := actionsOf[A](actions)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -29,8 +29,8 @@
 // slowThreshold returns the seconds after which an attempt has taken longer than almost all others.
 func (s *latencyStats) slowThreshold() float64 { return s.mean + slowDeviations*s.deviation }
 
-// recordLatency adds the latency of an attempt at the backend, in seconds. The latency given for
-// an attempt that was not served is a lower bound.
+// recordLatency adds the latency of an attempt at the backend, in seconds. The latency given for an attempt
+// that was not served is a lower bound.
 func (b *backend) recordLatency(elapsed float64) {
 	if b.latency == 0 {
 		b.latency = elapsed
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -11,7 +11,7 @@
 	latencyRatioHigh       = 0.38 // mean latency ratio above which the limit is cut
 	latencyRatioLow        = 0.28 // mean latency ratio below which the limit may grow
 	limitUtilization       = 0.8  // share of the limit that must be in use for the limit to grow
-	limitBurst             = 3.0  // attempts; a smaller limit applies to meanInFlight, up to this many at once
+	limitBurst             = 3.0  // attempts that a gateway with a smaller limit may have in flight at once
 	limitAveragingWindow   = 1.0  // seconds; averaging time of meanInFlight and meanLatencyRatio
 	minLatencyRatioGain    = 0.05 // weight of the newest latency ratio in the mean if attempts end often
 	maxLatencyRatioGain    = 0.3  // weight of the newest latency ratio in the mean if attempts end rarely
@@ -52,7 +52,7 @@
 }
 
 // adjust records the latency ratio of an attempt and adjusts the limit. When latency approaches the
-// objective, the limit is cut, at most once per cutInterval, which is in seconds. While latency is low and
+// objective, the limit is cut, at most once per cutInterval (in seconds). While latency is low and
 // the limit is in use, the limit grows slowly.
 func (l *concurrencyLimiter) adjust(now, latencyRatio, cutInterval, backendsPerGateway float64) {
 	l.recordLatencyRatio(now, latencyRatio)
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// With many gateways the limit of each can be less than one attempt. It then applies to the mean of attempts in flight.
+// With many gateways the limit of each can be less than one attempt. The limit then applies to the mean number of
+// attempts in flight.
 func TestConcurrencyLimitOfManyGatewaysHoldsInTheMean(t *testing.T) {
 	set := testSettings()
 	set.FleetSize = 300
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// The failure rate and latency of a backend decay even if it gets no attempts, so a backend that failed once or was
-// slow once is used again. Those of an ejected backend don't decay: it waits for its trials.
+// The failure rate and latency of a backend decay even if the backend gets no attempts, so a backend that failed once
+// or was slow once is used again. The failure rate and latency of an ejected backend don't decay, since trials update
+// them.
 func TestBackendHealthDecays(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(3)...)
 	d.engine.latency.mean = 0.1
@@ -37,12 +38,12 @@
 		d.handle(timerFired(maintenanceTimer, 0))
 	}
 	if failedOnce.failureRate > 0.05 || slow.latency > 0.15 || ejected.failureRate != 0.9 {
-		t.Errorf("failure rate %.2f, latency %.2f, failure rate of the ejected one %.2f",
+		t.Errorf("failure rate %.2f, latency %.2f, failure rate of the ejected backend %.2f",
 			failedOnce.failureRate, slow.latency, ejected.failureRate)
 	}
 }
 
-// Even if most backends are ejected, each of them gets trials, and is used again once these are served.
+// Even if most backends are ejected, each ejected backend gets trials, and its ejection ends once trials are served.
 func TestTrialsWhenMostBackendsAreEjected(t *testing.T) {
 	set := testSettings()
 	set.Plans[1].Rate = 0
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -13,9 +13,9 @@
 type candidates struct {
 	count           int      // number of candidates
 	ejected         int      // number of candidates that are ejected
-	cheapest        *backend // candidate with the lowest cost; nil: none
+	cheapest        *backend // lowest-cost candidate; nil: none
 	cheapestCost    float64
-	cheapestHealthy *backend // not ejected candidate with the lowest cost; nil: none
+	cheapestHealthy *backend // lowest-cost candidate that is not ejected; nil: none
 	healthyCost     float64
 	dueForTrial     *backend // first ejected candidate that may get the request as a trial; nil: none
 	trialsAllowed   bool     // whether the request may be used as a trial
@@ -23,7 +23,8 @@
 
 // pick returns the backend for the next attempt of a request, or nil if no backend may be used now. A backend
 // that is due for a trial comes first. Otherwise pick returns the backend with the lowest cost, which is the
-// load of this gateway's attempts there, scaled by the backend's speed and health.
+// load of this gateway's attempts there, scaled by the backend's speed and health. It leaves out ejected
+// backends unless most candidates are ejected.
 func (e *Engine) pick(req *request) *backend {
 	found := e.findCandidates(req)
 	if found.dueForTrial != nil {
@@ -33,8 +34,8 @@
 		return found.dueForTrial
 	}
 	if 2*found.ejected > found.count {
-		// If most candidates are ejected, their failures have a common cause, and avoiding the ejected backends
-		// would only overload the others.
+		// If most candidates are ejected, their failures probably have a common cause, and avoiding the
+		// ejected backends would only overload the others.
 		return found.cheapest
 	}
 	return found.cheapestHealthy
@@ -51,8 +52,8 @@
 	return found
 }
 
-// add adds a candidate. cost is the cost of an attempt there, and trialDue is whether the backend is due for
-// a trial if it is ejected.
+// add adds a backend to the candidates. cost is the cost of an attempt there; trialDue says whether a trial
+// is due, if the backend is ejected.
 func (c *candidates) add(b *backend, cost float64, trialDue bool) {
 	c.count++
 	if c.cheapest == nil || cost < c.cheapestCost {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -73,9 +73,9 @@
 // wouldWaitTooLong reports whether the expected wait in the queue exceeds the time until the request must be
 // sent. A request waits for the queued requests of its level and of higher levels, and for requests of higher
 // levels that arrive during the wait. The expected wait is s * ahead / (1 - s*higherRate). Here s is
-// secondsPerAttempt, the average time between two attempts that the concurrency limit allows, ahead is the
-// number of queued requests including the new one, and higherRate is the number of arrivals per second at
-// higher levels.
+// secondsPerAttempt, the average time between two attempts that the concurrency limit allows, ahead is 1 plus
+// the number of queued requests that the request waits for, and higherRate is the number of arrivals per
+// second at higher levels.
 func (e *Engine) wouldWaitTooLong(req *request) bool {
 	secondsPerAttempt := e.latency.mean / max(e.limiter.limit, minLimitForWait)
 	ahead := 1 + float64(len(e.queue.requests[req.level]))
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -31,7 +31,7 @@
 		sent += len(actionsOf[SendAttempt](d.lastActions))
 	}
 	if sent != 9 {
-		t.Errorf("%d attempts of a low level in flight, want 9 of a limit of 10", sent)
+		t.Errorf("%d attempts of a low level in flight with a limit of 10, want 9", sent)
 	}
 	d.sendRequest(1, 1, 99)
 	if n := len(actionsOf[SendAttempt](d.lastActions)); n != 1 {
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Settings and events that no valid deployment has cause no panic, and each request still gets exactly one answer.
+// Settings and events that no valid deployment has must cause no panic. Each request still gets exactly one answer.
 func TestUnusualInputIsAnswered(t *testing.T) {
 	class := Class{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}
 	for name, set := range map[string]Settings{
@@ -39,7 +39,7 @@
 	out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
 	for _, c := range actionsOf[CounterAdd](out) {
 		out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
-		out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Rejected})...) // twice
+		out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Rejected})...) // a second reply to the same call
 	}
 	d.handle(CounterReply{Name: 99})
 	d.handle(AttemptEnded{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
@@ -50,7 +50,7 @@
 	for _, s := range actionsOf[SendAttempt](out) {
 		end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: 0.1, RequestOver: true}
 		d.handle(end)
-		d.handle(end) // repeated
+		d.handle(end) // the end of the attempt is reported twice
 		answered++
 	}
 	answered += len(actionsOf[Reject](out)) + len(actionsOf[FailRequest](out))
@@ -64,7 +64,7 @@
 	for seed := range uint64(60) {
 		first := randomRun(t, seed)
 		if second := randomRun(t, seed); !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: the same events led to other actions", seed)
+			t.Fatalf("seed %d: the same events led to different actions", seed)
 		}
 	}
 }
@@ -91,19 +91,19 @@
 	set        Settings
 	driver     *engineDriver
 	requests   map[RequestID]*trackedRequest
-	order      []RequestID // by arrival
+	order      []RequestID // IDs of the requests in order of arrival
 	timers     []pendingTimer
-	calls      []CounterAdd // not yet answered
+	calls      []CounterAdd // calls without a reply so far
 	notReady   map[BackendID]bool
 	allActions []Action
 }
 
-// trackedRequest is a request with the actions of the engine for it.
+// trackedRequest is a request with its attempts so far.
 type trackedRequest struct {
 	Request
 	attempts []SendAttempt
 	inFlight []int // numbers of the attempts in flight
-	answered bool  // has its final answer
+	answered bool  // the request has its final answer
 }
 
 type pendingTimer struct {
@@ -161,7 +161,7 @@
 		env.t.Fatalf("seed %d: sent to backend %d, which is draining or removed", env.seed, a.Backend)
 	}
 	if len(req.inFlight) > 0 && !env.set.CanHedge {
-		env.t.Fatalf("seed %d: two attempts of a request in flight without hedging", env.seed)
+		env.t.Fatalf("seed %d: two attempts of a request are in flight although CanHedge is false", env.seed)
 	}
 	req.inFlight = append(req.inFlight, len(req.attempts))
 	req.attempts = append(req.attempts, a)
@@ -170,7 +170,7 @@
 	}
 }
 
-// recordAnswer records a final answer of the gateway.
+// recordAnswer records a final answer of the gateway, and fails the test if the request has one already.
 func (env *randomEnvironment) recordAnswer(id RequestID) {
 	env.t.Helper()
 	req := env.requests[id]
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -30,7 +30,7 @@
 	ObjectivePerUnit float64 // growth of LatencyObjective with the request's work; 0: no growth
 	Deadline         float64 // seconds that a client waits at most for an answer, including its retries
 	PriorityWeight   float64 // weight of a request if the plan's WeightFactor is 1
-	LateWeightShare  float64 // share of the weight that an answer after LatencyObjective earns
+	LateWeightShare  float64 // share of the weight that an answer between LatencyObjective and deadline earns
 	Idempotency      Idempotency
 	DedupeScope      DedupeScope // backends that drop duplicates of a keyed request; only for IdempotentByKey
 	DedupeWindow     float64     // seconds for which backends remember a keyed request
@@ -88,7 +88,7 @@
 
 	GatewayIndex int     // index of this gateway in the fleet, from 0
 	FleetSize    int     // number of gateways in the deployment; below 1 counts as 1
-	Zone         int     // zone of this gateway, an index like Backend.Zone
+	Zone         int     // index of this gateway's zone; see Backend
 	Tick         float64 // seconds; resolution of the clock: an event may come one tick late
 
 	PollDiscovery      bool        // discovery reports changes of the endpoint list only when polled
@@ -116,7 +116,7 @@
 	SlowStartMinShare float64 // share of its full capacity that a backend has at its start, at least
 	SlowStartWindow   float64 // seconds from a backend's start until it has its full capacity; 0: no slow start
 	OverloadFactor    float64 // multiple of its capacity that overloads a backend in slow start
-	OverloadDuration  float64 // seconds for which this load must last to overload the backend
+	OverloadDuration  float64 // seconds for which a load of OverloadFactor must last to overload the backend
 
 	// Prices are shares of the weight that all requests earn. Each comment states the case in which the
 	// whole price is paid. Decisions use only CrossZonePrice.
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A shutdown limits the time of queued requests, of requests in flight and of requests that still arrive. It doesn't
-// change requests that must be answered earlier anyway. Without a shutdown, nothing is limited.
+// After a shutdown has begun, queued requests, requests in flight and new requests are answered by its deadline. The
+// shutdown doesn't change requests that must be answered earlier. Without a shutdown, every request has its own
+// deadline.
 func TestShutdownLimitsTimeOfAllRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		shutdown bool
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,7 +4,7 @@
 // backend that has just started. A backend is warm once its slow start is over.
 const (
 	warmRateAveragingTime = 2.0 // seconds over which send rates and arrival rates are averaged
-	minSlowStartRate      = 0.5 // attempts per second; lowest refill rate of a backend, over all gateways
+	minSlowStartRate      = 0.5 // attempts per second at a backend; lowest refill rate, summed over all gateways
 	maxSlowStartTokens    = 1.5 // attempts; capacity of a backend's token bucket
 )
 
@@ -50,7 +50,7 @@
 // slowStartAllows updates the tokens of a backend in slow start, and reports whether the backend may get an
 // attempt. It protects the backend from overload without coordination among gateways. Tokens are refilled at
 // slowStartShare times the rate at which this gateway sends to a warm backend. So all gateways together send
-// the backend about that share of the attempts that a warm backend gets. The lowest refill rate is this
+// the backend about that share of the attempts that a warm backend gets. The refill rate is at least this
 // gateway's part of minSlowStartRate.
 func (e *Engine) slowStartAllows(b *backend) bool {
 	share := e.slowStartShare(b)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -13,7 +13,7 @@
 	maxQueuedServiceTimes = 3.0 // longest queueing delay that a backend accepts, as a multiple of meanServiceTime
 )
 
-// slowStartFleet simulates a fleet of engines and their backends, which queue requests, on a simulated clock.
+// slowStartFleet simulates gateways and the backends that they share, on a simulated clock.
 type slowStartFleet struct {
 	set            Settings
 	now            float64
@@ -23,16 +23,17 @@
 	pending        scheduledEvents
 	backends       map[BackendID]*simulatedBackend
 	nextID         RequestID
-	arrivals       float64 // requests that are due; the fraction is carried over
+	arrivals       float64 // requests that are due; a fraction is carried over to the next step
 	cores          float64 // cores of each backend
 	slowStartSends int     // attempts at backends in slow start
 }
 
-// simulatedBackend processes requests at the rate that its cores allow, and queues or rejects the others.
+// simulatedBackend processes requests at the rate that its cores allow. It queues the other requests, or rejects them
+// if the wait would be too long.
 type simulatedBackend struct {
-	startedAt float64   // clock time; 0: warm
+	startedAt float64   // clock time at which the backend started; 0: warm
 	freeAt    float64   // clock time at which the next request can begin
-	sends     []float64 // clock times of the attempts that it got in slow start
+	sends     []float64 // clock times of the attempts sent to the backend in slow start
 }
 
 // handle passes an event to a gateway and carries out its actions.
@@ -72,13 +73,13 @@
 	heap.Push(&f.pending, scheduledEvent{f.now + latency, gateway, end})
 }
 
-// capacityShare returns the share of its full capacity that a backend has at an age in seconds. The result exceeds 1
-// once the backend is warm.
+// capacityShare returns the share of its full capacity that a backend has at an age, which is in seconds since its
+// start. The result exceeds 1 once the backend is warm.
 func (f *slowStartFleet) capacityShare(age float64) float64 {
 	return f.set.SlowStartMinShare + (1-f.set.SlowStartMinShare)*age/f.set.SlowStartWindow
 }
 
-// run simulates traffic up to the clock time until. rate is in requests per second.
+// run simulates traffic of a rate in requests per second. It ends when the clock time reaches the parameter until.
 func (f *slowStartFleet) run(until, rate float64) {
 	const step = 0.005
 	for ; f.now < until; f.now += step {
@@ -108,10 +109,10 @@
 	return gateway
 }
 
-// worstWindow returns the window of OverloadDuration in which a backend in slow start was sent the most beyond its
-// budget: the number of attempts in it, the number that overloads the backend (the budget), and by how many attempts
-// the budget was exceeded, after a margin for random variation. An excess above 0 means that the backend may be
-// overloaded.
+// worstWindow examines all windows of length OverloadDuration at all backends in slow start. The budget of a window is
+// the number of attempts that overloads the backend. The excess is the number of attempts sent in the window, minus the
+// budget and minus a margin for random variation. worstWindow returns the values of the window with the largest excess.
+// An excess above 0 means that the backend may be overloaded.
 func (f *slowStartFleet) worstWindow() (excess float64, sent int, budget float64) {
 	excess = math.Inf(-1)
 	for _, b := range f.backends {
@@ -131,8 +132,8 @@
 	return excess, sent, budget
 }
 
-// All gateways together must not overload a backend in slow start, however uneven the traffic is, even after a lull in
-// which each of them could save up tokens.
+// All gateways together must not overload a backend in slow start, however unevenly the traffic is distributed over the
+// gateways. This holds even after a lull in which each gateway could save up tokens.
 func TestFleetKeepsToSlowStartBudget(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -160,13 +161,13 @@
 
 // traffic is the load of a slowStartFleet.
 type traffic struct {
-	utilization float64 // share of the warm backends' capacity
+	utilization float64 // traffic without a burst, as a share of the capacity of the initial backends
 	zipf        float64 // exponent of the Zipf distribution of the gateways' weights; 0: equal weights
 	lull        float64 // seconds without traffic before the burst; 0: neither lull nor burst
 }
 
 // simulateSlowStart starts backends under traffic. With a lull, it then pauses the traffic and resumes it as a burst,
-// which is distributed over the gateways in another way.
+// which is distributed over the gateways in a different way.
 func simulateSlowStart(gateways, warm, starting int, cores float64, load traffic, seed uint64) *slowStartFleet {
 	set := testSettings()
 	set.FleetSize = gateways
@@ -214,7 +215,7 @@
 func TestBackendInSlowStartGetsNoBurst(t *testing.T) {
 	starting := Backend{ID: 9, State: Ready, StartedAt: 99.9}
 	d := startEngine(t, testSettings(), append(readyBackends(1), starting)...)
-	sends := 0 // to the backend in slow start
+	sends := 0 // attempts at the backend in slow start
 	var inFlight []SendAttempt
 	for i := range 200 {
 		d.now = 100 + float64(i)*0.01
@@ -232,8 +233,8 @@
 		}
 		d.handle(timerFired(maintenanceTimer, 0))
 	}
-	// The warm backend got 100 attempts per second for two seconds. The one in slow start has the capacity for 20 to 36
-	// per second.
+	// The warm backend got at most 100 attempts per second for two seconds. In the same time, the capacity of the backend
+	// in slow start grows from 20 to 36 attempts per second.
 	if sends > 2*2*36 {
 		t.Errorf("%d attempts at a backend in slow start in 2 s", sends)
 	}
@@ -242,9 +243,9 @@
 	}
 }
 
-// Each of 80 gateways may send a backend in slow start only one request in many seconds. All gateways together must
-// send it about its share of what a warm backend gets: from the first second on, and without a burst once all of them
-// have saved up a token.
+// Each of 80 gateways may send a backend in slow start only one request in many seconds. From the first second on, all
+// gateways together must send the backend about its share of the requests that a warm backend gets. The backend must
+// not get a burst when all gateways have saved up a token.
 func TestManyGatewaysUseBackendsInSlowStartAtOnceAndEvenly(t *testing.T) {
 	const (
 		gateways = 80
@@ -270,8 +271,8 @@
 	inFlight := make([][]pendingEnd, gateways)
 	rng := rand.New(rand.NewPCG(1, 1))
 	id := RequestID(0)
-	startedAt := 0.0                     // of the backends in slow start; 0: not yet
-	var sendsStarting, sendsWarm [20]int // by second since then
+	startedAt := 0.0                     // clock time at which the backends in slow start have started; 0: not started yet
+	var sendsStarting, sendsWarm [20]int // attempts by second since startedAt
 	handle := func(i int, event Event) {
 		for _, s := range actionsOf[SendAttempt](engines[i].Handle(now, event, nil)) {
 			end := AttemptEnded{Request: s.Request, Backend: s.Backend, Latency: work}
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A token that is packed for SetTimer unpacks to the same value, also at the limits of each field.
+// A token that is packed for SetTimer unpacks to the same value, even if its fields have their largest values.
 func TestTimerTokenSurvivesPacking(t *testing.T) {
 	for _, token := range []timerToken{
 		{},
