--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -32,7 +32,7 @@
 // maintainRates updates the rate of attempts at warm backends and the arrival rate of each level. elapsed is
 // the time in seconds since the last round.
 func (e *Engine) maintainRates(elapsed float64) {
-	gain := min(elapsed/warmRateAveragingTime, 1)
+	gain := min(elapsed/rateAveragingTime, 1)
 	e.warmTraffic.update(e.warmBackends(), elapsed, gain)
 	e.queue.updateArrivalRates(elapsed, gain)
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,7 +12,7 @@
 type priorityQueue struct {
 	requests      [][]*request // each level in order of admission
 	weights       []float64    // weight of the level's requests
-	arrivalRates  []float64    // requests per second; mean over warmRateAveragingTime
+	arrivalRates  []float64    // requests per second; mean over rateAveragingTime
 	arrivalCounts []float64    // requests since the last maintenance
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,14 +3,14 @@
 // Parameters of slow start. During slow start, a token bucket for each backend limits the attempts at a
 // backend that has just started. A backend is warm once its slow start is over.
 const (
-	warmRateAveragingTime = 2.0 // seconds over which send rates and arrival rates are averaged
-	minSlowStartRate      = 0.5 // attempts per second at a backend; lowest refill rate, summed over all gateways
-	maxSlowStartTokens    = 1.5 // attempts; capacity of a backend's token bucket
+	rateAveragingTime  = 2.0 // seconds over which send rates and arrival rates are averaged
+	minSlowStartRate   = 0.5 // attempts per second at a backend; lowest refill rate, summed over all gateways
+	maxSlowStartTokens = 1.5 // attempts; capacity of a backend's token bucket
 )
 
 // warmTraffic measures the attempts that this gateway sends to warm backends.
 type warmTraffic struct {
-	sendRate  float64 // attempts per second at each warm backend; mean over warmRateAveragingTime
+	sendRate  float64 // attempts per second at each warm backend; mean over rateAveragingTime
 	sendCount int     // attempts at warm backends since the last maintenance
 }
 
