--- a/policy/actions.go
+++ b/policy/actions.go
@@ -7,7 +7,7 @@
 const (
 	ReasonQuota       Reason = iota // the customer's quota has too few units left
 	ReasonConcurrency               // the customer's concurrency limit allows no attempts at this gateway
-	ReasonTooLate                   // the request arrived with too little time left
+	ReasonTooLate                   // the request arrived with too little time left to answer it
 	ReasonQueue                     // the expected wait in the queue is longer than the request's remaining time
 	ReasonNotSent                   // no attempt was started in time
 	ReasonNoAnswer                  // an attempt was started, but no backend responded in time
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// A retry is rejected if the latency objective had already passed when the client sent the retry, since it earns nothing.
+// A retry is rejected if the latency objective had already passed when the client sent the retry: the retry would earn
+// nothing.
 func TestRetryPastItsLatencyObjectiveIsRejected(t *testing.T) {
 	set := testSettings()
 	d := startEngine(t, set, readyBackends(4)...)
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -9,7 +9,7 @@
 // flight.
 type backendSet struct {
 	byID    map[BackendID]*backend
-	ordered []*backend // by ID
+	ordered []*backend // in order of ID
 }
 
 // backend is the state that this gateway keeps of one backend.
@@ -28,7 +28,7 @@
 	trialInterval float64 // seconds between trials
 
 	slowStartTokens   float64 // attempts that may be sent now while the backend is in slow start
-	slowStartTokensAt float64 // clock time at which slowStartTokens was last refilled
+	slowStartTokensAt float64 // clock time of the last refill of slowStartTokens
 }
 
 // markAllRemoved marks all backends as removed, before a complete list is applied.
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -6,8 +6,8 @@
 type Engine struct {
 	settings         Settings
 	now              float64    // clock time of the event that is being handled
-	rng              *rand.Rand // the only source of randomness, so that runs can be replayed
-	actions          []Action   // the actions of the event that is being handled
+	rng              *rand.Rand // only source of randomness, so that runs can be replayed
+	actions          []Action   // actions of the event that is being handled
 	startedAt        float64    // clock time passed to New
 	lastMaintenance  float64    // clock time of the last round of maintenance
 	shutdownAnswerBy float64    // clock time by which every request must be answered; 0: no shutdown
@@ -17,7 +17,7 @@
 	limiter        concurrencyLimiter
 	latency        latencyStats
 	retries        retryBudget
-	clientTimeouts []clientTimeout // by class and plan
+	clientTimeouts []clientTimeout // index: class * number of plans + plan
 	backends       backendSet
 	warmTraffic    warmTraffic
 	customers      customerSet
--- a/policy/request.go
+++ b/policy/request.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// attemptInFlight reports whether the request has an attempt with that number that has not ended.
+// attemptInFlight reports whether the request's attempt with a number exists and has not ended.
 func (req *request) attemptInFlight(number int) bool {
 	return number < len(req.attempts) && !req.attempts[number].ended
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -115,7 +115,7 @@
 	DrainGrace        float64 // seconds in which attempts may still start after a backend is draining or removed
 	SlowStartMinShare float64 // share of its full capacity that a backend has at its start, at least
 	SlowStartWindow   float64 // seconds from a backend's start until it has its full capacity; 0: no slow start
-	OverloadFactor    float64 // multiple of its capacity that overloads a backend in slow start
+	OverloadFactor    float64 // load that overloads a backend in slow start, as a multiple of its capacity
 	OverloadDuration  float64 // seconds for which a load of OverloadFactor must last to overload the backend
 
 	// Prices are shares of the weight that all requests earn. Each comment states the case in which the
