--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // requestArrived registers a new request, and admits it if its customer's quota allows it now. If the request
-// stays open, timers ensure that it is sent and answered in time.
+// stays open, timers ensure that it is answered in time.
 func (e *Engine) requestArrived(arrival Request) {
 	req := e.newRequest(arrival)
 	if req.answerBy < e.now+e.latency.mean/2 {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,8 +9,8 @@
 	slowDeviations     = 4.0  // mean deviations by which the latency of a slow attempt exceeds the mean
 )
 
-// latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from it.
-// Both are exponential moving averages. The zero value has no samples.
+// latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from that
+// mean. The two values are exponential moving averages. The zero value has no samples.
 type latencyStats struct {
 	mean      float64 // seconds; 0: no attempt has been served yet
 	deviation float64 // seconds
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -22,7 +22,7 @@
 // concurrencyLimiter limits the number of attempts that this gateway has in flight. The limit is 0 until the
 // first backend is known.
 type concurrencyLimiter struct {
-	limit              float64 // attempts; with many gateways it can be below 1
+	limit              float64 // attempts; can be below 1 with many gateways
 	lastCut            float64 // clock time at which the limit was last cut
 	inFlight           int     // attempts, including abandoned attempts
 	meanInFlight       float64 // attempts; mean of inFlight over limitAveragingWindow
@@ -30,8 +30,8 @@
 	meanLatencyRatioAt float64 // clock time at which meanLatencyRatio was last updated
 }
 
-// updateMeanInFlight updates meanInFlight at the clock time now. The clock time of the last update is
-// previous; inFlight has not changed in between.
+// updateMeanInFlight updates meanInFlight for the time since the last update. The parameter previous is the
+// clock time of the last update; inFlight has not changed since then.
 func (l *concurrencyLimiter) updateMeanInFlight(previous, now float64) {
 	gain := 1 - math.Exp((previous-now)/limitAveragingWindow)
 	l.meanInFlight += gain * (float64(l.inFlight) - l.meanInFlight)
@@ -52,8 +52,8 @@
 }
 
 // adjust records the latency ratio of an attempt and adjusts the limit. When latency approaches the
-// objective, the limit is cut, at most once per cutInterval (in seconds). While latency is low and
-// the limit is in use, the limit grows slowly.
+// objective, the limit is cut, at most once per cutInterval (in seconds). While latency is low and the limit
+// is in use, the limit grows slowly.
 func (l *concurrencyLimiter) adjust(now, latencyRatio, cutInterval, backendsPerGateway float64) {
 	l.recordLatencyRatio(now, latencyRatio)
 	switch {
@@ -65,8 +65,8 @@
 	}
 }
 
-// recordLatencyRatio updates the mean latency ratio. The less often attempts end, the higher the
-// weight of each.
+// recordLatencyRatio updates the mean latency ratio. The less often attempts end, the higher
+// the weight of each.
 func (l *concurrencyLimiter) recordLatencyRatio(now, latencyRatio float64) {
 	gain := (now - l.meanLatencyRatioAt) / limitAveragingWindow
 	gain = min(max(gain, minLatencyRatioGain), maxLatencyRatioGain)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -13,7 +13,7 @@
 	requests      [][]*request // each level in order of admission
 	weights       []float64    // weight of the level's requests
 	arrivalRates  []float64    // requests per second; mean over rateAveragingTime
-	arrivalCounts []float64    // requests since the last maintenance
+	arrivalCounts []float64    // requests that arrived since the last maintenance
 }
 
 // newPriorityQueue returns an empty queue with the levels that the settings result in.
@@ -60,8 +60,8 @@
 	}
 }
 
-// enqueue adds an admitted request to the queue of its level, or rejects it if it would wait there for too
-// long.
+// enqueue adds an admitted request to the queue of its level, or rejects the request if it would wait there
+// for too long.
 func (e *Engine) enqueue(req *request) {
 	if e.atLimit(req.level) && e.wouldWaitTooLong(req) {
 		e.rejectOrFail(req, ReasonQueue)
