--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,31 +6,31 @@
 const (
 	overallLatencyGain = 0.02 // weight of the newest attempt in the mean over all backends
 	backendLatencyGain = 0.15 // weight of the newest attempt in the mean of one backend
-	slowDeviations     = 4.0  // an attempt is slow if it exceeds the mean by this many mean deviations
+	slowDeviations     = 4.0  // mean deviations by which the latency of a slow attempt exceeds the mean
 )
 
-// latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from it.
-// Both are exponential moving averages. The zero value has no samples.
+// latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from that
+// mean. The two values are exponential moving averages. The zero value has no samples.
 type latencyStats struct {
 	mean      float64 // seconds; 0: no attempt has been served yet
 	deviation float64 // seconds
 }
 
 // record adds the latency of a served attempt, in seconds.
-func (s *latencyStats) record(elapsed float64) {
+func (s *latencyStats) record(latency float64) {
 	if s.mean == 0 {
-		s.mean = elapsed
-		s.deviation = elapsed / 2
+		s.mean = latency
+		s.deviation = latency / 2
 	}
-	s.deviation += overallLatencyGain * (math.Abs(elapsed-s.mean) - s.deviation)
-	s.mean += overallLatencyGain * (elapsed - s.mean)
+	s.deviation += overallLatencyGain * (math.Abs(latency-s.mean) - s.deviation)
+	s.mean += overallLatencyGain * (latency - s.mean)
 }
 
 // slowThreshold returns the seconds after which an attempt has taken longer than almost all others.
 func (s *latencyStats) slowThreshold() float64 { return s.mean + slowDeviations*s.deviation }
 
-// recordLatency adds the latency of an attempt at the backend, in seconds. For an attempt that was not
-// served, it is a lower bound.
+// recordLatency adds the latency of an attempt at the backend, in seconds. The latency given for an attempt
+// that was not served is a lower bound.
 func (b *backend) recordLatency(elapsed float64) {
 	if b.latency == 0 {
 		b.latency = elapsed
