--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -89,7 +89,7 @@
 }
 
 // The experiment files in the directory lab are valid.
-func TestExperimentsOfTheLabAreValid(t *testing.T) {
+func TestExperimentFilesOfTheLabAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 6 {
 		t.Fatalf("%v, %v", files, err)
--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -18,7 +18,7 @@
 		return nil, nil
 	}
 	config := &e.Tenants
-	busiestRate := e.busiestTenantRate()
+	busiestQuota := e.busiestTenantQuota()
 	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // number of subsets that are all processes
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
@@ -26,7 +26,7 @@
 		planIndex := int(config.ZipfExponent * math.Log2(float64(i+1)))
 		for len(plans) <= planIndex {
 			n := len(plans)
-			rate := busiestRate / math.Exp2(float64(n))
+			rate := busiestQuota / math.Exp2(float64(n))
 			plans = append(plans, newPlan(fmt.Sprintf("tenants-%d", n), rate, config.BurstS, 1))
 		}
 		tenants = append(tenants, gatewayprocess.Tenant{
@@ -39,8 +39,8 @@
 	return tenants, plans
 }
 
-// busiestTenantRate returns the quota of the tenant with the highest request rate, in units a second.
-func (e *Experiment) busiestTenantRate() float64 {
+// busiestTenantQuota returns the quota of the tenant with the highest request rate, in units a second.
+func (e *Experiment) busiestTenantQuota() float64 {
 	config := &e.Tenants
 	zipfSum := 0.0
 	for i := range config.Count {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -135,7 +135,7 @@
 
 // A rejection is classified by the units in the customer's bucket at that time. A forwarded attempt is counted as beyond
 // the quota if the bucket lacks its units.
-func TestRejectionsAreJudgedByTheBucket(t *testing.T) {
+func TestRejectionsAreClassifiedByTheBucket(t *testing.T) {
 	c := &customer{bucket: oracle.New(1e-9, 10)}
 	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
 	reject := func(measured bool) {
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -60,11 +60,11 @@
 }
 
 // eventually waits until holds returns true. what describes the awaited event.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal(what, "did not come within 30 s")
+			t.Fatal(event, "did not come within 30 s")
 		}
 	}
 }
