--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -12,14 +12,15 @@
 // Estimated memory use, in MB.
 const (
 	labMB           = 256.0  // this process, without the endpoint list
-	backendMB       = 0.002  // a backend in this process: its list entry, and the copies of it that are being sent
+	backendMB       = 0.002  // a backend in this process: its endpoint list entry and the copies being sent
 	hollowProcessMB = 64.0   // a process of hollow gateways, without the gateways
 	hollowMB        = 0.3    // a hollow gateway, without its endpoint list
 	hollowBackendMB = 0.0012 // a backend in the endpoint list of a hollow gateway
-	customerMB      = 0.002  // a customer at one hollow gateway of its subset
+	customerMB      = 0.002  // a customer, for each hollow gateway of its subset
 )
 
-// validateCapacity returns an error if the experiment has no gateways or is too large for this machine.
+// validateCapacity returns an error if the experiment has no gateways, has too many processes, or needs more than
+// maxMemoryShare of this machine's memory.
 func (e *Experiment) validateCapacity() error {
 	if e.Fleet.GatewayProcesses == 0 && e.hollowGateways() == 0 {
 		return errors.New("fleet: both real and hollow are 0, so there is no gateway")
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// totalMemoryMB estimates the memory of all processes. Gateway processes and hollow gateways never run at the same time,
-// so only the larger of the two counts.
+// totalMemoryMB estimates the peak memory of all processes together. Gateway processes and hollow gateways never run at
+// the same time, so only the larger of their sums is added.
 func (e *Experiment) totalMemoryMB() float64 {
 	allHollowMB := 0.0
 	for _, job := range e.hollowJobs() {
@@ -59,7 +60,7 @@
 	return int(needed)
 }
 
-// machineMemoryMB returns the memory of this machine.
+// machineMemoryMB returns the total memory of this machine.
 func machineMemoryMB() (float64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/lab/experiment/churn.go
+++ b/internal/lab/experiment/churn.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	churnInterval = 100 * time.Millisecond // between two updates of the endpoint list
-	drainGrace    = 2 * time.Second        // from the start of a backend's draining until its removal from the list
+	churnInterval = 100 * time.Millisecond // time between two updates of the endpoint list
+	drainGrace    = 2 * time.Second        // time from the start of a backend's draining to its removal from the list
 )
 
 // Lifecycle states of an entry in the endpoint list.
@@ -24,7 +24,8 @@
 	return int(e.Churn.ReplacementsPerSecond * e.phaseTimeout().Seconds())
 }
 
-// startChurn starts a goroutine that replaces backends in the endpoint list. stop ends the goroutine and waits for it.
+// startChurn starts a goroutine that replaces backends in the endpoint list. The returned function stops the goroutine
+// and waits until it has ended.
 func (s *standins) startChurn(ctx context.Context, replacementsPerSecond float64) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var churning sync.WaitGroup
@@ -65,8 +66,8 @@
 	}
 }
 
-// replaceOldest replaces the oldest listed backend by a spare one that starts now. It returns the changed entries of
-// both; the old backend is draining.
+// replaceOldest replaces the oldest listed backend with a spare backend, whose start time is now. It returns the
+// changed entries of the old backend, which is draining, and of the new backend.
 func (s *standins) replaceOldest(now time.Time) (old, next gateway.EndpointEntry) {
 	old = s.listedBackends[0]
 	old.Lifecycle = lifecycleDraining
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// applyDefaults expands the groups with several subset sizes, and replaces values of 0 by
-// their defaults.
+// applyDefaults expands the groups with several subset sizes, and sets each value that is 0 and has a default to its
+// default.
 func (e *Experiment) applyDefaults() {
 	e.Groups = expandGroups(e.Groups)
 	for i := range e.Groups {
@@ -20,7 +20,8 @@
 	setDefault(&fleet.Gateways, e.neededGateways())
 }
 
-// expandGroups replaces each group that has SubsetSizes by one group for each size, and appends the size to its name.
+// expandGroups replaces each group that has SubsetSizes with one group for each size. The name of the new group is the
+// name of the old group with the size appended.
 func expandGroups(groups []Group) []Group {
 	var expanded []Group
 	for _, g := range groups {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -3,13 +3,14 @@
 // with the bounds in the file.
 //
 // There are two kinds of gateways. A gateway process is the deployed program. Hollow
-// gateways share a few processes: they decide and talk to discovery and the counter as the
-// program does, but have no sockets to clients and backends (see gateway.Hollow).
+// gateways share a few processes. They make the same decisions as the program, and talk to
+// discovery and the counter as it does, but have no sockets to clients and backends (see
+// gateway.Hollow).
 package experiment
 
 // Experiment is the content of an experiment file. Times are in seconds if the key ends in
-// _s or _seconds, and in milliseconds if it ends in _ms. A key that is missing from the
-// file is 0. A field with a default takes the default instead of 0.
+// _s or _seconds, and in milliseconds if it ends in _ms. The field of a key that is missing
+// from the file is 0. A field that is 0 and has a default is set to its default.
 type Experiment struct {
 	Purpose string `toml:"shows" json:"shows"` // short description of what the experiment shows
 	Seed    uint64 `toml:"seed" json:"seed"`   // seed of all random numbers
@@ -38,20 +39,20 @@
 	Bounds    []Bound   `toml:"bound" json:"bound,omitempty"`
 }
 
-// Fleet configures the gateways. A gateway's rank is its index in the fleet: gateway
-// processes have the lowest ranks, then come the hollow gateways of the groups, then the
-// hollow gateways that belong to no group.
+// Fleet configures the gateways. A gateway's rank is its index in the fleet. The lowest
+// ranks are those of the gateway processes. The ranks of the hollow gateways of the groups
+// follow, and then the ranks of the hollow gateways that belong to no group.
 type Fleet struct {
 	// Gateways is the fleet size that the gateways are configured with. It may exceed the
-	// number of gateways that are started. Default: the smallest size that the rest of the
-	// experiment allows.
+	// number of gateways that are started. Default: the number of gateways that are started,
+	// or Tenants.SubsetSize if that is larger.
 	Gateways int `toml:"gateways" json:"gateways"`
 
 	// GatewayProcesses is the number of gateways that are started as processes.
 	GatewayProcesses int `toml:"real" json:"real"`
 
-	// HollowGateways is the number of hollow gateways, including those of the groups.
-	// Default: those of the groups only.
+	// HollowGateways is the number of hollow gateways, including the gateways of the groups.
+	// If the groups have more gateways in total, that total is used instead.
 	HollowGateways int `toml:"hollow" json:"hollow"`
 
 	// HollowProcesses is the number of processes that the hollow gateways are
@@ -75,7 +76,7 @@
 // Counter configures the stand-in of the counter service.
 type Counter struct {
 	Shards        int     `toml:"parts" json:"parts"`           // 0: there is no counter
-	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"` // of one call
+	ServiceTimeMS float64 `toml:"service_ms" json:"service_ms"` // service time of one call
 	MaxQueued     int     `toml:"waiting" json:"waiting"`       // maximum number of calls queued at a shard
 }
 
@@ -110,10 +111,11 @@
 	// UnitsPerRequest is the cost of a request. Default: 1.
 	UnitsPerRequest float64 `toml:"units" json:"units"`
 
-	// Utilization is the share of its quota that a customer with the mean rate uses.
+	// Utilization is the share of the quota that a customer with the mean request rate uses.
 	Utilization float64 `toml:"use" json:"use"`
 
-	// BurstS is the burst of the quota, in seconds of its rate.
+	// BurstS is the burst of a customer's quota divided by the quota's rate. The burst is at
+	// least minBurstRequests requests.
 	BurstS float64 `toml:"burst_s" json:"burst_s"`
 
 	// ShiftingWeights distributes the requests of a customer unevenly over its gateways and
@@ -121,9 +123,10 @@
 	ShiftingWeights bool `toml:"shift" json:"shift"`
 }
 
-// Tenants configures the customers of the gateway processes. The quota of each plan is half
-// that of the plan before it. Each tenant has the smallest quota of which its requests use
-// no more than the share Utilization, and thus more than half of that share.
+// Tenants configures the customers of the gateway processes. Each plan of the tenants has
+// half the quota of the plan before it. Each tenant has the plan with the smallest quota of
+// which its requests use at most the share Utilization. These requests therefore use more
+// than half of that share.
 type Tenants struct {
 	Count int `toml:"count" json:"count"`
 
@@ -139,7 +142,8 @@
 
 	Utilization float64 `toml:"use" json:"use"`
 
-	// BurstS is the burst of the quota, in seconds of its rate.
+	// BurstS is the burst of a plan's quota divided by the quota's rate. The burst is at
+	// least minBurstRequests requests.
 	BurstS float64 `toml:"burst_s" json:"burst_s"`
 }
 
@@ -150,7 +154,7 @@
 
 // Restart configures how the hollow gateways are started.
 type Restart struct {
-	StaggerS float64 `toml:"within_s" json:"within_s"` // time between the first and the last start; 0: all at once
+	StaggerS float64 `toml:"within_s" json:"within_s"` // time over which the starts are spread evenly; 0: all at once
 }
 
 // Bound limits a metric of each run or, if Group is set, of each group whose name matches
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -56,9 +56,9 @@
 	}
 	for _, c := range []struct {
 		old   string // text in validExperiment
-		new   string // replaces old
+		new   string // text that replaces old
 		sweep string
-		named string // expected in the error
+		named string // text that the error must contain
 	}{
 		{"real = 2", "real = 2\nhelow = 3", "", `line 6: unknown key "fleet.helow"`},
 		{"use = 0.5\nburst_s = 3\n[[bound]]", "used = 1\n[[bound]]", "", `unknown key "group.used"`},
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	hollowStopGrace  = 5 * time.Second // from SIGTERM to SIGKILL, for a process of hollow gateways
+	hollowStopGrace  = 5 * time.Second // time from SIGTERM to SIGKILL for a process of hollow gateways
 	listPollInterval = 20 * time.Millisecond
 	sampleInterval   = 250 * time.Millisecond
 )
@@ -27,7 +27,7 @@
 	children, err := p.startHollowProcesses(ctx)
 	defer func() {
 		for _, child := range children {
-			child.Stop(hollowStopGrace) // ends the processes after an error; no effect on exited ones
+			child.Stop(hollowStopGrace) // after an error, the process may still run; no effect on an exited process
 		}
 	}()
 	if err != nil {
@@ -85,8 +85,9 @@
 	return exited
 }
 
-// measureLists waits until discovery has sent as many full lists as there are hollow gateways, and records the rate and
-// the traffic. start is a sample taken before the gateways were started.
+// measureLists waits until discovery has sent as many full lists as there are hollow gateways, or exited is closed. It
+// records the rate of full lists and the traffic of discovery. The sample start was taken before the gateways were
+// started.
 func (p *phase) measureLists(ctx context.Context, start sample, exited <-chan struct{}) error {
 	e := p.experiment
 	timeout := seconds(e.Fleet.ReadyTimeoutS + e.Restart.StaggerS)
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// awaitLists waits until discovery has sent count full lists or exited is closed, and returns a sample of that time.
+// awaitLists waits until discovery has sent count full lists or exited is closed, and returns a sample taken at that
+// time. It returns errListTimeout if the duration timeout elapses first.
 func (s *standins) awaitLists(
 	ctx context.Context, count int, timeout time.Duration, exited <-chan struct{},
 ) (sample, error) {
@@ -116,13 +118,13 @@
 		case <-deadline:
 			return sample{}, errListTimeout
 		case <-exited:
-			return s.sample(), nil // the caller reports why the processes exited
+			return s.sample(), nil // collectResults returns an error if a process failed
 		case <-time.After(listPollInterval):
 		}
 	}
 }
 
-// sampleUntil samples the stand-ins every sampleInterval until done is closed, and a last time then.
+// sampleUntil samples the stand-ins every sampleInterval until done is closed. It takes the last sample after that.
 func (s *standins) sampleUntil(ctx context.Context, done <-chan struct{}) ([]sample, error) {
 	var samples []sample
 	for {
--- a/internal/lab/experiment/hollowjob.go
+++ b/internal/lab/experiment/hollowjob.go
@@ -6,12 +6,12 @@
 	"amberlb/internal/lab/hollow"
 )
 
-// hollowJob is the part of the hollow gateways and groups that one process runs. The ranks of its gateways and the
-// indices of its groups are consecutive.
+// hollowJob says which hollow gateways and which groups one process runs. The ranks of the gateways and the indices of
+// the groups are consecutive.
 type hollowJob struct {
-	firstRank  int // rank of its first gateway
-	gateways   int // number of its gateways
-	firstGroup int // index of its first group
+	firstRank  int // rank of the first gateway
+	gateways   int // number of gateways
+	firstGroup int // index of the first group
 	groupCount int
 }
 
@@ -21,7 +21,8 @@
 }
 
 // hollowJobs distributes the hollow gateways over processes: first the gateways of the groups, then those that belong to
-// no group. All gateways of a group are in one process, because that process checks the quotas of the group's customers.
+// no group. All gateways of a group are in one process, because that process tracks the quotas of the group's
+// customers.
 func (e *Experiment) hollowJobs() []hollowJob {
 	processes := e.Fleet.HollowProcesses
 	groupProcesses := min(processes, len(e.Groups))
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -9,9 +9,9 @@
 	"amberlb/internal/lab/proc"
 )
 
-// collectResults waits for the processes of the hollow gateways and records their results. The quantiles of the time
-// until a gateway is ready are recorded as the maximum over the processes. collectResults returns for each process how
-// long its load was measured, in seconds.
+// collectResults waits until the processes of the hollow gateways have exited, and records their results. For each
+// quantile of the time until a gateway is ready, it records the maximum over the processes. measuredSeconds holds, for
+// each process, the time from the start of its measured load to its last answer.
 func (p *phase) collectResults(children []*proc.Process) (measuredSeconds []float64, err error) {
 	metrics := p.run.Metrics
 	ready := 0.0
@@ -74,9 +74,9 @@
 	return metrics
 }
 
-// recordControlMetrics records the control traffic during the time in which the load of all processes was measured.
-// The last sample was taken when the processes had exited. measuredSeconds says for each process how long before that
-// its measurement began.
+// recordControlMetrics records the control traffic of the period in which all processes measured their load. The last
+// sample was taken when all processes had exited; its time is taken as the time of each process's last answer.
+// measuredSeconds holds, for each process, the time from the start of its measured load to its last answer.
 func (e *Experiment) recordControlMetrics(samples []sample, measuredSeconds []float64, metrics Metrics) {
 	end := samples[len(samples)-1].at
 	from := end.Add(-seconds(slices.Min(measuredSeconds)))
--- a/internal/lab/experiment/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -12,14 +12,14 @@
 
 // Lab runs experiments.
 type Lab struct {
-	Versions []Version // measured one after the other at each point of a sweep; one of them is Candidate
+	Versions []Version // measured one after the other at each point of a sweep; they include Candidate
 	Root     string    // root directory of the repository
 	Log      *slog.Logger
 }
 
-// Run runs the experiment, once for each version and value of the sweep, and returns the report. file is only recorded
-// in the report. If ctx ends, Run stops everything that it started, and the report says which runs are partial. An error
-// means that the experiment is invalid; it is returned before anything is started.
+// Run runs the experiment, once for each version and value of the sweep, and returns the report. The path file is only
+// recorded in the report. If ctx ends, Run stops all processes and stand-ins that it started, and the report says which
+// runs are partial. Run returns an error only if the experiment is invalid. In that case, it has started nothing.
 func (l *Lab) Run(ctx context.Context, file string, e Experiment) (*Report, error) {
 	sweep, points, err := e.sweepPoints()
 	if err != nil {
@@ -50,8 +50,8 @@
 	return report, nil
 }
 
-// runPoint measures a version at one point of a sweep. key and value are the swept key and its value at the point; key
-// is "" without a sweep.
+// runPoint measures a version at one point of a sweep. The arguments key and value are the swept key and its value at
+// that point. Without a sweep, key is "".
 func (l *Lab) runPoint(ctx context.Context, point *Experiment, version Version, key string, value float64) Run {
 	if key != "" {
 		l.Log.Info("point", "version", version.Name, key, value)
@@ -83,7 +83,7 @@
 // describeMachine describes this machine. Values that can't be read are left empty.
 func describeMachine() Machine {
 	machine := Machine{Cores: runtime.NumCPU()}
-	machine.MemoryMB, _ = machineMemoryMB() // no error expected: validateCapacity has read it before
+	machine.MemoryMB, _ = machineMemoryMB() // validateCapacity has called it before without an error
 	if load, err := os.ReadFile("/proc/loadavg"); err == nil {
 		averages := strings.Fields(string(load))[:3]
 		machine.Load = strings.Join(averages, " ")
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -2,86 +2,89 @@
 
 import "slices"
 
-// Metrics holds the measured values of one run or group by the name of the metric. A metric
-// that could not be measured is absent.
+// Metrics maps the names of metrics to the values measured in one run or for one group. A
+// metric that could not be measured is absent.
 type Metrics map[string]float64
 
 // metric describes a metric of the report.
 type metric struct {
-	name     string // ends in the unit; shares and counts have none
+	name     string // contains the unit, except for shares and counts
 	perGroup bool   // measured for each group of customers, not for the whole run
 	primary  bool   // printed in the table
 }
 
-// metrics lists all metrics, in the order of the table. A share is a fraction between 0 and 1. Traffic is
-// counted in bytes on the wire.
+// metrics lists all metrics, in the order of the table. A share is a fraction between 0 and 1. Traffic is counted in
+// bytes on the wire. Control traffic is a gateway's traffic with discovery and the counter. The measured load is the
+// load after the warm-up. A scheduled request is a request that was due during the measured load.
 var metrics = []metric{
-	// Gateway processes. The metrics from requests on are those of the measured load.
+	// Gateway processes. The metrics from "requests" on are those of the measured load.
 	{name: "ready_s", primary: true},                   // time until the slowest gateway is ready
 	{name: "never_ready", primary: true},               // number of gateways that were not ready in time
 	{name: "list_bytes", primary: true},                // size of the full endpoint list
-	{name: "quiet_core_share", primary: true},          // share of a core that a gateway without requests uses
-	{name: "quiet_control_bytes_per_s", primary: true}, // control traffic of a gateway without requests
+	{name: "quiet_core_share", primary: true},          // mean share of a core that a gateway without requests uses
+	{name: "quiet_control_bytes_per_s", primary: true}, // mean control traffic of a gateway without requests
 	{name: "requests"},                                 // number of scheduled requests
-	{name: "requests_per_s", primary: true},            // request rate of each gateway
-	{name: "served_share", primary: true},              // requests answered 200, of all scheduled requests
-	{name: "refused_share", primary: true},             // requests answered 429 or 503, of all scheduled requests
-	{name: "failed_share", primary: true},              // all others but the dropped, of all scheduled requests
+	{name: "requests_per_s", primary: true},            // mean rate of scheduled requests per gateway
+	{name: "served_share", primary: true},              // share of the scheduled requests that were answered 200
+	{name: "refused_share", primary: true},             // share of the scheduled requests that were answered 429 or 503
+	{name: "failed_share", primary: true},              // share that was sent, but was not answered 200, 429 or 503
 	{name: "dropped"},                                  // number of requests not sent because too many were in flight
-	{name: "cpu_ms_per_request", primary: true},        // CPU time of the gateways
-	{name: "added_p50_ms", primary: true},              // added_*: latency without the backend's service time
+	{name: "cpu_ms_per_request", primary: true},        // CPU time of all gateways per scheduled request
+	{name: "added_p50_ms", primary: true},              // added_*: latency minus the backend's service time
 	{name: "added_p90_ms"},
 	{name: "added_p99_ms", primary: true},
 	{name: "added_p999_ms", primary: true},
 	{name: "added_max_ms"},
-	{name: "late_p99_ms", primary: true},                // how late the lab sent requests: noise in the added latency
+	{name: "late_p99_ms", primary: true},                // delay of requests in the lab before sending; part of added_*
 	{name: "memory_peak_mb", primary: true},             // peak memory of the largest gateway
-	{name: "control_bytes_per_s", primary: true},        // traffic of a gateway with the counter and discovery
-	{name: "counter_bytes_per_s", primary: true},        // traffic of a gateway with the counter
-	{name: "counter_calls_per_request", primary: true},  // calls that the counter received
-	{name: "counter_turned_away_share"},                 // calls that the counter rejected, of those that it received
+	{name: "control_bytes_per_s", primary: true},        // mean control traffic of a gateway
+	{name: "counter_bytes_per_s", primary: true},        // mean traffic of a gateway with the counter
+	{name: "counter_calls_per_request", primary: true},  // calls that the counter received per scheduled request
+	{name: "counter_turned_away_share"},                 // share of the received calls that the counter rejected
 	{name: "counter_names"},                             // number of unexpired names at the counter at the end
 	{name: "backend_connections"},                       // peak number of open connections to all backends
 	{name: "backend_connections_at_one", primary: true}, // peak number of open connections to one backend
-	{name: "backend_handshakes_per_request"},            // new connections to backends
+	{name: "backend_handshakes_per_request"},            // new connections to backends per scheduled request
 	{name: "backends_reached"},                          // number of backends that received a request
 
-	// Hollow gateways. "Measured load" is the load after the warm-up.
+	// Hollow gateways.
 	{name: "hollow_ready_p50_s", primary: true}, // hollow_ready_*_s: time until a gateway has its endpoint list
 	{name: "hollow_ready_p90_s", primary: true},
 	{name: "hollow_ready_p99_s", primary: true},
 	{name: "hollow_ready_max_s", primary: true},
 	{name: "hollow_ready", primary: true},                     // number of gateways that got an endpoint list
-	{name: "hollow_lists", primary: true},                     // number of full lists sent until the end
-	{name: "hollow_lists_per_s", primary: true},               // rate of full lists until one was sent for each gateway
-	{name: "hollow_list_bytes", primary: true},                // discovery traffic until then
-	{name: "hollow_control_bytes_per_s", primary: true},       // control traffic of a gateway during the measured load
+	{name: "hollow_lists", primary: true},                     // number of full lists that discovery sent in total
+	{name: "hollow_lists_per_s", primary: true},               // full lists per second until one per gateway was sent
+	{name: "hollow_list_bytes", primary: true},                // discovery traffic until one list per gateway was sent
+	{name: "hollow_control_bytes_per_s", primary: true},       // mean control traffic of a gateway under measured load
 	{name: "hollow_counter_calls"},                            // calls that the counter received, warm-up included
 	{name: "hollow_counter_calls_per_s", primary: true},       // calls of all gateways during the measured load
-	{name: "hollow_counter_turned_away_share", primary: true}, // calls that the counter rejected during the measured load
-	{name: "hollow_cpu_share", primary: true},                 // share of a core used by a gateway during that load
+	{name: "hollow_counter_turned_away_share", primary: true}, // share of calls rejected during the measured load
+	{name: "hollow_cpu_share", primary: true},                 // mean share of a core per gateway under measured load
 	{name: "hollow_memory_mb", primary: true},                 // sum of the peak memory of all processes
 
-	// Groups of customers, during the measured load. Shares are of the attempts where nothing else is said.
-	{name: "tries", perGroup: true},                                  // number of attempts
+	// Groups of customers, during the measured load. Counts and shares are of attempts unless stated otherwise.
+	{name: "tries", perGroup: true},                                  // total number
 	{name: "calls_per_request", perGroup: true, primary: true},       // calls to the counter per attempt
-	{name: "calls_unanswered_share", perGroup: true},                 // of the calls to the counter
+	{name: "calls_unanswered_share", perGroup: true},                 // share of the calls that got no response
 	{name: "refused_share", perGroup: true, primary: true},           // rejected
-	{name: "refused_inside_share", perGroup: true, primary: true},    // rejected although the quota had the units
+	{name: "refused_inside_share", perGroup: true, primary: true},    // rejected although within the quota
 	{name: "refused_half_full_share", perGroup: true, primary: true}, // rejected with half of the burst or more unused
-	{name: "beyond_share", perGroup: true, primary: true},            // forwarded beyond the quota
+	{name: "beyond_share", perGroup: true, primary: true},            // forwarded over quota
 	{name: "failed_share", perGroup: true},                           // neither served nor rejected nor dropped
-	{name: "dropped", perGroup: true},                                // not sent because too many were in flight (a count)
+	{name: "dropped", perGroup: true},                                // not sent because too many were in flight (count)
 	{name: "p50_ms", perGroup: true},                                 // p50_ms, p99_ms: latency of served requests
 	{name: "p99_ms", perGroup: true, primary: true},
 }
 
-// metricExists reports whether there is a metric with this name: one of groups if forGroup, else one of the whole run.
+// metricExists reports whether there is a metric with this name. If forGroup is true, it considers only the metrics of
+// groups, otherwise only the metrics of the whole run.
 func metricExists(name string, forGroup bool) bool {
 	return slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name && m.perGroup == forGroup })
 }
 
-// primaryMetrics returns the metrics that are printed in the table: those of groups if perGroup, else those of the run.
+// primaryMetrics returns the metrics that are printed in the table. If perGroup is true, it returns only the metrics of
+// groups, otherwise only the metrics of the whole run.
 func primaryMetrics(perGroup bool) []metric {
 	var primary []metric
 	for _, m := range metrics {
@@ -99,5 +102,5 @@
 	}
 }
 
-// setMax raises a metric to value, unless it is higher already.
+// setMax sets a metric to value, unless the metric already has a higher value.
 func (m Metrics) setMax(name string, value float64) { m[name] = max(m[name], value) }
--- a/internal/lab/experiment/processes.go
+++ b/internal/lab/experiment/processes.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	requestClass  = "lookup" // the only class in the settings
+	requestClass  = "lookup" // name of the only class in the settings
 	clientTimeout = 2 * time.Second
-	settleTime    = time.Second // between the gateways' readiness and the idle measurement
+	settleTime    = time.Second // time from the gateways' readiness to the idle measurement
 )
 
-// measureProcesses measures the gateway processes: first their start, then without requests, then under load.
+// measureProcesses measures the gateway processes during their start, then without requests, and then under load.
 func (p *phase) measureProcesses(ctx context.Context) (err error) {
 	listBytes, err := p.standins.listBytes(ctx)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return p.measureLoad(ctx, gateways)
 }
 
-// startProcesses starts the gateway processes. If one fails to start, it returns the error together with the gateways
-// started before.
+// startProcesses starts the gateway processes. If a process fails to start, startProcesses returns the error together
+// with the gateways that were already started.
 func (p *phase) startProcesses(ctx context.Context) ([]*gatewayprocess.Gateway, error) {
 	fleet := &p.experiment.Fleet
 	p.log.Info("starting gateways", "gateways", fleet.GatewayProcesses, "backends", p.experiment.Backends.Count)
@@ -71,8 +71,8 @@
 	return gateways, nil
 }
 
-// awaitReady waits until all gateways are ready. A gateway that is not ready in time is counted in the metric never_ready
-// and is no error, but then ready is false and nothing else can be measured.
+// awaitReady waits until all gateways are ready. A gateway that is not ready in time is counted in the metric
+// never_ready and causes no error. In that case, ready is false, and the other measurements are impossible.
 func (p *phase) awaitReady(ctx context.Context, gateways []*gatewayprocess.Gateway) (ready bool, err error) {
 	neverReady := 0
 	slowest := time.Duration(0)
@@ -139,7 +139,7 @@
 	return context.Cause(ctx)
 }
 
-// newLoad returns the load of the tenants on this number of gateways.
+// newLoad returns the load that the tenants generate on this number of gateways.
 func (e *Experiment) newLoad(gateways int) *gatewayprocess.Load {
 	tenants, _ := e.tenants()
 	return &gatewayprocess.Load{
@@ -163,7 +163,8 @@
 // seconds returns the length of the span.
 func (s *span) seconds() float64 { return s.after.at.Sub(s.before.at).Seconds() }
 
-// measureSpan samples the stand-ins and the gateways, waits for length, and samples them again.
+// measureSpan samples the stand-ins and the gateways, waits for the duration length, and samples
+// them again.
 func (s *standins) measureSpan(
 	ctx context.Context, gateways []*gatewayprocess.Gateway, length time.Duration,
 ) (*span, error) {
@@ -197,7 +198,7 @@
 	return s.sample(), total, nil
 }
 
-// recordLoadMetrics records the metrics of a load on this number of gateways.
+// recordLoadMetrics records the metrics of a load. The parameter gateways is the number of gateways.
 func (e *Experiment) recordLoadMetrics(metrics Metrics, result *gatewayprocess.Result, span *span, gateways int) {
 	scheduled := float64(result.Scheduled)
 	metrics["requests"] = scheduled
@@ -225,8 +226,8 @@
 	metrics["backends_reached"] = float64(backends.BackendsReached)
 }
 
-// recordLoadControlMetrics records the metrics of the control traffic during a load. requests and gateways are the
-// numbers of requests and of gateways.
+// recordLoadControlMetrics records the metrics of the control traffic during a load. The parameters requests and
+// gateways are the number of requests and the number of gateways.
 func (e *Experiment) recordLoadControlMetrics(metrics Metrics, span *span, requests float64, gateways int) {
 	discoveryTraffic, counterTraffic := span.after.controlTraffic(&span.before, gateways)
 	metrics["control_bytes_per_s"] = discoveryTraffic + counterTraffic
--- a/internal/lab/experiment/read.go
+++ b/internal/lab/experiment/read.go
@@ -12,7 +12,7 @@
 
 // Read reads and validates the experiment file at path. If sweep is not "", it replaces the
 // sweep in the file. Defaults are not applied to the returned experiment. The text of an
-// error is one line that names the invalid key.
+// error for an invalid file or sweep is one line that names the invalid key.
 func Read(path, sweep string) (Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Candidate and Baseline are the names of the versions that a report compares: the version
-// that fleetlab belongs to, and an earlier one. Bounds apply to Candidate only.
+// Candidate and Baseline are the names of the versions that a report compares. Candidate is
+// the version that fleetlab belongs to, and Baseline is an earlier version. Bounds apply to
+// Candidate only.
 const (
 	Candidate = "after"
 	Baseline  = "before"
@@ -17,14 +18,14 @@
 // Report is the result of an experiment.
 type Report struct {
 	File       string     `json:"file"`
-	Experiment Experiment `json:"experiment"` // as the file states it
+	Experiment Experiment `json:"experiment"` // as returned by Read
 	Seed       uint64     `json:"seed"`
 	Commit     string     `json:"commit"`             // commit of Candidate; "unknown" outside a repository
-	Baseline   string     `json:"baseline,omitempty"` // directory of the version Baseline; "" if there is none
+	Baseline   string     `json:"baseline,omitempty"` // directory of Baseline; "" if only Candidate was measured
 	Started    time.Time  `json:"started"`
 	DurationS  float64    `json:"took_s"`
 	Machine    Machine    `json:"machine"`
-	Partial    bool       `json:"partial"` // at least one run was not completed; its Partial says why
+	Partial    bool       `json:"partial"` // at least one run was not completed; Run.Partial says why
 	Passed     bool       `json:"kept"`    // all bounds were kept
 	Runs       []Run      `json:"runs"`
 	Slopes     []Slope    `json:"slopes,omitempty"`
@@ -41,11 +42,11 @@
 // Run holds the metrics of one version at one point of a sweep.
 type Run struct {
 	Version string             `json:"version"`
-	Key     string             `json:"key,omitempty"` // swept key, whose value is Value; "" without a sweep
+	Key     string             `json:"key,omitempty"` // swept key, whose value is in Value; "" without a sweep
 	Value   float64            `json:"value"`
 	Metrics Metrics            `json:"figures"`
 	Groups  map[string]Metrics `json:"groups,omitempty"`
-	Partial []string           `json:"partial,omitempty"` // the phases that were not completed, and why
+	Partial []string           `json:"partial,omitempty"` // the phases that were not completed, each with the reason
 }
 
 // Write writes the report to a file, as JSON. It creates the file's directory if it doesn't exist.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,17 +17,17 @@
 // Version is a version of the measured programs.
 type Version struct {
 	Name     string                 // Candidate or Baseline
-	Gateway  gatewayprocess.Program // starts a gateway process
+	Gateway  gatewayprocess.Program // how to start a gateway process
 	Fleetlab string                 // path of the fleetlab program, whose command `hollow` runs hollow gateways
 }
 
-// phase is one half of a run: it measures either the gateway processes or the hollow gateways, with stand-ins that no
-// other phase uses.
+// phase is the part of a run that measures either the gateway processes or the hollow gateways. Each phase has its own
+// stand-ins.
 type phase struct {
 	experiment *Experiment
 	version    Version
 	standins   *standins
-	run        *Run // receives the metrics
+	run        *Run // run to which the phase adds its metrics
 	log        *slog.Logger
 }
 
@@ -87,7 +87,7 @@
 	return measure(p, ctx)
 }
 
-// sleep waits for d. If ctx ends before, it returns the cause.
+// sleep waits for the duration d. If ctx ends during the wait, sleep returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	if !ctxtime.Sleep(ctx, d) {
 		return context.Cause(ctx)
@@ -95,5 +95,5 @@
 	return nil
 }
 
-// oneLine returns the text of an error, with line breaks replaced by blanks.
+// oneLine returns the text of an error, with line breaks and other white space replaced by single blanks.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -9,8 +9,9 @@
 // minBurstRequests is the smallest burst of a quota, in requests. It applies to quotas with a low rate.
 const minBurstRequests = 4.0
 
-// settingsTemplate holds the deployment settings that all experiments share. The plans, the
-// fleet and the counter are added to it. It describes no existing site.
+// settingsTemplate holds the deployment settings that all experiments share. The method
+// settings adds the plans, the gateway's place in the fleet, and whether there is a counter.
+// The template describes no existing deployment.
 //
 //go:embed settings.json
 var settingsTemplate []byte
@@ -26,8 +27,8 @@
 	OverQuotaWeight float64 `json:"overWorth"`
 }
 
-// newPlan returns a plan with a quota of unitsPerSecond. Its burst is burstS seconds of that rate, and at least
-// minBurstRequests requests.
+// newPlan returns a plan with a quota of unitsPerSecond. The burst is burstS times unitsPerSecond, or minBurstRequests
+// requests if that is more.
 func newPlan(name string, unitsPerSecond, burstS, unitsPerRequest float64) planJSON {
 	return planJSON{
 		Name:            name,
@@ -39,8 +40,8 @@
 	}
 }
 
-// settings returns the deployment settings for the gateway with this rank. Their plans are
-// one for each group, in the order of the groups, followed by the plans of the tenants.
+// settings returns the deployment settings for the gateway with this rank. They hold one
+// plan for each group, in the order of the groups, followed by the plans of the tenants.
 func (e *Experiment) settings(rank int) (json.RawMessage, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(settingsTemplate, &settings); err != nil {
@@ -62,8 +63,8 @@
 	return json.Marshal(settings)
 }
 
-// groupPlans returns a plan for each group, and the highest cost in units of a request of any group or tenant.
-// Requests of tenants cost 1.
+// groupPlans returns a plan for each group, and the highest cost of a request of any group or tenant, in units. A
+// request of a tenant costs 1 unit.
 func (e *Experiment) groupPlans() (plans []planJSON, maxUnits float64) {
 	maxUnits = 1
 	for _, g := range e.Groups {
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -31,9 +31,9 @@
 	counterAddress   string           // "" without a counter
 	backends         *backend.Pool
 
-	// Only the goroutine of startChurn uses these while it runs.
+	// The goroutine of startChurn is the only user of the two fields below while it runs.
 	listedBackends []gateway.EndpointEntry // ready backends in the endpoint list, the oldest first
-	spareBackends  []gateway.EndpointEntry // backends that will replace listed ones
+	spareBackends  []gateway.EndpointEntry // backends that churn may add to the endpoint list
 }
 
 // startStandins starts the stand-ins. They serve until ctx ends or close is called.
@@ -88,7 +88,7 @@
 	s.backends.Close()
 }
 
-// sample holds the counters of the stand-ins at one time.
+// sample holds the statistics of the stand-ins at one time.
 type sample struct {
 	at        time.Time
 	discovery discovery.Stats
@@ -105,7 +105,7 @@
 }
 
 // controlTraffic returns the mean traffic of one gateway's connections to discovery and to the counter since an earlier
-// sample, in bytes on the wire per second. gateways is the number of gateways that caused the traffic.
+// sample, in bytes on the wire per second. The parameter gateways is the number of gateways that caused the traffic.
 func (s *sample) controlTraffic(since *sample, gateways int) (discovery, counter float64) {
 	gatewaySeconds := s.at.Sub(since.at).Seconds() * float64(gateways)
 	discovery = float64(s.discovery.Traffic.Bytes()-since.discovery.Traffic.Bytes()) / gatewaySeconds
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// sweepSetters holds a function for each key that can be swept, which sets the key's value in an experiment.
+// sweepSetters maps each key that can be swept to a function that sets the key's value in an experiment.
 var sweepSetters = map[string]func(*Experiment, float64){
 	"backends":    func(e *Experiment, v float64) { e.Backends.Count = int(v) },
 	"churn":       func(e *Experiment, v float64) { e.Churn.ReplacementsPerSecond = v },
@@ -25,14 +25,17 @@
 	"whole_per_second": func(e *Experiment, v float64) { e.Discovery.FullListsPerSecond = v },
 }
 
-// setSubsetSize sets the subset size of all customers. A group with fewer gateways than that gets more gateways.
+// setSubsetSize sets the subset size of all customers to v. If the file gives a group fewer than v gateways, the group
+// gets v gateways.
 func setSubsetSize(e *Experiment, v float64) {
 	size := int(v)
 	e.Tenants.SubsetSize = size
 	e.updateGroups(func(g *Group) {
 		g.SubsetSize = size
 		if len(g.SubsetSizes) > 0 {
-			g.SubsetSizes = []int{size} // keeps the size in the group's name, which the patterns of bounds match
+			// If SubsetSizes is set, expandGroups appends the size to the group's name. The patterns of bounds may
+			// match that name.
+			g.SubsetSizes = []int{size}
 		}
 		if g.Gateways > 0 {
 			g.Gateways = max(g.Gateways, size)
@@ -40,8 +43,8 @@
 	})
 }
 
-// updateGroups calls change for each group of e. It copies the groups first, since e may share them with the experiment
-// that e is a copy of.
+// updateGroups calls change for each group of e. It clones the slice of groups first, since copies of an experiment
+// share that slice.
 func (e *Experiment) updateGroups(change func(*Group)) {
 	e.Groups = slices.Clone(e.Groups)
 	for i := range e.Groups {
@@ -49,9 +52,9 @@
 	}
 }
 
-// sweep is a key and the values at which the experiment is run, one after another.
+// sweep holds the swept key and the values of the key for which the experiment is run, one after another.
 type sweep struct {
-	key    string    // "": the experiment is run once, without a swept key
+	key    string    // "": there is no swept key, and the experiment is run once
 	values []float64 // a single 0 without a key
 }
 
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -17,7 +17,7 @@
 func (t table) writeRow(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
 
 // Print prints the primary metrics with a column for each run, then the metrics of the
-// groups, the slopes of a sweep, the broken bounds, and what is partial.
+// groups, the slopes of a sweep, the broken bounds, and the reasons why runs are partial.
 func (r *Report) Print(out io.Writer) {
 	t := table{tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
 	defer t.writer.Flush()
@@ -30,7 +30,7 @@
 	r.printPartial(t)
 }
 
-// printRunMetrics prints the metrics of the runs, with a row for each metric that at least one run measured.
+// printRunMetrics prints a row for each primary metric that was measured in at least one run.
 func (r *Report) printRunMetrics(t table) {
 	header := []string{"figure"}
 	for i := range r.Runs {
@@ -51,7 +51,7 @@
 	}
 }
 
-// printGroupMetrics prints the metrics of a run's groups, with a row for each group.
+// printGroupMetrics prints the primary metrics of a run's groups, with a row for each group.
 func (r *Report) printGroupMetrics(t table, run *Run) {
 	if len(run.Groups) == 0 {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// printBounds prints the broken bounds, and the numbers of kept and broken ones.
+// printBounds prints the broken bounds, and how many bounds were kept and broken.
 func (r *Report) printBounds(t table) {
 	broken := 0
 	for i := range r.Verdicts {
@@ -118,7 +118,7 @@
 	t.writeRow(v.Metric, v.Group, at, formatLimit(v.Max), formatLimit(v.Min), measured)
 }
 
-// printPartial prints why runs are partial.
+// printPartial prints the reasons why runs are partial.
 func (r *Report) printPartial(t table) {
 	for i := range r.Runs {
 		for _, reason := range r.Runs[i].Partial {
@@ -140,7 +140,7 @@
 	return strings.Join(words, " ")
 }
 
-// formatMetric formats the value of a metric, or "-" if it was not measured.
+// formatMetric formats the value of a metric. It returns "-" if the metric was not measured.
 func formatMetric(value float64, measured bool) string {
 	if !measured {
 		return "-"
@@ -148,7 +148,7 @@
 	return formatNumber(value)
 }
 
-// formatLimit formats a limit of a bound, or "" if the bound does not set it.
+// formatLimit formats a limit of a bound. It returns "" if the bound does not set the limit.
 func formatLimit(limit *float64) string {
 	if limit == nil {
 		return ""
--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -7,19 +7,21 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// firstTenantID is the lowest customer id of the tenants. It is above the ids of all customers of hollow gateways.
+// firstTenantID is the lowest customer id of the tenants. It is above the ids of all customers of hollow gateways,
+// unless the fleet size times the number of customers of a group exceeds 2^32.
 const firstTenantID = 1 << 32
 
 // tenants returns the customers of the gateway processes in order of falling request rate, and their plans. Each plan
-// has half the quota of the plan before it. If a tenant's subset is larger than the number of gateway processes, the rest
-// of it are ranks of gateways that are not started.
+// has half the quota of the plan before it. A subset that is larger than the number of gateway processes also
+// contains ranks of gateways that are not started.
 func (e *Experiment) tenants() ([]gatewayprocess.Tenant, []planJSON) {
 	if e.Fleet.GatewayProcesses == 0 {
 		return nil, nil
 	}
 	config := &e.Tenants
 	busiestQuota := e.busiestTenantQuota()
-	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // number of subsets that are all processes
+	// The number of subsets that lie within the gateway processes; 1 if a subset is larger.
+	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
 	for i := range config.Count {
@@ -39,7 +41,7 @@
 	return tenants, plans
 }
 
-// busiestTenantQuota returns the quota of the tenant with the highest request rate, in units a second.
+// busiestTenantQuota returns the rate of the quota of the tenant with the highest request rate, in units a second.
 func (e *Experiment) busiestTenantQuota() float64 {
 	config := &e.Tenants
 	zipfSum := 0.0
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Limits of the size of an experiment.
+// Limits of the size of an experiment. maxTenants also limits the number of customers of a group.
 const (
-	maxProcesses = 300     // child processes and this process
-	maxSeconds   = 3600    // of each duration in the file, s
-	maxBackends  = 200_000 // listed during a phase in total, including those added by churn
+	maxProcesses = 300     // number of child processes, plus 1 for this process
+	maxSeconds   = 3600    // seconds; limit of each duration in the file
+	maxBackends  = 200_000 // number of backends listed during a phase, including backends added by churn
 	maxTenants   = 1 << 20
 )
 
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// validate returns an error that names the first invalid key. Defaults have to be applied before.
+// validate returns an error that names the first invalid key. The defaults must already be applied.
 func (e *Experiment) validate() error {
 	if strings.TrimSpace(e.Purpose) == "" {
 		return errors.New("shows: a description of what the experiment shows is missing")
@@ -126,7 +126,7 @@
 func (e *Experiment) validateGroupNames() error {
 	seen := map[string]bool{}
 	for _, g := range e.Groups {
-		unnamed := g.Name == "" || g.Name[0] == '-' // expandGroups has made "-5" of an empty name
+		unnamed := g.Name == "" || g.Name[0] == '-' // expandGroups turns an empty name into "-5", for example
 		if unnamed || seen[g.Name] {
 			return fmt.Errorf("group: the name %q is empty or not unique", g.Name)
 		}
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -27,8 +27,8 @@
 	return verdicts
 }
 
-// evaluateRun evaluates the bound for a run. A bound of groups gives a verdict for each matching group; if none was
-// measured, it gives a single verdict that the bound is not kept.
+// evaluateRun evaluates the bound for a run. For a bound of groups, it returns a verdict for each matching group. If no
+// matching group was measured, it returns a single verdict, which says that the bound is not kept.
 func (b Bound) evaluateRun(run *Run) []Verdict {
 	if b.Group == "" {
 		return []Verdict{b.evaluate(run.Value, run.Metrics)}
@@ -47,7 +47,8 @@
 	return verdicts
 }
 
-// evaluate evaluates the bound for the metrics of a run or a group. value is that of the swept key.
+// evaluate evaluates the bound for the metrics of a run or a group. The parameter value is the
+// value of the swept key.
 func (b Bound) evaluate(value float64, metrics Metrics) Verdict {
 	verdict := Verdict{Bound: b, Value: value}
 	if measured, ok := metrics[b.Metric]; ok {
