--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -14,11 +14,11 @@
 type attempt struct {
 	customer     *customer
 	id           string
-	gatewayIndex int       // in the customer's subset
+	gatewayIndex int       // index of the gateway in the customer's subset
 	due          time.Time // due time of the request's first attempt
 	measured     bool      // the attempt is counted in the result
 	isRetry      bool
-	done         func() // called when the client got its final answer
+	done         func() // called when the client has its final answer
 }
 
 // send submits an attempt to its gateway.
@@ -39,7 +39,7 @@
 	target.Submit(request, a.id, onForwarded, onAnswer)
 }
 
-// onForwarded charges an attempt to the customer's quota.
+// onForwarded charges an attempt to the customer's quota, and counts the attempt if it is over quota.
 func (g *groupLoad) onForwarded(a attempt) {
 	withinQuota := a.customer.bucket.Take(time.Since(g.startedAt), g.Units)
 	if !withinQuota && a.measured {
@@ -47,7 +47,7 @@
 	}
 }
 
-// onAnswer counts an attempt that was answered. The client then retries, or the request is done.
+// onAnswer counts an answered attempt. If the client retries, onAnswer schedules the retry, otherwise it calls done.
 func (g *groupLoad) onAnswer(a attempt, status int, retryAfter time.Duration) {
 	if a.measured {
 		g.countAnswer(a, status)
@@ -67,7 +67,7 @@
 }
 
 // countAnswer counts an attempt in the result. A rejection is classified by the units that are in the customer's bucket
-// now.
+// at the time of the answer.
 func (g *groupLoad) countAnswer(a attempt, status int) {
 	now := time.Since(g.startedAt)
 	hasUnits := a.customer.bucket.CanTake(now, g.Units)
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxInFlight       = 1 << 16         // limit of a group's requests in flight
-	minWeightInterval = 7 * time.Second // shortest time for which a customer's weights are kept
+	maxInFlight       = 1 << 16         // maximum number of requests of a group in flight
+	minWeightInterval = 7 * time.Second // shortest interval between two draws of a customer's weights
 	maxWeightInterval = 18 * time.Second
 )
 
@@ -24,26 +24,27 @@
 	Group
 	gateways       []*gateway.Hollow
 	retryRejected  bool
-	deadline       time.Duration // of requests of the group's class
+	deadline       time.Duration // deadline of the requests, from the due time of the first attempt
 	warmup         time.Duration // duration of the load before the measurement
 	duration       time.Duration // duration of the whole load, warm-up included
 	startedAt      time.Time     // start of the load and time 0 of the buckets
 	rng            *rand.Rand    // used by the goroutine of runLoad only
 	customers      []customer
 	popularity     *load.TenantDistribution
-	pendingClients sync.WaitGroup // clients without a final answer
+	pendingClients sync.WaitGroup // clients that wait for their final answer
 	latency        load.LatencyHistogram
 
 	mu     sync.Mutex
 	result GroupResult // Calls, CallsUnanswered and Latency are set by finish
 }
 
-// customer is one customer of a group. Only the goroutine of runLoad uses it, except for the bucket.
+// customer is one customer of a group. Only the goroutine of runLoad uses weights and nextWeightsAt. The other fields
+// are set only when the customer is created.
 type customer struct {
 	id            policy.CustomerID
-	firstGateway  int // index of the first gateway of its subset in the group
+	firstGateway  int // index of the subset's first gateway among the gateways of the group
 	bucket        *oracle.TokenBucket
-	weights       []float64     // of the gateways of its subset; nil: equal weights
+	weights       []float64     // weights of the gateways of the subset; nil: equal weights
 	nextWeightsAt time.Duration // time since the start of the load at which the weights are drawn again
 }
 
@@ -73,7 +74,8 @@
 	plan := h.deployment.Plans[group.Plan]
 	for i := range g.customers {
 		g.customers[i] = customer{
-			id:           policy.CustomerID(group.First + i*h.Fleet), // unique, since First is below Fleet and differs by group
+			// The id is unique, since First is below Fleet and differs by group.
+			id:           policy.CustomerID(group.First + i*h.Fleet),
 			firstGateway: g.rng.IntN(group.Gateways - group.Spread + 1),
 			bucket:       oracle.New(plan.Rate, plan.Burst),
 		}
@@ -87,7 +89,7 @@
 // counterCalls counts calls of gateways to the counter.
 type counterCalls struct {
 	made       uint64
-	unanswered uint64 // calls out of made that got no answer
+	unanswered uint64 // calls out of made that got no response
 }
 
 // counterCalls returns the number of calls to the counter that the group's gateways have made so far.
@@ -134,8 +136,8 @@
 // isMeasured reports whether a due time is after the warm-up.
 func (g *groupLoad) isMeasured(due time.Time) bool { return due.Sub(g.startedAt) >= g.warmup }
 
-// pickGateway draws the gateway for a request from the customer's subset, and returns its index in the subset. at is the
-// time since the start of the load.
+// pickGateway draws the gateway for a request from the customer's subset, and returns its index in the subset. The
+// time at is counted from the start of the load.
 func (g *groupLoad) pickGateway(c *customer, at time.Duration) int {
 	if c.weights == nil {
 		return g.rng.IntN(g.Spread)
@@ -154,7 +156,7 @@
 			return i
 		}
 	}
-	return g.Spread - 1 // reached only by rounding errors
+	return g.Spread - 1 // reached only because of rounding errors
 }
 
 // drawWeights draws the weights of a customer's gateways, and the time at which they are drawn again.
@@ -166,15 +168,15 @@
 	}
 }
 
-// updateResult changes the result under its lock.
+// updateResult calls update with the result while mu is locked.
 func (g *groupLoad) updateResult(update func(*GroupResult)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	update(&g.result)
 }
 
-// finish waits for the last answers and returns the result. The gateways must have ended, so that every request is
-// answered. callsBefore counts the calls to the counter that were made before the measured load.
+// finish waits for the last answers and returns the result. The gateways must already be stopped, so that every request
+// gets an answer. callsBefore counts the calls to the counter before the measured load.
 func (g *groupLoad) finish(callsBefore counterCalls) GroupResult {
 	g.pendingClients.Wait()
 	calls := g.counterCalls()
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -62,7 +62,7 @@
 	}, counterServer
 }
 
-// The counts of a run add up, and only the group that exceeds its quota is rejected.
+// The counts of a run add up, and only requests of the group that exceeds its quota are rejected.
 func TestCountsAddUp(t *testing.T) {
 	job, counterServer := newJob(t)
 	result, err := Run(t.Context(), job)
@@ -133,8 +133,8 @@
 	}
 }
 
-// A rejection is classified by the units in the customer's bucket at that time. A forwarded attempt is counted as beyond
-// the quota if the bucket lacks its units.
+// A rejection is classified by the units in the customer's bucket at that time. A forwarded attempt is counted as over
+// quota if the bucket lacks its units.
 func TestRejectionsAreClassifiedByTheBucket(t *testing.T) {
 	c := &customer{bucket: oracle.New(1e-9, 10)}
 	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -12,27 +12,31 @@
 	"amberlb/internal/wire"
 )
 
-// maxCustomerIDs is the upper limit of customer ids: every id is below it.
+// maxCustomerIDs is the number of possible customer ids. All ids are below it.
 const maxCustomerIDs = 1 << 33
 
 // Job describes the gateways and the load of one process. A job and its result are passed
-// between processes as JSON, possibly of different versions of the lab. The names of the
-// fields of Job, Group, Result and GroupResult are the JSON keys and must not change.
+// between processes as JSON. The processes may run different versions of the lab. The names
+// of the fields of Job, Group, Result and GroupResult are the JSON keys and must not change.
+//
+// If Retry is set, clients retry a rejected request once, at the next gateway of the customer's
+// subset. The retry is marked as one. It is sent after the Retry-After of the rejection, or
+// after 50 ms if the rejection has none.
 type Job struct {
 	Seed         uint64
 	Settings     json.RawMessage // deployment settings, in which each gateway's rank and the fleet size are replaced
 	First        int             // rank of this process's first gateway
 	Gateways     int             // number of this process's gateways, whose ranks are consecutive
 	Fleet        int             // number of gateways in the fleet, over all processes
-	Discovery    string          // address
-	Counter      string          // address
+	Discovery    string          // address of discovery
+	Counter      string          // address of the counter
 	ServiceS     float64         // service time of the backends, s
 	WarmS        float64         // duration of the warm-up, whose requests are not measured, s
 	RunS         float64         // duration of the measured load, which follows the warm-up, s
 	Groups       []Group
 	MemoryMB     int     // soft memory limit of the process; 0: none
 	StartSpreadS float64 // time over which the starts of the gateways are spread evenly, s
-	Retry        bool    // clients retry a rejection once, marked, at another gateway, after Retry-After or else 50 ms
+	Retry        bool    // clients retry a rejected request once
 }
 
 // Group is a set of customers that send requests to the same gateways. The gateways have
@@ -41,14 +45,14 @@
 	Name      string
 	First     int // rank of the group's first gateway
 	Gateways  int // number of the group's gateways
-	Spread    int // subset size: each customer uses this many consecutive gateways, the first of which is drawn at random
+	Spread    int // subset size: number of consecutive gateways that a customer uses, from a random first gateway on
 	Customers int
 	PerSecond float64 // mean rate of a customer of the group, in requests a second
-	Zipf      float64 // exponent of the Zipf distribution of the load over the customers; 0: even
-	Plan      int     // index in the settings
-	Class     int     // index in the settings
+	Zipf      float64 // exponent of the Zipf distribution of the load over the customers; 0: equal rates
+	Plan      int     // index of the plan in the settings
+	Class     int     // index of the class in the settings
 	Units     float64 // cost of each request
-	Shift     bool    // uneven shares of a customer's gateways, drawn again every 7 to 18 s; false: even shares
+	Shift     bool    // random weights of a customer's gateways, drawn again every 7 to 18 s; false: equal weights
 }
 
 // Result is the result of a job.
@@ -56,10 +60,10 @@
 	Groups     []GroupResult
 	Ready      load.Quantiles // time from a gateway's start to its first endpoint list, s
 	Gateways   int
-	Requests   uint64  // attempts of all groups
+	Requests   uint64  // sum of Tries over all groups
 	SpanS      float64 // time from the start of the measured load to the last answer, s
-	CPUSeconds float64 // CPU time of the process in that span
-	PeakMB     float64 // peak memory of the process since its start
+	CPUSeconds float64 // CPU time of the process during the time SpanS
+	PeakMB     float64 // peak memory of the process since its start, MB
 }
 
 // GroupResult counts the attempts of one group for requests that were due after the warm-up:
@@ -72,19 +76,19 @@
 	Failed          uint64         // answered otherwise
 	Dropped         uint64         // not sent because too many requests were in flight
 	Repeats         uint64         // attempts that were retries by the client
-	RefusedInside   uint64         // rejected while the customer's quota had the units
-	RefusedHalfFull uint64         // rejected while half of the burst or more was unused
-	Beyond          uint64         // forwarded while the customer's quota lacked the units
-	Calls           uint64         // calls of the group's gateways to the counter since the warm-up
-	CallsUnanswered uint64         // calls out of Calls that got no answer
-	Latency         load.Quantiles // of served requests, from the due time of the first attempt to the answer, ms
+	RefusedInside   uint64         // rejected although within the customer's quota
+	RefusedHalfFull uint64         // rejected with half of the burst or more unused
+	Beyond          uint64         // forwarded although over the customer's quota
+	Calls           uint64         // calls of the group's gateways to the counter after the warm-up
+	CallsUnanswered uint64         // calls out of Calls that got no response
+	Latency         load.Quantiles // time from the due time of a served request's first attempt to its answer, ms
 }
 
 // jobRun is the state of a running job.
 type jobRun struct {
 	Job
 	deployment wire.Deployment
-	gateways   []*gateway.Hollow // in order of rank; the first has the rank First
+	gateways   []*gateway.Hollow // gateways in order of rank; the rank of gateways[0] is First
 }
 
 // newJobRun validates a job. The error says what is invalid.
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	listTimeout  = 3 * time.Minute // from the last gateway's start until every gateway has its first endpoint list
-	answerMargin = 2 * time.Second // from the longest deadline until the last answer
+	listTimeout  = 3 * time.Minute // time for a gateway's first endpoint list, in addition to StartSpreadS
+	answerMargin = 2 * time.Second // time that loadTimeout adds to the longest deadline and AnswerSlack
 )
 
 // fixedServiceTime simulates backends that serve every request in the same time.
 type fixedServiceTime time.Duration
 
-// Serve returns the service time, and that the request is served.
+// Serve returns the service time and the outcome Served.
 func (s fixedServiceTime) Serve(policy.BackendID) (time.Duration, policy.Outcome) {
 	return time.Duration(s), policy.Served
 }
 
 // Run starts the gateways of a job, runs the load once all gateways have an endpoint list, and returns when all requests
-// are answered or ctx ends. All gateways have ended by then. If ctx ends during the load, Run returns the error of ctx
-// together with the results up to that time.
+// are answered or ctx ends. All gateways have stopped when Run returns. If ctx ends during the load, Run returns the
+// error of ctx together with the results up to that time.
 func Run(ctx context.Context, job Job) (Result, error) {
 	h, err := newJobRun(job)
 	if err != nil {
@@ -63,7 +63,7 @@
 // It returns for each group the calls to the counter that its gateways made before the end of the warm-up.
 func (h *jobRun) measureLoad(ctx context.Context, groups []*groupLoad, result *Result) (callsBefore []counterCalls) {
 	start := time.Now()
-	// A gateway that hangs may never answer. Its open requests fail when its context ends.
+	// A gateway that hangs may never answer. After loadTimeout, Run stops the gateways, and the open requests fail.
 	loadCtx, cancel := context.WithDeadline(ctx, start.Add(h.loadTimeout()))
 	defer cancel()
 	var loads sync.WaitGroup
@@ -85,7 +85,7 @@
 }
 
 // startGateways starts all gateways, adds their goroutines to running, and waits for their first endpoint lists. It
-// records in ready how long each gateway took.
+// records in ready the time that each gateway took.
 func (h *jobRun) startGateways(ctx context.Context, running *sync.WaitGroup, ready *load.LatencyHistogram) error {
 	failed := make(chan error, h.Gateways)
 	var starting sync.WaitGroup
@@ -110,7 +110,8 @@
 	}
 }
 
-// startGateway starts a gateway and waits for its first endpoint list. If ctx ends before, it returns nil.
+// startGateway starts a gateway and waits for its first endpoint list. If ctx ends during the wait, it
+// returns nil.
 func (h *jobRun) startGateway(
 	ctx context.Context, index int, running *sync.WaitGroup, ready *load.LatencyHistogram,
 ) error {
@@ -147,7 +148,7 @@
 	return config
 }
 
-// loadTimeout returns the time from the start of the load after which no request should be open.
+// loadTimeout returns how long after the start of the load all requests should have been answered.
 func (h *jobRun) loadTimeout() time.Duration {
 	longestDeadline := 0.0
 	for _, g := range h.Groups {
--- a/internal/lab/hollow/usage.go
+++ b/internal/lab/hollow/usage.go
@@ -7,7 +7,7 @@
 
 // resourceUsage is the resource usage of this process since its start.
 type resourceUsage struct {
-	cpu    time.Duration // user and system time
+	cpu    time.Duration // CPU time in user and system mode
 	peakMB float64       // peak resident memory
 }
 
@@ -15,7 +15,7 @@
 func readUsage() resourceUsage {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // it can't fail with these arguments
+		panic(err) // Getrusage can't fail with these arguments
 	}
 	return resourceUsage{
 		cpu:    time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
--- a/internal/lab/load/latency.go
+++ b/internal/lab/load/latency.go
@@ -13,17 +13,17 @@
 	maxLatency = time.Hour
 )
 
-// significantDigits is the precision of a LatencyHistogram.
+// significantDigits is the number of significant decimal digits that a LatencyHistogram keeps.
 const significantDigits = 2
 
-// LatencyHistogram is a histogram of durations from 1 µs to an hour, exact to 1 in 100. The zero value is an empty
-// histogram. Its methods are safe for concurrent use.
+// LatencyHistogram is a histogram of durations from 1 µs to an hour, with an error of at most 1 in 100. The zero value is
+// an empty histogram. Its methods are safe for concurrent use.
 type LatencyHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // nil until the first call of Record
 }
 
-// Record adds a duration. A duration out of range is recorded as the nearest end of the range.
+// Record adds a duration. A duration out of range is recorded as minLatency or maxLatency.
 func (l *LatencyHistogram) Record(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,17 +22,18 @@
 	return &PoissonArrivals{rng: rng, meanGap: 1 / perSecond}
 }
 
-// Next draws the next arrival and returns the time from the start to it.
+// Next draws the next arrival and returns its time, counted from the start.
 func (a *PoissonArrivals) Next() time.Duration {
 	a.elapsed += a.rng.ExpFloat64() * a.meanGap
 	return time.Duration(a.elapsed * float64(time.Second))
 }
 
 // RunOpenLoop calls issue for each arrival that is due between start and start + duration. It makes the calls in order
-// and on the caller's goroutine; n is the number of the arrival, counted from 0. issue starts the request and must not
-// block. It has to ensure that done is called once, from any goroutine, when the request is over. While maxInFlight
-// requests are in flight, RunOpenLoop calls dropped instead of issue. due is the time at which the request should have
-// been sent; the calls are late if the process is late. RunOpenLoop returns when all requests are over or ctx ends.
+// and on the caller's goroutine. The function issue starts the request of the arrival and must not block. It has to
+// ensure that done is called once, from any goroutine, when the request has ended. While maxInFlight requests are in
+// flight, RunOpenLoop calls dropped instead of issue. The parameter n of both functions is the number of the arrival,
+// counted from 0, and due is the time at which its request should be sent. If the process is late, the call comes after
+// due. RunOpenLoop returns when all requests have ended or ctx ends.
 func RunOpenLoop(
 	ctx context.Context, arrivals *PoissonArrivals, start time.Time, duration time.Duration, maxInFlight int,
 	issue func(due time.Time, n int, done func()), dropped func(due time.Time, n int),
@@ -57,7 +58,7 @@
 	awaitAll(ctx, inFlight)
 }
 
-// sleepUntil waits until due, and does not wait if due is past. It returns false if ctx ends before.
+// sleepUntil waits until the time due. If that time is past, it does not wait. It returns false if ctx has ended.
 func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -68,7 +69,7 @@
 
 // awaitAll waits until no request is in flight, or ctx ends. Each request in flight occupies one slot of the channel.
 func awaitAll(ctx context.Context, inFlight chan<- struct{}) {
-	for range cap(inFlight) { // takes every slot, which succeeds once no request occupies one
+	for range cap(inFlight) { // occupies every slot, which is possible only when all requests have ended
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -12,7 +12,7 @@
 // seeded returns a random number generator that always has the same seed.
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// The gaps of a Poisson process are exponential: their standard deviation is their mean.
+// The gaps of a Poisson process are exponential: their standard deviation equals their mean.
 func TestPoissonGapsAreExponential(t *testing.T) {
 	const n, rate = 200_000, 250.0
 	arrivals := NewPoisson(seeded(), rate)
@@ -101,11 +101,12 @@
 	})
 }
 
-// Requests beyond the limit of requests in flight are dropped at once, without waiting for an answer, and reported.
+// While the limit of requests in flight is reached, a further request is dropped at once and reported. It does not wait
+// until another request ends.
 func TestRequestsAboveTheLimitAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		var doneFuncs []func() // of the requests issued
+		var doneFuncs []func() // done functions of the issued requests
 		droppedCount := 0
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -8,7 +8,8 @@
 )
 
 // TokenBucket is the quota of one customer. Its methods are safe for concurrent use, since all gateways share the bucket.
-// Times are durations since the bucket's start. A time before that of an earlier call counts as the latter.
+// Their parameter now is the time since the bucket's start. A method that is called with an earlier time than a previous
+// call uses the time of the previous call instead.
 type TokenBucket struct {
 	rate  float64 // units a second; 0: there is no quota
 	burst float64 // units
@@ -18,13 +19,13 @@
 	updatedAt time.Duration
 }
 
-// New returns a full bucket of burst units that refills at rate units a second. With a rate of 0 there is no quota: every
-// request is within it.
+// New returns a full bucket of burst units that refills at rate units a second. With a rate of 0, there is no quota,
+// and Take and CanTake always return true.
 func New(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// refill adds the tokens for the time since the last refill.
+// refill adds the units for the time from updatedAt to now.
 func (b *TokenBucket) refill(now time.Duration) {
 	if now > b.updatedAt {
 		b.tokens = min(b.tokens+b.rate*(now-b.updatedAt).Seconds(), b.burst)
@@ -32,8 +33,9 @@
 	}
 }
 
-// Take charges an attempt when it is first forwarded, and reports whether it was within the quota. If the bucket has the
-// units, Take removes them; otherwise the attempt is beyond the quota, and the bucket is unchanged.
+// Take charges an attempt to the quota, and reports whether the attempt is within the quota. It is called when the
+// attempt is first forwarded to a backend. If the bucket has the units, Take removes them. Otherwise, the attempt is
+// over quota, and Take removes no units.
 func (b *TokenBucket) Take(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +50,8 @@
 	return true
 }
 
-// CanTake reports whether the bucket has the units. If it has, an attempt that is rejected now was within the quota.
+// CanTake reports whether the bucket has the units. If it returns true for a rejected attempt, the attempt was within
+// the quota when it was rejected.
 func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,5 +59,5 @@
 	return b.rate == 0 || b.tokens >= units
 }
 
-// HalfFull reports whether half of the burst or more is unused.
+// HalfFull reports whether the bucket holds half of the burst or more. It returns true if there is no quota.
 func (b *TokenBucket) HalfFull(now time.Duration) bool { return b.CanTake(now, b.burst/2) }
--- a/internal/lab/oracle/tokenbucket_test.go
+++ b/internal/lab/oracle/tokenbucket_test.go
@@ -21,7 +21,7 @@
 		{"CanTake takes nothing", 0, 3, bucket.Take, true},
 		{"less than half is left", 0, 0, halfFull, false},
 		{"too little is left", 0, 2, bucket.Take, false},
-		{"an attempt beyond the quota took nothing", 0, 1, bucket.CanTake, true},
+		{"an attempt over quota took nothing", 0, 1, bucket.CanTake, true},
 		{"refilled", 0.5, 2, bucket.Take, true},
 		{"an earlier time refills nothing", 0.25, 0.5, bucket.CanTake, false},
 		{"the same time refills only once", 0.75, 0.6, bucket.CanTake, false},
