--- a/internal/lab/gatewayprocess/address.go
+++ b/internal/lab/gatewayprocess/address.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Each process takes addresses from a network 127.N.0.0/16. N is derived from the process id and has networkCount
-// possible values from firstNetwork on, so that the addresses of two processes most likely differ.
+// Each process takes addresses from a network 127.N.0.0/16. N depends on the process id, and is at least firstNetwork
+// and below firstNetwork + networkCount. The addresses of two processes therefore most likely differ.
 const (
 	firstNetwork = 16
 	networkCount = 200
--- a/internal/lab/gatewayprocess/gateway.go
+++ b/internal/lab/gatewayprocess/gateway.go
@@ -1,5 +1,5 @@
-// Package gatewayprocess starts gateways as child processes, in the way a deployment starts
-// them, and sends them the requests of many tenants.
+// Package gatewayprocess starts gateways as child processes, as a deployment does, and sends
+// them the requests of many tenants.
 package gatewayprocess
 
 import (
@@ -19,9 +19,9 @@
 const (
 	readyPath         = "/health/ready"
 	readyPollInterval = 10 * time.Millisecond
-	readyPollTimeout  = time.Second     // limit of one poll
-	stopGrace         = 4 * time.Second // from SIGTERM to SIGKILL: the longest deadline plus the time of a shutdown
-	configEnv         = "EDGE_CONFIG"   // environment variable with the path of the configuration file
+	readyPollTimeout  = time.Second     // timeout of one poll
+	stopGrace         = 4 * time.Second // time from SIGTERM to SIGKILL: the longest deadline plus a shutdown's time
+	configEnv         = "EDGE_CONFIG"   // name of the environment variable with the path of the configuration file
 )
 
 // ErrReadyTimeout is returned for a gateway that runs but did not become ready in time.
@@ -37,11 +37,11 @@
 type Gateway struct {
 	Address    string // host and port for clients
 	startedAt  time.Time
-	configPath string // the only file in a temporary directory
+	configPath string // path of the configuration file, the only file in its directory
 	process    *proc.Process
 }
 
-// Start starts a gateway, which is killed when ctx ends. Stop or Close must be called even then.
+// Start starts a gateway, which is killed when ctx ends. Stop or Close must be called even if ctx has ended.
 func Start(ctx context.Context, program Program, options Options) (*Gateway, error) {
 	if options.Listen == "" {
 		address, err := FreeAddress()
@@ -86,8 +86,9 @@
 // removeConfig removes the configuration file and its directory.
 func (g *Gateway) removeConfig() { os.RemoveAll(filepath.Dir(g.configPath)) }
 
-// WaitReady waits until the gateway is ready and returns the time since its start. timeout counts from the start too. The
-// error is ErrReadyTimeout if the timeout is over, or else says why the gateway can't become ready.
+// WaitReady waits until the gateway is ready and returns the time since its start. The duration timeout is also counted
+// from the start of the gateway. WaitReady returns ErrReadyTimeout if the gateway is not ready within timeout, and
+// another error if ctx ends or the gateway exits.
 func (g *Gateway) WaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
 	client := &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(g.startedAt) < timeout {
@@ -124,7 +125,7 @@
 // Usage returns the resource usage of the gateway's process. It returns an error if the process has exited.
 func (g *Gateway) Usage() (proc.Usage, error) { return proc.ReadUsage(g.process.Pid) }
 
-// Log returns the end of the gateway's log.
+// Log returns the last 64 KiB of the gateway's log.
 func (g *Gateway) Log() string { return g.process.Stderr() }
 
 // Signal sends a signal to the gateway's process, unless it has exited.
@@ -139,15 +140,15 @@
 // Done returns a channel that is closed when the gateway's process has exited.
 func (g *Gateway) Done() <-chan struct{} { return g.process.Done() }
 
-// Close kills the process if it runs, and removes the configuration file. It returns nil only for exit status 0.
+// Close kills the process if it still runs, and removes the configuration file. It returns nil only for exit status 0.
 func (g *Gateway) Close() error {
 	defer g.removeConfig()
 	g.Signal(syscall.SIGKILL)
 	return g.process.Wait()
 }
 
-// Stop sends SIGTERM, and SIGKILL if the gateway has not exited after stopGrace, and removes
-// the configuration file. It returns nil only for exit status 0.
+// Stop sends SIGTERM. If the gateway has not exited after stopGrace, Stop sends SIGKILL. It
+// removes the configuration file, and returns nil only for exit status 0.
 func (g *Gateway) Stop() error {
 	defer g.removeConfig()
 	if err := g.process.Stop(stopGrace); err != nil {
--- a/internal/lab/gatewayprocess/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -13,7 +13,8 @@
 	"amberlb/internal/lab/load"
 )
 
-// maxInFlight is the limit of requests in flight. Requests beyond it are dropped and counted.
+// maxInFlight is the maximum number of requests in flight. While it is reached, further requests are dropped and
+// counted.
 const maxInFlight = 4096
 
 // Tenant is a customer of the gateways.
@@ -25,16 +26,16 @@
 }
 
 // Load is an open-loop load on the gateways. Requests arrive as a Poisson process and are
-// distributed over the tenants by a Zipf distribution. Each is sent to a random gateway of
-// its tenant's subset.
+// distributed over the tenants by a Zipf distribution. Each request is sent to a random gateway
+// of its tenant's subset.
 type Load struct {
 	Seed              uint64
-	RequestsPerSecond float64 // over all gateways
+	RequestsPerSecond float64 // total rate over all gateways
 	Tenants           []Tenant
-	ZipfExponent      float64 // of the distribution over Tenants; the first tenant has the highest rate
+	ZipfExponent      float64 // exponent of the distribution over Tenants; the first tenant has the highest rate
 	Class             string  // class of all requests, which are sent with GET
 	ClientTimeout     time.Duration
-	ServiceTime       time.Duration // service time of the backends, which AddedLatency does not include
+	ServiceTime       time.Duration // service time of the backends, which is not part of Result.AddedLatency
 }
 
 // Result counts the requests that were due after the warm-up:
@@ -43,10 +44,10 @@
 	Scheduled    uint64
 	Served       uint64         // answered 200
 	Rejected     uint64         // answered 429 or 503
-	Failed       uint64         // answered otherwise, or not at all
+	Failed       uint64         // answered with another status, or not answered
 	Dropped      uint64         // not sent because too many were in flight
-	AddedLatency load.Quantiles // of served requests, ms: latency without the backends' service time
-	ScheduleLag  load.Quantiles // of all sent requests, ms: how late this process sent them, which AddedLatency includes
+	AddedLatency load.Quantiles // latency of served requests minus ServiceTime, ms
+	ScheduleLag  load.Quantiles // time from the due time of a request until it was sent, ms; part of AddedLatency
 }
 
 // loadRun is the state of a running load.
@@ -56,7 +57,7 @@
 	client       *http.Client
 	rng          *rand.Rand // draws the tenant, the gateway and the id of each request
 	popularity   *load.TenantDistribution
-	measuredFrom time.Time // only requests that are due from this time on are counted
+	measuredFrom time.Time // requests that are due before this time are not counted
 
 	served       atomic.Uint64
 	rejected     atomic.Uint64
@@ -66,8 +67,9 @@
 	scheduleLag  load.LatencyHistogram
 }
 
-// Run sends the load from start on, first for the duration warmup and then for the duration measured, whose requests are
-// counted. It returns when all requests are answered or ctx ends. The rank of a gateway is its index in gateways.
+// Run sends the load from the time start on, for the duration warmup + measured. It counts only the requests that are
+// due after the warm-up. It returns when all requests are answered or ctx ends. The rank of a gateway is its index in
+// gateways.
 func (l *Load) Run(ctx context.Context, gateways []*Gateway, start time.Time, warmup, measured time.Duration) Result {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -96,13 +98,15 @@
 	}
 }
 
-// issue draws a request and sends it in a new goroutine, which calls done at the end.
+// issue draws a request and sends it in a new goroutine, which calls done when the request
+// has ended.
 func (r *loadRun) issue(ctx context.Context, due time.Time, done func()) {
 	tenant := &r.Tenants[r.popularity.Sample(r.rng)]
 	if r.isMeasured(due) {
 		r.scheduleLag.Record(time.Since(due))
 	}
-	runningGateways := min(tenant.SubsetSize, len(r.gateways)-tenant.FirstGateway) // started gateways of the subset
+	// The number of the subset's gateways that are started.
+	runningGateways := min(tenant.SubsetSize, len(r.gateways)-tenant.FirstGateway)
 	target := r.gateways[tenant.FirstGateway+r.rng.IntN(runningGateways)]
 	request := r.newRequest(target, tenant, due, r.rng.Uint64())
 	go func() {
@@ -129,7 +133,7 @@
 	}
 }
 
-// result returns the counts.
+// result returns the counts and the quantiles.
 func (r *loadRun) result() Result {
 	result := Result{
 		Served:       r.served.Load(),
@@ -143,11 +147,11 @@
 	return result
 }
 
-// newRequest returns a request with the headers that the front end in front of the gateways sends.
+// newRequest returns a request with the headers that the proxy in front of the gateways sends in a deployment.
 func (l *Load) newRequest(gateway *Gateway, tenant *Tenant, due time.Time, id uint64) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, "http://"+gateway.Address+"/"+l.Class, nil)
 	if err != nil {
-		panic(err) // the gateway listens at the address, so the URL is valid
+		panic(err) // the gateway listens on the address, so the URL is valid
 	}
 	remaining := max(l.ClientTimeout-time.Since(due), time.Millisecond)
 	request.Host = "origin.svc"
--- a/internal/lab/gatewayprocess/options.go
+++ b/internal/lab/gatewayprocess/options.go
@@ -11,10 +11,10 @@
 // Options configures one gateway.
 type Options struct {
 	Name            string
-	Discovery       string // address
-	Counter         string // address; "": there is no counter
+	Discovery       string // address of discovery
+	Counter         string // address of the counter; "": there is no counter
 	Seed            uint64
-	Cores           float64         // CPU limit
+	Cores           float64         // CPU limit, in cores
 	MemoryMB        int             // memory limit
 	Settings        json.RawMessage // deployment settings
 	Listen          string          // address for clients; "": a free address
--- a/internal/lab/proc/buffer.go
+++ b/internal/lab/proc/buffer.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// boundedBuffer keeps a limited number of the bytes written to it: either the first or the last ones.
+// boundedBuffer keeps a limited number of the bytes written to it: either the first or the last bytes.
 type boundedBuffer struct {
 	limit    int  // bytes
 	keepHead bool // true: keep the first bytes; false: keep the last bytes
@@ -14,7 +14,7 @@
 	data []byte
 }
 
-// Write stores p as far as the limit allows. It always returns len(p) and no error.
+// Write stores p and discards the bytes that exceed the limit. It always returns len(p) and no error.
 func (b *boundedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxStderr     = 64 << 10        // bytes
-	maxStdout     = 16 << 20        // bytes
-	pipeWaitDelay = 2 * time.Second // how long Wait waits, after a child's exit, for other processes that hold its pipes open
+	maxStderr     = 64 << 10        // bytes of standard error that are kept
+	maxStdout     = 16 << 20        // bytes of standard output that are kept
+	pipeWaitDelay = 2 * time.Second // time that Wait waits, after a child's exit, for processes that hold its pipes open
 )
 
 // Process is a child process. Its methods are safe for concurrent use.
@@ -28,8 +28,9 @@
 	exitErr error         // result of Wait; set before done is closed
 }
 
-// Start starts the program name with args. env is added to the environment of this process,
-// and stdin is the input of the child (nil: none). The child is killed when ctx ends, and
+// Start starts a child process, which runs the program name with the arguments args. Its
+// environment is that of this process plus the variables in env. The child reads stdin as its
+// standard input; if stdin is nil, the input is empty. The child is killed when ctx ends, and
 // when this process dies.
 func Start(ctx context.Context, name string, env []string, stdin io.Reader, args ...string) (*Process, error) {
 	p := &Process{
@@ -77,8 +78,8 @@
 // Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop sends SIGTERM, and SIGKILL if the process has not exited after grace. It returns the
-// result of Wait.
+// Stop sends SIGTERM. If the process has not exited after the time grace, Stop sends SIGKILL.
+// It returns the result of Wait.
 func (p *Process) Stop(grace time.Duration) error {
 	p.command.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
 	killTimer := time.NewTimer(grace)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -59,7 +59,7 @@
 	return p
 }
 
-// eventually waits until holds returns true. what describes the awaited event.
+// eventually waits until condition returns true. The text event describes the awaited event.
 func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// A child that ignores SIGTERM is killed when the grace of Stop is over, and when its context ends.
+// A child that ignores SIGTERM is killed when the grace period of Stop is over, and when its context ends.
 func TestChildThatIgnoresSIGTERMIsKilled(t *testing.T) {
 	p := startChild(t.Context(), t, "ignore-sigterm", nil)
 	awaitReady(t, p)
--- a/internal/lab/proc/usage.go
+++ b/internal/lab/proc/usage.go
@@ -14,8 +14,8 @@
 
 // Usage is the resource usage of a process.
 type Usage struct {
-	CPU     time.Duration // user and system time since its start, in steps of 10 ms
-	PeakRSS int64         // peak resident memory since its start, bytes
+	CPU     time.Duration // CPU time in user and system mode since the start, in steps of 10 ms
+	PeakRSS int64         // peak resident memory since the start, bytes
 	RSS     int64         // current resident memory, bytes
 }
 
@@ -50,8 +50,9 @@
 	return usage, err
 }
 
-// parseCPU returns the CPU time from the text of /proc/PID/stat. The name of the process in
-// it may contain blanks and parentheses, so fields are counted after the last parenthesis.
+// parseCPU returns the CPU time from the text of /proc/PID/stat. The text contains the name of
+// the process, which may contain blanks and parentheses. Fields are therefore counted from the
+// last parenthesis on.
 func parseCPU(stat string) (time.Duration, error) {
 	const utime, stime = 11, 12 // indices among the fields after the name
 	nameEnd := strings.LastIndex(stat, ") ")
@@ -70,8 +71,8 @@
 	return cpu, nil
 }
 
-// parseMemory returns the value of a key of /proc/PID/status in bytes. The file of a process
-// that has exited lacks the key, which is an error.
+// parseMemory returns the value of a key of /proc/PID/status in bytes. It returns an error if
+// the key is missing, as it is for a process that has exited.
 func parseMemory(status, key string) (int64, error) {
 	for line := range strings.Lines(status) {
 		value, ok := strings.CutPrefix(line, key)
