--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,9 +1,9 @@
 // Fleetlab measures gateways against stand-ins of all services that a gateway talks to (see
 // package experiment), and tests gateways under random faults (see package soak).
 //
-// The exit status is 2 if a file or an argument is invalid. Otherwise it is 0 if all bounds
-// of the experiment were kept, or the soak found no violation, and everything ran to its
-// end; else it is 1.
+// The exit status is 2 if a file or an argument is invalid. It is 0 if all runs were
+// completed and the experiment kept all bounds or the soak found no violation. In all other
+// cases, it is 1.
 package main
 
 import (
@@ -22,7 +22,7 @@
 // Exit statuses of the command.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a bound was broken, the soak found a violation, or the run itself failed
+	exitFailed = 1 // a bound was broken, the soak found a violation, or a run was not completed
 	exitUsage  = 2 // a file or an argument is invalid
 )
 
@@ -92,7 +92,7 @@
 	return exitFailed
 }
 
-// printError writes an error as one line. Line breaks in its text become blanks.
+// printError writes an error as one line. Line breaks in its text are replaced by blanks.
 func printError(stderr io.Writer, err error) {
 	fmt.Fprintln(stderr, "fleetlab:", strings.Join(strings.Fields(err.Error()), " "))
 }
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -16,8 +16,8 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// runAsCommand is the environment variable that makes the test binary run as fleetlab. The
-// tests need it for the child processes of hollow gateways.
+// runAsCommand is the environment variable that makes the test binary run as fleetlab. newLab
+// sets it, since the experiments of the tests start the test binary to run hollow gateways.
 const runAsCommand = "FLEETLAB_AS_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -78,8 +78,9 @@
 	return path
 }
 
-// newLab returns a lab that builds its gateway from this checkout and runs hollow gateways
-// in this test binary. It writes its log to log and calls onLine with each line.
+// newLab builds the gateway of this checkout and returns a lab that measures it. The lab runs
+// hollow gateways in child processes of this test binary. It writes its log to the buffer log,
+// and calls onLine with each line of the log.
 func newLab(t *testing.T, log *bytes.Buffer, onLine func(line string)) *experiment.Lab {
 	t.Helper()
 	dir := t.TempDir()
@@ -110,8 +111,8 @@
 }
 
 // In a small experiment with a gateway process and hollow gateways, the counts of the
-// clients, the gateways and the stand-ins agree, and no request exceeds its quota, of which
-// the customers use 0.3.
+// clients, the gateways and the stand-ins agree, and no request is over quota, since the
+// customers use only 0.3 of their quotas.
 func TestCountsOfBothEndsAgree(t *testing.T) {
 	var log bytes.Buffer
 	lab := newLab(t, &log, func(string) {})
@@ -177,7 +178,8 @@
 }
 
 // An interrupted experiment ends all processes that it started, reports the runs as partial,
-// keeps the metrics measured before, and counts the bounds on missing metrics as broken.
+// keeps the metrics measured before the interruption, and counts the bounds on missing metrics
+// as broken.
 func TestInterruptedRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var log bytes.Buffer
@@ -249,7 +251,8 @@
 	}
 }
 
-// An earlier version is built and started by the commands in its own deploy file, whatever the name of its gateway program.
+// An earlier version is built and started by the commands in its own deploy file, even if its gateway program has
+// another name.
 func TestBaselineIsBuiltAsItsDeployFileSays(t *testing.T) {
 	dir := t.TempDir()
 	deploy := "build = \"mkdir -p bin && echo old > bin/fleetlab && chmod +x bin/fleetlab\"\nrun = \"exec bin/earlier-name\"\n"
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -22,7 +22,7 @@
 	maxDuration = time.Hour
 )
 
-// maxPrintedViolations is the number of violations of one seed that are printed; the rest is only counted.
+// maxPrintedViolations is the number of violations of one seed that are printed; further violations are only counted.
 const maxPrintedViolations = 10
 
 // errInterrupted is returned if the context ended before the runs of all seeds were complete.
@@ -73,7 +73,8 @@
 }
 
 // runSeeds runs all seeds, args.Jobs at the same time, and returns a result for each. If ctx ends before a seed's run is
-// started, its result is the zero value. The error is that of the first run that could not be set up.
+// started, the result of the seed is the zero value. The returned error is that of the first run that
+// could not be set up.
 func runSeeds(
 	ctx context.Context, args soakArguments, program gatewayprocess.Program, log *slog.Logger,
 ) ([]soak.Result, error) {
@@ -95,8 +96,8 @@
 	return results, err
 }
 
-// printSoakResults prints the results of all seeds whose runs were started. interrupted is true if not all runs are
-// complete.
+// printSoakResults prints the results of all seeds whose runs were started. It returns interrupted = true if not all
+// runs were completed.
 func printSoakResults(stdout io.Writer, results []soak.Result) (status int, interrupted bool) {
 	status = exitOK
 	for _, result := range results {
@@ -123,7 +124,7 @@
 		plan.Seed, plan.Gateways, len(plan.Stops), longestDeadline, plan.IdleConns)
 	fmt.Fprintf(stdout, "%d served, %d rejected, %d failed, %d disconnected, ",
 		verdict.Served, verdict.Rejected, verdict.Failed, verdict.Disconnected)
-	fmt.Fprintf(stdout, "%d close races, %d killed without SIGTERM, %d excused by SIGKILL, %d violations\n",
+	fmt.Fprintf(stdout, "%d close races, %d ended by a hard kill, %d excused by SIGKILL, %d violations\n",
 		verdict.CloseRaces, verdict.HardKilled, verdict.ExcusedByKill, len(verdict.Violations))
 	for i, violation := range verdict.Violations {
 		if i == maxPrintedViolations {
--- a/cmd/fleetlab/version.go
+++ b/cmd/fleetlab/version.go
@@ -32,9 +32,9 @@
 }
 
 // buildVersions builds the versions to measure and returns them in the order of measuring.
-// The first is the version that is checked out in the directory baseline, unless baseline
-// is ""; the last is the version that this program belongs to. If the baseline can't be
-// built, the error is a usageError.
+// If baseline is not "", the first version is the one checked out in the directory baseline.
+// The last version is the one that this program belongs to. If the version in the directory
+// baseline can't be built, the error is a usageError.
 func buildVersions(ctx context.Context, root, baseline string, log *slog.Logger) ([]experiment.Version, error) {
 	var versions []experiment.Version
 	if baseline != "" {
@@ -79,8 +79,8 @@
 	return experiment.Version{Name: experiment.Baseline, Gateway: program, Fleetlab: executable}, nil
 }
 
-// buildGateway runs the build command of the version in the directory root, and returns its gateway program. Both are in
-// the deploy file.
+// buildGateway runs the build command of the version in the directory root, and returns the program that starts its
+// gateway. The deploy file of the version holds the commands for building and starting.
 func buildGateway(ctx context.Context, root string, log *slog.Logger) (gatewayprocess.Program, error) {
 	deploy, err := readDeployFile(root)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return gatewayprocess.Program{Command: deploy.Run, Dir: root}, nil
 }
 
-// deployFile holds the entries of a version's deploy file that the lab needs. Both are shell commands that run in the
-// root directory of the version.
+// deployFile holds the entries of a version's deploy file that the lab needs. Each entry is a shell command that runs in
+// the root directory of the version.
 type deployFile struct {
 	Build string // builds the programs
 	Run   string // starts one gateway
