--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -2,8 +2,8 @@
 // package experiment), and tests gateways under random faults (see package soak).
 //
 // The exit status is 2 if a file or an argument is invalid. It is 0 if all runs were
-// completed and the experiment kept all bounds or the soak found no violation. In all other
-// cases, it is 1.
+// completed, and all bounds of the experiment were kept or the soak found no violation. In
+// all other cases, it is 1.
 package main
 
 import (
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -73,8 +73,8 @@
 }
 
 // runSeeds runs all seeds, args.Jobs at the same time, and returns a result for each. If ctx ends before a seed's run is
-// started, the result of the seed is the zero value. The returned error is that of the first run that
-// could not be set up.
+// started, the result of the seed is the zero value. The returned error is that of the first run that could not be
+// set up.
 func runSeeds(
 	ctx context.Context, args soakArguments, program gatewayprocess.Program, log *slog.Logger,
 ) ([]soak.Result, error) {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -96,7 +96,8 @@
 	// SubsetSize is the number of gateways that each customer sends requests to.
 	SubsetSize int `toml:"spread" json:"spread"`
 
-	// SubsetSizes, if not empty, replaces the group by one group for each subset size.
+	// SubsetSizes, if not empty, replaces the group with one group for each subset
+	// size.
 	SubsetSizes []int `toml:"spreads" json:"spreads,omitempty"`
 
 	Customers int `toml:"customers" json:"customers"`
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// startHollowProcesses starts the processes of the hollow gateways. If one fails to start, it returns the error together
-// with the processes started before.
+// startHollowProcesses starts the processes of the hollow gateways. If a process fails to start,
+// startHollowProcesses returns the error together with the processes that were already started.
 func (p *phase) startHollowProcesses(ctx context.Context) ([]*proc.Process, error) {
 	var children []*proc.Process
 	for _, job := range p.experiment.hollowJobs() {
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -10,8 +10,8 @@
 )
 
 // collectResults waits until the processes of the hollow gateways have exited, and records their results. For each
-// quantile of the time until a gateway is ready, it records the maximum over the processes. measuredSeconds holds, for
-// each process, the time from the start of its measured load to its last answer.
+// quantile of the time until a gateway is ready, it records the maximum over the processes. The returned
+// measuredSeconds holds, for each process, the time from the start of its measured load to its last answer.
 func (p *phase) collectResults(children []*proc.Process) (measuredSeconds []float64, err error) {
 	metrics := p.run.Metrics
 	ready := 0.0
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -35,7 +35,7 @@
 	{name: "added_p99_ms", primary: true},
 	{name: "added_p999_ms", primary: true},
 	{name: "added_max_ms"},
-	{name: "late_p99_ms", primary: true},                // delay of requests in the lab before sending; part of added_*
+	{name: "late_p99_ms", primary: true},                // delay with which the lab sent requests; part of added_*
 	{name: "memory_peak_mb", primary: true},             // peak memory of the largest gateway
 	{name: "control_bytes_per_s", primary: true},        // mean control traffic of a gateway
 	{name: "counter_bytes_per_s", primary: true},        // mean traffic of a gateway with the counter
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -55,7 +55,7 @@
 // sweep holds the swept key and the values of the key for which the experiment is run, one after another.
 type sweep struct {
 	key    string    // "": there is no swept key, and the experiment is run once
-	values []float64 // a single 0 without a key
+	values []float64 // values of the key; a single 0 if there is no swept key
 }
 
 // parseSweep parses KEY=VALUE,VALUE,... The text "" means that there is no swept key.
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -47,8 +47,8 @@
 	return verdicts
 }
 
-// evaluate evaluates the bound for the metrics of a run or a group. The parameter value is the
-// value of the swept key.
+// evaluate evaluates the bound for the metrics of a run or a group. The parameter value is the value of the
+// swept key.
 func (b Bound) evaluate(value float64, metrics Metrics) Verdict {
 	verdict := Verdict{Bound: b, Value: value}
 	if measured, ok := metrics[b.Metric]; ok {
--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -10,7 +10,7 @@
 // defaultRetryAfter is the time before a client's retry if the rejection had no Retry-After.
 const defaultRetryAfter = 50 * time.Millisecond
 
-// attempt is one attempt of a client's request, at one gateway.
+// attempt is a request as a client sends it to one gateway. A retry by the client is another attempt.
 type attempt struct {
 	customer     *customer
 	id           string
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -1,5 +1,5 @@
 // Package hollow runs many hollow gateways (see gateway.Hollow) under load in one process,
-// and compares which requests they admit and reject with the exact quotas of the customers.
+// and compares their admissions and rejections with the exact quotas of the customers.
 package hollow
 
 import (
@@ -73,7 +73,7 @@
 	Tries           uint64         // attempts
 	Served          uint64         // answered 200
 	Refused         uint64         // rejected: answered 429 or 503
-	Failed          uint64         // answered otherwise
+	Failed          uint64         // answered with another status
 	Dropped         uint64         // not sent because too many requests were in flight
 	Repeats         uint64         // attempts that were retries by the client
 	RefusedInside   uint64         // rejected although within the customer's quota
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -1,5 +1,5 @@
 // Package oracle tracks the quota of a customer exactly, as the protocol defines it: with one token bucket for all
-// gateways. The gateways don't know the bucket. The lab compares their decisions with it.
+// gateways. The gateways have no access to this bucket. The lab compares their decisions with it.
 package oracle
 
 import (
