--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -7,26 +7,28 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// firstTenantID is the lowest customer id of the tenants. It is above the ids of all customers of hollow gateways.
+// firstTenantID is the lowest customer id of the tenants. It is above the ids of all customers of hollow gateways,
+// unless the fleet size times the number of customers of a group exceeds 2^32.
 const firstTenantID = 1 << 32
 
 // tenants returns the customers of the gateway processes in order of falling request rate, and their plans. Each plan
-// has half the quota of the plan before it. If a tenant's subset is larger than the number of gateway processes, the rest
-// of it are ranks of gateways that are not started.
+// has half the quota of the plan before it. A subset that is larger than the number of gateway processes also
+// contains ranks of gateways that are not started.
 func (e *Experiment) tenants() ([]gatewayprocess.Tenant, []planJSON) {
 	if e.Fleet.GatewayProcesses == 0 {
 		return nil, nil
 	}
 	config := &e.Tenants
-	busiestRate := e.busiestTenantRate()
-	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1 // number of subsets that are all processes
+	busiestQuota := e.busiestTenantQuota()
+	// The number of subsets that lie within the gateway processes; 1 if a subset is larger.
+	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
 	for i := range config.Count {
 		planIndex := int(config.ZipfExponent * math.Log2(float64(i+1)))
 		for len(plans) <= planIndex {
 			n := len(plans)
-			rate := busiestRate / math.Exp2(float64(n))
+			rate := busiestQuota / math.Exp2(float64(n))
 			plans = append(plans, newPlan(fmt.Sprintf("tenants-%d", n), rate, config.BurstS, 1))
 		}
 		tenants = append(tenants, gatewayprocess.Tenant{
@@ -39,8 +41,8 @@
 	return tenants, plans
 }
 
-// busiestTenantRate returns the quota of the tenant with the highest request rate, in units a second.
-func (e *Experiment) busiestTenantRate() float64 {
+// busiestTenantQuota returns the rate of the quota of the tenant with the highest request rate, in units a second.
+func (e *Experiment) busiestTenantQuota() float64 {
 	config := &e.Tenants
 	zipfSum := 0.0
 	for i := range config.Count {
