--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -50,7 +50,7 @@
 		c.requeueReport(call)
 	}
 	if outcome != Rejected {
-		c.local.releaseFallback()
+		c.localTokens.releaseFallback()
 	}
 	e.counter.recordOverload()
 	c.backoff.delayNext(e.now)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,22 +6,22 @@
 // customer is this gateway's state of one customer: its quota, its account at the counter, and its waiting
 // requests.
 type customer struct {
-	id       CustomerID
-	quota    quotaParameters // as of the newest request
-	lastSeen float64         // arrival of the newest request
+	id            CustomerID
+	quota         quotaParameters // as of the newest request
+	lastRequestAt float64         // arrival of the newest request
 
 	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
 	openAttempts int        // admitted requests whose first attempt has not ended, and further open attempts
 
-	demand demand
-	lease  lease
-	local  tokenBucket
+	demand      demand
+	lease       lease
+	localTokens tokenBucket
 
 	totalSeen       bool    // a reply of the counter has been applied under upfront leasing
 	exhaustedUntil  float64 // the shared bucket has too few units until then, as far as is known here
 	unreportedUnits float64 // units spent that the next call reports; below 0: units that it returns
 	window          counterWindow
-	shared          sharedBucket
+	sharedBucket    sharedBucketView
 	calls           pendingCalls
 	backoff         backoff
 }
@@ -40,8 +40,8 @@
 		c = e.addCustomer(r)
 	}
 	c.quota = e.quotaFor(&e.settings.Plans[r.Plan], r.Gateways, e.indexInGatewaySet(r))
-	c.demand.record(e.now-c.lastSeen, r.Units)
-	c.lastSeen = e.now
+	c.demand.record(e.now-c.lastRequestAt, r.Units)
+	c.lastRequestAt = e.now
 	return c
 }
 
@@ -58,8 +58,8 @@
 // ceiling the bucket of local tokens therefore starts empty, with the tokens earned since the gateway
 // started. Without a ceiling it starts full, which costs little.
 func (e *Engine) addCustomer(r Request) *customer {
-	c := &customer{id: r.Customer, lastSeen: e.now}
-	c.local.updatedAt = e.startedAt
+	c := &customer{id: r.Customer, lastRequestAt: e.now}
+	c.localTokens.updatedAt = e.startedAt
 	c.window.number = -1
 	e.customers.byID[c.id] = c
 	e.customers.ordered = append(e.customers.ordered, c)
@@ -79,15 +79,15 @@
 // nothing but local tokens admits requests.
 func (e *Engine) fillLocalTokens(c *customer, plan *Plan, gateways int) {
 	quota := e.quotaFor(plan, gateways, 0)
-	c.local.tokens = quota.localBurst
+	c.localTokens.tokens = quota.localBurst
 	burstPerGateway := plan.Burst / float64(max(gateways, 1))
-	if e.settings.HasCounter && burstPerGateway < c.local.tokens {
-		c.local.fallback = max(c.local.tokens-burstPerGateway-e.rng.Float64(), 0)
-		c.local.tokens -= c.local.fallback
+	if e.settings.HasCounter && burstPerGateway < c.localTokens.tokens {
+		c.localTokens.fallback = max(c.localTokens.tokens-burstPerGateway-e.rng.Float64(), 0)
+		c.localTokens.tokens -= c.localTokens.fallback
 	}
 	if quota.deferredReporting && !quota.smallGatewaySet {
 		// The shared bucket is full at the first call. Local tokens would add another burst to it.
-		c.local.tokens = 0
+		c.localTokens.tokens = 0
 	}
 }
 
@@ -115,6 +115,6 @@
 // isIdle reports whether a customer can be forgotten: it has sent nothing for customerIdleTimeout, and has no
 // open attempt, pending call or waiting request.
 func (e *Engine) isIdle(c *customer) bool {
-	return e.now-c.lastSeen > customerIdleTimeout &&
+	return e.now-c.lastRequestAt > customerIdleTimeout &&
 		c.openAttempts == 0 && c.calls.pending == 0 && len(c.waiting) == 0
 }
--- a/policy/deferredreporting.go
+++ b/policy/deferredreporting.go
@@ -11,9 +11,9 @@
 	minReportThreshold   = 2.0     // units: the lowest such threshold, so that not each request costs a call
 	reportGain           = 0.2     // weight of the newest report in the mean report
 
-	maxOverflow     = 0.75 // of the burst: more overflow than this is worth a call of its own
-	maxReportLag    = 0.25 // of the burst: the most refill that is kept for unreported units
-	maxCarryOverAge = 30.0 // seconds: an older balance is not carried over into a new window
+	overflowCallShare = 0.75 // of the burst: more overflow than this is worth a call of its own
+	maxReportLagShare = 0.25 // of the burst: the most refill that is kept for unreported units
+	maxCarryOverAge   = 30.0 // seconds: an older balance is not carried over into a new window
 
 	maxPrefetchShare      = 0.25 // of the bucket's balance: the largest prefetch of a lease
 	leaseTargetDuration   = 45.0 // seconds of sustained demand that a prefetch should cover
@@ -21,9 +21,9 @@
 	exhaustedReadPeriod   = 1.0 // seconds after exhaustedUntil in which a call only reads the total
 )
 
-// sharedBucket is this gateway's view of the shared bucket under deferred reporting. Upfront leasing does not
-// use it.
-type sharedBucket struct {
+// sharedBucketView is this gateway's view of the shared bucket under deferred reporting. Upfront leasing does
+// not use it.
+type sharedBucketView struct {
 	overflow   float64 // units found at the last call and not added to the total yet
 	meanReport float64 // units that a report holds, exponential mean
 	balance    float64 // units left in the bucket after the last call
@@ -41,8 +41,8 @@
 // others' leases. It requests its lease at once, without a prefetch.
 func (c *customer) deferredLeaseUnits(now float64) float64 {
 	switch {
-	case !c.shared.exhausted || now > c.exhaustedUntil+exhaustedReadPeriod:
-		prefetch := min(c.demand.sustainedRate*leaseTargetDuration, c.shared.balance*maxPrefetchShare)
+	case !c.sharedBucket.exhausted || now > c.exhaustedUntil+exhaustedReadPeriod:
+		prefetch := min(c.demand.sustainedRate*leaseTargetDuration, c.sharedBucket.balance*maxPrefetchShare)
 		return c.waitingUnits() + math.Floor(max(prefetch, 0))
 	case !c.quota.smallGatewaySet && c.withinFairShare():
 		return c.waitingUnits()
@@ -68,7 +68,7 @@
 // that this gateway found at its last call. That had built up since the call before, of any gateway, and the
 // gateways together call about as often as before.
 func (c *customer) deferredOverflow(refill float64) float64 {
-	return min(c.shared.overflow, max(refill-c.window.lastTotal, 0))
+	return min(c.sharedBucket.overflow, max(refill-c.window.lastTotal, 0))
 }
 
 // reconcileDeferred grants the lease that a call requested, as far as the returned total allows, and corrects
@@ -81,32 +81,32 @@
 //
 // In any time L a customer gets at most rate*L units, plus:
 //   - burstTolerance,
-//   - maxOverflow+maxReportLag bursts of refill that was not added as overflow yet,
+//   - the refill that was not added as overflow yet: up to overflowCallShare+maxReportLagShare of the burst,
 //   - the units leased before, and
 //   - for each gateway its unreported units: at most its local tokens, reportThresholdShare of a burst or
 //     minReportThreshold, whichever is largest.
 //
 // Over a long time this is the rate.
 func (e *Engine) reconcileDeferred(c *customer, call counterCall, total float64) {
-	reported := call.totalWithoutEstimates(total)
-	c.shared.recordReport(call.spent)
+	reportedTotal := call.totalWithoutEstimates(total)
+	c.sharedBucket.recordReport(call.spent)
 	requestUnits := c.nextRequestUnits()
 	capacity := c.quota.burst
 	// The tolerance must let a full bucket admit any request of at most its size.
 	burstTolerance := max(c.quota.burstTolerance, min(requestUnits, capacity))
 
-	corrected := c.totalAfterOverflow(call, reported)
-	c.shared.overflow = corrected - reported
-	carriedOver := reported-call.spent < minCorrection && e.now-c.shared.balanceAt < maxCarryOverAge
+	correctedTotal := c.totalAfterOverflow(call, reportedTotal)
+	c.sharedBucket.overflow = correctedTotal - reportedTotal
+	carriedOver := reportedTotal-call.spent < minCorrection && e.now-c.sharedBucket.balanceAt < maxCarryOverAge
 	if carriedOver {
 		// The total of a new window is 0, which stands for a full bucket. A recent balance is carried over
 		// from the window before, or each window would admit another burst.
-		corrected = max(corrected, call.refill+burstTolerance-c.shared.balance)
+		correctedTotal = max(correctedTotal, call.refill+burstTolerance-c.sharedBucket.balance)
 	}
-	c.shared.balance = min(burstTolerance-(corrected-call.refill), capacity)
+	c.sharedBucket.balance = min(burstTolerance-(correctedTotal-call.refill), capacity)
 	granted := e.grantDeferred(c, call, requestUnits)
 	if call.window == c.window.number {
-		e.correctTotal(c, call, total, corrected+granted, carriedOver)
+		e.correctTotal(c, call, total, correctedTotal+granted, carriedOver)
 	}
 }
 
@@ -117,50 +117,51 @@
 // the total too high, and takes its estimate back. A negative adjustment and a balance carried over from
 // the window before are not estimates, and stay in the total.
 func (call *counterCall) totalWithoutEstimates(total float64) float64 {
-	reported := total - call.leaseUnits
+	reportedTotal := total - call.leaseUnits
 	if !call.carriedOver {
-		reported -= max(call.adjustment, 0)
+		reportedTotal -= max(call.adjustment, 0)
 	}
-	return reported
+	return reportedTotal
 }
 
 // recordReport updates the mean report with the units of a report, if it holds any.
-func (b *sharedBucket) recordReport(spent float64) {
+func (b *sharedBucketView) recordReport(spent float64) {
 	if spent > 0 {
 		b.meanReport += reportGain * (spent - b.meanReport)
 	}
 }
 
 // totalAfterOverflow returns the total with all overflow added. Refill within the report lag is no overflow.
-func (c *customer) totalAfterOverflow(call counterCall, reported float64) float64 {
-	lag := min(c.shared.meanReport/2*c.quota.gatewayCount, maxReportLag*c.quota.burst)
-	return max(reported, call.refill-lag)
+func (c *customer) totalAfterOverflow(call counterCall, reportedTotal float64) float64 {
+	lag := min(c.sharedBucket.meanReport/2*c.quota.gatewayCount, maxReportLagShare*c.quota.burst)
+	return max(reportedTotal, call.refill-lag)
 }
 
 // grantDeferred grants the lease that a call requested, as far as the bucket's balance allows, and returns
 // the units granted. If they are too few, it sets the time until which the bucket is exhausted.
 func (e *Engine) grantDeferred(c *customer, call counterCall, requestUnits float64) float64 {
-	granted := affordableUnits(call.leaseUnits, c.shared.balance, requestUnits)
-	c.shared.exhausted = granted < call.leaseUnits || call.leaseUnits == 0 && c.shared.balance < requestUnits
-	if c.shared.exhausted {
-		maxMissing := c.maxRefillWaitRequests() * requestUnits
-		missing := min(2*requestUnits-c.shared.balance+granted, maxMissing)
+	granted := affordableUnits(call.leaseUnits, c.sharedBucket.balance, requestUnits)
+	c.sharedBucket.exhausted = granted < call.leaseUnits ||
+		call.leaseUnits == 0 && c.sharedBucket.balance < requestUnits
+	if c.sharedBucket.exhausted {
+		maxMissing := c.refillWaitLimit() * requestUnits
+		missing := min(2*requestUnits-c.sharedBucket.balance+granted, maxMissing)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 	}
-	c.shared.balance -= granted
-	c.shared.balanceAt = e.now
+	c.sharedBucket.balance -= granted
+	c.sharedBucket.balanceAt = e.now
 	c.lease.add(granted, e.now+deferredLeaseLifetime)
 	return granted
 }
 
-// maxRefillWaitRequests returns how many requests' units an exhausted bucket must earn, at most, before this
+// refillWaitLimit returns how many requests' units an exhausted bucket must earn, at most, before this
 // gateway calls again. The more gateways compete for the refill, the later there is some left for this one,
 // unless its demand is within its fair share.
-func (c *customer) maxRefillWaitRequests() float64 {
+func (c *customer) refillWaitLimit() float64 {
 	if c.withinFairShare() {
-		return maxRefillWait
+		return maxRefillWaitRequests
 	}
-	return max(maxRefillWait, c.quota.gatewayCount/2)
+	return max(maxRefillWaitRequests, c.quota.gatewayCount/2)
 }
 
 // correctTotal corrects the counter's total to a target if the difference is worth a call. The difference is
@@ -171,12 +172,12 @@
 	c.window.lastTotal = total
 	correction := target - total
 	requestUnits := c.nextRequestUnits()
-	startsWindow := carriedOver && correction > requestUnits
-	if correction <= maxOverflow*c.quota.burst && correction >= -minCorrection*requestUnits &&
-		!startsWindow {
+	needsCarryOver := carriedOver && correction > requestUnits
+	if correction <= overflowCallShare*c.quota.burst && correction >= -minCorrection*requestUnits &&
+		!needsCarryOver {
 		return
 	}
-	c.shared.overflow = 0
+	c.sharedBucket.overflow = 0
 	c.window.lastTotal += correction
 	next := call.newCorrection(correction)
 	next.refill = call.refill
--- a/policy/deferredreporting_test.go
+++ b/policy/deferredreporting_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("%d calls, want 4 at most", calls)
 	}
 	refill := gateways[0].windowRefill(1)
-	if total := totals[name]; math.Abs(total-refill) > 40*(maxReportLag+0.01) {
+	if total := totals[name]; math.Abs(total-refill) > 40*(maxReportLagShare+0.01) {
 		t.Errorf("the total is %.1f, want about %.1f, that of a full bucket", total, refill)
 	}
 }
--- a/policy/localtokens.go
+++ b/policy/localtokens.go
@@ -34,14 +34,14 @@
 
 // takeLocalTokens spends units of the local tokens if there are as many, and reports whether there were.
 func (c *customer) takeLocalTokens(now, units float64) bool {
-	c.local.refill(now, c.quota.localRate, c.quota.localBurst)
-	return c.local.take(units)
+	c.localTokens.refill(now, c.quota.localRate, c.quota.localBurst)
+	return c.localTokens.take(units)
 }
 
 // chargeLocalTokens takes units that were spent from a lease out of the local tokens as well, down to a debt
 // of localBurst. Otherwise leases and local tokens together would exceed the quota when the counter replies
 // only now and then.
 func (c *customer) chargeLocalTokens(now, units float64) {
-	c.local.refill(now, c.quota.localRate, c.quota.localBurst)
-	c.local.tokens = max(c.local.tokens-units, -c.quota.localBurst)
+	c.localTokens.refill(now, c.quota.localRate, c.quota.localBurst)
+	c.localTokens.tokens = max(c.localTokens.tokens-units, -c.quota.localBurst)
 }
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -147,5 +147,5 @@
 		return
 	}
 	c.unreportedUnits -= units
-	c.local.add(units, c.quota.localBurst)
+	c.localTokens.add(units, c.quota.localBurst)
 }
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -318,7 +318,7 @@
 		result := load.run(t)
 		// Two bursts, the overflow and report lag that may not have been added to the total, the refill meanwhile, and
 		// the local tokens.
-		maxSent := load.plan.Burst*(2+maxOverflow+maxReportLag) + load.plan.Rate*burstTime +
+		maxSent := load.plan.Burst*(2+overflowCallShare+maxReportLagShare) + load.plan.Rate*burstTime +
 			largeSetLocalBurst*float64(gateways)
 		if float64(result.sent) > maxSent {
 			t.Errorf("%d gateways sent %d of %d requests, want %.0f at most",
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -6,8 +6,8 @@
 // the terms, and counterWindow for total, refill and overflow.
 
 const (
-	maxRefillWait      = 3.0 // requests whose units an exhausted bucket earns, at most, until the next call
-	leaseLifetimeShare = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
+	maxRefillWaitRequests = 3.0 // requests whose units an exhausted bucket earns, at most, until the next call
+	leaseLifetimeShare    = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
 )
 
 // upfrontLeaseUnits returns the units of the next lease, a whole number: those of the waiting requests, and a
@@ -42,14 +42,14 @@
 // refilling window it takes the units that were not granted out of the total again. In a fixed window they
 // stay: no gateway gets more until the next window, and returning them would double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
-	corrected := c.correctedTotal(call, total)
+	correctedTotal := c.totalBeforeLease(call, total)
 	requestUnits := c.nextRequestUnits()
-	available := c.quota.burst - (corrected - call.refill)
+	available := c.quota.burst - (correctedTotal - call.refill)
 	granted := affordableUnits(call.leaseUnits, available, requestUnits)
 	if granted < call.leaseUnits {
 		// Another gateway may have added the same overflow, and be about to take it back. Until then the
 		// bucket looks emptier than it is, so the wait is bounded.
-		missing := min(2*requestUnits-available+granted, maxRefillWait*requestUnits)
+		missing := min(2*requestUnits-available+granted, maxRefillWaitRequests*requestUnits)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
 			c.exhaustedUntil = c.windowEnd(call.window)
@@ -57,27 +57,27 @@
 	}
 	c.lease.add(granted, e.now+leaseLifetimeShare*c.quota.burst/max(c.quota.rate, minRate))
 	if c.window.number == call.window {
-		c.window.lastTotal = corrected + granted
+		c.window.lastTotal = correctedTotal + granted
 	}
 	c.totalSeen = true
 	// The difference is units that were not granted, or a total that the counter has lost.
-	correction := corrected + granted - total
+	correction := correctedTotal + granted - total
 	if c.quota.smallGatewaySet && math.Abs(correction) > minCorrection*requestUnits {
 		e.callCounter(call.newCorrection(correction))
 	}
 }
 
-// correctedTotal returns what the total should have been before a call's lease was added. It takes out the
+// totalBeforeLease returns what the total should have been before a call's lease was added. It takes out the
 // adjustment that the call made, and then raises the total to the refill. If the window is new to the
 // counter, it raises the total also to the last one seen here, and to the one that leaves the initial
 // balance.
-func (c *customer) correctedTotal(call counterCall, total float64) float64 {
-	before := total - call.adjustment - call.leaseUnits
-	corrected := max(before, call.refill)
-	if before-call.spent < minCorrection { // the window is new, or the counter has lost its total
-		corrected = max(corrected, c.window.lastTotal, call.refill+c.quota.burst-c.quota.initialBalance)
+func (c *customer) totalBeforeLease(call counterCall, total float64) float64 {
+	totalBeforeCall := total - call.adjustment - call.leaseUnits
+	correctedTotal := max(totalBeforeCall, call.refill)
+	if totalBeforeCall-call.spent < minCorrection { // the window is new, or the counter has lost its total
+		correctedTotal = max(correctedTotal, c.window.lastTotal, call.refill+c.quota.burst-c.quota.initialBalance)
 	}
-	return corrected
+	return correctedTotal
 }
 
 // returnUnusedUnits returns units to the shared bucket under upfront leasing, if they are worth a call.
