--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -115,7 +115,7 @@
 	for range 9 {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Customer: 5, Units: 1, Gateways: 11, Deadline: d.now + 2})
-		sent += len(actionsOf[SendAttempt](d.answerAll(out, func(call CounterAdd) float64 {
+		sent += len(actionsOf[SendAttempt](d.replyToAll(out, func(call CounterAdd) float64 {
 			total += call.Amount
 			return total
 		})))
@@ -150,7 +150,7 @@
 			request := func(plan int) []Action {
 				d.nextID++
 				out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 2, Deadline: d.now + 2})
-				return d.answerAll(out, func(call CounterAdd) float64 { // other gateways have used up the quota of plan 1
+				return d.replyToAll(out, func(call CounterAdd) float64 { // other gateways have used up the quota of plan 1
 					if plan == 1 {
 						return 1000
 					}
--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -2,17 +2,17 @@
 
 // Pauses after failed calls, in seconds.
 const (
-	minCounterBackoff = 0.25 // the first pause; it doubles with each further failure in a row
+	minCounterBackoff = 0.25 // the first pause; each further failure in a row doubles the pause
 	maxCounterBackoff = 2.0  // the longest pause
 )
 
 // backoff is the exponential backoff of one customer's calls to the counter. The zero value is no backoff.
 type backoff struct {
-	pause float64 // seconds; grows with each failure in a row
+	pause float64 // seconds; length of the pause, which grows with each failure in a row
 	until float64 // clock time before which no call is made
 }
 
-// active reports whether a pause is in progress: no call may be made yet.
+// active reports whether a pause is in progress, during which no call may be made.
 func (b *backoff) active(now float64) bool { return now < b.until }
 
 // delayNext lengthens the pause and begins it.
@@ -28,7 +28,7 @@
 	b.grow()
 }
 
-// delayOnce begins the shortest pause. The pause after the next failure is not changed.
+// delayOnce begins the shortest pause. It does not lengthen the pause after the next failure.
 func (b *backoff) delayOnce(now float64) { b.until = now + minCounterBackoff }
 
 // reset sets the pause back to 0 after a call that did not fail. A pause in progress goes on.
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -3,43 +3,43 @@
 import "slices"
 
 const (
-	counterNameTTL     = 60.0 // seconds for which the counter keeps a name: longer than a window
-	maxUnansweredCalls = 64   // timed-out calls that are remembered, in case the reply comes late
+	counterNameTTL     = 60.0 // seconds for which the counter keeps a name; longer than a window
+	maxUnansweredCalls = 64   // timed-out calls that are kept for a late reply, at most
 )
 
-// counterCall is a pending CounterAdd. Its amounts are in units, and the counter adds their sum to the
-// total of a window.
+// counterCall is a call to the counter by a CounterAdd. The counter adds the sum of spent, adjustment and
+// leaseUnits, all in units, to the total of a window.
 type counterCall struct {
 	id             uint64
 	customer       *customer
-	name           uint64  // of the window's total at the counter
+	name           uint64  // name of the window's total at the counter
 	window         float64 // number of the window
-	refill         float64 // of the window when the call was made
-	spent          float64 // the report: units that have been spent; below 0: units returned
-	adjustment     float64 // overflow, or a correction of the total, which may be below 0
-	leaseUnits     float64 // the lease that is requested, charged in advance
-	isLeaseRequest bool    // requests wait for the reply; leaseUnits is 0 in a call that only reads the total
-	carriedOver    bool    // adjustment carries the balance of the window before into this window
+	refill         float64 // units; the window's refill when the call was made
+	spent          float64 // units that the call reports as spent; below 0: units that it returns
+	adjustment     float64 // units of overflow, or a correction of the total, which may be below 0
+	leaseUnits     float64 // units of the requested lease; 0: no lease, or the call only reads the total
+	isLeaseRequest bool    // requests wait for the reply, even if the call only reads the total
+	carriedOver    bool    // adjustment includes the balance that is carried over from the window before
 }
 
 // amount returns the units that the counter is to add.
 func (call *counterCall) amount() float64 { return call.spent + call.adjustment + call.leaseUnits }
 
-// counterState holds the calls to the counter service and their recent failure rate.
+// counterState holds the pending and timed-out calls to the counter service, and their recent failure rate.
 type counterState struct {
-	pending     map[uint64][]counterCall // by name, in the order of the calls
+	pending     map[uint64][]counterCall // by name, oldest call first
 	lastCallID  uint64
-	unanswered  []counterCall // calls that timed out lately, oldest first
+	unanswered  []counterCall // timed-out calls whose reply may still come, oldest first
 	failureRate float64       // share of recent calls that failed through overload
 }
 
 // pendingCalls counts the pending calls of one customer.
 type pendingCalls struct {
-	pending              int // of any kind
-	pendingLeaseRequests int // of these, requests for a lease
+	pending              int // all pending calls
+	pendingLeaseRequests int // the pending calls for which isLeaseRequest is set
 }
 
-// add counts a call that begins (n is 1) or ends (n is -1).
+// add adds n to the counts that apply to a call. n is 1 when the call is made, and -1 when it has ended.
 func (p *pendingCalls) add(call counterCall, n int) {
 	p.pending += n
 	if call.isLeaseRequest {
@@ -47,8 +47,8 @@
 	}
 }
 
-// newReport returns a call for the present window that reports the unreported units, and marks them as
-// reported.
+// newReport returns a call for the present window that reports the unreported units, and sets
+// unreportedUnits to 0.
 func (c *customer) newReport(refill float64) counterCall {
 	call := counterCall{
 		customer: c,
@@ -61,12 +61,13 @@
 	return call
 }
 
-// newCorrection returns a call that corrects by units the total to which an earlier call added.
+// newCorrection returns a call that corrects the total of an earlier call's window by the given units, which
+// may be below 0.
 func (call *counterCall) newCorrection(units float64) counterCall {
 	return counterCall{customer: call.customer, name: call.name, window: call.window, adjustment: units}
 }
 
-// callCounter makes a call. Replies for one name arrive in the order of the calls.
+// callCounter makes a call to the counter. Replies for the same name arrive in the order of the calls.
 func (e *Engine) callCounter(call counterCall) {
 	e.counter.lastCallID++
 	call.id = e.counter.lastCallID
@@ -75,8 +76,8 @@
 	e.emit(CounterAdd{CallID: call.id, Name: call.name, Amount: call.amount(), TTL: counterNameTTL})
 }
 
-// takePendingCall removes and returns the oldest pending call for a name, which the next reply answers. ok is
-// false if none is pending.
+// takePendingCall removes and returns the oldest pending call for a name, to which the next reply for that
+// name belongs. ok is false if no call is pending for the name.
 func (e *Engine) takePendingCall(name uint64) (call counterCall, ok bool) {
 	pending := e.counter.pending[name]
 	if len(pending) == 0 {
@@ -92,14 +93,14 @@
 	return call, true
 }
 
-// rememberUnanswered keeps a call that timed out, in case its reply comes late. Beyond maxUnansweredCalls it
-// drops the oldest.
+// rememberUnanswered keeps a call that timed out, in case its reply comes late. It drops the oldest call if
+// there are already maxUnansweredCalls calls.
 func (s *counterState) rememberUnanswered(call counterCall) {
 	excess := max(len(s.unanswered)+1-maxUnansweredCalls, 0)
 	s.unanswered = append(s.unanswered[excess:], call)
 }
 
-// takeUnanswered removes and returns the timed-out call with the given id. ok is false if it has been
+// takeUnanswered removes and returns the timed-out call with the given id. ok is false if the call has been
 // dropped.
 func (s *counterState) takeUnanswered(id uint64) (call counterCall, ok bool) {
 	at := slices.IndexFunc(s.unanswered, func(call counterCall) bool { return call.id == id })
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -1,26 +1,27 @@
 package policy
 
-// Some calls are shed while calls to the counter fail, so that an overloaded counter recovers. These values
-// suit any deployment.
+// While calls to the counter fail, a share of the calls is shed, so that an overloaded counter can recover.
 const (
 	counterFailureGain = 0.05 // weight of the newest call in the failure rate
-	shedFactor         = 4.0  // the share of calls to shed is this many times the failure rate
-	maxShedShare       = 0.9  // of the calls, however high the failure rate
+	shedFactor         = 4.0  // the share of calls to shed is the failure rate times shedFactor
+	maxShedShare       = 0.9  // share of the calls; upper bound of the share to shed
 )
 
-// recordReply counts the outcome of a call in the failure rate as no sign of overload.
+// recordReply updates the failure rate with a call that did not fail through overload.
 func (s *counterState) recordReply() { s.failureRate -= counterFailureGain * s.failureRate }
 
-// recordOverload changes the outcome that recordReply counted last to a failure.
+// recordOverload marks the call that recordReply has just counted as failed through overload.
 func (s *counterState) recordOverload() { s.failureRate += counterFailureGain }
 
-// shedCounterCall decides whether to shed the call for a customer's first waiting request, and reports it. A
-// shed call delays the customer's next one. The higher the failure rate, the more calls are shed.
+// shedCounterCall decides at random whether to shed the call for a customer's first waiting request, and
+// returns true if the call is shed. After a shed call, the customer's next call is delayed. The higher the
+// failure rate, the more calls are shed.
 //
-// In a large gateway set, each gateway finds out by a call of its own that a quota is exhausted, and a
+// In a large gateway set, each gateway learns only from its own call that a quota is exhausted, and a
 // rejected client retries at another gateway. Most calls in an overload are therefore for retries and are
-// granted nothing. They are shed first, and among retries and among first requests the lowest level is shed
-// first. In a small set each gateway knows which quotas are exhausted, and all calls are shed alike.
+// granted nothing. Calls for retries are shed first. Among the calls for retries, and among the calls for
+// first requests, calls for the lowest level are shed first. In a small gateway set, each gateway knows which
+// quotas are exhausted, and all calls are shed with the same probability.
 func (e *Engine) shedCounterCall(c *customer) bool {
 	shedShare := min(shedFactor*e.counter.failureRate, maxShedShare)
 	if !c.quota.smallGatewaySet {
@@ -33,11 +34,13 @@
 	return true
 }
 
-// shedShareFor returns the share to shed of the calls for requests like this one, if shedShare of all calls
-// are shed: calls for retries before those for first requests, and lower levels before higher ones.
+// shedShareFor returns which share to shed of the calls for requests of the same kind as req, if shedShare of
+// all calls are to be shed. Requests are of the same kind if they have the same level and are all retries or
+// all first requests. Calls for retries are shed before calls for first requests, and calls for lower levels
+// before calls for higher levels.
 func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
-	// shedBefore is the share of all calls that are shed before those for requests like this one, which are
-	// callShare of all calls.
+	// shedBefore is the share of all calls that are shed before calls for requests of this kind. callShare is
+	// the share of calls for requests of this kind in all calls.
 	shedBefore, callShare := 0.0, e.retries.clientRetryShare
 	if !req.IsRetry {
 		shedBefore, callShare = e.retries.clientRetryShare, 1-e.retries.clientRetryShare
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -3,9 +3,9 @@
 // handleCounterReply applies the outcome of a call, and then decides again on the customer's waiting
 // requests.
 //
-// A call without a reply grants nothing. The counter may have added its amount; if so, the next total
-// includes it. A call with a malformed reply grants nothing either, but its amount was added, and the next
-// call takes it back.
+// A call without a reply grants nothing. The counter may have added the call's amount; if it has, the next
+// total includes the amount. A call with a malformed reply grants nothing either. The counter has added its
+// amount, and the next call takes back the units for the lease.
 func (e *Engine) handleCounterReply(event CounterReply) {
 	call, ok := e.takePendingCall(event.Name)
 	if !ok {
@@ -30,9 +30,10 @@
 	e.admit(c)
 }
 
-// handleMalformedReply handles a reply that cannot be read, or a connection that broke. Neither is a sign of
-// overload: to treat them as overload would shed calls that the counter can handle, and reject requests of
-// customers within their quotas. So the counter may be called again at once, unless failures repeat.
+// handleMalformedReply handles a reply that cannot be read, or a connection that was reset. Neither is a sign
+// of overload. To treat them as overload would shed calls that the counter can handle, and would reject
+// requests of customers within their quotas. After a single failure of this kind, the counter may therefore
+// be called again at once. After repeated failures, there is a backoff.
 func (e *Engine) handleMalformedReply(c *customer, call counterCall, outcome Outcome) {
 	if outcome == Failed {
 		c.reclaimLease(call)
@@ -42,9 +43,10 @@
 
 // handleCounterOverload handles a call that was rejected or had no reply.
 //
-// A rejected call has changed nothing. The next call repeats its report, since units that it was to return
-// would be missing at all gateways. A call that timed out may have been added, and its report is not
-// repeated. A call that fails in any way but a rejection releases the fallback of the local tokens.
+// If a call did not time out, the counter has not added its amount, and the next call repeats the report.
+// Otherwise units that the call should have returned would be missing at all gateways. If a call timed out,
+// the counter may have added its amount, and the report is not repeated. The fallback of the local tokens is
+// released unless the call was rejected.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
@@ -59,9 +61,8 @@
 // handleLateCounterReply applies the outcome of a call that had timed out before.
 //
 // A counter that is slow for a moment still adds the amount, and units that are added and not granted are
-// missing at all gateways. So a late total grants the same units as one in time, and ends the backoff. The
-// backoff goes on where the counter is slow for every call or the network is silent. The total of a window
-// that is over is ignored.
+// missing at all gateways. A total that arrives late is therefore applied as if it had arrived in time, and
+// ends the backoff. The backoff goes on if no reply arrives. A reply for a window that is over is ignored.
 func (e *Engine) handleLateCounterReply(event LateCounterReply) {
 	call, ok := e.counter.takeUnanswered(event.CallID)
 	if !ok {
@@ -85,14 +86,14 @@
 	e.admit(c)
 }
 
-// needsTotal reports whether the total that a call returns is used: under deferred reporting always, under
-// upfront leasing if the call requested a lease.
+// needsTotal reports whether the total that a call returned has to be applied. Under deferred reporting,
+// every total is applied. Under upfront leasing, only the total that a lease request returned is applied.
 func (c *customer) needsTotal(call counterCall) bool {
 	return call.leaseUnits > 0 || c.quota.deferredReporting
 }
 
-// applyTotal grants the lease that a call requested, as far as the total that it returned allows, and
-// corrects the total at the counter.
+// applyTotal grants the lease that a call requested, as far as the returned total allows, and corrects the
+// total at the counter.
 func (e *Engine) applyTotal(c *customer, call counterCall, total float64) {
 	if c.quota.deferredReporting {
 		e.reconcileDeferred(c, call, total)
@@ -101,10 +102,10 @@
 	}
 }
 
-// reclaimLease makes the next call take back the units that a call added to the total and that were not
-// granted. Under deferred reporting this includes the call's adjustment; the next call adds the overflow
-// again. In the refilling windows of upfront leasing the adjustment stays: the first call of a window must
-// not find a smaller total than it reported. A fixed window has no overflow.
+// reclaimLease makes the next call take back the lease units that a call added to the total and that were not
+// granted. Under deferred reporting, the next call also takes back the adjustment, and the overflow in it is
+// added again later. Under upfront leasing, the adjustment stays in the total: without the overflow that the
+// first call of a refilling window adds, the shared bucket would hold more than its initial balance.
 func (c *customer) reclaimLease(call counterCall) {
 	if call.leaseUnits > 0 && call.window == c.window.number {
 		c.unreportedUnits -= call.leaseUnits
@@ -114,10 +115,12 @@
 	}
 }
 
-// requeueReport makes the next call report the units of a call that was not added.
+// requeueReport makes the next call repeat the report of a call whose amount the counter has not added, and
+// the corrections in the call that still apply.
 func (c *customer) requeueReport(call counterCall) {
 	if c.quota.deferredReporting {
-		// Spent units count in any window, while overflow and corrections concern only their own.
+		// Spent units may be reported in any window, a correction only in the window that it was made for. The
+		// next call does not repeat adjustments above 0, since overflow is determined again.
 		c.unreportedUnits += call.spent
 		if call.window == c.window.number {
 			c.unreportedUnits += min(call.adjustment, 0)
@@ -126,7 +129,7 @@
 	}
 	if call.window == c.window.number && call.name == c.window.name {
 		c.unreportedUnits += call.spent
-		if call.leaseUnits == 0 {
+		if call.leaseUnits == 0 { // else the adjustment is overflow, which is determined again
 			c.unreportedUnits += call.adjustment
 		}
 	}
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -4,23 +4,24 @@
 
 // counterWindow is the window of a customer's quota that this gateway entered last.
 //
-// The counter keeps a total of units for each window, under a name of its own. The total holds all units
-// that the gateways have charged since the window began: units spent, units leased, and overflow. The
-// refill is the units that the shared bucket has earned in the same time. The bucket is full where the
-// total is equal to the refill, and empty where the total exceeds the refill by the burst (by
-// burstTolerance under deferred reporting): its balance is burst + refill - total. A fixed window has no
-// refill.
+// The counter keeps a total of units for each window, under a separate name. The total holds all units that
+// the gateways have charged since the window began: units spent, units leased, and overflow. The refill is
+// the number of units that the shared bucket has earned since the window began; it is 0 in a fixed window.
 //
-// Overflow is refill that arrives while the bucket is full. A token bucket discards it. Here the gateways add
-// it to the total, so that the total does not fall behind the refill.
+// The balance of the shared bucket is burst + refill - total, or, under deferred reporting, burstTolerance +
+// refill - total, but at most burst. Under upfront leasing, the bucket is thus full if the total is equal to
+// the refill.
+//
+// Overflow is refill that arrives while the bucket is full. A token bucket discards the overflow. Here the
+// gateways add the overflow to the total, so that the total does not fall behind the refill.
 type counterWindow struct {
-	number    float64 // a whole number that grows with time; -1: no window was entered yet
-	name      uint64  // of the window's total at the counter
-	lastTotal float64 // units: the total as last seen; 0: not seen yet
+	number    float64 // a whole number, one higher in each window; -1: no window was entered yet
+	name      uint64  // name of the window's total at the counter
+	lastTotal float64 // units; the total as this gateway last saw it, 0: not seen yet
 }
 
-// enterWindow enters the window that contains now. Under upfront leasing it drops the unreported units and
-// the exhaustion of the window before, which do not concern this one.
+// enterWindow enters the present window. When a new window begins under upfront leasing, it drops the
+// unreported units and the exhaustion, which belong to the window before.
 func (c *customer) enterWindow(now float64) {
 	number := math.Floor(now/c.quota.windowDuration + c.windowPhase())
 	if number == c.window.number {
@@ -53,8 +54,9 @@
 // Windows of different customers thus begin at different times, which spreads the calls for new windows.
 func (c *customer) windowPhase() float64 { return float64(splitMix64(uint64(c.id))%1024) / 1024 }
 
-// splitMix64 hashes a number, so that names at the counter do not collide. It is one step of the generator
-// SplitMix64 by Sebastiano Vigna (https://prng.di.unimi.it/splitmix64.c).
+// splitMix64 hashes a number. Hashes serve as names at the counter, so that different names hardly ever
+// collide. The function is one step of the generator SplitMix64 by Sebastiano Vigna
+// (https://prng.di.unimi.it/splitmix64.c).
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -3,37 +3,40 @@
 // customerIdleTimeout is the time in seconds after which a customer without requests is forgotten.
 const customerIdleTimeout = 60.0
 
-// customer is this gateway's state of one customer: its quota, its account at the counter, and its waiting
-// requests.
+// customer holds this gateway's state for one customer: the quota and its use, the waiting requests, and the
+// calls to the counter.
+//
+// openAttempts counts the slots of localConcurrency in use: one for each admitted request until its first
+// attempt ends, and one for each further attempt in flight.
 type customer struct {
 	id            CustomerID
 	quota         quotaParameters // as of the newest request
-	lastRequestAt float64         // arrival of the newest request
+	lastRequestAt float64         // clock time at which the newest request arrived
 
 	waiting      []*request // not admitted yet: highest level first, each level in order of arrival
-	openAttempts int        // admitted requests whose first attempt has not ended, and further open attempts
+	openAttempts int        // slots of localConcurrency in use
 
 	demand      demand
 	lease       lease
 	localTokens tokenBucket
 
-	totalSeen       bool    // a reply of the counter has been applied under upfront leasing
-	exhaustedUntil  float64 // the shared bucket has too few units until then, as far as is known here
-	unreportedUnits float64 // units spent that the next call reports; below 0: units that it returns
+	totalSeen       bool    // a total from the counter has been applied under upfront leasing
+	exhaustedUntil  float64 // clock time until which the shared bucket is expected to have too few units
+	unreportedUnits float64 // spent units that the next call reports; below 0: units that it returns
 	window          counterWindow
 	sharedBucket    sharedBucketView
 	calls           pendingCalls
 	backoff         backoff
 }
 
-// customerSet holds the customers that have sent requests lately.
+// customerSet holds the customers that have sent requests, until they are idle (see isIdle).
 type customerSet struct {
 	byID    map[CustomerID]*customer
-	ordered []*customer // in order of their first requests
+	ordered []*customer // the same customers, in the order in which they were added
 }
 
-// customerFor returns the customer of a request and updates its quota and demand. It adds an unknown
-// customer.
+// customerFor returns the customer of a request and updates the customer's quota and demand. It adds the
+// customer if it is not known yet.
 func (e *Engine) customerFor(r Request) *customer {
 	c := e.customers.byID[r.Customer]
 	if c == nil {
@@ -54,9 +57,9 @@
 
 // addCustomer adds the customer of a request.
 //
-// The gateway may have been restarted, and may have spent the customer's local tokens before. Under a
-// ceiling the bucket of local tokens therefore starts empty, with the tokens earned since the gateway
-// started. Without a ceiling it starts full, which costs little.
+// The gateway may have been restarted, and may have spent the customer's local tokens before the restart.
+// Under a ceiling, the local tokens are therefore only those earned since the gateway's start. Without a
+// ceiling, fillLocalTokens adds tokens at once: tokens that are spent twice then cost little.
 func (e *Engine) addCustomer(r Request) *customer {
 	c := &customer{id: r.Customer, lastRequestAt: e.now}
 	c.localTokens.updatedAt = e.startedAt
@@ -70,15 +73,16 @@
 	return c
 }
 
-// fillLocalTokens fills the local tokens of a customer that is new to this gateway.
+// fillLocalTokens sets the first local tokens of a customer that is new to this gateway.
 //
-// In a large gateway set, a gateway's part of the burst is less than a unit. If each gateway started with a
-// whole unit, each would admit one while the counter rejects calls for a moment. So each starts with its
-// part and a random addition, which lets the set as a whole admit about the burst. The rest of the unit
-// becomes the fallback, for a counter that does not reply. Without a counter there is no such split, since
-// nothing but local tokens admits requests.
+// In a large gateway set, a gateway's equal part of the burst may be less than one unit, while localBurst is
+// at least one unit. If the counter rejects calls for a moment, the gateways together would admit far more
+// than the burst if each started with a whole unit. Each gateway therefore starts with its part and a random
+// fraction of a unit, so that the gateways together admit about the burst. The remaining tokens up to
+// localBurst become the fallback, which is released when the counter does not reply. Without a counter,
+// nothing is withheld, since only local tokens admit requests.
 func (e *Engine) fillLocalTokens(c *customer, plan *Plan, gateways int) {
-	quota := e.quotaFor(plan, gateways, 0)
+	quota := e.quotaFor(plan, gateways, 0) // any index: localConcurrency is not used here
 	c.localTokens.tokens = quota.localBurst
 	burstPerGateway := plan.Burst / float64(max(gateways, 1))
 	if e.settings.HasCounter && burstPerGateway < c.localTokens.tokens {
@@ -86,13 +90,13 @@
 		c.localTokens.tokens -= c.localTokens.fallback
 	}
 	if quota.deferredReporting && !quota.smallGatewaySet {
-		// The shared bucket is full at the first call. Local tokens would add another burst to it.
+		// The shared bucket is full at the first call, and full local buckets would add another burst.
 		c.localTokens.tokens = 0
 	}
 }
 
-// maintainCustomers expires leases, forgets idle customers, and for the others returns unused units to the
-// counter and decides again on waiting requests.
+// maintainCustomers expires leases and forgets idle customers. For customers that are not idle, it returns
+// unused units to the shared bucket and decides again on the waiting requests.
 func (e *Engine) maintainCustomers() {
 	active := e.customers.ordered[:0]
 	for _, c := range e.customers.ordered {
@@ -112,8 +116,8 @@
 	e.customers.ordered = active
 }
 
-// isIdle reports whether a customer can be forgotten: it has sent nothing for customerIdleTimeout, and has no
-// open attempt, pending call or waiting request.
+// isIdle reports whether a customer can be forgotten: its last request arrived more than customerIdleTimeout
+// ago, and it has no open attempt, pending counter call or waiting request.
 func (e *Engine) isIdle(c *customer) bool {
 	return e.now-c.lastRequestAt > customerIdleTimeout &&
 		c.openAttempts == 0 && c.calls.pending == 0 && len(c.waiting) == 0
--- a/policy/deferredreporting.go
+++ b/policy/deferredreporting.go
@@ -2,43 +2,46 @@
 
 import "math"
 
-// Deferred reporting: the gateways spend local tokens first and report them to the counter later. See
-// quotaParameters for the terms, and counterWindow for total, refill and overflow.
+// Under deferred reporting, the gateways spend local tokens first and report them to the counter later.
+// quotaParameters describes leases and windows; counterWindow describes total, refill and overflow.
 
-// These values suit any deployment.
+// Parameters of deferred reporting.
 const (
-	reportThresholdShare = 1.0 / 3 // of the burst: unreported units at which a gateway reports
-	minReportThreshold   = 2.0     // units: the lowest such threshold, so that not each request costs a call
+	reportThresholdShare = 1.0 / 3 // share of the burst; lower bound of the report threshold (reportIfDue)
+	minReportThreshold   = 2.0     // units; with a lower threshold, each request could cost a call
 	reportGain           = 0.2     // weight of the newest report in the mean report
 
-	overflowCallShare = 0.75 // of the burst: more overflow than this is worth a call of its own
-	maxReportLagShare = 0.25 // of the burst: the most refill that is kept for unreported units
-	maxCarryOverAge   = 30.0 // seconds: an older balance is not carried over into a new window
+	overflowCallShare = 0.75 // share of the burst; overflow above it is added to the total by an extra call
+	maxReportLagShare = 0.25 // share of the burst; upper bound of the report lag (reconcileDeferred)
+	maxCarryOverAge   = 30.0 // seconds; an older balance is not carried over into a new window
 
-	maxPrefetchShare      = 0.25 // of the bucket's balance: the largest prefetch of a lease
+	maxPrefetchShare      = 0.25 // share of the bucket's balance; upper bound of a lease's prefetch
 	leaseTargetDuration   = 45.0 // seconds of sustained demand that a prefetch should cover
 	deferredLeaseLifetime = 2 * leaseTargetDuration
-	exhaustedReadPeriod   = 1.0 // seconds after exhaustedUntil in which a call only reads the total
+	exhaustedReadPeriod   = 1.0 // seconds after exhaustedUntil in which calls only read the total
 )
 
 // sharedBucketView is this gateway's view of the shared bucket under deferred reporting. Upfront leasing does
 // not use it.
 type sharedBucketView struct {
-	overflow   float64 // units found at the last call and not added to the total yet
-	meanReport float64 // units that a report holds, exponential mean
-	balance    float64 // units left in the bucket after the last call
-	balanceAt  float64 // clock time at which balance was determined
-	exhausted  bool    // the last call found too few units
+	overflow   float64 // units of overflow that the last call found and that are not in the total yet
+	meanReport float64 // units per report, exponential mean
+	balance    float64 // units left in the bucket after the last call, as of balanceAt
+	balanceAt  float64 // clock time
+	exhausted  bool    // the last call found fewer units than it requested or the next request needs
 }
 
-// deferredLeaseUnits returns the units of the next lease: those of the waiting requests and a prefetch. It
-// returns 0 if the next call should only read the total.
+// deferredLeaseUnits returns the units of the next lease: the units of the waiting requests and a prefetch.
+// It returns 0 if the next call should only read the total.
 //
-// If a customer is over its quota, most calls are granted nothing, and the units that they added to the
-// total are missing at the other gateways until they are taken back. So after a call that was granted too
-// little, the next call only reads the total, and a lease is requested again once there are units. In a large
-// gateway set, a gateway whose demand is within its fair share found the bucket exhausted because of the
-// others' leases. It requests its lease at once, without a prefetch.
+// If a customer is over its quota, most lease requests are granted nothing, and the units that they added to
+// the total are missing at the other gateways until a correction takes them back. If a call has found the
+// bucket exhausted, the next calls therefore only read the total, until a call finds enough units or until
+// exhaustedReadPeriod after exhaustedUntil.
+//
+// In a large gateway set, there is an exception for a gateway whose demand is within its fair share. The
+// bucket is then exhausted because of the leases of other gateways, and the gateway requests a lease at once,
+// without a prefetch.
 func (c *customer) deferredLeaseUnits(now float64) float64 {
 	switch {
 	case !c.sharedBucket.exhausted || now > c.exhaustedUntil+exhaustedReadPeriod:
@@ -50,8 +53,8 @@
 	return 0
 }
 
-// reportIfDue reports the unreported units to the counter once they reach the threshold. Fewer units are
-// reported with the next lease request.
+// reportIfDue reports the unreported units to the counter if they reach the report threshold. Fewer units are
+// reported with the next lease request. There is no report while another call is pending or during a backoff.
 func (e *Engine) reportIfDue(c *customer) {
 	threshold := max(c.quota.localBurst, reportThresholdShare*c.quota.burst, minReportThreshold)
 	if c.unreportedUnits < threshold || c.calls.pending > 0 || c.backoff.active(e.now) {
@@ -64,9 +67,10 @@
 	e.callCounter(call)
 }
 
-// deferredOverflow returns an estimate of the overflow, which the next call adds to the total: the overflow
-// that this gateway found at its last call. That had built up since the call before, of any gateway, and the
-// gateways together call about as often as before.
+// deferredOverflow returns the estimated overflow, which the next call adds to the total. The estimate is the
+// overflow that this gateway found at its last call, but at most the refill less the last total. The overflow
+// found at a call has built up since the last call before it, made by any gateway of the set. Since the
+// gateways together call about equally often all the time, about the same overflow has built up by now.
 func (c *customer) deferredOverflow(refill float64) float64 {
 	return min(c.sharedBucket.overflow, max(refill-c.window.lastTotal, 0))
 }
@@ -74,33 +78,35 @@
 // reconcileDeferred grants the lease that a call requested, as far as the returned total allows, and corrects
 // the total at the counter.
 //
-// The total lags behind the units spent by about half a mean report for each gateway. While the total is
-// below the refill by no more than this report lag, the bucket counts as full and nothing has overflowed.
-// Refill further above the total is overflow, and is added to the total so that it cannot be spent in one
-// burst later.
+// The total lags behind the units spent by about half a mean report for each gateway. If the total is below
+// the refill by no more than this report lag, the bucket counts as full and nothing has overflowed. If the
+// total is lower, the difference beyond the report lag is overflow. The overflow is added to the total so
+// that it cannot be spent in one burst later.
 //
-// In any time L a customer gets at most rate*L units, plus:
+// In any period of L seconds a customer gets at most rate*L units, plus:
 //   - burstTolerance,
-//   - the refill that was not added as overflow yet: up to overflowCallShare+maxReportLagShare of the burst,
-//   - the units leased before, and
-//   - for each gateway its unreported units: at most its local tokens, reportThresholdShare of a burst or
+//   - the overflow and report lag that are not in the total: at most overflowCallShare + maxReportLagShare
+//     of the burst,
+//   - the units that were leased before the period, and
+//   - the unreported units of each gateway: at most localBurst, reportThresholdShare of the burst or
 //     minReportThreshold, whichever is largest.
 //
-// Over a long time this is the rate.
+// Over a long period, the mean rate is therefore at most about the quota's rate.
 func (e *Engine) reconcileDeferred(c *customer, call counterCall, total float64) {
 	reportedTotal := call.totalWithoutEstimates(total)
 	c.sharedBucket.recordReport(call.spent)
 	requestUnits := c.nextRequestUnits()
 	capacity := c.quota.burst
-	// The tolerance must let a full bucket admit any request of at most its size.
+	// A full bucket must admit a request of up to burst units, even if burstTolerance is lower.
 	burstTolerance := max(c.quota.burstTolerance, min(requestUnits, capacity))
 
 	correctedTotal := c.totalAfterOverflow(call, reportedTotal)
 	c.sharedBucket.overflow = correctedTotal - reportedTotal
 	carriedOver := reportedTotal-call.spent < minCorrection && e.now-c.sharedBucket.balanceAt < maxCarryOverAge
 	if carriedOver {
-		// The total of a new window is 0, which stands for a full bucket. A recent balance is carried over
-		// from the window before, or each window would admit another burst.
+		// Before this call, the total was 0: the window is new at the counter, and the bucket looks full. The
+		// recent balance is carried over from the window before, since otherwise each window would admit
+		// another burst.
 		correctedTotal = max(correctedTotal, call.refill+burstTolerance-c.sharedBucket.balance)
 	}
 	c.sharedBucket.balance = min(burstTolerance-(correctedTotal-call.refill), capacity)
@@ -110,12 +116,12 @@
 	}
 }
 
-// totalWithoutEstimates returns a total without the lease and the estimated overflow of the call that
-// returned it.
+// totalWithoutEstimates subtracts the lease and the estimated overflow of a call from the total that the call
+// returned.
 //
-// Two gateways may add the same overflow. As each leaves its own estimate out here, the second one finds
-// the total too high, and takes its estimate back. A negative adjustment and a balance carried over from
-// the window before are not estimates, and stay in the total.
+// Two gateways may add the same overflow. Without its own estimate, the gateway that called second then finds
+// the overflow of the first gateway in the total, and a correction takes its own estimate back. A negative
+// adjustment and a balance carried over from the window before are not estimates, and stay in the total.
 func (call *counterCall) totalWithoutEstimates(total float64) float64 {
 	reportedTotal := total - call.leaseUnits
 	if !call.carriedOver {
@@ -124,21 +130,24 @@
 	return reportedTotal
 }
 
-// recordReport updates the mean report with the units of a report, if it holds any.
+// recordReport updates the mean report with the spent units that a call reported. A call that reported none
+// does not count.
 func (b *sharedBucketView) recordReport(spent float64) {
 	if spent > 0 {
 		b.meanReport += reportGain * (spent - b.meanReport)
 	}
 }
 
-// totalAfterOverflow returns the total with all overflow added. Refill within the report lag is no overflow.
+// totalAfterOverflow returns the total with all overflow added: the total is then below the refill by at most
+// the report lag.
 func (c *customer) totalAfterOverflow(call counterCall, reportedTotal float64) float64 {
 	lag := min(c.sharedBucket.meanReport/2*c.quota.gatewayCount, maxReportLagShare*c.quota.burst)
 	return max(reportedTotal, call.refill-lag)
 }
 
 // grantDeferred grants the lease that a call requested, as far as the bucket's balance allows, and returns
-// the units granted. If they are too few, it sets the time until which the bucket is exhausted.
+// the units granted. If the bucket is exhausted, it sets exhaustedUntil to the time at which the bucket will
+// hold the units of two requests, within refillWaitLimit.
 func (e *Engine) grantDeferred(c *customer, call counterCall, requestUnits float64) float64 {
 	granted := affordableUnits(call.leaseUnits, c.sharedBucket.balance, requestUnits)
 	c.sharedBucket.exhausted = granted < call.leaseUnits ||
@@ -154,9 +163,9 @@
 	return granted
 }
 
-// refillWaitLimit returns how many requests' units an exhausted bucket must earn, at most, before this
-// gateway calls again. The more gateways compete for the refill, the later there is some left for this one,
-// unless its demand is within its fair share.
+// refillWaitLimit returns the longest wait for an exhausted bucket, as the number of requests whose units the
+// bucket earns during the wait. The wait grows with the number of gateways that compete for the refill,
+// unless this gateway's demand is within its fair share.
 func (c *customer) refillWaitLimit() float64 {
 	if c.withinFairShare() {
 		return maxRefillWaitRequests
@@ -164,8 +173,9 @@
 	return max(maxRefillWaitRequests, c.quota.gatewayCount/2)
 }
 
-// correctTotal corrects the counter's total to a target if the difference is worth a call. The difference is
-// overflow, units that were requested and not granted, or the balance carried over into a new window.
+// correctTotal makes a call that changes the counter's total to target if the difference is worth a call.
+// The difference consists of overflow, units that were requested and not granted, and the balance carried
+// over into a new window.
 func (e *Engine) correctTotal(
 	c *customer, call counterCall, total, target float64, carriedOver bool,
 ) {
--- a/policy/deferredreporting_test.go
+++ b/policy/deferredreporting_test.go
@@ -31,15 +31,15 @@
 	return calls
 }
 
-// answer adds a call's amount to the counter's totals, replies to it, and returns the calls that the reply led to.
-func (d *engineDriver) answer(totals map[uint64]float64, call CounterAdd) []CounterAdd {
+// replyTo adds a call's amount to the counter's totals, replies to it, and returns the calls that the reply led to.
+func (d *engineDriver) replyTo(totals map[uint64]float64, call CounterAdd) []CounterAdd {
 	totals[call.Name] += call.Amount
 	return actionsOf[CounterAdd](d.handle(CounterReply{Name: call.Name, Total: totals[call.Name]}))
 }
 
-// answerAll replies to the calls among the actions and to the calls that follow from them, and returns all actions. It
+// replyToAll replies to the calls among the actions and to the calls that follow from them, and returns all actions. It
 // stops after a thousand actions, in case each call leads to another.
-func (d *engineDriver) answerAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
+func (d *engineDriver) replyToAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
 	for n := 0; n < 1000 && len(actions) > 0; n++ {
 		action := actions[0]
 		actions = actions[1:]
@@ -75,7 +75,7 @@
 	var corrections [2]CounterAdd
 	for i, d := range gateways {
 		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // spends the local tokens, which are reported at once
-		corrections[i] = onlyAction[CounterAdd](t, asActions(d.answer(totals, report)))
+		corrections[i] = onlyAction[CounterAdd](t, asActions(d.replyTo(totals, report)))
 		if corrections[i].Amount <= 0 {
 			t.Fatalf("no overflow is added: %v", corrections[i])
 		}
@@ -83,7 +83,7 @@
 	name, calls := corrections[0].Name, 0
 	for i, d := range gateways {
 		for pending := []CounterAdd{corrections[i]}; len(pending) > 0; calls++ {
-			pending = append(pending[1:], d.answer(totals, pending[0])...)
+			pending = append(pending[1:], d.replyTo(totals, pending[0])...)
 		}
 	}
 	if calls > 4 {
@@ -156,7 +156,7 @@
 			}
 			// answer replies with the total at which the given share of the burst is used.
 			answer := func(out []Action, used float64) []Action {
-				return d.answerAll(out, func(call CounterAdd) float64 {
+				return d.replyToAll(out, func(call CounterAdd) float64 {
 					return d.windowRefill(1) + used*set.Plans[test.plan].Burst + call.Amount
 				})
 			}
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -7,13 +7,13 @@
 
 // demand is the rate at which a customer requests units at this gateway.
 type demand struct {
-	rate          float64 // units a second, exponential mean over demandAveragingTime
-	sustainedRate float64 // units a second, exponential mean over leaseTargetDuration, newest request excluded
+	rate          float64 // units per second, exponential mean over demandAveragingTime
+	sustainedRate float64 // units per second, exponential mean over leaseTargetDuration without newestUnits
 	newestUnits   float64 // units of the newest request
 }
 
-// record counts a request that arrives elapsed seconds after the one before. sustainedRate excludes it, since
-// the arrival of this request does not predict the requests after it.
+// record updates the demand with a request that arrives elapsed seconds after the request before it.
+// sustainedRate leaves the newest request out, since its arrival does not predict further requests.
 func (d *demand) record(elapsed, units float64) {
 	d.rate = d.rate*math.Exp(-elapsed/demandAveragingTime) + units/demandAveragingTime
 	d.sustainedRate = (d.sustainedRate + d.newestUnits/leaseTargetDuration) *
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	// minCorrection is the smallest correction of a total that is worth a call: a share of the next
-	// request's units, or of one unit.
+	// minCorrection is the smallest reduction of a total that is worth a call, as a share of the next
+	// request's units. A total below minCorrection units counts as 0.
 	minCorrection = 0.25
 
-	minRate         = 1e-3 // units a second: a lower rate counts as this where a duration is divided by it
-	minRequestUnits = 1e-3 // units: a smaller request counts as this
-	unitRounding    = 1e-3 // of a request's units: the shortfall that counts as a rounding error
+	minRate         = 1e-3 // units per second; a lower rate is replaced by minRate where it is a divisor
+	minRequestUnits = 1e-3 // units; a request of fewer units counts as one of minRequestUnits
+	unitRounding    = 1e-3 // share of a request's units; a smaller shortfall is taken for a rounding error
 )
 
-// lease is a reservation of units: the counter has granted them to this gateway, which spends them without
-// further calls. It holds the units that are not spent yet. A lease covers the waiting requests and a
-// prefetch for the requests to come. The zero value is an empty lease.
+// lease is a reservation of units. The units are charged to the counter's total when the lease is requested,
+// and this gateway then spends them without further calls. A lease is requested for the waiting requests and,
+// as a prefetch, for later requests. The zero value is an empty lease.
 type lease struct {
-	units     float64 // below 0: debt, more was spent than granted
+	units     float64 // units not spent yet; below 0: debt, since more units were spent than granted
 	expiresAt float64
 }
 
-// add adds granted units. If there are any, the whole lease gets the new expiry.
+// add adds granted units. If units is above 0, the whole lease expires at expiresAt.
 func (l *lease) add(units, expiresAt float64) {
 	l.units += units
 	if units > 0 {
@@ -28,7 +28,7 @@
 	}
 }
 
-// take spends units if the lease has as many, and reports whether it had.
+// take spends the given units if the lease holds at least as many, and reports whether it did.
 func (l *lease) take(units float64) bool {
 	if l.units >= units {
 		l.units -= units
@@ -37,8 +37,8 @@
 	return false
 }
 
-// requestLease calls the counter for a lease, unless the call is shed. The call also reports the unreported
-// units.
+// requestLease calls the counter for a lease, unless the call is shed. The call also reports the customer's
+// unreported units.
 func (e *Engine) requestLease(c *customer) {
 	if e.shedCounterCall(c) {
 		return
@@ -57,8 +57,8 @@
 	e.callCounter(call)
 }
 
-// expireLease drops the unspent units of a lease. Under deferred reporting, the next call returns them to the
-// shared bucket. Under upfront leasing they are lost until the next window begins.
+// expireLease drops the unspent units of a lease. Under deferred reporting, the next call returns the units
+// to the shared bucket. Under upfront leasing, the shared bucket lacks them until the next window begins.
 func (c *customer) expireLease() {
 	if c.quota.deferredReporting {
 		c.unreportedUnits -= max(c.lease.units, 0)
@@ -75,7 +75,7 @@
 	return units
 }
 
-// nextRequestUnits returns the units of the first waiting request, or 1 if none waits.
+// nextRequestUnits returns the units of the first waiting request, or 1 if no request waits.
 func (c *customer) nextRequestUnits() float64 {
 	if len(c.waiting) == 0 {
 		return 1
@@ -83,14 +83,14 @@
 	return max(c.waiting[0].Units, minRequestUnits)
 }
 
-// affordableUnits returns the units to grant for a lease of leaseUnits if the shared bucket has available
-// units. A smaller grant than leaseUnits is a multiple of requestUnits, and so holds whole requests.
+// affordableUnits returns how many of the requested leaseUnits can be granted, given the available units of
+// the shared bucket. A grant below leaseUnits is a multiple of requestUnits, the units of one request.
 func affordableUnits(leaseUnits, available, requestUnits float64) float64 {
 	return max(min(leaseUnits, math.Floor(available/requestUnits+unitRounding)*requestUnits), 0)
 }
 
-// refilledAt returns the time at which the shared bucket will have earned units more: a tick from now at the
-// earliest.
+// refilledAt returns the time at which the shared bucket will have earned the given units, but at least one
+// tick from now.
 func (e *Engine) refilledAt(c *customer, units float64) float64 {
 	return e.now + max(units/max(c.quota.rate, minRate), e.settings.Tick)
 }
--- a/policy/localtokens.go
+++ b/policy/localtokens.go
@@ -3,18 +3,18 @@
 // tokenBucket holds the local tokens of a customer: the units of its quota that this gateway may spend
 // without a lease. Its rate and burst are in quotaParameters. The zero value is an empty bucket.
 type tokenBucket struct {
-	tokens    float64 // units, as of updatedAt; below 0: debt
+	tokens    float64 // units in the bucket at the time updatedAt; below 0: debt
 	updatedAt float64
 	fallback  float64 // units withheld until a call to the counter gets no reply
 }
 
-// refill adds the tokens earned since the last refill, up to burst.
+// refill adds the tokens earned since the last refill. The bucket then holds at most burst units.
 func (b *tokenBucket) refill(now, rate, burst float64) {
 	b.tokens = min(b.tokens+rate*(now-b.updatedAt), burst)
 	b.updatedAt = now
 }
 
-// take spends units if the bucket has as many, and reports whether it had.
+// take spends the given units if the bucket holds at least as many, and reports whether it did.
 func (b *tokenBucket) take(units float64) bool {
 	if b.tokens < units {
 		return false
@@ -23,7 +23,7 @@
 	return true
 }
 
-// add adds units, up to burst.
+// add adds units. The bucket then holds at most burst units.
 func (b *tokenBucket) add(units, burst float64) { b.tokens = min(b.tokens+units, burst) }
 
 // releaseFallback makes the withheld units available.
@@ -32,15 +32,16 @@
 	b.fallback = 0
 }
 
-// takeLocalTokens spends units of the local tokens if there are as many, and reports whether there were.
+// takeLocalTokens spends the given units if there are at least as many local tokens, and reports whether it
+// did.
 func (c *customer) takeLocalTokens(now, units float64) bool {
 	c.localTokens.refill(now, c.quota.localRate, c.quota.localBurst)
 	return c.localTokens.take(units)
 }
 
-// chargeLocalTokens takes units that were spent from a lease out of the local tokens as well, down to a debt
-// of localBurst. Otherwise leases and local tokens together would exceed the quota when the counter replies
-// only now and then.
+// chargeLocalTokens subtracts units that were spent from a lease from the local tokens too, down to a debt of
+// localBurst. Otherwise leases and local tokens together would exceed the quota when the counter replies only
+// intermittently.
 func (c *customer) chargeLocalTokens(now, units float64) {
 	c.localTokens.refill(now, c.quota.localRate, c.quota.localBurst)
 	c.localTokens.tokens = max(c.localTokens.tokens-units, -c.quota.localBurst)
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -1,25 +1,25 @@
 package policy
 
-// Admission by quota is the first step of a request. The request's units are spent from the customer's lease,
-// or from this gateway's local tokens where the counter grants no lease.
+// Admission by quota is the first step in handling a request. The request's units are spent from the
+// customer's lease or from this gateway's local tokens for the customer.
 
-// maxQuotaWaitShare is the largest share of a request's time that it may wait for an exhausted bucket to
-// refill.
+// maxQuotaWaitShare is the share of the time between a request's sending and its deadline during which the
+// request may wait for an exhausted bucket to refill.
 const maxQuotaWaitShare = 0.4
 
 // admissionDecision is the decision on the first waiting request of a customer.
 type admissionDecision int
 
 const (
-	admitNow             admissionDecision = iota // its units have been spent
-	deferRequest                                  // it and those behind it wait for capacity, units or a reply
+	admitNow             admissionDecision = iota // the request is admitted, and its units have been spent
+	deferRequest                                  // the request and all requests behind it go on waiting
 	needsLease                                    // call the counter for a lease, then decide again
-	rejectForQuota                                // its customer has no units left
-	rejectForConcurrency                          // its customer has no concurrency at this gateway
+	rejectForQuota                                // the customer has too few units
+	rejectForConcurrency                          // this gateway's part of the concurrency limit is 0
 )
 
-// admit admits a customer's waiting requests in order, as far as the quota allows. It rejects requests for
-// which waiting is of no use, and stops at the first request that has to wait.
+// admit decides on a customer's waiting requests in order. It admits or rejects them, and stops at the first
+// request that has to go on waiting.
 func (e *Engine) admit(c *customer) {
 	for len(c.waiting) > 0 {
 		req := c.waiting[0]
@@ -60,12 +60,12 @@
 	return admitNow
 }
 
-// decideAtConcurrencyLimit decides on a request that would exceed this gateway's part of the concurrency
-// limit. The request waits if the gateway has a part at all, since an attempt may end in time.
+// decideAtConcurrencyLimit decides on a request that would exceed localConcurrency, this gateway's part of
+// the customer's concurrency limit. If the part is above 0, the request waits, since an attempt in flight may
+// end in time. If the part is 0, the request is rejected, and its client retries at another gateway.
 //
-// The limit is divided among the gateways, not leased from the counter: a pending call would look to the
-// other gateways like concurrency in use, and the calls would overload the counter. A client that is rejected
-// by a gateway whose part is 0 retries at another gateway.
+// The limit is divided among the gateways and not leased from the counter. While a call for a lease is
+// pending, its concurrency would be missing at the other gateways, and the calls would overload the counter.
 func (c *customer) decideAtConcurrencyLimit() admissionDecision {
 	if c.quota.localConcurrency > 0 {
 		return deferRequest
@@ -97,9 +97,9 @@
 	return needsLease
 }
 
-// decideWhileExhausted decides on a request while the shared bucket has too few units. Where the plan allows
-// requests over quota, local tokens admit it at the lowest level, since as far as this gateway knows it is
-// over quota.
+// decideWhileExhausted decides on a request while the shared bucket has too few units. The request waits if
+// the bucket refills soon. Else the request counts as over quota: local tokens admit it at the lowest level
+// if the plan allows requests over quota.
 func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
 	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
 		return deferRequest
@@ -111,9 +111,9 @@
 	return rejectForQuota
 }
 
-// decideWithoutCounter decides on a request while the counter cannot be called. Local tokens admit it. If
-// there are too few, a request of a small gateway set waits if the backoff ends in time, since an overloaded
-// counter may have capacity by then.
+// decideWithoutCounter decides on a request while the counter cannot be called. Local tokens admit the
+// request if there are enough of them. Else the request waits if the customer's gateway set is small and the
+// backoff ends in time, since an overloaded counter may have capacity by then.
 func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
 	if c.takeLocalTokens(e.now, req.Units) {
 		c.unreportedUnits += req.Units
@@ -126,21 +126,22 @@
 }
 
 // refillsSoon reports whether a request should wait for the exhausted shared bucket to refill. retryAfter is
-// the number of seconds after which a rejected client retries.
+// the number of seconds after which the client of a rejected request retries.
 //
-// The wait must be shorter than retryAfter, after which the client would send the request again anyway, and
-// shorter than maxQuotaWaitShare of the request's time. Waiting helps where the bucket is exhausted only for
-// a moment: the customer is within its quota, and other gateways hold units that they have prefetched. It
-// does not help where the demand at this gateway alone exceeds the whole rate, nor in a fixed window, which
-// stays exhausted until it ends.
+// The bucket must refill within retryAfter seconds after the request was sent, since the client would
+// otherwise retry before the end of the wait, and within maxQuotaWaitShare of the time until the request's
+// deadline. Waiting helps if the bucket is exhausted only for a moment because other gateways have prefetched
+// its units. It does not help if the demand at this gateway alone exceeds the customer's whole rate. Under
+// upfront leasing no request waits for a refill; a fixed window stays exhausted until it ends.
 func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
 	return c.quota.deferredReporting && c.demand.sustainedRate < c.quota.rate &&
 		c.exhaustedUntil < req.SentAt+min(retryAfter, maxQuotaWaitShare*(req.answerBy-req.SentAt))
 }
 
-// refund returns the units of a request that was admitted but never sent. Under upfront leasing they go back
-// to the lease. Under deferred reporting they go to the local tokens, and the next call subtracts them from
-// the total: a lease lasts long, and meanwhile the units would be missing at the other gateways.
+// refund returns the units of a request that was admitted but never sent. Under upfront leasing, the units go
+// back to the lease. Under deferred reporting, they go to the local tokens, and the next call subtracts them
+// from the total. They do not go to a lease there: it lasts long, and in the meantime the units would be
+// missing at the other gateways.
 func (c *customer) refund(units float64) {
 	if !c.quota.deferredReporting {
 		c.lease.units += units
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -1,22 +1,22 @@
 package policy
 
-// These values suit any deployment.
+// Parameters of quotas.
 const (
-	maxSmallGatewaySet      = 5.0  // gateways; a larger gateway set is not small
-	refillingWindowDuration = 50.0 // seconds; less than counterNameTTL
+	maxSmallGatewaySet      = 5.0  // gateways; size of the largest gateway set that counts as small
+	refillingWindowDuration = 50.0 // seconds; shorter than counterNameTTL
 
 	// Deferred reporting.
-	minRefillPerGateway = 4.0 // units a window; if each gateway of a large set earns less, reports come too late
-	largeSetLocalBurst  = 5.0 // large set: units in a local bucket and bursts in all of them, at most
-	smallSetTolerance   = 0.8 // of the burst: the burstTolerance of a small gateway set
-	largeSetTolerance   = 2.0 // of the burst, in a large set; with less, prefetched units look like exhaustion
+	minRefillPerGateway = 4.0 // units per window; with less, the gateways of a large set would report too rarely
+	largeSetLocalBurst  = 5.0 // units at a gateway, and bursts at all gateways together (useDeferredReporting)
+	smallSetTolerance   = 0.8 // share of the burst; burstTolerance of a small gateway set
+	largeSetTolerance   = 2.0 // multiple of the burst; burstTolerance of a large gateway set
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // of the ceiling's burst: what a fixed window may lease; local tokens get the rest
+	ceilingLeaseShare = 0.22 // share of the ceiling's burst; the usual limit of what a fixed window grants
 
 	// A concurrency limit that is applied as a rate.
-	concurrencyUtilization = 0.65 // mean use of the limit
-	concurrencyRateWindow  = 1.0  // seconds of its window
+	concurrencyUtilization = 0.65 // share of the limit that the rate uses on average
+	concurrencyRateWindow  = 1.0  // seconds; duration of the fixed windows of the rate
 )
 
 // quotaParameters is a plan as it applies to one customer at one gateway. The zero value is a plan without
@@ -28,29 +28,29 @@
 //
 //   - Deferred reporting: a gateway spends its local tokens without a call and reports them later. It calls
 //     for a lease only when its local tokens are too few. A customer within its quota thus costs few calls.
-//   - Upfront leasing: a gateway spends only units that it has leased before. Its local tokens are for times
-//     when the counter does not reply, and for requests over quota under a ceiling. In a deployment without
-//     a counter, nothing is leased and local tokens admit all requests.
+//   - Upfront leasing: a gateway leases units before it spends them. It uses its local tokens only while the
+//     counter cannot be called, and for requests over quota under a ceiling. In a deployment without a
+//     counter, nothing is leased and local tokens admit all requests.
 //
 // There are two kinds of windows. A refilling window is long, and the shared bucket earns units all through
 // it. A fixed window is short, grants its units at the start, and is independent of the window before it.
-// Deferred reporting always uses refilling windows. Upfront leasing uses them in a small gateway set, and
-// fixed windows in a large one.
+// Deferred reporting always uses refilling windows. Upfront leasing uses refilling windows in a small gateway
+// set, and fixed windows in a large gateway set.
 type quotaParameters struct {
 	gatewayCount    float64 // size of the gateway set, at least 1
 	smallGatewaySet bool    // gatewayCount is at most maxSmallGatewaySet
 
-	rate           float64 // units a second, over all gateways; 0: no quota of units
+	rate           float64 // units per second over all gateways; 0: no quota of units
 	burst          float64 // size of the shared bucket in units, or the units that a fixed window grants
-	initialBalance float64 // units in the shared bucket where the counter has no total
-	maxPrefetch    float64 // units that a lease may add to those that requests wait for (upfront leasing)
+	initialBalance float64 // units in the shared bucket if the counter has no total (upfront leasing)
+	maxPrefetch    float64 // units; the largest prefetch of a lease (upfront leasing)
 
 	windowDuration    float64 // seconds
 	refillingWindow   bool    // the windows are refilling windows; else fixed windows
 	deferredReporting bool    // units are charged by deferred reporting; else by upfront leasing
-	burstTolerance    float64 // units by which the total may exceed the refill (deferred reporting)
+	burstTolerance    float64 // units; the total may exceed the refill by as many (deferred reporting)
 
-	localRate       float64 // units a second that the local tokens earn
+	localRate       float64 // units per second that the local tokens earn
 	localBurst      float64 // size of the bucket of local tokens in units
 	admitsOverQuota bool    // local tokens admit requests over quota, since these earn more than they cost
 
@@ -61,9 +61,9 @@
 // quotaFor returns the parameters of a plan for a customer whose gateway set has the given size, at the
 // gateway with the given index in the set.
 //
-// Deferred reporting is used if there is no ceiling and reports come soon enough. Upfront leasing in a small
-// gateway set can use refilling windows, since each gateway sees the total often enough to keep the shared
-// bucket exact. A large set uses fixed windows.
+// Deferred reporting is used if there is a counter and the plan allows it (see allowsDeferredReporting).
+// Upfront leasing uses refilling windows only in a small gateway set, where each gateway sees the total often
+// enough to know the balance of the shared bucket.
 func (e *Engine) quotaFor(p *Plan, gateways, index int) quotaParameters {
 	q := newQuotaParameters(p, gateways, index)
 	if e.settings.HasCounter && q.allowsDeferredReporting(p) {
@@ -83,8 +83,9 @@
 	return q
 }
 
-// newQuotaParameters returns the parameters without deferred reporting and without a ceiling. Rate and burst
-// are divided equally among the gateways. The local parts of the concurrency limit add up to the limit.
+// newQuotaParameters returns the parameters without deferred reporting and without a ceiling. localRate and
+// localBurst are equal parts of the plan's rate and burst, but localBurst is at least one unit. The values of
+// localConcurrency at all gateways of the set add up to the concurrency limit.
 func newQuotaParameters(p *Plan, gateways, index int) quotaParameters {
 	n := float64(max(gateways, 1))
 	return quotaParameters{
@@ -101,14 +102,19 @@
 	}
 }
 
-// allowsDeferredReporting reports whether the plan has no ceiling, which deferred reports could exceed, and
-// the gateways of the set earn enough for reports to come soon.
+// allowsDeferredReporting reports whether a plan can use deferred reporting. It needs a rate, and a gateway
+// set that is small or whose gateways earn enough units to report often. It must have no ceiling, since the
+// gateways could exceed a ceiling before they report.
 func (q *quotaParameters) allowsDeferredReporting(p *Plan) bool {
 	return p.CeilingRate <= 0 && p.Rate > 0 &&
 		(q.smallGatewaySet || p.Rate*refillingWindowDuration >= minRefillPerGateway*q.gatewayCount)
 }
 
 // useDeferredReporting sets the parameters of deferred reporting.
+//
+// A large gateway set gets a higher burstTolerance than a small one: with a lower value, the bucket would
+// look exhausted when its units have only been prefetched. localBurst is raised to largeSetLocalBurst units
+// at each gateway, but to at most largeSetLocalBurst times the burst at all gateways together.
 func (q *quotaParameters) useDeferredReporting(p *Plan) {
 	q.deferredReporting = true
 	if q.smallGatewaySet {
@@ -125,16 +131,19 @@
 
 // applyCeiling divides a plan's ceiling between leases and local tokens, which together never exceed it.
 //
-// In any time L, leases in refilling windows spend at most burst*(1+leaseLifetimeShare) + rate*L, and twice
-// initialBalance more if the counter loses its totals. Leases in fixed windows spend at most
-// burst*(2+leaseLifetimeShare) + rate*L. Local tokens get the rest of the ceiling's burst and rate.
+// In any period of L seconds, leases spend at most this many units:
+//   - in refilling windows: burst*(1+leaseLifetimeShare) + rate*L, and 2*initialBalance more if the counter
+//     loses its totals;
+//   - in fixed windows: burst*(2+leaseLifetimeShare) + rate*L.
+//
+// Local tokens get the rest of the ceiling's burst and rate.
 //
-// If requests over quota earn more than they cost, local tokens admit them too, at the lowest level. Only
-// plans with a ceiling permit this, since nothing else would bound such requests.
+// If requests over quota earn more than they cost, local tokens also admit requests over quota, at the lowest
+// level. This needs a ceiling, since nothing else limits the requests over quota.
 func (q *quotaParameters) applyCeiling(p *Plan) {
 	q.rate = min(p.Rate, p.CeilingRate)
 	if q.smallGatewaySet {
-		q.divideCeilingForRefillingWindow(p)
+		q.divideCeilingForRefillingWindows(p)
 	} else {
 		q.divideCeilingForFixedWindows(p)
 	}
@@ -143,35 +152,37 @@
 	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// divideCeilingForRefillingWindow divides a ceiling's burst where leases use refilling windows. Of the units
-// that leases leave, one half is the initial balance, and the other half is the gateways' local bursts.
-func (q *quotaParameters) divideCeilingForRefillingWindow(p *Plan) {
+// divideCeilingForRefillingWindows divides a ceiling's burst if leases use refilling windows. The units that
+// are not needed for leases are divided equally between the initial balance and the gateways' local bursts.
+func (q *quotaParameters) divideCeilingForRefillingWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst/(1+leaseLifetimeShare))
 	q.initialBalance = (p.CeilingBurst - (1+leaseLifetimeShare)*q.burst) / 2
 	q.localBurst = q.initialBalance / q.gatewayCount
 }
 
-// divideCeilingForFixedWindows divides a ceiling's burst where leases use fixed windows. The gateways' local
-// bursts are the units that leases leave.
+// divideCeilingForFixedWindows divides a ceiling's burst if leases use fixed windows. A window grants at most
+// ceilingLeaseShare of the ceiling's burst, or more if each local bucket would hold less than one unit. The
+// units that are not needed for leases are divided equally among the gateways' local buckets.
 func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
 	if q.localCeilingBurst(p) < 1 {
-		// A local bucket that never holds a whole unit admits nothing, and its units would be lost to the
-		// customer. So leases get as much of the ceiling's burst as they can use.
+		// A local bucket that never holds a whole unit admits no request of one unit. Its units would be lost
+		// to the customer, so leases get as much of the ceiling's burst as they can use.
 		q.burst = min(p.Burst, p.CeilingBurst/(2+leaseLifetimeShare))
 	}
 	q.initialBalance = q.burst
 	q.localBurst = q.localCeilingBurst(p)
 }
 
-// localCeilingBurst returns this gateway's part of the ceiling's burst that leases in fixed windows leave.
+// localCeilingBurst returns this gateway's part of the units of the ceiling's burst that are not needed for
+// leases in fixed windows.
 func (q *quotaParameters) localCeilingBurst(p *Plan) float64 {
 	return (p.CeilingBurst - (2+leaseLifetimeShare)*q.burst) / q.gatewayCount
 }
 
 // useConcurrencyRate drops the concurrency limit of a large gateway set. If the plan has no rate and the mean
-// latency is known, the rate that the limit allows on average takes its place. Shared concurrency would need
-// two counter calls for each request, and the count of attempts in flight would drift.
+// latency is known, a quota of units replaces the limit, with the rate that the limit allows on average. To
+// count attempts in flight at the counter would need two calls for each request, and the count would drift.
 func (q *quotaParameters) useConcurrencyRate(p *Plan, meanLatency float64) {
 	q.concurrencyLimit = 0
 	if q.rate == 0 && meanLatency > 0 {
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// Upfront leasing: the gateways lease units from the counter before they spend them. See quotaParameters for
-// the terms, and counterWindow for total, refill and overflow.
+// Under upfront leasing, the gateways lease units from the counter before they spend them. quotaParameters
+// describes leases and windows; counterWindow describes total, refill and overflow.
 
 const (
-	maxRefillWaitRequests = 3.0 // requests whose units an exhausted bucket earns, at most, until the next call
-	leaseLifetimeShare    = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
+	maxRefillWaitRequests = 3.0 // requests whose units an exhausted bucket earns until the next call, at most
+	leaseLifetimeShare    = 0.5 // share of the time in which the burst is earned; lifetime of a lease
 )
 
-// upfrontLeaseUnits returns the units of the next lease, a whole number: those of the waiting requests, and a
-// prefetch. The prefetch is rounded down, since a unit that no request comes for would be missing at the
-// other gateways.
+// upfrontLeaseUnits returns the units of the next lease: the units of the waiting requests, rounded up, and a
+// prefetch. The prefetch is rounded down, since a unit that no request uses would be missing at the other
+// gateways. A lease has at most the units of the burst, but at least one unit.
 func (c *customer) upfrontLeaseUnits() float64 {
 	units := math.Ceil(c.waitingUnits()) + math.Floor(c.upfrontPrefetch())
 	return max(min(units, c.quota.burst), 1)
 }
 
-// upfrontPrefetch returns the units to lease for requests to come: maxPrefetch until a reply of the counter
-// has been applied, then the demand of one second, but at most maxPrefetch.
+// upfrontPrefetch returns the units to lease for later requests. Until a total from the counter has been
+// applied, these are maxPrefetch units, afterwards the demand of one second, but at most maxPrefetch.
 func (c *customer) upfrontPrefetch() float64 {
 	if !c.totalSeen {
 		return c.quota.maxPrefetch
@@ -27,32 +27,35 @@
 	return min(c.demand.rate, c.quota.maxPrefetch)
 }
 
-// upfrontOverflow returns the overflow that the next call adds to the total: all refill above the total that
-// this gateway has seen.
+// upfrontOverflow returns the overflow that the next call adds to the total. It is the refill less the last
+// total that this gateway has seen in the window. In the first call of a window, it also includes the units
+// that lower the shared bucket to its initial balance.
 func (c *customer) upfrontOverflow(refill float64) float64 {
 	if c.window.lastTotal == 0 {
-		// The window may be new to all gateways. The first call of a window must lower the bucket to its
-		// initial balance in the same step. A gateway that finds it was not the first takes this back.
+		// The window may be new at the counter. If another gateway has made the first call of the window
+		// already, a correction takes these units back.
 		return refill + c.quota.burst - c.quota.initialBalance
 	}
 	return max(refill-c.window.lastTotal, 0)
 }
 
 // reconcileUpfront grants the lease that a call requested, as far as the returned total allows. In a
-// refilling window it takes the units that were not granted out of the total again. In a fixed window they
-// stay: no gateway gets more until the next window, and returning them would double the number of calls.
+// refilling window, it subtracts the units that were not granted from the total again. In a fixed window, the
+// units stay in the total: no gateway is granted more until the next window, and subtracting the units would
+// double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
 	correctedTotal := c.totalBeforeLease(call, total)
 	requestUnits := c.nextRequestUnits()
 	available := c.quota.burst - (correctedTotal - call.refill)
 	granted := affordableUnits(call.leaseUnits, available, requestUnits)
 	if granted < call.leaseUnits {
-		// Another gateway may have added the same overflow, and be about to take it back. Until then the
-		// bucket looks emptier than it is, so the wait is bounded.
+		// Wait until the bucket holds the units of two requests. Another gateway may have added the same
+		// overflow and not have taken it back yet. Until then the bucket looks emptier than it is, so the
+		// wait is limited.
 		missing := min(2*requestUnits-available+granted, maxRefillWaitRequests*requestUnits)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
-			c.exhaustedUntil = c.windowEnd(call.window)
+			c.exhaustedUntil = c.windowEnd(call.window) // a fixed window does not refill
 		}
 	}
 	c.lease.add(granted, e.now+leaseLifetimeShare*c.quota.burst/max(c.quota.rate, minRate))
@@ -60,34 +63,36 @@
 		c.window.lastTotal = correctedTotal + granted
 	}
 	c.totalSeen = true
-	// The difference is units that were not granted, or a total that the counter has lost.
+	// The correction takes back units that were not granted and overflow that was in the total already, or
+	// restores a total that the counter has lost.
 	correction := correctedTotal + granted - total
 	if c.quota.smallGatewaySet && math.Abs(correction) > minCorrection*requestUnits {
 		e.callCounter(call.newCorrection(correction))
 	}
 }
 
-// totalBeforeLease returns what the total should have been before a call's lease was added. It takes out the
-// adjustment that the call made, and then raises the total to the refill. If the window is new to the
-// counter, it raises the total also to the last one seen here, and to the one that leaves the initial
-// balance.
+// totalBeforeLease returns the correct total without a call's lease. It subtracts the call's lease and
+// adjustment from the total that the call returned. The result is at least the refill. If the window is new
+// at the counter or the counter has lost its total, the result is also at least the last total that this
+// gateway has seen, and at least the total at which the shared bucket holds its initial balance.
 func (c *customer) totalBeforeLease(call counterCall, total float64) float64 {
-	totalBeforeCall := total - call.adjustment - call.leaseUnits
-	correctedTotal := max(totalBeforeCall, call.refill)
-	if totalBeforeCall-call.spent < minCorrection { // the window is new, or the counter has lost its total
+	reportedTotal := total - call.adjustment - call.leaseUnits
+	correctedTotal := max(reportedTotal, call.refill)
+	if reportedTotal-call.spent < minCorrection { // before the call, the counter had no total
 		correctedTotal = max(correctedTotal, c.window.lastTotal, call.refill+c.quota.burst-c.quota.initialBalance)
 	}
 	return correctedTotal
 }
 
-// returnUnusedUnits returns units to the shared bucket under upfront leasing, if they are worth a call.
+// returnUnusedUnits makes a call that returns units to the shared bucket under upfront leasing. It makes no
+// call for minCorrection units or fewer, while another call is pending, or during a backoff.
 func (e *Engine) returnUnusedUnits(c *customer) {
 	if c.unreportedUnits >= -minCorrection || c.quota.deferredReporting ||
 		c.calls.pending > 0 || c.backoff.active(e.now) {
 		return
 	}
 	c.enterWindow(e.now)
-	if c.unreportedUnits < 0 { // else they belonged to a window that is over
+	if c.unreportedUnits < 0 { // enterWindow drops the units if their window is over
 		e.callCounter(c.newReport(0))
 	}
 }
