--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// ceilingFleet simulates the gateway set of one customer under a ceiling. bucket is the ceiling itself: a token bucket
-// that refills at the ceiling's rate and is charged for each attempt.
+// ceilingFleet simulates the gateway set of one customer under a ceiling. bucket holds the units that the ceiling still
+// allows: a token bucket that refills at the ceiling's rate and is charged for each attempt.
 type ceilingFleet struct {
 	rng      *rand.Rand
 	set      Settings
 	gateways []*engineDriver
-	totals   map[uint64]float64 // of the counter, by name
+	totals   map[uint64]float64 // totals at the counter, by name
 	bucket   float64
 	now      float64
 	lastID   RequestID
@@ -27,14 +27,14 @@
 		bucket: plan.CeilingBurst,
 	}
 	f.set.Plans[0] = plan
-	for range []int{3, 8, 11}[seed%3] { // refilling windows in the first, fixed windows in the others
+	for range []int{3, 8, 11}[seed%3] { // 3 gateways use refilling windows, 8 and 11 fixed windows
 		f.gateways = append(f.gateways, startEngine(t, f.set, readyBackends(30)...))
 	}
 	return f
 }
 
-// step has one gateway handle a request or run its maintenance. Now and then it replaces the gateway by a new one,
-// which has lost all state.
+// step lets one gateway handle a request or run its maintenance. Rarely, and at random, it replaces the gateway by a
+// new gateway, which has no state.
 func (f *ceilingFleet) step(t *testing.T, step int) {
 	t.Helper()
 	plan := f.set.Plans[0]
@@ -50,14 +50,15 @@
 	} else if step%9 == 0 {
 		actions = d.handle(timerFired(maintenanceTimer, 0))
 	}
-	if f.rng.IntN(8000) == 0 { // the gateway is killed, and its state is lost
+	if f.rng.IntN(8000) == 0 { // the gateway is killed and loses its state
 		f.gateways[n] = startEngine(t, f.set, readyBackends(30)...)
 		return
 	}
 	f.carryOut(d, actions)
 }
 
-// carryOut answers at once the attempts and counter calls among the actions, and those that follow from them.
+// carryOut ends the attempts and replies to the counter calls among the actions at once. It does the same for the
+// actions that these events lead to.
 func (f *ceilingFleet) carryOut(d *engineDriver, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -73,8 +74,8 @@
 	}
 }
 
-// reply returns the counter's reply to a call. For some seconds the counter does not reply, and afterwards it has lost
-// its totals. Some replies are lost at other times.
+// reply returns the counter's reply to a call. In 4 of every 19 seconds, the counter does not reply, and it loses its
+// totals. At other times, it adds each amount, but one reply of 50 is lost on average.
 func (f *ceilingFleet) reply(call CounterAdd) CounterReply {
 	outcome := Served
 	if math.Mod(f.now, 19) < 4 {
@@ -104,8 +105,8 @@
 	}
 }
 
-// With many gateways under a ceiling, each one's local bucket may be too small to ever hold a whole unit. Leases then
-// get that part of the ceiling's burst, which would otherwise be lost to the customer.
+// In a large gateway set under a ceiling, the local buckets may be too small to ever hold a whole unit. Leases must
+// then get the local buckets' part of the ceiling's burst, which would otherwise be lost to the customer.
 func TestLeasesGetTheCeilingThatLocalTokensCannotUse(t *testing.T) {
 	set := testSettings()
 	set.Plans[0] = Plan{WeightFactor: 1, Rate: 1.6, Burst: 9, OverQuotaCost: 1, CeilingRate: 3.2, CeilingBurst: 18, CeilingSlack: 1}
@@ -120,25 +121,25 @@
 			return total
 		})))
 	}
-	// The ceiling's 18 units must cover the bursts of two adjacent windows and leases of half a burst that are not
-	// expired yet. So a window grants at most 18/2.5 = 7.2 units, not 9.
+	// The ceiling's 18 units must cover the bursts of two adjacent windows, and unexpired leases of half a burst. A window
+	// therefore grants at most 18/2.5 = 7.2 units instead of 9.
 	if sent != 7 {
 		t.Errorf("%d units of a burst of 9 sent at once, want 7", sent)
 	}
 }
 
-// If requests over quota earn more than they cost, they are admitted as far as the ceiling allows, and sent after all
-// requests within a quota. Otherwise they are rejected.
+// If requests over quota earn more than they cost, they must be admitted as far as the ceiling allows, and sent after
+// all requests within a quota. Otherwise they must be rejected.
 func TestCeilingAdmitsOverQuotaAtTheLowestLevel(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		overQuotaCost float64
 		admits        bool
-		rejected      int // of ten requests over quota
+		rejected      int // number of rejections among ten requests over quota
 	}{
-		// The local tokens of two gateways are half of 14 - 1.5*4 units, 2 at each gateway.
-		{name: "plan gains by it", overQuotaCost: 0, admits: true, rejected: 8},
-		{name: "plan loses by it", overQuotaCost: 0.5, admits: false, rejected: 10},
+		// The two gateways share half of the 14 - 1.5*4 units as local tokens: 2 at each gateway.
+		{name: "requests over quota earn more than they cost", overQuotaCost: 0, admits: true, rejected: 8},
+		{name: "requests over quota cost more than they earn", overQuotaCost: 0.5, admits: false, rejected: 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := testSettings()
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The gateways of a small gateway set hold the customer's concurrency limit without counter calls, each with its own
-// part of the limit. If even a few dozen gateways leased concurrency, their calls would overload the counter.
+// In a small gateway set, each gateway must apply its own part of a customer's concurrency limit without counter calls.
+// If even a few dozen gateways leased concurrency, their calls would overload the counter.
 func TestConcurrencyLimitOfFewGatewaysNeedsNoCalls(t *testing.T) {
 	set := testSettings()
 	set.FleetSize = 80
@@ -40,7 +40,7 @@
 	for i, d := range gateways[:3] {
 		d.now += 0.1
 		out := d.handle(AttemptEnded{Request: sent[i].Request, Backend: sent[i].Backend, Outcome: Served, Latency: 0.1})
-		onlyAction[SendAttempt](t, out) // of a request that was waiting
+		onlyAction[SendAttempt](t, out) // the attempt of a request that was waiting
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		sent += len(actionsOf[SendAttempt](out))
 	}
-	// Two attempts at a time, a tenth of a second each: at most 20 a second, or 20 in each window of one second.
+	// The limit allows two attempts at a time, each of 0.1 s: at most 20 a second, or 20 in each window of 1 s.
 	if sent < 10 || sent > 20*len(names) {
 		t.Errorf("%d requests admitted, want about 13", sent)
 	}
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// A malformed reply is no sign of overload: the counter is called again at once, and that call takes back the units
-// that were added and not granted. Calls become rare only while all replies are malformed.
+// A malformed reply is no sign of overload. The gateway must call the counter again at once, and this call must take
+// back the units that were added and not granted. Calls must become rare if all replies are malformed.
 func TestUnitsAddedWithAMalformedReplyAreTakenBack(t *testing.T) {
 	d := startEngine(t, smallBurstSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 2, Gateways: 2, Deadline: d.now + 2}))
@@ -86,11 +86,12 @@
 	}
 }
 
-// Units that a rejected call was to report or take back are sent with a later call.
+// If the counter rejects a call, a later call must report or take back the same units.
 func TestRejectedCallIsReportedLater(t *testing.T) {
 	d := startEngine(t, refillingWindowSettings(), readyBackends(2)...)
 	first := onlyAction[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	// Another gateway has begun the window: the overflow is in the total twice, and this gateway takes its own back.
+	// Another gateway has called first in this window, so the total includes the overflow twice. This gateway takes back
+	// the overflow that it has added.
 	correction := onlyAction[CounterAdd](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
 	if correction.Amount > -1 {
 		t.Fatalf("the call takes nothing back: %v", correction)
@@ -122,9 +123,9 @@
 }
 
 // overloadedCallShares sends requests of two kinds in turn, each from a new customer whose gateway set has the given
-// size, while one counter call in ten times out. It returns the share of each kind's requests that led to a call in the
-// second half of the run, when the gateway has measured the failure rate. The gateway measures the arrival rate of each
-// level only with maintenance.
+// number of gateways, while one counter call in ten times out. For each kind, it returns the share of requests that led
+// to a call. It counts only the second half of the run, since the gateway first has to measure the failure rate. If
+// maintenance is false, the gateway does not measure the arrival rates of the levels.
 func overloadedCallShares(d *engineDriver, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
 	var requests, called [2]int
 	calls := 0
@@ -164,8 +165,9 @@
 	return shares
 }
 
-// A client that was rejected because its quota is exhausted retries at another gateway, which does not know that yet
-// and calls the counter. In an overload, calls for retries are therefore shed before calls for first requests.
+// A client that was rejected because its quota is exhausted retries at another gateway. That gateway does not know that
+// the quota is exhausted, and calls the counter. In an overload, calls for retries must therefore be shed before calls
+// for first requests.
 func TestOverloadShedsCallsForRetriesFirst(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(30)...)
 	shares := overloadedCallShares(d, 50, false, func(kind int) Request { return Request{IsRetry: kind == 1} })
@@ -186,9 +188,9 @@
 	}
 }
 
-// In a large gateway set, each gateway's part of a customer's burst is less than a unit. While the counter rejects
-// calls, the gateways together must admit about the burst, and not a unit each. While it does not reply, each admits
-// a unit.
+// In a large gateway set, each gateway's part of a customer's burst is less than a unit. If the counter rejects calls,
+// the gateways together must admit about the burst, and not one unit at each gateway. If the counter does not reply,
+// each gateway admits one unit.
 func TestRejectedCallsAdmitAboutTheBurst(t *testing.T) {
 	const gateways = 300
 	set := testSettings()
--- a/policy/deferredreporting_test.go
+++ b/policy/deferredreporting_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// startDeferredPair starts the two gateways of a customer under deferred reporting. It returns them and an empty map
-// for the counter's totals, by name; a test replies to the calls itself.
+// startDeferredPair starts the two gateways of a customer under deferred reporting. It returns the gateways and an
+// empty map for the counter's totals by name. The test has to reply to the counter calls.
 func startDeferredPair(t *testing.T) (gateways [2]*engineDriver, totals map[uint64]float64) {
 	t.Helper()
 	set := testSettings()
@@ -17,7 +17,8 @@
 	return gateways, map[uint64]float64{}
 }
 
-// spend sends a gateway requests of one unit each, and returns the calls that they led to.
+// spend sends the given number of requests to a gateway, each of one unit, and returns the counter calls that the
+// requests led to.
 func (d *engineDriver) spend(units int) (calls []CounterAdd) {
 	for range units {
 		d.nextID++
@@ -31,14 +32,15 @@
 	return calls
 }
 
-// replyTo adds a call's amount to the counter's totals, replies to it, and returns the calls that the reply led to.
+// replyTo adds a call's amount to the counter's totals, replies to the call, and returns the calls that the reply led
+// to.
 func (d *engineDriver) replyTo(totals map[uint64]float64, call CounterAdd) []CounterAdd {
 	totals[call.Name] += call.Amount
 	return actionsOf[CounterAdd](d.handle(CounterReply{Name: call.Name, Total: totals[call.Name]}))
 }
 
-// replyToAll replies to the calls among the actions and to the calls that follow from them, and returns all actions. It
-// stops after a thousand actions, in case each call leads to another.
+// replyToAll replies to the counter calls among the actions and to the further calls that the replies lead to, and
+// returns all actions. It stops after a thousand actions, in case each call leads to another call.
 func (d *engineDriver) replyToAll(actions []Action, total func(CounterAdd) float64) (all []Action) {
 	for n := 0; n < 1000 && len(actions) > 0; n++ {
 		action := actions[0]
@@ -65,16 +67,16 @@
 	return actions
 }
 
-// Two gateways that find the same overflow both add it to the total. The second one must take its own back, or the
-// shared bucket would look empty.
+// Two gateways that find the same overflow both add it to the total. The gateway that called second must take back the
+// overflow that it has added. Otherwise the shared bucket would look empty.
 func TestOverflowIsDiscardedOnce(t *testing.T) {
 	gateways, totals := startDeferredPair(t) // 20 units a second, a burst of 40
 	for _, d := range gateways {
-		d.now += 25 // no window begins meanwhile
+		d.now += 25 // no new window begins in these 25 s
 	}
 	var corrections [2]CounterAdd
 	for i, d := range gateways {
-		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // spends the local tokens, which are reported at once
+		report := onlyAction[CounterAdd](t, asActions(d.spend(20))) // uses up the local tokens, which leads to a report
 		corrections[i] = onlyAction[CounterAdd](t, asActions(d.replyTo(totals, report)))
 		if corrections[i].Amount <= 0 {
 			t.Fatalf("no overflow is added: %v", corrections[i])
@@ -104,7 +106,7 @@
 	d.handle(CounterReply{Name: report.Name, Outcome: Rejected}) // nothing was added
 	d.now += refillingWindowDuration
 	calls := d.spend(1)
-	for range 60 { // the local tokens have refilled and are spent
+	for range 60 { // spend the local tokens, which have refilled, until the gateway makes a call
 		if len(calls) > 0 {
 			break
 		}
@@ -130,8 +132,9 @@
 	}
 }
 
-// If an exhausted bucket refills soon, a request of a customer within its quota waits for that and is then admitted:
-// its client would not retry any sooner. If the refill takes longer, the request is rejected at once.
+// If an exhausted bucket refills soon, a request of a customer within its quota must wait for the refill and then be
+// admitted, since its client would not retry any sooner. If the refill takes longer, the request must be rejected at
+// once.
 func TestRequestWaitsForABucketThatRefillsSoon(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -154,28 +157,28 @@
 			for sent := -1; sent < len(actionsOf[SendAttempt](out)); out = append(out, request()...) {
 				sent = len(actionsOf[SendAttempt](out))
 			}
-			// answer replies with the total at which the given share of the burst is used.
-			answer := func(out []Action, used float64) []Action {
+			// reply replies to all calls with the total at which the given share of the burst is used.
+			reply := func(out []Action, used float64) []Action {
 				return d.replyToAll(out, func(call CounterAdd) float64 {
 					return d.windowRefill(1) + used*set.Plans[test.plan].Burst + call.Amount
 				})
 			}
-			// The spent units are reported, and the request needs a lease. Other gateways have used up the burst.
-			if rejected := len(actionsOf[Reject](answer(out, 1))) > 0; rejected == test.waits {
+			// The gateway reports the spent units, and the last request needs a lease. Other gateways have used up the burst.
+			if rejected := len(actionsOf[Reject](reply(out, 1))) > 0; rejected == test.waits {
 				t.Errorf("rejected %t while the bucket is exhausted", rejected)
 			}
 			if !test.waits {
 				return
 			}
 			d.now += 0.2
-			if n := len(actionsOf[SendAttempt](answer(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
+			if n := len(actionsOf[SendAttempt](reply(d.handle(timerFired(maintenanceTimer, 0)), 0))); n != 1 {
 				t.Errorf("%d requests sent after the bucket has refilled, want the one that waited", n)
 			}
 		})
 	}
 }
 
-// Without a counter, local tokens alone admit requests, and nothing is reported.
+// Without a counter, only local tokens may admit requests, and the gateway must make no counter calls.
 func TestLocalTokensWithoutACounterMakeNoCalls(t *testing.T) {
 	set := testSettings()
 	set.HasCounter = false
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -17,11 +17,11 @@
 type quotaLoad struct {
 	gateways      int
 	plan          Plan
-	rate          float64                       // requests a second, of one unit each
+	rate          float64                       // requests per second; each request has one unit
 	rateFactor    func(elapsed float64) float64 // factor on rate, at most 16; nil: always 1
 	unevenWeights bool                          // gateways get uneven shares of the load, which change every 7 to 18 s
 	counterDelay  float64                       // seconds until the counter's reply
-	warmUp        float64                       // seconds from the start that the result leaves out
+	warmUp        float64                       // seconds at the start that do not count in the result
 	end           float64                       // seconds from the start to the end of the simulation
 	seed          uint64
 }
@@ -31,9 +31,9 @@
 type quotaLoadResult struct {
 	requests            int
 	sent                int
-	sentOverQuota       int // sent, but over the quota
-	rejectedWithinQuota int // rejected, but within the quota
-	calls               int // to the counter
+	sentOverQuota       int // requests that were sent although they were over the quota
+	rejectedWithinQuota int // requests that were rejected although they were within the quota
+	calls               int // counter calls
 }
 
 func (r *quotaLoadResult) callsPerRequest() float64 { return float64(r.calls) / float64(r.requests) }
@@ -51,11 +51,11 @@
 	gateways    []*Engine
 	weights     []float64 // share of the load that each gateway gets
 	nextWeights float64   // clock time at which the weights change
-	peakFactor  float64   // requests are drawn at this many times the rate, and then thinned
+	peakFactor  float64   // factor on rate at which requests are drawn before thinning (see nextEvent)
 	nextRequest float64
 	lastID      RequestID
-	totals      map[uint64]float64 // of the counter, by name
-	bucket      float64            // units in the ideal token bucket, as of bucketAt
+	totals      map[uint64]float64 // totals at the counter, by name
+	bucket      float64            // units in the ideal token bucket at the time bucketAt
 	bucketAt    float64
 	result      quotaLoadResult
 }
@@ -124,7 +124,8 @@
 	return run.rng.ExpFloat64() / (run.load.rate * run.peakFactor)
 }
 
-// nextEvent moves the clock to the next event and returns it. ok is false if that is a thinned-out request.
+// nextEvent moves the clock to the next event and returns the event. Requests are drawn at peakFactor times the rate,
+// and thinned at random to rateFactor times the rate. ok is false if the event is a request that thinning removes.
 func (run *quotaLoadRun) nextEvent() (event scheduledEvent, ok bool) {
 	if len(run.pending) > 0 && run.pending[0].at <= run.nextRequest {
 		event = heap.Pop(&run.pending).(scheduledEvent)
@@ -163,10 +164,10 @@
 	}
 }
 
-// counts reports whether the warm-up is over, and events count in the result.
+// counts reports whether events count in the result, since the warm-up is over.
 func (run *quotaLoadRun) counts() bool { return run.now > quotaLoadStart+run.load.warmUp }
 
-// handle has a gateway handle an event and carries out its actions.
+// handle passes an event to its gateway and carries out the gateway's actions.
 func (run *quotaLoadRun) handle(event scheduledEvent) {
 	if run.now > run.nextWeights {
 		run.drawWeights()
@@ -211,13 +212,14 @@
 	heap.Push(&run.pending, scheduledEvent{at: run.now + delay, gateway: gateway, event: event})
 }
 
-// planOf returns a plan with a rate, and a burst of the units of the given seconds, but at least 2.
+// planOf returns a plan with the given rate in units per second. Its burst is the number of units that the rate earns
+// in the given number of seconds, but at least 2.
 func planOf(rate, seconds float64) Plan {
 	return Plan{WeightFactor: 1, Rate: rate, Burst: max(rate*seconds, 2), OverQuotaCost: 1}
 }
 
-// A customer within its quota costs few counter calls and is hardly ever rejected, whatever the number of its gateways,
-// and whether its load is spread evenly over them or not.
+// A customer within its quota must cost few counter calls and hardly ever be rejected, in small and large gateway sets
+// and under even and uneven load of the gateways.
 func TestCustomerWithinItsQuotaCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for i, gateways := range []int{2, 5, 10, 60} {
@@ -235,8 +237,8 @@
 	}
 }
 
-// Units that some of sixty gateways have prefetched must not be missing at the others: few requests of a customer
-// within its quota are rejected. The test takes the mean of eight customers.
+// Units that some of 60 gateways have prefetched must not be missing at the other gateways: few requests of a customer
+// within its quota may be rejected. The test takes the mean over eight customers.
 func TestPrefetchedUnitsAreNotMissingElsewhere(t *testing.T) {
 	t.Parallel()
 	var running sync.WaitGroup
@@ -261,8 +263,8 @@
 	}
 }
 
-// A customer that is new to its gateways and far over its quota gets the shared bucket's burst tolerance, and no
-// further burst from local tokens.
+// A customer that is new to its gateways and far over its quota must get burstTolerance units from the shared bucket,
+// but no further burst from local tokens.
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
 	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
 	result := load.run(t)
@@ -271,8 +273,8 @@
 	}
 }
 
-// A customer that sends requests only now and then also costs few calls for each request, and the fewer the lower its
-// rate.
+// A customer that sends requests rarely must also cost few calls per request. The lower its rate, the fewer calls a
+// request may cost.
 func TestCustomerWithRareRequestsCostsFewCalls(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ rate, calls float64 }{{0.01, 0.25}, {0.1, 0.75}} {
@@ -287,7 +289,7 @@
 	}
 }
 
-// A customer that sends five times its quota gets its quota and no more, over several windows.
+// A customer that sends requests at five times its quota must get its quota and no more, over several windows.
 func TestCustomerOverItsQuotaGetsTheQuota(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 5, 20} {
@@ -301,8 +303,8 @@
 	}
 }
 
-// A burst after a time of low demand gets the burst of its plan and the units that may be unreported, not all the
-// refill of that time.
+// After a time of low demand, a customer must get the burst of its plan and the units that may be unreported, but not
+// all the refill of that time.
 func TestBurstAfterLowDemandIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 20} {
@@ -316,8 +318,8 @@
 				return 1
 			}}
 		result := load.run(t)
-		// Two bursts, the overflow and report lag that may not have been added to the total, the refill meanwhile, and
-		// the local tokens.
+		// Two bursts, the overflow and report lag that may not be in the total, the refill during the burst, and the
+		// local tokens.
 		maxSent := load.plan.Burst*(2+overflowCallShare+maxReportLagShare) + load.plan.Rate*burstTime +
 			largeSetLocalBurst*float64(gateways)
 		if float64(result.sent) > maxSent {
