--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -7,8 +7,8 @@
 	maxUnansweredCalls = 64   // timed-out calls that are kept for a late reply, at most
 )
 
-// counterCall is a call to the counter by a CounterAdd. The counter adds the sum of spent, adjustment and
-// leaseUnits, all in units, to the total of a window.
+// counterCall is a call to the counter, made by a CounterAdd. The counter adds the sum of spent, adjustment
+// and leaseUnits, all in units, to the total of a window.
 type counterCall struct {
 	id             uint64
 	customer       *customer
@@ -17,7 +17,7 @@
 	refill         float64 // units; the window's refill when the call was made
 	spent          float64 // units that the call reports as spent; below 0: units that it returns
 	adjustment     float64 // units of overflow, or a correction of the total, which may be below 0
-	leaseUnits     float64 // units of the requested lease; 0: no lease, or the call only reads the total
+	leaseUnits     float64 // units of the requested lease; 0: no lease is requested
 	isLeaseRequest bool    // requests wait for the reply, even if the call only reads the total
 	carriedOver    bool    // adjustment includes the balance that is carried over from the window before
 }
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -15,13 +15,13 @@
 // Overflow is refill that arrives while the bucket is full. A token bucket discards the overflow. Here the
 // gateways add the overflow to the total, so that the total does not fall behind the refill.
 type counterWindow struct {
-	number    float64 // a whole number, one higher in each window; -1: no window was entered yet
+	number    float64 // a whole number that grows from window to window; -1: no window was entered yet
 	name      uint64  // name of the window's total at the counter
 	lastTotal float64 // units; the total as this gateway last saw it, 0: not seen yet
 }
 
 // enterWindow enters the present window. When a new window begins under upfront leasing, it drops the
-// unreported units and the exhaustion, which belong to the window before.
+// unreported units and resets exhaustedUntil, since both belong to the window before.
 func (c *customer) enterWindow(now float64) {
 	number := math.Floor(now/c.quota.windowDuration + c.windowPhase())
 	if number == c.window.number {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -59,7 +59,7 @@
 //
 // The gateway may have been restarted, and may have spent the customer's local tokens before the restart.
 // Under a ceiling, the local tokens are therefore only those earned since the gateway's start. Without a
-// ceiling, fillLocalTokens adds tokens at once: tokens that are spent twice then cost little.
+// ceiling, fillLocalTokens sets the local tokens, since tokens that are spent twice then cost little.
 func (e *Engine) addCustomer(r Request) *customer {
 	c := &customer{id: r.Customer, lastRequestAt: e.now}
 	c.localTokens.updatedAt = e.startedAt
--- a/policy/deferredreporting.go
+++ b/policy/deferredreporting.go
@@ -104,8 +104,8 @@
 	c.sharedBucket.overflow = correctedTotal - reportedTotal
 	carriedOver := reportedTotal-call.spent < minCorrection && e.now-c.sharedBucket.balanceAt < maxCarryOverAge
 	if carriedOver {
-		// Before this call, the total was 0: the window is new at the counter, and the bucket looks full. The
-		// recent balance is carried over from the window before, since otherwise each window would admit
+		// Before this call, the total was about 0: the window is new at the counter, and the bucket looks full.
+		// The recent balance is carried over from the window before, since otherwise each window would admit
 		// another burst.
 		correctedTotal = max(correctedTotal, call.refill+burstTolerance-c.sharedBucket.balance)
 	}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// minCorrection is the smallest reduction of a total that is worth a call, as a share of the next
+	// minCorrection is the smallest correction of a total that is worth a call, as a share of the next
 	// request's units. A total below minCorrection units counts as 0.
 	minCorrection = 0.25
 
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -12,7 +12,7 @@
 
 const (
 	admitNow             admissionDecision = iota // the request is admitted, and its units have been spent
-	deferRequest                                  // the request and all requests behind it go on waiting
+	deferRequest                                  // the request waits for capacity, units or a reply
 	needsLease                                    // call the counter for a lease, then decide again
 	rejectForQuota                                // the customer has too few units
 	rejectForConcurrency                          // this gateway's part of the concurrency limit is 0
@@ -140,8 +140,8 @@
 
 // refund returns the units of a request that was admitted but never sent. Under upfront leasing, the units go
 // back to the lease. Under deferred reporting, they go to the local tokens, and the next call subtracts them
-// from the total. They do not go to a lease there: it lasts long, and in the meantime the units would be
-// missing at the other gateways.
+// from the total. In a lease under deferred reporting, which lasts long, the units would be missing at the
+// other gateways until the lease expires.
 func (c *customer) refund(units float64) {
 	if !c.quota.deferredReporting {
 		c.lease.units += units
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -7,12 +7,12 @@
 
 	// Deferred reporting.
 	minRefillPerGateway = 4.0 // units per window; with less, the gateways of a large set would report too rarely
-	largeSetLocalBurst  = 5.0 // units at a gateway, and bursts at all gateways together (useDeferredReporting)
+	largeSetLocalBurst  = 5.0 // bound of localBurst in units, and of its sum in bursts (useDeferredReporting)
 	smallSetTolerance   = 0.8 // share of the burst; burstTolerance of a small gateway set
 	largeSetTolerance   = 2.0 // multiple of the burst; burstTolerance of a large gateway set
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // share of the ceiling's burst; the usual limit of what a fixed window grants
+	ceilingLeaseShare = 0.22 // share of the ceiling's burst; a bound of burst in divideCeilingForFixedWindows
 
 	// A concurrency limit that is applied as a rate.
 	concurrencyUtilization = 0.65 // share of the limit that the rate uses on average
@@ -48,7 +48,7 @@
 	windowDuration    float64 // seconds
 	refillingWindow   bool    // the windows are refilling windows; else fixed windows
 	deferredReporting bool    // units are charged by deferred reporting; else by upfront leasing
-	burstTolerance    float64 // units; the total may exceed the refill by as many (deferred reporting)
+	burstTolerance    float64 // units by which the total may exceed the refill (deferred reporting)
 
 	localRate       float64 // units per second that the local tokens earn
 	localBurst      float64 // size of the bucket of local tokens in units
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -6,7 +6,7 @@
 // describes leases and windows; counterWindow describes total, refill and overflow.
 
 const (
-	maxRefillWaitRequests = 3.0 // requests whose units an exhausted bucket earns until the next call, at most
+	maxRefillWaitRequests = 3.0 // requests; the longest wait is until an exhausted bucket has earned their units
 	leaseLifetimeShare    = 0.5 // share of the time in which the burst is earned; lifetime of a lease
 )
 
@@ -27,9 +27,9 @@
 	return min(c.demand.rate, c.quota.maxPrefetch)
 }
 
-// upfrontOverflow returns the overflow that the next call adds to the total. It is the refill less the last
-// total that this gateway has seen in the window. In the first call of a window, it also includes the units
-// that lower the shared bucket to its initial balance.
+// upfrontOverflow returns the overflow that the next call adds to the total: the refill above the last total
+// that this gateway has seen in the window. If the gateway has seen no total in the window, the returned
+// units also lower the shared bucket to its initial balance.
 func (c *customer) upfrontOverflow(refill float64) float64 {
 	if c.window.lastTotal == 0 {
 		// The window may be new at the counter. If another gateway has made the first call of the window
@@ -40,9 +40,9 @@
 }
 
 // reconcileUpfront grants the lease that a call requested, as far as the returned total allows. In a
-// refilling window, it subtracts the units that were not granted from the total again. In a fixed window, the
-// units stay in the total: no gateway is granted more until the next window, and subtracting the units would
-// double the number of calls.
+// refilling window, it takes the units that were not granted out of the total again. In a fixed window, the
+// units stay in the total: no gateway is granted more until the next window, and calls that take the units
+// out would double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
 	correctedTotal := c.totalBeforeLease(call, total)
 	requestUnits := c.nextRequestUnits()
