--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -13,7 +13,7 @@
 	softLimitShare     = 0.8                    // of maxConns; above it new connections replace idle ones
 	evictionGrace      = 2 * time.Second        // a connection is not evicted until this long after its last activity
 	minEvictionGrace   = 100 * time.Millisecond // the same while all maxConns are in use
-	evictionsPerAccept = 2                      // for each new connection, at most
+	maxEvictionsPerAdd = 2                      // for each new connection, at most
 )
 
 // clientConnections is a listener that keeps the client connections in a table and limits their number. If it only
@@ -31,12 +31,12 @@
 	drainStarted time.Time // when it began to empty the accept queue before closing the listener; zero: it has not
 	acceptDelay  acceptDelay
 
-	mu         sync.Mutex
-	conns      map[*clientConn]struct{}
-	idle       list.List // of *clientConn without an open request, the longest idle first
-	closing    int       // number of connections with closing set
-	draining   bool      // connections are closed once they are idle
-	readCutoff time.Time // of a graceful shutdown: a request that is incomplete then is rejected; zero: none
+	mu           sync.Mutex
+	conns        map[*clientConn]struct{}
+	idle         list.List // of *clientConn without an open request, the longest idle first
+	closingCount int       // number of connections with closing set
+	draining     bool      // connections are closed once they are idle
+	readCutoff   time.Time // of a graceful shutdown: a request that is incomplete then is rejected; zero: none
 }
 
 // newClientConnections returns a table for at most maxConns connections accepted from listener. The caller may
@@ -73,8 +73,8 @@
 	softLimit := int(softLimitShare * float64(c.maxConns))
 	now := time.Now()
 	evicted := 0
-	for e := c.idle.Front(); e != nil && evicted < evictionsPerAccept; e = e.Next() {
-		remaining := len(c.conns) - c.closing
+	for e := c.idle.Front(); e != nil && evicted < maxEvictionsPerAdd; e = e.Next() {
+		remaining := len(c.conns) - c.closingCount
 		if remaining <= softLimit {
 			return
 		}
@@ -105,7 +105,7 @@
 func (c *clientConnections) closeWhenIdle(conn *clientConn) {
 	if !conn.closing {
 		conn.closing = true
-		c.closing++
+		c.closingCount++
 	}
 	conn.applyReadDeadline()
 }
@@ -114,7 +114,7 @@
 func (c *clientConnections) cancelClose(conn *clientConn) {
 	if conn.closing {
 		conn.closing = false
-		c.closing--
+		c.closingCount--
 		conn.applyReadDeadline()
 	}
 }
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -183,12 +183,12 @@
 	awaitCondition(t, step+": evicted connections are still in the table", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.closing == 0
+		return e.closingCount == 0
 	})
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.conns) != len(want) || e.closing != 0 {
-		t.Errorf("%s: %d connections kept, want %d; %d are closing", step, len(e.conns), len(want), e.closing)
+	if len(e.conns) != len(want) || e.closingCount != 0 {
+		t.Errorf("%s: %d connections kept, want %d; %d are closing", step, len(e.conns), len(want), e.closingCount)
 	}
 	for i, conn := range want {
 		if _, kept := e.conns[conn]; !kept || conn.closing {
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -84,17 +84,17 @@
 
 // holdAccept returns a listener that holds the next connection it accepts after gateClosed is set. It reports the
 // connection on waiting, and holds it until gate is closed.
-func holdAccept() (listener *gatedListener, gateClosed *atomic.Bool, waiting <-chan struct{}, gate chan<- struct{}) {
-	gateClosed = &atomic.Bool{}
-	held := make(chan struct{}, 1)
-	gateOpened := make(chan struct{})
+func holdAccept() (listener *gatedListener, hold *atomic.Bool, held <-chan struct{}, release chan<- struct{}) {
+	hold = &atomic.Bool{}
+	isHeld := make(chan struct{}, 1)
+	released := make(chan struct{})
 	listener = &gatedListener{onAccept: func() {
-		if gateClosed.CompareAndSwap(true, false) {
-			held <- struct{}{}
-			<-gateOpened
+		if hold.CompareAndSwap(true, false) {
+			isHeld <- struct{}{}
+			<-released
 		}
 	}}
-	return listener, gateClosed, held, gateOpened
+	return listener, hold, isHeld, released
 }
 
 // startRace starts a gateway and opens a connection to it. It calls onRead as soon as the gateway has read from the
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -8,11 +8,11 @@
 
 // Parameters of idleLimitEstimator.
 const (
-	minIdleBucket = 25 * time.Millisecond // a connection that was idle for less is always reused
-	idleBuckets   = 10                    // ranges of idle times, each twice as long as the one before
-	minBreaks     = 3.0                   // minimum number of broken reuses for a range to be avoided
-	minBreakShare = 1.0 / 3               // minimum share of broken reuses in the range for the same
-	idleDecayTime = 20 * time.Second      // time in which the weight of an observation falls to 1/e
+	minIdleBucket   = 25 * time.Millisecond // a connection that was idle for less is always reused
+	idleBucketCount = 10                    // ranges of idle times, each twice as long as the one before
+	minBreaks       = 3.0                   // minimum number of broken reuses for a range to be avoided
+	minBreakShare   = 1.0 / 3               // minimum share of broken reuses in the range for the same
+	idleDecayTime   = 20 * time.Second      // time in which the weight of an observation falls to 1/e
 )
 
 // idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
@@ -27,7 +27,7 @@
 // The zero value has no observations and is ready to use. The methods are safe for concurrent use.
 type idleLimitEstimator struct {
 	mu        sync.Mutex
-	buckets   [idleBuckets]idleBucket
+	buckets   [idleBucketCount]idleBucket
 	decayedAt time.Time // when the weights of the observations were last updated
 }
 
@@ -55,7 +55,7 @@
 
 // idleBucketIndex returns the index of the bucket for an idle time of at least minIdleBucket.
 func idleBucketIndex(idleFor time.Duration) int {
-	return min(int(math.Log2(float64(idleFor)/float64(minIdleBucket))), idleBuckets-1)
+	return min(int(math.Log2(float64(idleFor)/float64(minIdleBucket))), idleBucketCount-1)
 }
 
 // limit returns the idle time from which connections must not be reused; the longest duration if there is no limit.
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -27,7 +27,7 @@
 		{"two breaks may be chance", 300 * time.Millisecond, 0, 2, 0, noLimit},
 		{"random breaks among many reuses", 300 * time.Millisecond, 80, 10, 0, noLimit},
 		{"below the shortest range", time.Millisecond, 0, 9, 0, noLimit},
-		{"beyond the longest range", time.Hour, 0, 9, 0, minIdleBucket << (idleBuckets - 1)},
+		{"beyond the longest range", time.Hour, 0, 9, 0, minIdleBucket << (idleBucketCount - 1)},
 		{"old observations", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, noLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -89,13 +89,13 @@
 
 // await returns the next value from a channel. It fails the test if none comes within testTimeout; what names the
 // value in the failure.
-func await[T any](t *testing.T, ch <-chan T, what string) T {
+func await[T any](t *testing.T, ch <-chan T, description string) T {
 	t.Helper()
 	select {
 	case value := <-ch:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("timed out waiting for: %s", what)
+		t.Fatalf("timed out waiting for: %s", description)
 		panic("unreachable")
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -85,7 +85,7 @@
 
 	allClosed := s.clientConnections.awaitClosed(time.Until(requestedAt.Add(schedule.exitBy)))
 	if !allClosed {
-		s.awaitResponses()
+		s.awaitAnswers()
 	}
 	s.logShutdownStep("exiting", requestedAt)
 	s.httpServer.Close()
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -58,19 +58,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			var gateClosed atomic.Bool
-			gate, waiting := make(chan struct{}), make(chan *gatedConn, 1)
+			var hold atomic.Bool
+			release, held := make(chan struct{}), make(chan *gatedConn, 1)
 			// Only the client's connection may be held at the gate: connections of readiness checks wait for requests
 			// too.
 			clientAddress := freeAddress(t)
 			gated := &gatedListener{beforeRead: func(c *gatedConn) {
-				if c.RemoteAddr().String() == clientAddress.String() && gateClosed.CompareAndSwap(true, false) {
-					waiting <- c
-					<-gate
+				if c.RemoteAddr().String() == clientAddress.String() && hold.CompareAndSwap(true, false) {
+					held <- c
+					<-release
 				}
 			}}
 			g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
-			gateClosed.Store(!idle)
+			hold.Store(!idle)
 			conn, err := (&net.Dialer{LocalAddr: clientAddress}).Dial("tcp", g.address)
 			if err != nil {
 				t.Fatal(err)
@@ -83,18 +83,18 @@
 				io.WriteString(conn, requestText("GET", "lookup", ""))
 				backendConn, reader := backend.accept(t)
 				readRequest(t, reader)
-				gateClosed.Store(true)
+				hold.Store(true)
 				writeResponse(backendConn, http.StatusOK, "ok")
 				if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 					t.Fatal(resp, err)
 				}
 			}
-			held := await(t, waiting, "read")
+			heldConn := await(t, held, "read")
 			io.WriteString(conn, requestText("GET", "glance", ""))
-			awaitBytes(t, held.TCPConn)
+			awaitBytes(t, heldConn.TCPConn)
 			g.stop()
 			g.awaitListenerClosed(t)
-			close(gate)
+			close(release)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -155,18 +155,18 @@
 // They are accepted, and their requests are rejected. Closing the listener first would reset them.
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
-	gated, gateClosed, waiting, gate := holdAccept()
+	gated, hold, held, release := holdAccept()
 	g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, newPeer(t))
-	gateClosed.Store(true)
+	hold.Store(true)
 	var allAnswers []<-chan *http.Response
 	for range 20 {
 		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		allAnswers = append(allAnswers, answers)
 	}
-	await(t, waiting, "connection")
+	await(t, held, "connection")
 	g.stop()
 	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // past the close of the listener
-	close(gate)
+	close(release)
 	for _, answers := range allAnswers {
 		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, connection closed %t", resp.StatusCode, resp.Close)
@@ -200,13 +200,13 @@
 func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	gated, gateClosed, waiting, gate := holdAccept()
+	gated, hold, held, release := holdAccept()
 	g := startTestGatewayBehind(t, wrapWith(gated), unchangedConfig, backend)
-	gateClosed.Store(true)
+	hold.Store(true)
 	_, answers := g.sendRequest(t, requestText("GET", "glance", "")) // the backend stays silent
-	await(t, waiting, "connection")
+	await(t, held, "connection")
 	g.stop()
-	close(gate)
+	close(release)
 	resp := await(t, answers, "answer")
 	rejectedLate := resp.StatusCode == http.StatusServiceUnavailable
 	if !rejectedLate && resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -20,32 +20,32 @@
 
 // Ways in which discovery answers a call.
 
-func answerList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
+func respondWithList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
 
-func answerNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func neverRespond(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-func answerUnavailable(w http.ResponseWriter, _ *http.Request) {
+func respondUnavailable(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 func resetConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func answerSlowly(w http.ResponseWriter, r *http.Request) {
+func respondSlowly(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-time.After(2 * time.Second):
-		answerList(w, r)
+		respondWithList(w, r)
 	}
 }
 
 // failFirst answers the first calls with fail, and later calls with the list.
-func failFirst(calls int32, fail http.HandlerFunc) http.HandlerFunc {
-	var n atomic.Int32
+func failFirst(n int32, fail http.HandlerFunc) http.HandlerFunc {
+	var callCount atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
-		if n.Add(1) <= calls {
+		if callCount.Add(1) <= n {
 			fail(w, r)
 		} else {
-			answerList(w, r)
+			respondWithList(w, r)
 		}
 	}
 }
@@ -60,14 +60,14 @@
 		discovery http.HandlerFunc
 		cached    bool // the gateway has a cached list
 	}{
-		"silent":                       {answerNothing, true},
-		"unavailable":                  {answerUnavailable, true},
+		"silent":                       {neverRespond, true},
+		"unavailable":                  {respondUnavailable, true},
 		"resetting":                    {resetConnection, true},
-		"slow, with a cached list":     {answerSlowly, true},
-		"slow":                         {answerSlowly, false},
-		"unavailable for the first 20": {failFirst(20, answerUnavailable), false},
+		"slow, with a cached list":     {respondSlowly, true},
+		"slow":                         {respondSlowly, false},
+		"unavailable for the first 20": {failFirst(20, respondUnavailable), false},
 		"resetting the first 20":       {failFirst(20, resetConnection), false},
-		"silent for the first 2 calls": {failFirst(2, answerNothing), false},
+		"silent for the first 2 calls": {failFirst(2, neverRespond), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -34,9 +34,9 @@
 	return requests
 }
 
-// awaitResponses waits for answers that are still being written, and logs the requests that are left without one. It
+// awaitAnswers waits for answers that are still being written, and logs the requests that are left without one. It
 // counts checks instead of time: a process that was stalled until the end gets as many chances to run as any other.
-func (s *server) awaitResponses() {
+func (s *server) awaitAnswers() {
 	for range finalPolls {
 		if len(s.clientConnections.unanswered(1)) == 0 {
 			return
