--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// capacityPollInterval is how often awaitCapacity checks whether the table has a free slot.
+// capacityPollInterval is the longest time between two checks of awaitCapacity for a free slot in the table.
 const capacityPollInterval = 10 * time.Millisecond
 
-// The backoff after a failed accept, which doubles from the minimum to the maximum.
+// Bounds of the backoff after a failed accept. The backoff doubles with each consecutive failure.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
@@ -18,13 +18,13 @@
 
 // Limits on emptying the kernel's accept queue before the listener closes.
 const (
-	drainAcceptAttempts = 3                      // consecutive timeouts after which the queue counts as empty
-	drainAcceptTimeout  = 5 * time.Millisecond   // timeout of each of these accepts
-	maxDrainAcceptTime  = 100 * time.Millisecond // in total, in case new connections keep arriving
+	drainAcceptAttempts = 3                      // number of consecutive timeouts after which the queue counts as empty
+	drainAcceptTimeout  = 5 * time.Millisecond   // timeout of a single Accept call
+	maxDrainAcceptTime  = 100 * time.Millisecond // limit on the whole emptying, because new connections may keep arriving
 )
 
-// Accept returns the next client connection, once the table has a slot for it. It closes a connection that gets no
-// slot in time. The only error it returns is net.ErrClosed.
+// Accept returns the next client connection as soon as the table has a slot for it. It closes a connection for which
+// no slot becomes free in time (see awaitCapacity). Its only error is net.ErrClosed, which may be wrapped.
 func (c *clientConnections) Accept() (net.Conn, error) {
 	for {
 		netConn, err := c.acceptWithRetry()
@@ -44,8 +44,10 @@
 	}
 }
 
-// awaitCapacity adds a connection to the table as soon as there is a free slot. It returns nil if there is none
-// within minEvictionGrace, the time that evicting an idle connection may take.
+// awaitCapacity adds a connection to the table as soon as there is a free slot. It returns nil if the table is still
+// full after minEvictionGrace/capacityPollInterval waits. Each wait lasts capacityPollInterval, or until a slot is
+// freed. If no slot is freed, the waits last minEvictionGrace, after which any connection that was idle at the
+// beginning may be evicted.
 func (c *clientConnections) awaitCapacity(netConn net.Conn) *clientConn {
 	for remaining := minEvictionGrace; ; remaining -= capacityPollInterval {
 		conn := c.tryAdd(netConn)
@@ -60,9 +62,9 @@
 }
 
 // acceptWithRetry returns the next connection from the kernel's accept queue. An accept fails if the machine or the
-// process temporarily lacks a resource, or if the connection has already ended in the queue. In neither case has the
-// listener failed, and ending the gateway would lose its open requests. So the accept is retried, with a short
-// backoff, until the listener is closed.
+// process temporarily lacks a resource, or if the connection has already ended in the queue. In both cases the
+// listener still works, and ending the gateway would lose its open requests. The accept is therefore retried after a
+// short backoff, until the listener is closed.
 func (c *clientConnections) acceptWithRetry() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		netConn, err := c.acceptOnce()
@@ -78,8 +80,8 @@
 	}
 }
 
-// acceptOnce accepts a connection. Once stopAccepting has been called, it accepts only those that wait in the
-// kernel's queue.
+// acceptOnce accepts a connection. After stopAccepting, it accepts only the connections that wait in the kernel's
+// accept queue (see acceptQueued).
 func (c *clientConnections) acceptOnce() (net.Conn, error) {
 	c.acceptDelay.acceptCalled(time.Now())
 	netConn, err := c.Listener.Accept()
@@ -89,8 +91,9 @@
 	return netConn, err
 }
 
-// stopAccepting closes the listener and ends Accept, after the connections that wait in the kernel's queue have been
-// accepted. Closing the listener at once would reset these connections.
+// stopAccepting makes Accept return the connections that wait in the kernel's accept queue, and then close the
+// listener. Closing the listener at once would reset these connections. Only a listener whose Accept can't time out is
+// closed at once.
 func (c *clientConnections) stopAccepting() {
 	if listener, ok := c.Listener.(deadlineListener); ok {
 		listener.SetDeadline(aLongTimeAgo) // wakes Accept
@@ -102,8 +105,9 @@
 // deadlineListener is a listener whose Accept can time out, such as *net.TCPListener.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// acceptQueued returns a connection that waits in the kernel's queue, or closes the listener if the queue is empty.
-// Only the goroutine that calls Accept may call it.
+// acceptQueued returns a connection that waits in the kernel's accept queue. It closes the listener and returns
+// net.ErrClosed if the queue is empty, or if maxDrainAcceptTime has passed since its first call. Only the goroutine
+// that calls Accept may call it.
 func (c *clientConnections) acceptQueued() (net.Conn, error) {
 	if c.drainStarted.IsZero() {
 		c.drainStarted = time.Now()
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// maxPipelinedBytes is the number of bytes that a client may send behind an open request, before its answer.
+// maxPipelinedBytes is the number of bytes behind an open request at which its client is treated as disconnected.
 const maxPipelinedBytes = 16 << 10
 
 // Limits on reading from a connection after its incomplete request has been rejected.
@@ -25,32 +25,33 @@
 
 // clientConn is one connection of a client.
 //
-// Only the HTTP server's goroutine that reads a connection closes it, because no other goroutine knows what has been
-// read. It closes the connection when the client has ended it, when the response says so, and when a wait for bytes
-// has timed out. Other goroutines end an idle connection by setting closing, which ends the wait for a request. If a
-// request arrives at the same time, it is served all the same. The connections that are left at the very end of a
-// graceful shutdown are closed by http.Server.Close.
+// A connection is closed only by the goroutine of the HTTP server that reads it, because no other goroutine knows
+// which bytes have been read. This goroutine closes the connection when the client has closed it, when the answer has
+// the header "Connection: close", and when a wait for bytes has timed out. Other goroutines call closeWhenIdle, which
+// sets closing and ends the wait for a request. A request that arrives at that moment is still served. At the end of a
+// graceful shutdown, http.Server.Close closes the connections that are left.
 type clientConn struct {
 	net.Conn
 	table *clientConnections
 
 	phase     atomicConnPhase // written under table.mu
-	pipelined []byte          // bytes received behind an open request; owned by the reading goroutine
+	pipelined []byte          // bytes received behind an open request; owned by the goroutine that reads the connection
 
-	// firstRequestDelay is how long the first request may have waited before the connection was accepted; 0 for later
-	// requests. It needs no lock: it is set before the connection is served, and then used only by the goroutine that
-	// serves it.
+	// firstRequestDelay is the longest time that the first request can have waited before the connection was accepted;
+	// 0 for later requests. It needs no lock: it is set before the connection is served, and then used only by the
+	// goroutine that serves the connection.
 	firstRequestDelay time.Duration
 
-	// request is the open request, for the log; nil if none is open.
+	// request is the open request, which is logged if a graceful shutdown leaves it unanswered; nil if no request is
+	// open.
 	request atomic.Pointer[clientRequest]
 
 	// Guarded by table.mu:
-	idleElement  *list.Element // in table.idle; nil while a request is open
-	lastActive   time.Time     // when it was accepted, began to send a request or got its answer, whichever was last
-	isNew        bool          // no request has been read from it yet
-	closing      bool          // its wait for a request is to end, so that the server closes it
-	readDeadline time.Time     // set by the server, extended by markReading; zero: none
+	idleElement  *list.Element // element of table.idle; nil while a request is open
+	lastActive   time.Time     // last time the connection was accepted or a request began to arrive or was answered
+	isNew        bool          // no request has been read from the connection yet
+	closing      bool          // the wait for a request ends at once, so that the server closes the connection
+	readDeadline time.Time     // read deadline set by the server or extended by markReading; zero: none
 }
 
 // aLongTimeAgo is a deadline in the past, which ends a wait at once.
@@ -58,11 +59,13 @@
 
 var errPipelineTooLong = errors.New("too many bytes behind an open request")
 
-// Read notes that a request begins to arrive, and buffers the bytes that arrive behind an open request. While a
-// request is open, the server reads a single byte to notice a client that disconnects. A byte sent behind the request
-// would end that read, and the server would not notice a later disconnect: the request would be forwarded although
-// nobody waits for it. So such bytes are buffered here and the watch continues. A client that sends maxPipelinedBytes
-// is treated as disconnected.
+// Read reads bytes from the client. It records when a request begins to arrive, and buffers the bytes that arrive
+// behind an open request.
+//
+// While a request is open, the HTTP server reads a single byte to detect a client that disconnects. A byte that the
+// client sends behind the request would end that read, and the server would not detect a later disconnect: the request
+// would be forwarded although its client no longer waits. Read therefore buffers the bytes behind an open request and
+// keeps watching the connection. A client that sends maxPipelinedBytes is treated as disconnected.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.phase.load() == phaseOpen {
 		return 0, c.watchForClose(p)
@@ -83,8 +86,8 @@
 }
 
 // readTimedOut reads once more, without blocking, in case bytes arrived as the wait timed out: closing a connection
-// with unread bytes would reset it. If nothing has arrived but a part of a request had been read before, the client
-// gets an error response.
+// with unread bytes would reset it. If no bytes have arrived, it returns the error timeout. In that case it also
+// rejects a request of which a part was read before.
 func (c *clientConn) readTimedOut(p []byte, timeout error) (int, error) {
 	n, err := receive(c.Conn, p, syscall.MSG_DONTWAIT)
 	switch {
@@ -99,7 +102,8 @@
 	return n, err
 }
 
-// watchForClose blocks until the connection ends, and buffers the bytes that arrive before that.
+// watchForClose buffers bytes that arrive behind the open request, until a read fails or maxPipelinedBytes are
+// buffered. It returns the error. A read fails when the connection ends, or when the server ends it by a read deadline.
 func (c *clientConn) watchForClose(p []byte) error {
 	n, err := c.Conn.Read(p)
 	c.pipelined = append(c.pipelined, p[:n]...)
@@ -116,7 +120,7 @@
 	return err
 }
 
-// SetReadDeadline is called by the HTTP server before it waits for bytes. The wait may end earlier; see
+// SetReadDeadline sets the read deadline for the HTTP server. The deadline of the socket may be earlier; see
 // applyReadDeadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.table.mu.Lock()
@@ -125,11 +129,11 @@
 	return c.applyReadDeadline()
 }
 
-// applyReadDeadline sets the read deadline of the socket. This is the server's deadline, with two exceptions: a
-// closing connection gets a deadline in the past, and a request that is being read gets the shutdown's readCutoff if
-// that comes first. It is called under table.mu whenever one of these changes, so that no deadline overwrites
-// another. While the server watches for a client that disconnects, it has no deadline, and the exceptions don't apply
-// either.
+// applyReadDeadline sets the read deadline of the socket. This is readDeadline, with two exceptions: a closing
+// connection gets a deadline in the past, and a connection on which a request is being read gets readCutoff if
+// readCutoff is before readDeadline. The caller holds table.mu. It calls applyReadDeadline after each change of
+// closing, readCutoff or readDeadline, so that no deadline overwrites another. While the server watches an open request
+// for a disconnect of the client, readDeadline is zero and neither exception applies.
 func (c *clientConn) applyReadDeadline() error {
 	readCutoff := c.table.readCutoff
 	switch {
@@ -141,20 +145,20 @@
 	return c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-// rejectIncomplete answers a request whose header the gateway no longer waits for. The server would close the
-// connection without a response, and a client that has just sent the last byte could not tell that from a lost
-// request. Bytes that still arrive are read for lingerTime, because closing a connection with unread bytes resets it,
-// and the client might lose the response.
+// rejectIncomplete answers a request whose header is still incomplete when the gateway stops waiting for it. The HTTP
+// server would close the connection without an answer, and a client that has just sent the last byte could not tell
+// that from a lost request. After the answer, rejectIncomplete reads and discards bytes for lingerTime at most: closing
+// a connection with unread bytes resets it, and the client might lose the answer.
 func (c *clientConn) rejectIncomplete(status int) {
 	c.table.metrics.add(requestsIncomplete)
 	c.Conn.SetDeadline(time.Now().Add(lingerTime))
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 	c.CloseWrite()
-	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // an error only ends the reading
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // the error needs no handling: it only ends the read
 }
 
-// CloseWrite closes the sending side of the connection. The HTTP server calls it after a response, before it closes
-// the connection, so that the client receives the whole response.
+// CloseWrite closes the sending side of the connection. The HTTP server calls it after the last answer, before it
+// closes the connection, so that the client receives the whole answer.
 func (c *clientConn) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
@@ -162,7 +166,7 @@
 	return nil
 }
 
-// takeFirstRequestDelay returns firstRequestDelay at the first call, and 0 at later calls.
+// takeFirstRequestDelay returns firstRequestDelay and sets it to 0.
 func (c *clientConn) takeFirstRequestDelay() time.Duration {
 	delay := c.firstRequestDelay
 	c.firstRequestDelay = 0
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// When idle connections are evicted for new ones.
+// Parameters of the eviction of idle connections in favor of new connections.
 const (
-	softLimitShare     = 0.8                    // of maxConns; above it new connections replace idle ones
-	evictionGrace      = 2 * time.Second        // a connection is not evicted until this long after its last activity
-	minEvictionGrace   = 100 * time.Millisecond // the same while all maxConns are in use
-	maxEvictionsPerAdd = 2                      // for each new connection, at most
+	softLimitShare     = 0.8                    // share of maxConns above which new connections evict idle ones
+	evictionGrace      = 2 * time.Second        // time without activity after which a connection may be evicted
+	minEvictionGrace   = 100 * time.Millisecond // replaces evictionGrace while maxConns connections are not closing
+	maxEvictionsPerAdd = 2                      // maximum number of evictions in one call of tryAdd
 )
 
 // clientConnections is a listener that keeps the client connections in a table and limits their number. If it only
-// stopped accepting at the limit, clients that connect and send nothing could take all connections, and other clients
-// would wait in the backlog behind them. Instead, a new connection replaces the one that has been without an open
-// request for the longest time.
+// stopped accepting at the limit, clients that connect and send nothing could occupy all slots, and other clients
+// would wait in the kernel's accept queue. Instead, a new connection evicts idle connections, which are connections
+// without an open request. Those without activity for the longest time are evicted first.
 type clientConnections struct {
 	net.Listener
 	maxConns  int
 	metrics   *metrics
 	log       *slog.Logger
-	slotFreed chan struct{} // has an element when a connection has been removed
+	slotFreed chan struct{} // receives an element when a connection is removed
 
 	// Owned by the goroutine that calls Accept:
-	drainStarted time.Time // when it began to empty the accept queue before closing the listener; zero: it has not
+	drainStarted time.Time // time of the first call of acceptQueued; zero: not called yet
 	acceptDelay  acceptDelay
 
 	mu           sync.Mutex
 	conns        map[*clientConn]struct{}
-	idle         list.List // of *clientConn without an open request, the longest idle first
-	closingCount int       // number of connections with closing set
-	draining     bool      // connections are closed once they are idle
-	readCutoff   time.Time // of a graceful shutdown: a request that is incomplete then is rejected; zero: none
+	idle         list.List // the *clientConn without an open request, ordered by lastActive
+	closingCount int       // number of connections whose closing is set
+	draining     bool      // each connection is closed when it becomes idle
+	readCutoff   time.Time // time at which a graceful shutdown rejects incomplete requests; zero: no shutdown
 }
 
 // newClientConnections returns a table for at most maxConns connections accepted from listener. The caller may
-// replace its metrics and log before the first Accept.
+// replace the metrics and the log of the table before the first Accept.
 func newClientConnections(listener net.Listener, maxConns int) *clientConnections {
 	return &clientConnections{
 		Listener:  listener,
@@ -52,8 +52,8 @@
 	}
 }
 
-// tryAdd adds a new connection to the table, after evicting idle connections where needed. It returns nil if the
-// table is full.
+// tryAdd evicts idle connections if the table is above its soft limit, and then adds a new connection to the table. It
+// returns nil if the table is full.
 func (c *clientConnections) tryAdd(netConn net.Conn) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,8 +67,9 @@
 	return conn
 }
 
-// evictIdle evicts connections that have been idle for long enough, if the table is above its soft limit. Their slots
-// are free once the server has closed them.
+// evictIdle evicts idle connections while the table is above its soft limit, maxEvictionsPerAdd at most. A connection
+// must have been without activity for evictionGrace, or for minEvictionGrace while maxConns connections are not
+// closing. The slot of an evicted connection becomes free when the server has closed the connection.
 func (c *clientConnections) evictIdle() {
 	softLimit := int(softLimitShare * float64(c.maxConns))
 	now := time.Now()
@@ -81,7 +82,7 @@
 		conn := e.Value.(*clientConn)
 		idleFor := now.Sub(conn.lastActive)
 		if idleFor < minEvictionGrace || idleFor < evictionGrace && remaining < c.maxConns {
-			return // the other connections have been idle for a shorter time
+			return // the connections behind this one in the list were active later
 		}
 		if c.evict(conn) {
 			evicted++
@@ -89,8 +90,9 @@
 	}
 }
 
-// evict closes a connection without an open request to free its slot. It does nothing if the connection is already
-// closing, or if bytes have arrived that the server has not read. It reports whether it evicted the connection.
+// evict makes the server close a connection without an open request, to free its slot, and returns true. If the
+// connection is already closing, has unread bytes or has been closed by the client, evict does nothing and returns
+// false.
 func (c *clientConnections) evict(conn *clientConn) bool {
 	if conn.closing || !isOpenWithoutInput(conn.Conn) {
 		return false
@@ -100,8 +102,8 @@
 	return true
 }
 
-// closeWhenIdle ends the server's wait for a request, or for the rest of a request, on a connection: at once, or as
-// soon as the wait begins. The server then closes the connection.
+// closeWhenIdle makes the server close a connection without an open request. It ends the server's wait for a request,
+// or for the rest of a request's header. If the server is not waiting yet, its next wait ends at once.
 func (c *clientConnections) closeWhenIdle(conn *clientConn) {
 	if !conn.closing {
 		conn.closing = true
@@ -119,7 +121,8 @@
 	}
 }
 
-// remove removes a closed connection from the table.
+// remove removes a closed connection from the table. It calls markActive to remove the connection from the idle list
+// and from closingCount.
 func (c *clientConnections) remove(conn *clientConn) {
 	c.markActive(conn)
 	delete(c.conns, conn)
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -13,13 +13,13 @@
 
 // The phases of a connection.
 const (
-	phaseIdle      connPhase = iota // nothing has arrived since the accept or the last answer
+	phaseIdle      connPhase = iota // no byte of a request has arrived since the accept or the last answer
 	phaseReading                    // a part of a request has arrived
 	phaseOpen                       // a request is open
 	connPhaseCount                  // the number of phases
 )
 
-// String returns the name of a phase that log lines use.
+// String returns the name of a phase, as used in log lines.
 func (p connPhase) String() string {
 	switch p {
 	case phaseIdle:
@@ -60,15 +60,15 @@
 	}
 }
 
-// markIdle adds a connection to the end of the idle list.
+// markIdle sets a connection's phase to phaseIdle and adds the connection to the end of the idle list.
 func (c *clientConnections) markIdle(conn *clientConn) {
 	conn.lastActive = time.Now()
 	conn.idleElement = c.idle.PushBack(conn)
 	conn.phase.store(phaseIdle)
 }
 
-// markReading records that a request has begun to arrive on an idle connection. The request gets as much time to
-// become complete as on a new connection, even if the connection was about to be closed.
+// markReading records that a request has begun to arrive on an idle connection, and cancels a close of the connection.
+// If the connection has served a request before, the new request gets readTimeout to become complete.
 func (c *clientConnections) markReading(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,12 +81,13 @@
 	c.cancelClose(conn)
 	minDeadline := conn.lastActive.Add(readTimeout)
 	if !conn.isNew && conn.readDeadline.Before(minDeadline) {
-		conn.readDeadline = minDeadline // the server's deadline was only for the wait between requests
+		conn.readDeadline = minDeadline // the server's deadline covers only the wait between requests
 	}
 	conn.applyReadDeadline()
 }
 
-// markActive removes a connection from the list of idle connections, and cancels its close.
+// markActive sets a connection's phase to phaseOpen, cancels a close of the connection and removes the connection from
+// the idle list.
 func (c *clientConnections) markActive(conn *clientConn) {
 	conn.phase.store(phaseOpen)
 	c.cancelClose(conn)
@@ -96,8 +97,8 @@
 	}
 }
 
-// markAnswered records that a connection's request has been answered. Bytes that arrived behind it are the beginning
-// of the next request.
+// markAnswered records that a connection's request has been answered. Bytes that arrived behind that request are the
+// beginning of the next request. If there are none, a draining table closes the connection.
 func (c *clientConnections) markAnswered(conn *clientConn) {
 	c.markIdle(conn)
 	switch {
--- a/internal/gateway/clientresponse.go
+++ b/internal/gateway/clientresponse.go
@@ -29,14 +29,14 @@
 		return
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // the backend sent none; nil turns off net/http's detection, which costs time
+		header["Content-Type"] = nil // nil turns off net/http's content type detection, which costs time
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(r.body))}
 	w.WriteHeader(r.status)
-	w.Write(r.body) // an error means that the client has disconnected; nothing is left to do
+	w.Write(r.body) // an error needs no handling: the client can't receive the answer
 }
 
-// formatRetryAfter writes seconds as a decimal, rounded up to whole milliseconds.
+// formatRetryAfter formats a number of seconds as a decimal, rounded up to whole milliseconds.
 func formatRetryAfter(seconds float64) string {
 	return strconv.FormatFloat(math.Ceil(seconds*1000)/1000, 'f', -1, 64)
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -25,15 +25,15 @@
 	Name            string
 	Listen          string // host:port for clients
 	Discovery       string // host:port of the discovery service
-	Counter         string // host:port of the counter service; empty where the deployment has none
-	Seed            uint64 // of random numbers
+	Counter         string // host:port of the counter service; empty if the deployment has no counter
+	Seed            uint64 // seed of the random numbers
 	Cores           float64
 	MemoryMB        int
-	Sockets         int          // file descriptors
-	CachedEndpoints EndpointList // the endpoint list known before the start
+	Sockets         int          // limit on open file descriptors
+	CachedEndpoints EndpointList // the endpoint list that was known before the start
 	wire.Deployment
 
-	// Log receives the gateway's log lines; nil stands for slog.Default(). It is not part of the configuration file.
+	// Log receives the gateway's log lines; nil means slog.Default(). It is not part of the configuration file.
 	Log *slog.Logger
 }
 
@@ -64,14 +64,14 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// invalidKey returns an error that names a key of the configuration file and says what is wrong with its value.
-// Nested keys are joined by dots.
+// invalidKey returns an error that names a key of the configuration file and describes the problem with its value.
+// The name of a nested key is its path, joined by dots.
 func invalidKey(key, format string, args ...any) error {
 	return fmt.Errorf("%s: %w", key, fmt.Errorf(format, args...))
 }
 
-// ReadConfig reads and validates the configuration file at path. Its error is one line that names the file and, if
-// the error is about one key, the key.
+// ReadConfig reads and validates the configuration file at path. Its error is a single line. The error names the file,
+// and also the key if the value of a single key is invalid.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -165,7 +165,8 @@
 	return checkNames("plan", c.PlanNames)
 }
 
-// checkNames checks that no name is empty or duplicate. kind says what is named, for the error.
+// checkNames checks that no name is empty or duplicate. The argument kind is the word for the named items in the error
+// message, such as "class".
 func checkNames(kind string, names []string) error {
 	for i, name := range names {
 		if name == "" || slices.Contains(names[:i], name) {
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// classProblem describes the first value of a class that is out of range; "" if all are in range.
+// classProblem returns a description of the first value of a class that is out of range; "" if all are in range.
 func classProblem(class policy.Class) string {
 	switch {
 	case class.LatencyObjective <= 0:
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// planProblem describes the first value of a plan that is out of range; "" if all are in range.
+// planProblem returns a description of the first value of a plan that is out of range; "" if all are in range.
 func planProblem(plan policy.Plan) string {
 	switch {
 	case plan.WeightFactor < 0:
@@ -242,7 +243,7 @@
 	return nil
 }
 
-// validateSettings checks the gateway's index in the fleet and the durations.
+// validateSettings checks the gateway's index in the fleet, the tick and the timeouts.
 func (c *Config) validateSettings() error {
 	switch {
 	case c.FleetSize < 1 || c.GatewayIndex < 0 || c.GatewayIndex >= c.FleetSize:
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -17,10 +17,10 @@
 
 // Limits on the values in a client's headers.
 const (
-	maxIDBytes       = 256 // bytes of a correlation id or an idempotency key
+	maxIDBytes       = 256 // bytes; limit on a correlation id or an idempotency key
 	maxClientTimeout = time.Hour
 	customerIDDigits = 16      // hex digits of a customer id
-	customerIDLimit  = 1 << 33 // customer ids are below it
+	customerIDLimit  = 1 << 33 // customer ids are below this limit
 )
 
 // requestError says why a client's request is invalid. An invalid request reaches neither the policy engine nor a
@@ -41,8 +41,8 @@
 	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
 
-// decode reads a client's request with its whole body and validates it. Its error is a *requestError. When it returns
-// without an error, the server has begun to watch for a client that disconnects: the body has been read to its end,
+// decode reads a client's request with its whole body and validates the request. Its error is a *requestError. After a
+// return without an error, the HTTP server watches for a disconnect of the client: the body has been read to its end,
 // and the read deadline, which would end the watch, has been cleared.
 func (f *frontend) decode(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	receivedAt := f.loop.clock.now()
@@ -70,8 +70,8 @@
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	policyRequest.SentAt = receivedAt
-	// The class's deadline applies too: a client that states a timeout of hours would otherwise keep its request open,
-	// and delay a graceful shutdown, for as long as a backend hangs.
+	// The class's deadline limits the client's timeout. Otherwise, while a backend hangs, a client with a timeout of an
+	// hour could keep its request open and delay a graceful shutdown for that long.
 	policyRequest.Deadline = min(policyRequest.Deadline, class.Deadline) + receivedAt - responseMargin
 	return &clientRequest{
 		correlationID: r.Header.Get(correlationIDHeader),
@@ -92,14 +92,15 @@
 		return &requestError{http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")}
 	}
 	if len(r.TransferEncoding) > 0 {
-		// The request may have had a Content-Length too, which net/http silently drops. A backend that goes by that
-		// length could find another request inside the body. RFC 9110, 15.5.12 allows a server to require a length.
+		// The request may have had a Content-Length too, which net/http silently drops. A backend that uses that length
+		// could find another request inside the body. RFC 9110, 15.5.12 allows a server to require a length.
 		return &requestError{http.StatusLengthRequired, errors.New("a body needs a Content-Length")}
 	}
 	return nil
 }
 
-// checkAgainstClass rejects requests whose method, idempotency key or stated length is not allowed for their class.
+// checkAgainstClass rejects a request whose method or idempotency key is not allowed for its class, and a request with
+// a body that is not allowed or too long.
 func checkAgainstClass(r *http.Request, idempotency policy.Idempotency) error {
 	wantMethod := http.MethodPost
 	if idempotency == policy.Idempotent {
@@ -121,17 +122,17 @@
 	return nil
 }
 
-// readRequestBody reads the whole body of a request whose length is known.
+// readRequestBody reads the whole body of a request with a Content-Length. Its error is a *requestError.
 func readRequestBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := readBody(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
 	if err != nil {
 		return nil, requestBodyError(err, clientConnOf(r))
 	}
-	io.Copy(io.Discard, r.Body) // up to EOF, after which the server watches for a client that disconnects
+	io.Copy(io.Discard, r.Body) // up to EOF, because only then the server watches for a disconnect
 	return body, nil
 }
 
-// requestBodyError returns the requestError for a body that could not be read from conn.
+// requestBodyError returns the requestError for a body that could not be read from conn because of err.
 func requestBodyError(err error, conn *clientConn) error {
 	var tooLong *http.MaxBytesError
 	switch {
@@ -144,8 +145,8 @@
 }
 
 // decodeHeaders reads the headers that the policy engine needs. In its result, Deadline is the client's timeout in
-// seconds and not yet a time of the clock. No header has a default: a wrong guess might charge the request to the
-// wrong customer, or allow a retry that the class forbids.
+// seconds; decode turns the timeout into a clock time. Only retryHeader may be missing. A default for another header
+// might charge the request to the wrong customer, or allow a retry that the class forbids.
 func (f *frontend) decodeHeaders(r *http.Request) (policy.Request, error) {
 	var decoded policy.Request
 	if err := checkSingleHeaders(r.Header); err != nil {
@@ -217,10 +218,10 @@
 	return float64(millis) / 1000, nil
 }
 
-// decodeQuota parses the header with the units of a request and the gateways of its customer, and checks their
-// ranges. It ignores unknown keys.
+// decodeQuota parses the value of quotaHeader, which holds the units of a request and the gateways of its customer, and
+// checks their ranges. It ignores unknown keys.
 func (f *frontend) decodeQuota(decoded *policy.Request, text string) error {
-	seenKeys := "" // each followed by "="; a suffix of a seen key counts as seen too
+	seenKeys := "" // keys that were seen, each followed by "="; their suffixes count as seen too
 	for pair := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if strings.Contains(seenKeys, key+"=") {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// drainPollInterval is how often awaitClosed searches for idle connections at the end of a graceful shutdown.
+// drainPollInterval is the longest time between two searches of awaitClosed for idle connections.
 const drainPollInterval = 100 * time.Millisecond
 
-// drain closes idle connections, now and whenever one becomes idle. It leaves new connections open, because a request
-// is about to arrive on them. Requests that are incomplete at readCutoff are rejected.
+// drain closes the idle connections, and from now on every connection that becomes idle. It leaves new connections
+// open, because a request is about to arrive on them. Requests that are incomplete at readCutoff are rejected.
 func (c *clientConnections) drain(readCutoff time.Time) {
 	c.setReadCutoff(readCutoff)
 	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
 }
 
-// setReadCutoff sets a deadline for reading requests, including the ones that have begun to arrive.
+// setReadCutoff sets the time at which incomplete requests are rejected. It also applies to requests that have begun to
+// arrive.
 func (c *clientConnections) setReadCutoff(readCutoff time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,18 +27,18 @@
 	}
 }
 
-// incompleteStatus returns the status for an incomplete request that the gateway no longer waits for.
+// incompleteStatus returns the HTTP status with which an incomplete request on a connection is rejected.
 func (c *clientConnections) incompleteStatus(conn *clientConn) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pastCutoff := !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff)
 	if conn.closing || pastCutoff {
-		return http.StatusServiceUnavailable // the gateway lacks capacity or time for it: the client may retry
+		return http.StatusServiceUnavailable // the gateway needs the slot or is shutting down: the client may retry
 	}
 	return http.StatusRequestTimeout
 }
 
-// closeAllIdle closes idle connections, new ones included, now and whenever one becomes idle.
+// closeAllIdle closes all idle connections, including new ones, and from now on every connection that becomes idle.
 func (c *clientConnections) closeAllIdle() { c.closeIdle(func(*clientConn) bool { return true }) }
 
 // closeIdle closes the idle connections for which matches returns true, and from now on every connection that becomes
@@ -54,7 +55,7 @@
 	}
 }
 
-// awaitClosed closes idle connections, new ones included, until no connection is left. It returns false if
+// awaitClosed closes idle connections, including new ones, until no connection is left. It returns false if
 // connections are left after the timeout.
 func (c *clientConnections) awaitClosed(timeout time.Duration) bool {
 	expired := time.After(timeout)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -9,17 +9,17 @@
 	"amberlb/internal/wire"
 )
 
-// readyPath is the path of the readiness check, which returns 200 while the gateway accepts clients.
+// readyPath is the path of the readiness check, which is answered 200 while the gateway is ready and not draining.
 const readyPath = "/health/ready"
 
-// frontend is the HTTP handler for clients: it decodes each request, hands it to the event loop and writes the one
+// frontend is the HTTP handler for clients. It decodes each request, hands the request to the event loop and writes the
 // final answer.
 type frontend struct {
 	loop       *eventLoop
 	deployment *wire.Deployment
-	ready      atomic.Bool // there is an endpoint list to forward requests by
-	draining   atomic.Bool // a graceful shutdown has begun: each connection is closed after its answer
-	rejecting  atomic.Bool // the shutdown no longer admits requests
+	ready      atomic.Bool // readiness checks may be answered 200; set by markReady
+	draining   atomic.Bool // a graceful shutdown has begun: each connection is closed after its next answer
+	rejecting  atomic.Bool // a graceful shutdown has stopped admitting requests
 }
 
 // ServeHTTP handles one request of a client.
@@ -35,8 +35,8 @@
 	}
 	conn := clientConnOf(r)
 	if peerClosed(conn.Conn) {
-		// The client may have disconnected while its connection waited to be accepted, and the server has only just
-		// begun to watch for that.
+		// The client may have disconnected while its connection waited to be accepted, before the HTTP server began to
+		// watch for a disconnect.
 		f.answerDisconnected(w)
 		return
 	}
@@ -62,8 +62,8 @@
 	io.WriteString(w, "ready\n")
 }
 
-// rejectInvalid answers a request that could not be decoded, and closes its connection: the bytes behind the request
-// may belong to it.
+// rejectInvalid answers a request that could not be decoded, and closes its connection: the end of an invalid request
+// is not reliable, so the next bytes may be a part of it.
 func (f *frontend) rejectInvalid(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var invalid *requestError
@@ -75,7 +75,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// rejectLate rejects a request that arrives too late in a graceful shutdown: it might still be in flight when the
+// rejectLate rejects a request that arrives too late in a graceful shutdown: the request might still be open when the
 // process is killed.
 func (f *frontend) rejectLate(w http.ResponseWriter) {
 	f.loop.metrics.add(requestsWhileDraining)
@@ -93,8 +93,8 @@
 	case response := <-req.response:
 		f.respond(w, response)
 	case <-r.Context().Done():
-		// The flag takes effect at once. The loop may have messages to handle before this one, and these could start
-		// attempts.
+		// Setting disconnected takes effect at once. The event loop may have to handle other messages before
+		// clientDisconnected, and those messages could start attempts.
 		req.disconnected.Store(true)
 		f.loop.post(clientDisconnected{req})
 		f.answerDisconnected(w)
@@ -103,16 +103,16 @@
 	}
 }
 
-// answerDisconnected ends the connection of a client that has disconnected. It writes an error, because a client that
-// has closed only its sending side still reads: for a handler that writes nothing, net/http would send a 200 that no
-// backend has given.
+// answerDisconnected closes the connection of a client that has disconnected. A client that has closed only its sending
+// side still reads the answer, so answerDisconnected writes an error: for a handler that writes nothing, net/http would
+// send a 200, although no backend has served the request.
 func (f *frontend) answerDisconnected(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	f.respond(w, clientResponse{status: http.StatusBadGateway})
 }
 
-// respond writes an answer to the client. It also closes the connection if a graceful shutdown has begun, even if
-// that was after the request arrived.
+// respond writes an answer to the client. It also closes the connection if a graceful shutdown has begun, even if the
+// shutdown began after the request arrived.
 func (f *frontend) respond(w http.ResponseWriter, response clientResponse) {
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -6,34 +6,34 @@
 	"strings"
 )
 
-// The headers of a client's request that the gateway reads. The names of the constants are the usual terms; the
-// protocol's own names appear in this file only.
+// The headers of a client's request that the gateway reads. The constants are named by the usual terms of the field,
+// which differ from the names in the protocol.
 const (
-	correlationIDHeader  = "X-Correlation-Id" // the client's id of the request
+	correlationIDHeader  = "X-Correlation-Id" // the id that the client gave the request
 	classHeader          = "X-Service-Class"  // the service class
 	planHeader           = "X-Tier"           // the customer's plan
-	apiKeyHeader         = "X-Api-Key"        // the customer, as 16 hex digits
-	idempotencyKeyHeader = "Idempotency-Key"  // lets a backend recognise a retry
+	apiKeyHeader         = "X-Api-Key"        // the customer's id, as 16 hex digits
+	idempotencyKeyHeader = "Idempotency-Key"  // lets a backend recognize a retry
 	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways of its customer
 	retryHeader          = "X-Repeat"         // "1" for a retry by the client
-	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds left for the request; also sent to backends
+	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds until the client's timeout; also sent to backends
 )
 
 // The headers of a backend's response that the gateway reads.
 const (
 	loadHeader        = "X-Backend-Load" // the load that the backend reports
-	unprocessedHeader = "X-Unprocessed"  // "1": nothing of the request was executed
+	unprocessedHeader = "X-Unprocessed"  // "1": the backend has executed nothing of the request
 )
 
 // The keys of the pairs in quotaHeader.
 const (
 	unitsKey        = "units"  // quota units that the request costs
 	gatewaysKey     = "spread" // number of gateways that serve the customer
-	firstGatewayKey = "first"  // index in the fleet of the first of these gateways
+	firstGatewayKey = "first"  // index in the fleet of the first gateway that serves the customer
 )
 
-// singleHeaders lists the headers that may occur only once. If one occurred twice, the gateway and the backend might
-// go by different values.
+// singleHeaders lists the headers that may occur only once. If a header occurred twice, the gateway and the backend
+// might use different values.
 var singleHeaders = []string{
 	correlationIDHeader,
 	classHeader,
@@ -67,8 +67,8 @@
 	idempotencyKeyHeader,
 }
 
-// forwardedHeaders removes the headers that apply to a single connection, and returns the others for forwarding. It
-// modifies header and returns it.
+// forwardedHeaders removes the headers that must not be forwarded from header, and returns header: hopByHopHeaders, and
+// the headers that a Connection header names, except endToEndHeaders.
 func forwardedHeaders(header http.Header) http.Header {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/gateway/httpserver.go
+++ b/internal/gateway/httpserver.go
@@ -9,16 +9,16 @@
 
 // Limits of the HTTP server for clients.
 const (
-	maxHeaderBytes = 16 << 10 // bytes of a request's header
-	// readTimeout is the limit for reading a whole request. The client must get an error or a close within 3 s of
-	// connecting.
+	maxHeaderBytes = 16 << 10 // bytes; limit on a request's header
+	// readTimeout is the time limit for reading a whole request. A client whose request stays incomplete must get an
+	// error or a close within 3 s of connecting.
 	readTimeout  = 2500 * time.Millisecond
-	writeTimeout = 10 * time.Second // for writing the answer, from the latest time at which it is decided
-	idleTimeout  = 2 * time.Minute  // between two requests
+	writeTimeout = 10 * time.Second // time limit for writing an answer after the longest possible wait for the answer
+	idleTimeout  = 2 * time.Minute  // time limit for the wait between two requests
 )
 
-// newHTTPServer returns the HTTP server for the connections in clients. No request may stay open for longer than
-// maxRequestTime.
+// newHTTPServer returns the HTTP server for the connections in clients. The longest time for which a request can be
+// open is maxRequestTime.
 func (f *frontend) newHTTPServer(clients *clientConnections, maxRequestTime time.Duration) *http.Server {
 	return &http.Server{
 		Handler:        f,
@@ -36,7 +36,7 @@
 // connContextKey is the key under which a request's context holds its connection.
 type connContextKey struct{}
 
-// clientConnOf returns the connection on which a request arrived; nil if the request did not come from a server.
+// clientConnOf returns the connection on which a request arrived; nil if the request was not read by the HTTP server.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(connContextKey{}).(*clientConn)
 	return conn
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -8,21 +8,21 @@
 
 // Parameters of idleLimitEstimator.
 const (
-	minIdleBucket   = 25 * time.Millisecond // a connection that was idle for less is always reused
-	idleBucketCount = 10                    // ranges of idle times, each twice as long as the one before
-	minBreaks       = 3.0                   // minimum number of broken reuses for a range to be avoided
-	minBreakShare   = 1.0 / 3               // minimum share of broken reuses in the range for the same
+	minIdleBucket   = 25 * time.Millisecond // beginning of the first bucket; shorter idle times are always allowed
+	idleBucketCount = 10                    // number of buckets; each begins at twice the idle time of its predecessor
+	minBreaks       = 3.0                   // minimum weight of the broken reuses in a bucket that sets the limit
+	minBreakShare   = 1.0 / 3               // minimum share of broken reuses in a bucket that sets the limit
 	idleDecayTime   = 20 * time.Second      // time in which the weight of an observation falls to 1/e
 )
 
 // idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
 // connections silently, or the peer may close them far sooner than agreed. A request on such a connection ends in a
-// reset, from which the gateway learns nothing: an attempt may have been executed and makes its backend look like an
-// outlier, and a counter call may have been added to the total.
+// reset, which does not show whether the request was executed: an attempt may have been executed and makes its backend
+// look like an outlier, and the units of a counter call may have been added to the total.
 //
-// Peers that break connections at random do so at any idle time. So each range of idle times is judged by the share
-// of its reuses that broke. A range with few reuses may be misjudged by chance; then new connections are made for a
-// while instead.
+// Other peers break connections at random, regardless of the idle time. The estimator therefore uses, for each range of
+// idle times, the share of reuses that broke. In a range with few reuses, this share may be high by chance. New
+// connections then replace idle ones without need, until the observations have lost their weight.
 //
 // The zero value has no observations and is ready to use. The methods are safe for concurrent use.
 type idleLimitEstimator struct {
@@ -31,7 +31,8 @@
 	decayedAt time.Time // when the weights of the observations were last updated
 }
 
-// idleBucket counts the reuses of connections in one range of idle times. The counts decay.
+// idleBucket counts the reuses of connections in one range of idle times. The counts decay over time. The range of a
+// bucket ends where the next bucket begins; the last bucket has no upper end.
 type idleBucket struct {
 	worked float64
 	broke  float64
@@ -58,7 +59,8 @@
 	return min(int(math.Log2(float64(idleFor)/float64(minIdleBucket))), idleBucketCount-1)
 }
 
-// limit returns the idle time from which connections must not be reused; the longest duration if there is no limit.
+// limit returns the idle time from which on connections must not be reused; math.MaxInt64 if there is no limit. The
+// limit is the beginning of the first bucket that reaches both minBreaks and minBreakShare.
 func (e *idleLimitEstimator) limit(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -1,11 +1,11 @@
 package gateway
 
-// How the resource limits of the process are divided.
+// Parameters that divide the resource limits of the process between clients and backends.
 const (
-	reservedFDs       = 64       // descriptors for the counter, discovery and the runtime
-	clientFDShare     = 0.75     // of the remaining descriptors, for clients; backends get the rest
-	clientMemoryShare = 0.25     // of the memory, for idle client connections
-	clientConnBytes   = 24 << 10 // bytes of an idle connection: two buffers, a stack and its table entries
+	reservedFDs       = 64       // file descriptors for the counter, discovery and the Go runtime
+	clientFDShare     = 0.75     // share of the other file descriptors that clients may use; backends get the rest
+	clientMemoryShare = 0.25     // share of the memory that idle client connections may use
+	clientConnBytes   = 24 << 10 // bytes of memory of an idle client connection: two buffers, a stack and table entries
 )
 
 // maxClientConns returns the number of client connections that the limits allow.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -19,18 +19,18 @@
 const (
 	connectionsAccepted   metric = iota
 	acceptsFailed                // failed calls of Accept
-	connectionsOverLimit         // closed unread: no other connection could be evicted
-	connectionsEvicted           // idle connections closed to make room for new ones
-	connectionsFlooded           // closed because too many bytes followed an open request
-	requestsAccepted             // handed to the policy engine
-	requestsServed               // answered with a backend's response
-	requestsInvalid              // answered 4xx or 5xx: they could not be decoded
-	requestsIncomplete           // answered 408 or 503: the rest of their header did not arrive in time
-	requestsConflicting          // answered 409: their correlation id is in use
-	requestsOverOpenLimit        // answered 503: the limit of open requests was reached
-	requestsWhileDraining        // answered 503: they arrived too late in a graceful shutdown
-	clientsDisconnected          // closed their connection or its sending side before the answer
-	attemptsRetried              // attempts of a request after its first
+	connectionsOverLimit         // connections closed unread because the table had no free slot for them
+	connectionsEvicted           // connections without an open request that were closed to free their slots
+	connectionsFlooded           // connections closed because too many bytes followed an open request
+	requestsAccepted             // requests handed to the policy engine
+	requestsServed               // requests answered with a backend's response
+	requestsInvalid              // requests that could not be decoded, answered 4xx or 5xx
+	requestsIncomplete           // requests whose header was not complete in time, answered 408 or 503
+	requestsConflicting          // requests whose correlation id is in use, answered 409
+	requestsOverOpenLimit        // requests above the limit of open requests, answered 503
+	requestsWhileDraining        // requests that arrived too late in a graceful shutdown, answered 503
+	clientsDisconnected          // clients that closed their connection or its sending side before the answer
+	attemptsRetried              // attempts other than the first of a request
 	listsReceived                // endpoint lists received from discovery
 	metricCount
 )
@@ -89,7 +89,7 @@
 	return slog.GroupValue(attrs...)
 }
 
-// logPeriodically logs the counts every minute (metricsInterval) until ctx ends.
+// logPeriodically logs the counts at each metricsInterval until ctx ends.
 func (m *metrics) logPeriodically(ctx context.Context, log *slog.Logger) {
 	ticker := time.NewTicker(metricsInterval)
 	defer ticker.Stop()
--- a/internal/gateway/recentids.go
+++ b/internal/gateway/recentids.go
@@ -1,19 +1,20 @@
 package gateway
 
 const (
-	recentIDWindow = 4.0     // seconds for which an id is remembered, unless maxRecentIDs is reached
-	maxRecentIDs   = 1 << 13 // ids in a window; when it is full, the next window begins early
+	recentIDWindow = 4.0     // seconds; minimum length of a window that does not become full
+	maxRecentIDs   = 1 << 13 // ids that fill a window; a full window ends early
 )
 
-// recentIDs remembers ids for a limited time: it holds the ids of the current window and of the one before. The zero
-// value is empty.
+// recentIDs remembers ids for a limited time. It divides time into windows, and holds the ids of the current window and
+// of the previous window. So it remembers an id for at least recentIDWindow, unless windows become full. The zero value
+// is empty.
 type recentIDs struct {
 	current      map[string]struct{}
 	previous     map[string]struct{}
-	currentSince float64 // in seconds
+	currentSince float64 // time at which the current window began, in seconds of the caller's clock
 }
 
-// add records an id, and reports whether it is new. now is in seconds of the caller's clock.
+// add records an id, and reports whether the id is new. The time now is in seconds of the caller's clock.
 func (r *recentIDs) add(id string, now float64) bool {
 	if r.current == nil || now-r.currentSince > recentIDWindow || len(r.current) >= maxRecentIDs {
 		r.previous = r.current
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -5,8 +5,8 @@
 	"reflect"
 )
 
-// Reload makes a running gateway read a new configuration each time Signal delivers a value. With the zero value this
-// never happens.
+// Reload makes a running gateway read a new configuration each time Signal delivers a value. The zero value never
+// causes a reload.
 type Reload struct {
 	Signal <-chan os.Signal
 	Read   func() (Config, error) // returns the new configuration
@@ -24,8 +24,8 @@
 		s.counter.setAddress(next.Counter)
 	}
 	if next.Discovery != s.discoveryAddress {
-		// The new discovery may not know the list versions of the old one, so the new watch starts with a full list.
-		// Until that arrives, the old list stays in use.
+		// The new discovery service may not know the list generations of the old service, so the new watch starts with
+		// a full list. Until the full list arrives, the old list stays in use.
 		s.stopWatch()
 		s.watchDiscovery(next.Discovery, true)
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -6,12 +6,12 @@
 	"amberlb/policy"
 )
 
-// responseMargin is the part of a request's deadline, in seconds, that is reserved for the event loop, for writing
-// the answer and for its way to the client.
+// responseMargin is the time in seconds before the client's deadline that is reserved for handling the result in the
+// event loop, for writing the answer and for delivering the answer to the client.
 const responseMargin = 0.005
 
-// startRequest assigns an internal id to a request and hands the request to the engine. It rejects a request above
-// the deployment's limit of open requests, or with a correlation id that is in use, at once; no attempt is sent.
+// startRequest assigns an internal id to a request and hands the request to the engine. It rejects the request instead,
+// before any attempt, if the deployment's limit of open requests is reached or the correlation id is in use.
 func (l *eventLoop) startRequest(req *clientRequest) {
 	if l.deployment.MaxOpenRequests > 0 && len(l.requests) >= l.deployment.MaxOpenRequests {
 		l.metrics.add(requestsOverOpenLimit)
@@ -30,10 +30,10 @@
 	l.handleEvent(req.policyRequest)
 }
 
-// claimCorrelationID reserves the client's id for a request, and returns false if the id is in use. A correlation id
-// identifies one request: a second request with the same id, from any client, might get the response that a backend
-// made for the first. The id of an open request stays reserved. The id of a finished request becomes free again after
-// a while, or sooner if many requests arrive.
+// claimCorrelationID reserves the correlation id of a request, and returns false if the id is in use. A correlation id
+// identifies a single request: a second request with the same id, from any client, might get the response that a
+// backend made for the first request. The id of an open request stays reserved. The id of a finished request becomes
+// free again when recentIDs no longer holds it.
 func (l *eventLoop) claimCorrelationID(req *clientRequest) bool {
 	if _, open := l.openCorrelationIDs[req.correlationID]; open {
 		return false
@@ -57,7 +57,8 @@
 }
 
 // dropDisconnected ends a request whose client has closed its connection or its sending side, unless the request has
-// been answered. Attempts that are fully written may still be executed; the engine decides whether to cancel them.
+// been answered. Attempts that are not fully written are cancelled. Backends may execute the other attempts; the engine
+// decides whether to cancel those.
 func (l *eventLoop) dropDisconnected(req *clientRequest) {
 	if !req.unanswered {
 		return
@@ -80,7 +81,8 @@
 	l.removeIfDone(req)
 }
 
-// removeIfDone removes a request once it needs no answer any more and has no attempt in flight. Until then it does nothing.
+// removeIfDone removes a request that needs no answer any more and has no attempt in flight. It does nothing for other
+// requests.
 func (l *eventLoop) removeIfDone(req *clientRequest) {
 	if !req.unanswered && req.attemptsInFlight == 0 {
 		delete(l.requests, req.policyRequest.ID)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -26,7 +26,7 @@
 	return serve(ctx, c, listener, reload)
 }
 
-// serve is Run with an open listener, which it closes.
+// serve does the same as Run on a listener that is already open, and closes the listener.
 func serve(ctx context.Context, config *Config, listener net.Listener, reload Reload) error {
 	s := newServer(config, listener)
 	s.start()
@@ -41,21 +41,21 @@
 	log               *slog.Logger
 	frontend          *frontend
 	pools             *connectionPools
-	counter           *counterClient // nil where the deployment has none
+	counter           *counterClient // nil if the deployment has no counter
 	clientConnections *clientConnections
 	httpServer        *http.Server
 	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // for all components except the HTTP server; ends after the last client connection
+	componentsContext context.Context // ends after the last client connection; not used by the HTTP server
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
 	cachedListTimer  *time.Timer
-	discoveryAddress string // the address of the discovery service that is watched
+	discoveryAddress string // address of the discovery service that is being watched
 	stopWatch        func() // ends the watch and waits for its goroutine
 }
 
-// newServer creates and connects the components of a gateway. They don't run before start.
+// newServer creates and connects the components of a gateway. The method start runs them.
 func newServer(config *Config, listener net.Listener) *server {
 	s := &server{
 		config:   config,
@@ -80,7 +80,7 @@
 	return s
 }
 
-// start runs the components in goroutines for which stop waits. The HTTP server comes last.
+// start runs the components in goroutines, and starts the HTTP server last. The method stop waits for the goroutines.
 func (s *server) start() {
 	loop := s.frontend.loop
 	loop.applyEndpointList(s.config.CachedEndpoints, policy.CachedList)
@@ -106,7 +106,7 @@
 // run serves until ctx ends, and then until a graceful shutdown is complete. It returns early if the HTTP server
 // fails.
 func (s *server) run(ctx context.Context, reload Reload) error {
-	// The time is taken as soon as ctx ends, because this goroutine may be busy with a reload.
+	// AfterFunc records the time as soon as ctx ends, because this goroutine may be busy with a reload then.
 	shutdownRequested := make(chan time.Time, 1)
 	defer context.AfterFunc(ctx, func() { shutdownRequested <- time.Now() })()
 	for {
@@ -130,15 +130,16 @@
 	s.frontend.loop.attempts.Wait()
 }
 
-// markReady makes readiness checks return 200 from now on. source says where the first endpoint list came from.
+// markReady makes readiness checks succeed from now on, until the gateway drains. The argument source is the origin of
+// the first endpoint list in the log line: "discovery" or "cached".
 func (s *server) markReady(source string) {
 	if s.frontend.ready.CompareAndSwap(false, true) {
 		s.log.Info("ready", "list", source)
 	}
 }
 
-// watchDiscovery starts to watch the discovery service at an address. listInUse says that the gateway already
-// forwards requests by an older list.
+// watchDiscovery starts to watch the discovery service at an address. The argument listInUse reports whether the
+// gateway already has an older endpoint list.
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.componentsContext)
 	ended := make(chan struct{})
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,42 +7,41 @@
 	"amberlb/policy"
 )
 
-// The times of a shutdown in the protocol (section "Figures"). SIGKILL comes no sooner after SIGTERM than the longest
-// deadline plus killDelay.
+// Times that the protocol sets for a shutdown, in its section "Figures". The time from SIGTERM to SIGKILL is at least
+// the longest deadline plus killDelay.
 const (
 	killDelay            = 700 * time.Millisecond // from the longest deadline to the earliest SIGKILL
-	maxKillDeadline      = 3 * time.Second        // a longer deadline counts as this for the earliest SIGKILL
-	lateConnectionPeriod = 400 * time.Millisecond // new connections arrive until this long after SIGTERM
+	maxKillDeadline      = 3 * time.Second        // the earliest SIGKILL comes as if no deadline were longer
+	lateConnectionPeriod = 400 * time.Millisecond // time after SIGTERM during which new connections arrive
 )
 
 // The margins of the shutdown schedule.
 const (
-	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading its clock and writing
+	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading the clock and writing
 	deliveryTime    = 50 * time.Millisecond  // from the event loop's answer to the last byte at the client
 	listenMargin    = 100 * time.Millisecond // from the end of admission to the close of the listener
-	slowReaderGrace = time.Second            // after the earliest SIGKILL, for clients that read their answer slowly
+	slowReaderGrace = time.Second            // time after the earliest SIGKILL for clients that read their answers slowly
 )
 
 // shutdownSchedule holds the times of a graceful shutdown, as durations since SIGTERM. They are computed backwards
 // from the earliest SIGKILL, so that a request that is admitted at the last moment, with the longest deadline, is
 // answered before SIGKILL. The fields are in the order of their times.
 type shutdownSchedule struct {
-	// admitUntil is when the gateway stops admitting requests. A request that is incomplete then, or arrives later, is
-	// answered 503. The time from admitUntil to answerBy is the longest deadline, maxKillDeadline at most.
+	// admitUntil is when the gateway stops admitting requests. A request that is incomplete at that time or arrives
+	// later is answered 503. The time from admitUntil to answerBy is the longest deadline, maxKillDeadline at most.
 	admitUntil time.Duration
 	// listenUntil is when the gateway stops accepting connections, listenMargin after admitUntil. A client that
-	// connects between the two gets a 503 instead of a reset.
+	// connects between admitUntil and listenUntil gets a 503 instead of a reset.
 	listenUntil time.Duration
-	// answerBy is when the engine has given every request its final answer. Even if the process is then stalled, the
-	// answers are delivered before the earliest SIGKILL.
+	// answerBy is the time by which the engine has given every request its final answer. Even if the process is stalled
+	// at that time, for maxProcessStall at most, the answers are delivered before the earliest SIGKILL.
 	answerBy time.Duration
-	// exitBy is when the process exits if there was no SIGKILL, whatever clients do. It is slowReaderGrace after the
-	// earliest SIGKILL.
+	// exitBy is when the shutdown stops waiting for client connections to close, slowReaderGrace after the earliest
+	// SIGKILL. The process then exits, after a last check for answers that are still being written (see awaitAnswers).
 	exitBy time.Duration
 }
 
-// newShutdownSchedule computes the schedule for a deployment in which longestDeadline is the longest deadline of a
-// class.
+// newShutdownSchedule computes the schedule for a deployment from the longest deadline of its classes.
 func newShutdownSchedule(longestDeadline time.Duration) shutdownSchedule {
 	maxOpenTime := min(longestDeadline, maxKillDeadline)
 	earliestKill := maxOpenTime + killDelay
@@ -56,7 +55,7 @@
 	}
 }
 
-// longestDeadline returns the longest time that a client may wait for its answer.
+// longestDeadline returns the longest deadline of the classes.
 func (c *Config) longestDeadline() time.Duration {
 	return toDuration(policy.LongestDeadline(c.Classes))
 }
@@ -64,10 +63,11 @@
 // errClientsRemaining is returned if a graceful shutdown has ended before all clients had read their answers.
 var errClientsRemaining = errors.New("client connections were still open at the end of the shutdown")
 
-// shutdown ends the gateway gracefully: for a while it still admits requests, it answers every open request, and then
-// it closes. It closes idle connections at once but still accepts new ones: a client whose request crosses the close
-// of an idle connection sends the request again on a new connection. The HTTP server's own Shutdown method is not
-// used, because it also closes idle connections on which an unread request waits.
+// shutdown shuts the gateway down by the times of a shutdownSchedule. The gateway still admits requests for a while,
+// answers all open requests, and then closes its connections. Idle connections are closed at once, but new connections
+// are still accepted: a client whose request crosses the close of an idle connection sends the request again on a new
+// connection. The method Shutdown of the HTTP server is not used, because it also closes idle connections on which an
+// unread request waits.
 func (s *server) shutdown(requestedAt time.Time) error {
 	schedule := newShutdownSchedule(s.config.longestDeadline())
 	admitUntil := requestedAt.Add(schedule.admitUntil)
--- a/internal/gateway/socket.go
+++ b/internal/gateway/socket.go
@@ -6,15 +6,16 @@
 	"syscall"
 )
 
-// isOpenWithoutInput reports, without blocking, whether a connection is open and has no bytes to read. Writing to a connection
-// that the peer has closed ends in a reset, which does not prove that the write had no effect.
+// isOpenWithoutInput reports, without blocking, whether a connection is open and has no bytes to read. It allows a
+// caller to check a connection before a write: writing to a connection that the peer has closed ends in a reset, which
+// does not prove that the write had no effect.
 func isOpenWithoutInput(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
 // peerClosed reports, without blocking, whether the peer has closed the connection or its sending side. It can't
-// detect that while there are unread bytes.
+// detect a close while there are unread bytes.
 func peerClosed(conn net.Conn) bool {
 	n, err := peek(conn)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Limits for the requests that are unanswered at the end of a graceful shutdown.
+// Limits of awaitAnswers.
 const (
-	finalPolls        = 100 // checks for answers that are still being written
+	finalPolls        = 100 // checks for answers that are still being written, finalPollInterval apart
 	finalPollInterval = 10 * time.Millisecond
-	maxLoggedRequests = 32 // limit on the log lines about single requests
+	maxLoggedRequests = 32 // unanswered requests that are logged, at most
 )
 
-// unansweredRequest is an open request together with its client.
+// unansweredRequest is an open request with the address of its client.
 type unansweredRequest struct {
 	*clientRequest
-	client string // the client's address
+	client string // address of the client
 }
 
-// unanswered returns requests that have been decoded and not answered, at most limit.
+// unanswered returns the requests that have been decoded but whose answers have not been written, limit at most.
 func (c *clientConnections) unanswered(limit int) []unansweredRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,8 +34,9 @@
 	return requests
 }
 
-// awaitAnswers waits for answers that are still being written, and logs the requests that are left without one. It
-// counts checks instead of time: a process that was stalled until the end gets as many chances to run as any other.
+// awaitAnswers waits for answers that are still being written at the end of a graceful shutdown, and then logs the
+// requests without an answer. The wait is limited by a number of checks instead of a time. A process that was stalled
+// until the end of the shutdown can therefore still write its answers.
 func (s *server) awaitAnswers() {
 	for range finalPolls {
 		if len(s.clientConnections.unanswered(1)) == 0 {
