--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// wrapWith returns a function that wraps a gateway's listener in gated.
+// wrapWith returns a function that makes gated wrap a gateway's listener.
 func wrapWith(gated *gatedListener) func(net.Listener) net.Listener {
 	return func(listener net.Listener) net.Listener {
 		gated.Listener = listener
@@ -20,12 +20,12 @@
 	}
 }
 
-// The gateway has read a request but not yet started it when it evicts the request's connection. The request must be
-// served on that connection, and only once.
+// The gateway evicts a connection after it has read a request from the connection, but before it has started the
+// request. The request must be served on that connection, and be sent to the backend only once.
 func TestEvictionRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	silent := make(chan net.Conn, 100) // more than the limit, which is below 50
+	silent := make(chan net.Conn, 100) // more than the limit of client connections, which is below 50
 	fewSockets := strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace
 	_, conn := startRace(t, false, fewSockets, backend, func(g *testGateway, c *gatedConn) {
 		c.armed.Store(true)
@@ -54,8 +54,8 @@
 	}
 }
 
-// A failing accept, whether it fails once or for a while, must not stop the gateway: open requests are answered, and
-// new connections are accepted soon after.
+// Consecutive failures of accept must not stop the gateway: open requests are answered, and new connections are
+// accepted soon after the failures.
 func TestAcceptErrorsAreRetried(t *testing.T) {
 	t.Parallel()
 	const failures = 12 // consecutive failing accepts
@@ -66,7 +66,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			var remaining atomic.Int64 // failures still to be returned
+			var remaining atomic.Int64 // number of accepts that are still to fail
 			gated := &gatedListener{acceptError: func() error {
 				if remaining.Add(-1) >= 0 {
 					return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -13,7 +13,7 @@
 // channelListener is a listener that accepts the connections sent on a channel.
 type channelListener struct {
 	conns    chan net.Conn
-	onAccept func() // called when Accept begins, unless nil
+	onAccept func() // called at the beginning of Accept; may be nil
 }
 
 // Accept returns the next connection, or net.ErrClosed once the channel is closed.
@@ -33,8 +33,8 @@
 // Addr returns an empty address.
 func (l *channelListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// The time that a connection waits in the accept queue because the table is full counts against the client's timeout:
-// the backend gets only the time that is left. A connection that does not wait loses no time.
+// While the table is full, connections wait in the accept queue. The time of this wait counts against the client's
+// timeout: the deadline of the request comes earlier by that time. Without a wait, the deadline does not change.
 func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const clientTimeout = 5 * time.Second
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
@@ -65,7 +65,7 @@
 	if left := timeLeft(first); left < 4900*time.Millisecond {
 		t.Errorf("without a wait, %v of %v are left", left, clientTimeout)
 	}
-	// Two connections get no slot, and each of them takes minEvictionGrace; the third gets one.
+	// The first two connections get no slot, and Accept waits minEvictionGrace for each. The third gets a slot.
 	for range 3 {
 		listener.conns <- arrive()
 	}
@@ -80,7 +80,7 @@
 	if left := timeLeft(third); left > clientTimeout-waited+5*time.Millisecond || waited < 2*minEvictionGrace {
 		t.Errorf("after a wait of %v, %v of %v are left", waited, left, clientTimeout)
 	}
-	// There is a free slot again and the queue is empty: the next connection arrives while Accept is waiting.
+	// The table has a free slot and the accept queue is empty. The next connection arrives while Accept is waiting.
 	table.mu.Lock()
 	table.remove(third)
 	table.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// requestDeadline decodes the request that waits on a connection, and returns its deadline.
+// requestDeadline decodes the request that waits on a connection, and returns the deadline of the request.
 func (f *frontend) requestDeadline(t *testing.T, conn *clientConn) time.Time {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(conn))
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -18,7 +18,7 @@
 	return newClientConnections(nil, 10).tryAdd(near), client
 }
 
-// connPair opens a connection to p. It returns the accepted end as near and the dialled end as far.
+// connPair opens a connection to p. It returns the accepted end as near and the dialed end as far.
 func connPair(t *testing.T, p *peer) (near, far net.Conn) {
 	t.Helper()
 	far, err := net.Dial("tcp", p.address())
@@ -61,8 +61,8 @@
 	}
 }
 
-// When the wait for the next request ends, a request that has arrived or has begun to arrive must still be read: only
-// the idle time is over, not the time for reading the request.
+// The gateway ends the wait for the next request on an idle connection just as a request begins to arrive. The request
+// must still be read: the end of the idle time does not limit the time for reading a request.
 func TestIdleCloseKeepsConnectionWithArrivedRequest(t *testing.T) {
 	for name, endWait := range map[string]func(*clientConn){
 		"by the server's deadline": func(conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
@@ -116,8 +116,8 @@
 	}
 }
 
-// A connection that is closing stays so when the server sets another read deadline, and the end of the wait does not
-// look like a request.
+// If the server sets a read deadline on a closing connection, the connection must stay closing: the next read returns a
+// timeout at once, and no bytes.
 func TestServersDeadlineDoesNotUndoClose(t *testing.T) {
 	conn, _ := newIdleClientConn(t)
 	conn.table.drain(time.Now().Add(testTimeout))
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Any number of connections that send nothing must not keep another client from being served, and they are closed.
+// Connections that send nothing must not keep another client from being served, even if there are more of them than the
+// limit of client connections. The gateway must close the silent connections.
 func TestSilentConnectionsDoNotKeepClientsOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
-	for range 100 { // the limit is 48
+	for range 100 { // the limit of client connections is 48
 		conn, err := net.Dial("tcp", g.address)
 		if err != nil {
 			t.Fatal(err)
@@ -42,8 +43,8 @@
 	return ok && netErr.Timeout()
 }
 
-// A request that never becomes complete gets an error in time. The same timeout must not cut off a complete request
-// that waits for its answer.
+// A request that never becomes complete is answered 408 when the read timeout ends. The read timeout must not end a
+// complete request that waits for its answer.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -68,7 +69,7 @@
 	}
 }
 
-// evictionTable is a table of connections from a test to a peer.
+// evictionTable is a connection table to which a test adds connections that peer has accepted.
 type evictionTable struct {
 	*clientConnections
 	peer *peer
@@ -80,8 +81,8 @@
 	return connPair(t, e.peer)
 }
 
-// add adds a connection in the given state, last active the given time ago. It returns the connection and the
-// client's end of it.
+// add adds a connection in the given state to the table. The connection's last activity was the given age ago. add
+// returns the connection and the client's end of it.
 func (e *evictionTable) add(t *testing.T, state http.ConnState, age time.Duration) (conn *clientConn, client net.Conn) {
 	t.Helper()
 	near, client := e.newConn(t)
@@ -94,7 +95,8 @@
 	return conn, client
 }
 
-// addServed is add with a goroutine that reads from the connection, as the server does, and so can close it.
+// addServed adds a connection like add. It also starts a goroutine that reads from the connection, and closes it when
+// the read fails, as the HTTP server does.
 func (e *evictionTable) addServed(t *testing.T, state http.ConnState, age time.Duration) *clientConn {
 	t.Helper()
 	conn, _ := e.add(t, state, age)
@@ -107,14 +109,14 @@
 	return conn
 }
 
-// canAdd reports whether one more connection can be added to the table, and removes it again. If expected is set, it
-// retries for a while.
+// canAdd reports whether another connection can be added to the table. It removes the added connection again. If
+// expected is set, canAdd retries for up to half of minEvictionGrace.
 func (e *evictionTable) canAdd(t *testing.T, expected bool) bool {
 	t.Helper()
 	near, _ := e.newConn(t)
 	conn := e.tryAdd(near)
 	for end := time.Now().Add(minEvictionGrace / 2); expected && conn == nil && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // evicted connections leave the table when their goroutines close them
+		time.Sleep(time.Millisecond) // an evicted connection leaves the table when its goroutine has closed it
 		conn = e.tryAdd(near)
 	}
 	if conn == nil {
@@ -124,8 +126,8 @@
 	return true
 }
 
-// New connections replace the connections that have been idle for the longest time, except those on which an unread
-// request has just arrived, those with an open request and those that have been idle for a short time.
+// New connections evict the connections without activity for the longest time. A connection with unread bytes, with an
+// open request or with recent activity must not be evicted.
 func TestEvictionOrder(t *testing.T) {
 	table := &evictionTable{newClientConnections(nil, 100), newPeer(t)}
 	arrived, client := table.add(t, http.StateNew, time.Hour)
@@ -133,21 +135,22 @@
 	longIdle := table.addServed(t, http.StateIdle, time.Hour)
 	incomplete, client := table.add(t, http.StateNew, time.Hour)
 	io.WriteString(client, "GE")
-	if n, err := incomplete.Read(make([]byte, 16)); n == 0 || err != nil { // the server has read a part of the request
+	if n, err := incomplete.Read(make([]byte, 16)); n == 0 || err != nil { // puts the connection in phaseReading
 		t.Fatal(n, err)
 	}
 	silent := table.addServed(t, http.StateNew, time.Minute)
 	open, _ := table.add(t, http.StateActive, 0)
 	recent := table.addServed(t, http.StateIdle, evictionGrace/2)
 	fresh, _ := table.add(t, http.StateNew, 0)
-	// The idle list is in the order of the last activity, which for the incomplete request is its first byte.
+	// The idle list must be ordered by last activity, and the first byte of the incomplete request was read after the
+	// last activity of recent.
 	table.mu.Lock()
 	table.idle.MoveAfter(incomplete.idleElement, recent.idleElement)
 	table.mu.Unlock()
 	for _, step := range []struct {
 		name     string
 		maxConns int
-		added    bool // one more connection can be added
+		added    bool // another connection can be added
 		kept     []*clientConn
 	}{
 		{"below the soft limit", 10, true, []*clientConn{arrived, longIdle, silent, open, recent, incomplete, fresh}},
@@ -158,7 +161,7 @@
 	} {
 		table.mu.Lock()
 		table.maxConns = step.maxConns
-		incomplete.lastActive = time.Now() // regardless of the time that earlier steps took
+		incomplete.lastActive = time.Now() // so that the time of earlier steps does not count
 		fresh.lastActive = incomplete.lastActive
 		table.mu.Unlock()
 		if added := table.canAdd(t, step.added); added != step.added {
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	disconnectingClients = 30                         // enough to see a race that is lost only sometimes
-	singleGatewayQuota   = "units=1,spread=1,first=0" // for a customer that a single gateway serves
-	stayingID            = "stays"                    // the correlation id of a client that does not disconnect
+	disconnectingClients = 30                         // clients per test; enough to detect a race that is rarely lost
+	singleGatewayQuota   = "units=1,spread=1,first=0" // value of quotaHeader for a customer of a single gateway
+	stayingID            = "stays"                    // correlation id of a client that does not disconnect
 )
 
 // dial connects to address and sends text.
@@ -36,10 +36,10 @@
 // sameListener returns the listener unchanged.
 func sameListener(listener net.Listener) net.Listener { return listener }
 
-// rejectingBackend holds each attempt until release is closed, and then rejects it. It serves and counts the attempts
-// that begin once disconnected is set. It also serves the client that stays, without counting its attempt.
+// rejectingBackend holds each attempt until release is closed, and then rejects the attempt. Once disconnected is set,
+// it serves and counts new attempts instead. It serves an attempt with stayingID at once and does not count it.
 type rejectingBackend struct {
-	received     chan struct{} // has an element for each attempt that is held
+	received     chan struct{} // receives an element for each attempt that is held
 	release      chan struct{}
 	disconnected atomic.Bool  // all clients have disconnected
 	lateAttempts atomic.Int32 // attempts that began after disconnected was set
@@ -64,8 +64,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// No attempt begins for a client that has disconnected, even if the event loop is far behind with its messages. This
-// holds for the first attempt of a request and for a retry after a rejection.
+// Clients disconnect while the event loop is stalled, so that the loop handles older messages before the disconnects.
+// For these clients, neither a first attempt nor a retry after a rejection may begin.
 func TestNoAttemptForDisconnectedClientWhileLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	for _, first := range []bool{true, false} {
@@ -84,14 +84,14 @@
 				conns = append(conns, dial(t, g.address, requestText("GET", "lookup", "", quotaHeader, singleGatewayQuota)))
 			}
 			if first {
-				g.awaitInbox(t, disconnectingClients) // the requests
+				g.awaitInbox(t, disconnectingClients) // a message for each request
 			} else {
 				for range disconnectingClients {
 					await(t, backend.received, "first attempt")
 				}
 				resume = g.stall(t)
 				close(backend.release)
-				g.awaitInbox(t, disconnectingClients) // the ends of the first attempts
+				g.awaitInbox(t, disconnectingClients) // a message for the end of each first attempt
 			}
 			for _, conn := range conns {
 				conn.Close()
@@ -107,8 +107,8 @@
 	}
 }
 
-// The event loop is stalled when the client disconnects, while a connection to the backend is being dialled. The
-// request must not be sent on that connection once it is established.
+// A client disconnects while a connection to the backend is being dialed and the event loop is stalled. The request
+// must not be sent on that connection once it is established.
 func TestNoAttemptForDisconnectedClientWhileDialingAndLoopIsStalled(t *testing.T) {
 	t.Parallel()
 	backend := newFullBacklogBackend(t)
@@ -124,8 +124,8 @@
 	}
 }
 
-// No attempt begins for a client that disconnected before its request was read, for example while its connection
-// waited to be accepted.
+// Clients disconnect before their requests are read, while their connections wait to be accepted. No attempt may begin
+// for these clients.
 func TestNoAttemptForClientDisconnectedBeforeRead(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range map[string]func(*net.TCPConn) error{
@@ -179,9 +179,9 @@
 	}
 }
 
-// A client that disconnects while its request is queued is noticed even if it has sent bytes behind the request, and
-// the request is not forwarded. A client that has closed only its sending side must not get the status of a served
-// request.
+// A client disconnects while its request is queued. The gateway must detect this even if the client has sent bytes
+// behind the request, and must not forward the request. The client has closed only its sending side, so it reads the
+// answer, which must not have the status of a served request.
 func TestQueuedRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]int{"nothing behind": 0, "one byte behind": 1, "a buffer behind": 5000} {
@@ -192,7 +192,7 @@
 			id := fmt.Sprintf("disconnected-%d", extra)
 			conn, answers := g.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
 			counterConn, counterReader := counter.accept(t)
-			call, _ := readRequest(t, counterReader) // the request waits for its units
+			call, _ := readRequest(t, counterReader) // the request waits for units from the counter
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
@@ -212,8 +212,8 @@
 	}
 }
 
-// A client disconnects while a connection to a backend is being dialled. Its request must not be forwarded when the
-// connection is established, even if the deployment doesn't allow attempts to be cancelled.
+// A client disconnects while a connection to a backend is being dialed. The client's request must not be forwarded when
+// the connection is established, even if the deployment doesn't allow attempts to be cancelled.
 func TestDisconnectWhileDialingCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	for _, canCancel := range []bool{true, false} {
@@ -272,5 +272,5 @@
 		t.Errorf("attempt ended %t, %d answers, %d open", req.attempts[0].ended, len(req.response), len(l.requests))
 	}
 	close(l.stopped)
-	l.attempts.Wait() // the attempt is cancelled, so this ends although the backend is silent
+	l.attempts.Wait() // returns although the backend is silent, because the attempt is cancelled
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testSettings has no quotas, so that the tests of this package that use it cover the sockets alone.
+// testSettings holds the settings of a deployment without quotas, in which requests need no calls to the counter.
 const testSettings = `{"fleetSize": 2, "rank": 1, "tickS": 0.002, "localities": ["a", "b"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": true, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -18,7 +18,7 @@
 	"packages": [{"name": "basic", "pays": 1}, {"name": "council", "pays": 2}],
 	"familyInfo": {"mostUnits": 4}}`
 
-// configText returns the text of a configuration file with the given address of discovery and settings.
+// configText returns the text of a configuration file with the given discovery address and settings.
 func configText(discovery, settings string) string {
 	return `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "` + discovery + `", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": "127.0.0.1:1",
@@ -42,8 +42,8 @@
 	valid := configText("127.0.0.1:1", withCounter)
 	for _, c := range []struct {
 		name     string
-		old, new string // the text of a valid configuration to replace
-		key      string // with which the error begins; "": no key
+		old, new string // old is the part of a valid configuration that new replaces
+		key      string // the key at the beginning of the error; "": the error need not name a key
 	}{
 		{"text that is not JSON", `{`, ``, ""},
 		{"a seed that is not a number", `"seed": "8c1f30d27a5be964"`, `"seed": "x"`, "seed"},
@@ -91,7 +91,7 @@
 	}
 }
 
-// Gateways divide time into lease windows by the clock, so they must agree on it.
+// All gateways compute the same lease windows from their clocks, so each clock must show Unix time.
 func TestClockIsUnixTime(t *testing.T) {
 	c := newClock()
 	now := c.now()
@@ -100,8 +100,8 @@
 	}
 }
 
-// If memory is short, it limits the client connections more than descriptors do. It must still allow a third of the
-// descriptors, which is the number that requests may take.
+// With little memory, the memory limit allows fewer client connections than the descriptor limit. The memory limit must
+// still allow a third as many connections as there are descriptors, because requests may need that many.
 func TestMaxClientConns(t *testing.T) {
 	for _, c := range []struct{ memoryMB, sockets, want int }{
 		{192, 1024, 720},
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -27,9 +27,10 @@
 	}
 }
 
-// An invalid request is rejected and its connection is closed: a default value could charge the wrong customer or
-// retry a request that must not execute twice. Operators and clients rely on the statuses and bodies. Where body is
-// empty, net/http writes the body, and the test does not check it.
+// The gateway rejects an invalid request and closes its connection. It does not replace the invalid value by a default,
+// which could charge the wrong customer or retry a request that must not execute twice. Operators and clients rely on
+// the statuses and bodies. If the field body is empty, net/http writes the answer's body, and the test does not check
+// that body.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	g := startTestGateway(t, newPeer(t))
@@ -86,8 +87,8 @@
 	}
 }
 
-// A request with both a Content-Length and chunked encoding may hide another request in its body or behind it.
-// Neither of them may reach a backend.
+// A request with both a Content-Length and chunked encoding may hide another request in its body or behind its body.
+// Neither the request nor the hidden request may reach a backend.
 func TestRequestHiddenByChunksIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -106,8 +107,8 @@
 	}
 }
 
-// A correlation id identifies one request. A second request with the same id is rejected while the first is open and
-// just after it has been answered, and the first still gets its answer.
+// A correlation id identifies a single request. A second request with the same id is rejected while the first request
+// is open and just after the first has been answered. The first request must still get its answer.
 func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -133,8 +134,8 @@
 	expectConflict()
 }
 
-// A silent backend must not keep a request open beyond its latency objective, and its late response must reach no
-// client.
+// A silent backend must not keep a request open beyond the latency objective of its class. The gateway must close the
+// connection of the abandoned attempt, so that a late response reaches no client.
 func TestSilentBackendDelaysNoAnswerBeyondLatencyObjective(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -149,7 +150,7 @@
 	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("read error on the abandoned attempt's connection: %v, want EOF", err)
 	}
-	// The client's connection stays usable: the next request gets its own response and no other.
+	// The client's connection stays usable, and the next request gets the response to its own attempt.
 	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOne(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -170,13 +171,13 @@
 	conn, _ := g.sendRequest(t, requestText("GET", "lookup", ""))
 	_, reader := backend.accept(t)
 	readRequest(t, reader)
-	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // returns when the connection is closed
+	go io.WriteString(conn, strings.Repeat("x", 4*maxPipelinedBytes)) // ends at the latest when conn is closed
 	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("read error on the attempt's connection: %v, want EOF", err)
 	}
 }
 
-// The bytes that arrive behind an open request are exactly the next request.
+// Bytes that arrive behind an open request are not lost: the gateway reads them as the beginning of the next request.
 func TestPipelinedRequestIsServedNext(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -197,11 +198,11 @@
 	}
 }
 
-// A client that never reads its answer must not keep other clients from theirs, and must not delay a shutdown for
-// longer than the longest request could.
+// A client that never reads its answer must not delay the answers to other clients. A shutdown waits for such a client,
+// but must end without it.
 func TestSlowReaderDelaysNoOtherClient(t *testing.T) {
 	t.Parallel()
-	const bufferBytes = 4096 // of each socket; smaller than the answer
+	const bufferBytes = 4096 // size of each socket's buffer in bytes; smaller than the answer
 	backend := newPeer(t)
 	gated := &gatedListener{beforeRead: func(c *gatedConn) { c.SetWriteBuffer(bufferBytes) }}
 	shortDeadlines := strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`, `"objectiveS": 10`, `"objectiveS": 2`).Replace
@@ -218,7 +219,7 @@
 	defer slow.Close()
 	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
-	for range 2 { // on a new backend connection, or on the first one again
+	for range 2 { // may reuse the first connection to the backend or open a new one
 		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
--- a/internal/gateway/fullbacklog_test.go
+++ b/internal/gateway/fullbacklog_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// fullBacklogBackend is a backend with a full accept backlog: dials to it hang until it accepts a connection. The
+// fullBacklogBackend is a backend with a full accept backlog: dialing it hangs until it accepts a connection. The
 // fillers are the connections that fill the backlog.
 type fullBacklogBackend struct {
 	fd      int
@@ -21,7 +21,7 @@
 	fillers []net.Conn
 }
 
-// newFullBacklogBackend listens with the smallest possible backlog and fills it.
+// newFullBacklogBackend listens with the smallest possible backlog and fills the backlog.
 func newFullBacklogBackend(t *testing.T) *fullBacklogBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -50,7 +50,7 @@
 	}
 }
 
-// accept returns the next connection that is not one of the fillers, with a reader of it.
+// accept returns the next connection that is not a filler, and a reader for the connection.
 func (b *fullBacklogBackend) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for {
@@ -62,7 +62,7 @@
 	}
 }
 
-// acceptAny returns the next connection of the backlog.
+// acceptAny returns the next connection from the backlog, which may be a filler.
 func (b *fullBacklogBackend) acceptAny(t *testing.T) net.Conn {
 	t.Helper()
 	fd, _, err := syscall.Accept(b.fd)
@@ -86,7 +86,7 @@
 	})
 }
 
-// isDialing reports whether this process is dialling an address.
+// isDialing reports whether this process is dialing an address.
 func isDialing(t *testing.T, address string) bool {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(address)
@@ -98,7 +98,7 @@
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X 02 ", n)) // SYN_SENT
 }
 
-// awaitDialing waits until this process is dialling an address, testTimeout at most.
+// awaitDialing waits until this process is dialing an address, for testTimeout at most.
 func awaitDialing(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !isDialing(t, address) && time.Now().Before(end); {
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -13,8 +13,8 @@
 	"amberlb/policy"
 )
 
-// For any response of a counter, readTotal returns a finite total, and a total other than 0 only for a complete
-// response.
+// For any response of a counter, readTotal returns a finite total. It returns a total other than 0 only with the
+// outcome Served.
 func FuzzReadTotal(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5",
@@ -33,7 +33,7 @@
 	})
 }
 
-// For any quota header that is accepted, its values are in range.
+// If decodeQuota accepts a value of the quota header, the decoded values are in range.
 func FuzzDecodeQuota(f *testing.F) {
 	for _, seed := range []string{"units=2,spread=2,first=1", "units=NaN,spread=1,first=0", "units=1,units=2,spread=1",
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
@@ -61,8 +61,8 @@
 // Read reads from c.reader.
 func (c readerConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// For any response of a backend, a body that counts as served is within the limit, and the connection is not reused
-// after a reset.
+// For any response of a backend, a body with the outcome Served has at most maxBodyBytes, and a connection with the
+// outcome ConnectionReset is not reused.
 func FuzzReadResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// gatedListener is a listener for clients whose hooks let a test act at set points of an accept or a read, between
-// the gateway and the kernel. Hooks that are nil are not called.
+// gatedListener is a listener for clients that calls a test's hooks during accepts and reads, between the gateway and
+// the kernel. Hooks may be nil.
 type gatedListener struct {
 	net.Listener
-	onAccept           func()       // before the gateway gets an accepted connection
+	onAccept           func()       // called before Accept returns an accepted connection
 	acceptError        func() error // called before each accept; an error fails the accept
 	beforeRead         func(*gatedConn)
-	afterRead          func(*gatedConn)            // after a read that returned bytes
-	beforeReadDeadline func(*gatedConn, time.Time) // before a read deadline is set
-	conns              sync.Map                    // *gatedConn by the client's address
+	afterRead          func(*gatedConn)            // called after a read that returned bytes
+	beforeReadDeadline func(*gatedConn, time.Time) // called before a read deadline is set
+	conns              sync.Map                    // the accepted *gatedConn by the client's address
 }
 
-// gatedConn is a connection that a gatedListener has accepted. Once armed is set, the next read deadline in the past
-// closes readEnded.
+// gatedConn is a connection that a gatedListener has accepted. When armed is set, the next read deadline in the past
+// closes readEnded and resets armed.
 type gatedConn struct {
 	*net.TCPConn
 	listener   *gatedListener
-	readsBegun atomic.Int32 // reads for a request; the watch for a disconnect is not counted
+	readsBegun atomic.Int32 // number of reads for a request, without the reads that watch for a disconnect
 	armed      atomic.Bool
-	readEnded  chan struct{} // closed when a deadline ends the wait for a request while armed is set
+	readEnded  chan struct{} // closed when a read deadline in the past is set while armed is set
 }
 
 // Accept returns the next connection, as a gatedConn.
@@ -69,8 +69,8 @@
 	return n, err
 }
 
-// SetReadDeadline sets the read deadline. If the deadline is in the past, which ends the current read, and armed is
-// set, it closes readEnded.
+// SetReadDeadline sets the read deadline. A deadline in the past ends the current read. If armed is set, a deadline in
+// the past also closes readEnded.
 func (c *gatedConn) SetReadDeadline(deadline time.Time) error {
 	if c.listener.beforeReadDeadline != nil {
 		c.listener.beforeReadDeadline(c, deadline)
@@ -82,8 +82,8 @@
 	return err
 }
 
-// holdAccept returns a listener that holds the next connection it accepts after gateClosed is set. It reports the
-// connection on waiting, and holds it until gate is closed.
+// holdAccept returns a listener that holds the next connection that it accepts after hold is set. When the connection
+// has been accepted, the listener sends a value on held, and Accept returns when the test has closed release.
 func holdAccept() (listener *gatedListener, hold *atomic.Bool, held <-chan struct{}, release chan<- struct{}) {
 	hold = &atomic.Bool{}
 	isHeld := make(chan struct{}, 1)
@@ -97,14 +97,14 @@
 	return listener, hold, isHeld, released
 }
 
-// startRace starts a gateway and opens a connection to it. It calls onRead as soon as the gateway has read from the
-// next request on that connection, before the gateway handles what it read. Unless newConnection is set, the
+// startRace starts a gateway and opens a connection to it. It calls onRead when the gateway has read the first bytes of
+// the next request on that connection, before the gateway handles these bytes. Unless newConnection is set, the
 // connection has served a request before.
 func startRace(t *testing.T, newConnection bool, changeConfig func(string) string, backend *peer,
 	onRead func(*testGateway, *gatedConn)) (*testGateway, net.Conn) {
 	t.Helper()
 	var g *testGateway
-	var client atomic.Pointer[net.TCPAddr] // the client whose next read calls onRead; nil: none
+	var client atomic.Pointer[net.TCPAddr] // client of the connection whose next read calls onRead
 	listener := &gatedListener{}
 	listener.afterRead = func(c *gatedConn) {
 		if address := client.Load(); address != nil && c.RemoteAddr().String() == address.String() {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,7 +16,7 @@
 	"amberlb/policy"
 )
 
-// testGateway is a whole gateway on loopback sockets.
+// testGateway is a complete gateway on loopback sockets.
 type testGateway struct {
 	address      string // for clients
 	discovery    *fakeDiscovery
@@ -24,7 +24,7 @@
 	serveErr     chan error // receives the result of serve
 	reloadSignal chan os.Signal
 	config       atomic.Pointer[string] // the configuration text that a reload reads
-	reloadDelay  atomic.Int64           // nanoseconds that reading it takes in a reload
+	reloadDelay  atomic.Int64           // nanoseconds that a reload takes to read the configuration
 }
 
 // startTestGateway starts a gateway with the given backends and waits until it is ready.
@@ -33,13 +33,14 @@
 	return startTestGatewayWith(t, unchangedConfig, backends...)
 }
 
-// startTestGatewayWith is startTestGateway with a changed configuration text.
+// startTestGatewayWith does the same as startTestGateway, with the configuration text that changeConfig returns.
 func startTestGatewayWith(t *testing.T, changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
 	return startTestGatewayBehind(t, func(l net.Listener) net.Listener { return l }, changeConfig, backends...)
 }
 
-// startTestGatewayBehind is startTestGatewayWith with a wrapper around the listener for clients.
+// startTestGatewayBehind does the same as startTestGatewayWith, with the listener for clients that wrapListener
+// returns.
 func startTestGatewayBehind(t *testing.T, wrapListener func(net.Listener) net.Listener,
 	changeConfig func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
@@ -88,14 +89,14 @@
 	return resp.StatusCode
 }
 
-// awaitReadiness waits until readiness checks return a status.
+// awaitReadiness waits until readiness checks return the given status.
 func (g *testGateway) awaitReadiness(t *testing.T, status int) {
 	t.Helper()
 	awaitCondition(t, fmt.Sprintf("the readiness status did not become %d", status),
 		func() bool { return g.readinessStatus(t) == status })
 }
 
-// publishBackends makes discovery list ready backends at the given addresses, and waits until the gateway has
+// publishBackends makes discovery send a list of ready backends at the given addresses, and waits until the gateway has
 // received the list.
 func (g *testGateway) publishBackends(t *testing.T, addresses ...string) {
 	t.Helper()
@@ -123,8 +124,8 @@
 	})
 }
 
-// sendRequest sends one request on a new connection. It returns a channel that receives the response; nothing is sent
-// on it if the response can't be read.
+// sendRequest sends a request on a new connection. It returns the connection and a channel that receives the answer.
+// The channel receives nothing if the answer can't be read.
 func (g *testGateway) sendRequest(t *testing.T, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.address)
@@ -145,7 +146,7 @@
 	return conn, responses
 }
 
-// roundTripOn sends a request on an open connection and reads its response.
+// roundTripOn sends a request on an open connection and reads the answer.
 func roundTripOn(t *testing.T, conn net.Conn, text string) (*http.Response, error) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -157,8 +158,8 @@
 // lastCorrelationID is the number in the correlation id that requestText used last. Each request gets a new id.
 var lastCorrelationID atomic.Int64
 
-// requestText returns the text of a client's request. change holds pairs of a header name and its value; "" removes
-// the header. The name "path" stands for the path of the request.
+// requestText returns the text of a client's request. The arguments after body are pairs of a header name and a value;
+// the value "" removes the header. The name "path" stands for the path of the request.
 func requestText(method, class, body string, change ...string) string {
 	path := "/" + class
 	headers := map[string]string{
@@ -210,9 +211,9 @@
 // unchangedConfig returns a configuration text unchanged.
 func unchangedConfig(config string) string { return config }
 
-// withCounter returns a function that changes a configuration text: the test's customers get a quota, in units per
-// second and units of burst, which the gateway keeps on the counter. A call to the counter times out after timeout.
-// If the burst is small, a customer's first request needs a call to the counter.
+// withCounter returns a function that adds the counter to a configuration text, and a quota to the plan of the test's
+// customers. The quota has a rate in units per second and a burst in units. The argument timeout is the time limit of a
+// call to the counter. If the burst is small, a customer's first request needs a call to the counter.
 func withCounter(counter *peer, rate, burst float64, timeout time.Duration) func(string) string {
 	return strings.NewReplacer(
 		`"127.0.0.1:1"`, `"`+counter.address()+`"`,
@@ -221,8 +222,9 @@
 	).Replace
 }
 
-// newLoopRequest returns a request for an event loop that the test drives itself. The request costs one unit, was
-// sent now and has 15 s left. Its response channel has capacity for a second response, so that a test can detect one.
+// newLoopRequest returns a request for an event loop whose methods the test calls itself. The request costs one unit,
+// was sent now and has 15 s left. The channel response has capacity for two answers, so that a test can detect a second
+// answer.
 func newLoopRequest(l *eventLoop, method, uri string, policyRequest policy.Request) *clientRequest {
 	policyRequest.Units = 1
 	policyRequest.Gateways = 1
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -10,14 +10,13 @@
 	"amberlb/policy"
 )
 
-// The limit depends on the share of reuses that broke rather than on single breaks, and old observations lose their
-// weight.
+// The limit depends on the number and the share of reuses that broke, and old observations lose their weight.
 func TestIdleLimit(t *testing.T) {
 	const noLimit = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
 		name           string
 		idleFor        time.Duration
-		worked, broken int           // reuses
+		worked, broken int           // number of reuses that worked or broke
 		later          time.Duration // time from the reuses to the call of limit
 		want           time.Duration
 	}{
@@ -46,8 +45,8 @@
 	}
 }
 
-// A middlebox drops idle connections to a backend. Once the estimator has seen enough broken reuses, attempts use new
-// connections instead of ending in resets.
+// A middlebox drops idle connections to a backend. Once the estimator has a limit, attempts use new connections instead
+// of ending in resets.
 func TestForgottenIdleConnectionsAreNotReused(t *testing.T) {
 	t.Parallel()
 	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -81,7 +80,7 @@
 		if got := await(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection, want served", got)
 		}
-		time.Sleep(2 * minIdleBucket) // the connection has to be idle for that long
+		time.Sleep(2 * minIdleBucket) // reuses of connections that were idle for less than minIdleBucket are not observed
 		ended = startAttempt()
 		readRequest(t, reader) // on the same connection
 		conn.Close()
@@ -96,7 +95,7 @@
 	await(t, ended, "outcome")
 	limit := pools.idleEstimator.limit(time.Now())
 	for range int(minBreaks) {
-		pools.idleEstimator.observe(time.Now(), limit, true) // keeps the limit from decaying during the wait below
+		pools.idleEstimator.observe(time.Now(), limit, true) // keeps the limit in place during the wait below
 	}
 	time.Sleep(limit + minIdleBucket)
 	ended = startAttempt()
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -9,7 +9,7 @@
 	"amberlb/policy"
 )
 
-// Counts are logged by name, reason and outcome. Counts of zero are left out.
+// The log line has counts by metric name, by reason and by outcome. Counts of zero are left out.
 func TestMetricsLogCountsAboveZero(t *testing.T) {
 	var m metrics
 	m.add(requestsAccepted)
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -13,8 +13,8 @@
 // testTimeout bounds every wait in a test. No wait is expected to take that long.
 const testTimeout = 20 * time.Second
 
-// peer listens as the other side of the gateway's connections. It passes each connection to the test, and closes the
-// connections at the end of the test.
+// peer is a listener that a test uses as a backend, a counter or the accepting side of any connection. It sends each
+// accepted connection on conns, and closes the connections at the end of the test.
 type peer struct {
 	listener net.Listener
 	conns    chan net.Conn
@@ -44,7 +44,7 @@
 
 func (p *peer) address() string { return p.listener.Addr().String() }
 
-// accept returns the next connection, with a deadline set, and a reader of it.
+// accept returns the next connection and a reader for it. It sets a deadline of testTimeout on the connection.
 func (p *peer) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := await(t, p.conns, "a connection")
@@ -60,7 +60,7 @@
 	return conn, reader
 }
 
-// readRequest reads one request and its body.
+// readRequest reads a request with its body.
 func readRequest(t *testing.T, reader *bufio.Reader) (*http.Request, []byte) {
 	t.Helper()
 	req, err := http.ReadRequest(reader)
@@ -79,7 +79,8 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serveOne serves one request on a new connection. The response has a header for the client and one for the gateway.
+// serveOne serves one request on a new connection. The response has a header for the client and a header that only the
+// gateway reads.
 func serveOne(t *testing.T, backend *peer, body string) {
 	t.Helper()
 	conn, _ := backend.acceptRequest(t)
@@ -87,8 +88,8 @@
 		len(body), body)
 }
 
-// await returns the next value from a channel. It fails the test if none comes within testTimeout; what names the
-// value in the failure.
+// await returns the next value from a channel. It fails the test if no value arrives within testTimeout. The failure
+// message contains the description of the value.
 func await[T any](t *testing.T, ch <-chan T, description string) T {
 	t.Helper()
 	select {
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A reload moves discovery and the counter to new addresses under load, and nothing is lost: open requests are
-// answered, the new discovery is polled for its full list, and a counter call in flight still gets its response from
-// the old counter. An invalid configuration file changes nothing.
+// A reload moves discovery and the counter to new addresses while a request is open. The request is still answered, the
+// gateway polls the new discovery for a full list, and a counter call in flight still gets its response from the old
+// counter. An invalid configuration file changes nothing.
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
@@ -17,10 +17,10 @@
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
 		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // long enough that no call for a list times out in the test
-	defer g.stop() // before the new discovery closes, which waits for the watch to end
+	defer g.stop() // newDiscovery is closed later, and its close waits for the end of the watch
 	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
-	call, _ := readRequest(t, counterReader) // answered after the reload
+	call, _ := readRequest(t, counterReader) // the counter responds after the reload
 
 	valid := *g.config.Load()
 	invalid := valid[:len(valid)/2]
@@ -34,7 +34,7 @@
 	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // first call of the window: no later one reconciles
+	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // the first call of the window; no later call reconciles
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -14,9 +14,9 @@
 // readinessRequest is the text of a readiness check.
 const readinessRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
 
-// A shutdown closes idle connections while the gateway has read a part of a request but not yet handled it. The
-// request is answered: it is served on a connection that was idle, and rejected on a new connection, which is closed
-// later.
+// A shutdown closes idle connections when the gateway has read a part of a request but not handled that part yet. The
+// request must be answered. On a connection that was idle, it is served. A new connection is closed later in the
+// shutdown, when requests are no longer admitted, so the request is rejected.
 func TestShutdownRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	for name, newConnection := range map[string]bool{"on an idle connection": false, "on a new one": true} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// A request has arrived when a shutdown begins, but the gateway reads it only after it has closed the listener. The
-// request gets an answer, if only a rejection, both on an idle and on a new connection.
+// A request has arrived when a shutdown begins, but the gateway reads the request only after it has closed the
+// listener. On an idle connection and on a new connection, the request must be rejected with an answer.
 func TestShutdownRacesUnreadRequest(t *testing.T) {
 	t.Parallel()
 	for name, idle := range map[string]bool{"on an idle connection": true, "on a new one": false} {
@@ -60,8 +60,7 @@
 			backend := newPeer(t)
 			var hold atomic.Bool
 			release, held := make(chan struct{}), make(chan *gatedConn, 1)
-			// Only the client's connection may be held at the gate: connections of readiness checks wait for requests
-			// too.
+			// Only reads of this client's connection may be held, and not those of the readiness checks' connections.
 			clientAddress := freeAddress(t)
 			gated := &gatedListener{beforeRead: func(c *gatedConn) {
 				if c.RemoteAddr().String() == clientAddress.String() && hold.CompareAndSwap(true, false) {
@@ -78,8 +77,8 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			if idle {
-				// The watch for a disconnect has begun its read before the gate closes, so the gate holds the read for
-				// the next request.
+				// The read that watches for a disconnect begins before hold is set. The read that is held is therefore
+				// the read of the next request.
 				io.WriteString(conn, requestText("GET", "lookup", ""))
 				backendConn, reader := backend.accept(t)
 				readRequest(t, reader)
@@ -109,9 +108,9 @@
 	}
 }
 
-// A shutdown begins just as the server is about to wait for the next request on an idle connection. The connection is
-// closed at once, like the other idle ones, and not only when the listener is closed: until then its client would go
-// on using it.
+// A shutdown begins when the server is about to wait for the next request on an idle connection. The connection must be
+// closed at once, like other idle connections. If it stayed open until the listener is closed, its client could still
+// send requests on it.
 func TestShutdownRacesWaitForRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -120,14 +119,14 @@
 	shutdownBegun := make(chan struct{})
 	clientAddress := freeAddress(t)
 	gated := &gatedListener{beforeReadDeadline: func(c *gatedConn, at time.Time) {
-		// The server sets the longest deadline for the wait between two requests.
+		// Of all read deadlines, the server's deadline for the wait between two requests is the longest.
 		isIdleWait := time.Until(at) > idleTimeout/2
 		if c.RemoteAddr().String() == clientAddress.String() && isIdleWait && armed.CompareAndSwap(true, false) {
 			c.armed.Store(true)
 			g.stop()
 			select {
 			case <-c.readEnded: // the shutdown has closed idle connections
-			case <-time.After(lateConnectionPeriod / 4): // or it waits for this connection
+			case <-time.After(lateConnectionPeriod / 4): // the shutdown may wait for table.mu, which the caller holds
 			}
 			close(shutdownBegun)
 		}
@@ -151,8 +150,8 @@
 	}
 }
 
-// The gateway is stalled, so connections still wait in the kernel's accept queue when the listener is to be closed.
-// They are accepted, and their requests are rejected. Closing the listener first would reset them.
+// The gateway is stalled, so connections still wait in the kernel's accept queue when the listener is to be closed. The
+// gateway must accept these connections and reject their requests. Closing the listener first would reset them.
 func TestShutdownEmptiesAcceptQueue(t *testing.T) {
 	t.Parallel()
 	gated, hold, held, release := holdAccept()
@@ -165,7 +164,7 @@
 	}
 	await(t, held, "connection")
 	g.stop()
-	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // past the close of the listener
+	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // when the listener is to be closed
 	close(release)
 	for _, answers := range allAnswers {
 		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
@@ -177,11 +176,11 @@
 	}
 }
 
-// The times of a shutdown count from the signal, even if a reload is in progress then.
+// The times of a shutdown count from the signal, even if a reload is in progress when the signal arrives.
 func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
 	g := startTestGateway(t, newPeer(t))
-	const readTime = 500 * time.Millisecond // of the configuration
+	const readTime = 500 * time.Millisecond // time that a reload takes to read the configuration
 	g.reloadDelay.Store(int64(readTime))
 	g.reloadSignal <- syscall.SIGHUP
 	began := time.Now()
@@ -195,8 +194,8 @@
 	}
 }
 
-// A connection that waits to be accepted when a shutdown begins is still accepted. Its request is served, or rejected
-// if it is too late for that.
+// A connection that waits to be accepted when a shutdown begins is still accepted. Its request is admitted, or rejected
+// if it arrives too late.
 func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -217,8 +216,8 @@
 	}
 }
 
-// A shutdown answers every open request even if a backend or the counter is silent. It ends once the answers are
-// given, with calls still in flight.
+// A shutdown answers every open request even if a backend or the counter is silent. The shutdown ends once the answers
+// are given, even if attempts or counter calls are still in flight.
 func TestShutdownAnswersWhilePeerIsSilent(t *testing.T) {
 	t.Parallel()
 	for name, silentCounter := range map[string]bool{"a backend": false, "the counter": true} {
@@ -234,7 +233,7 @@
 			g := startTestGatewayWith(t, change, backend)
 			_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 			_, reader := silent.accept(t)
-			readRequest(t, reader) // stays unanswered
+			readRequest(t, reader) // the peer sends no response
 			g.stop()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("status %d", resp.StatusCode)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// For any deadline the schedule keeps the times of the protocol. A request that is admitted at the last moment, with
-// the longest deadline, is answered before the earliest SIGKILL, even if the process is stalled. New connections are
-// accepted for long enough, and for longer than requests are admitted.
+// For any longest deadline, the schedule keeps the times of the protocol. A request that is admitted at the last
+// moment, with the longest deadline, is answered before the earliest SIGKILL, even if the process is stalled. Requests
+// are admitted for as long as new connections arrive, and connections are accepted for a longer time than that.
 func TestShutdownScheduleEndsBeforeSIGKILL(t *testing.T) {
 	for deadline := 10 * time.Millisecond; deadline < time.Minute; deadline = deadline*5/4 + time.Millisecond {
 		s := newShutdownSchedule(deadline)
-		openTime := min(deadline, 3*time.Second) // a longer deadline counts as 3 s
+		openTime := min(deadline, 3*time.Second) // the protocol counts a longer deadline as 3 s
 		kill := openTime + 700*time.Millisecond
 		if s.admitUntil+openTime+200*time.Millisecond > kill {
 			t.Errorf("deadline %v: a request admitted at %v is answered at %v; SIGKILL may come at %v",
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -21,8 +21,8 @@
 type stallableGateway struct {
 	loop    *eventLoop
 	address string
-	gate    atomic.Pointer[chan struct{}] // holds the loop at its next endpoint list; nil: no gate
-	stalled chan struct{}                 // receives a value when the loop is held at the gate
+	gate    atomic.Pointer[chan struct{}] // stalls the loop at its next endpoint list until closed; nil: no stall
+	stalled chan struct{}                 // receives a value when the loop is stalled
 }
 
 // newStallableGateway starts a gateway with as many backends as there are disconnecting clients, all at one address.
@@ -64,7 +64,7 @@
 	return g
 }
 
-// waitAtGate stalls the loop once, if a test has set a gate.
+// waitAtGate stalls the event loop until the gate is closed, and removes the gate. It does nothing without a gate.
 func (g *stallableGateway) waitAtGate() {
 	if gate := g.gate.Swap(nil); gate != nil {
 		g.stalled <- struct{}{}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -18,7 +18,7 @@
 // emptyEndpointList is a full list from discovery without backends.
 const emptyEndpointList = `{"generation": 41, "reset": true, "instances": []}`
 
-// Ways in which discovery answers a call.
+// Handlers of a stand-in for discovery:
 
 func respondWithList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// failFirst answers the first calls with fail, and later calls with the list.
+// failFirst returns a handler that calls fail for the first n calls, and respondWithList for later calls.
 func failFirst(n int32, fail http.HandlerFunc) http.HandlerFunc {
 	var callCount atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// A starting gateway becomes ready in time even if discovery is overloaded by the start of many gateways. It uses its
-// cached list if discovery returns none, and waits for discovery's list if there is no cached one.
+// A starting gateway becomes ready in time even if discovery is overloaded by the start of many gateways. The gateway
+// uses its cached list if discovery sends no list in time. Without a cached list, it waits for a list from discovery.
 func TestGatewayIsReadyInTime(t *testing.T) {
 	t.Parallel()
 	const cachedInstances = `"instances": [{"instanceId": "s-1", "hostPort": "127.0.0.1:1", "zone": "a",
