--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -20,7 +20,7 @@
 const (
 	drainAcceptAttempts = 3                      // number of consecutive timeouts after which the queue counts as empty
 	drainAcceptTimeout  = 5 * time.Millisecond   // timeout of a single Accept call
-	maxDrainAcceptTime  = 100 * time.Millisecond // limit on the whole emptying, because new connections may keep arriving
+	maxDrainAcceptTime  = 100 * time.Millisecond // time limit for emptying the queue, as connections may keep arriving
 )
 
 // Accept returns the next client connection as soon as the table has a slot for it. It closes a connection for which
@@ -106,8 +106,8 @@
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
 // acceptQueued returns a connection that waits in the kernel's accept queue. It closes the listener and returns
-// net.ErrClosed if the queue is empty, or if maxDrainAcceptTime has passed since its first call. Only the goroutine
-// that calls Accept may call it.
+// net.ErrClosed if the queue is empty, or if maxDrainAcceptTime has passed since the first call of acceptQueued. Only
+// the goroutine that calls Accept may call acceptQueued.
 func (c *clientConnections) acceptQueued() (net.Conn, error) {
 	if c.drainStarted.IsZero() {
 		c.drainStarted = time.Now()
--- a/internal/gateway/acceptdelay.go
+++ b/internal/gateway/acceptdelay.go
@@ -41,9 +41,9 @@
 	return now.Add(-d.busyTime)
 }
 
-// unreadDelay returns the longest time that the unread bytes of a connection can have waited. The time earliest is the
-// earliest at which the connection can have arrived. unreadDelay returns 0 if the connection is open and has no unread
-// bytes.
+// unreadDelay returns the longest time that the unread bytes of a connection can have waited. The argument earliest is
+// the earliest time at which the connection can have arrived. The result is 0 if the connection is open and has no
+// unread bytes.
 func unreadDelay(conn net.Conn, earliest time.Time) time.Duration {
 	if isOpenWithoutInput(conn) {
 		return 0
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -25,11 +25,11 @@
 
 // clientConn is one connection of a client.
 //
-// A connection is closed only by the goroutine of the HTTP server that reads it, because no other goroutine knows
-// which bytes have been read. This goroutine closes the connection when the client has closed it, when the answer has
-// the header "Connection: close", and when a wait for bytes has timed out. Other goroutines call closeWhenIdle, which
-// sets closing and ends the wait for a request. A request that arrives at that moment is still served. At the end of a
-// graceful shutdown, http.Server.Close closes the connections that are left.
+// While the gateway serves, a connection is closed only by the HTTP server's goroutine that reads the connection,
+// because no other goroutine knows which bytes have been read. This goroutine closes the connection when the client has
+// closed it, when the answer has the header "Connection: close", and when a wait for bytes has timed out. Other
+// goroutines call closeWhenIdle, which sets closing and ends the wait for a request. A request that arrives at that
+// moment is still served. At the end of a graceful shutdown, http.Server.Close closes the connections that are left.
 type clientConn struct {
 	net.Conn
 	table *clientConnections
@@ -38,8 +38,8 @@
 	pipelined []byte          // bytes received behind an open request; owned by the goroutine that reads the connection
 
 	// firstRequestDelay is the longest time that the first request can have waited before the connection was accepted;
-	// 0 for later requests. It needs no lock: it is set before the connection is served, and then used only by the
-	// goroutine that serves the connection.
+	// 0 for later requests. The field needs no lock: it is set before the connection is served, and then used only by
+	// the goroutine that serves the connection.
 	firstRequestDelay time.Duration
 
 	// request is the open request, which is logged if a graceful shutdown leaves it unanswered; nil if no request is
@@ -48,7 +48,7 @@
 
 	// Guarded by table.mu:
 	idleElement  *list.Element // element of table.idle; nil while a request is open
-	lastActive   time.Time     // last time the connection was accepted or a request began to arrive or was answered
+	lastActive   time.Time     // time of the last accept, beginning of a request or answer, whichever came last
 	isNew        bool          // no request has been read from the connection yet
 	closing      bool          // the wait for a request ends at once, so that the server closes the connection
 	readDeadline time.Time     // read deadline set by the server or extended by markReading; zero: none
@@ -86,8 +86,8 @@
 }
 
 // readTimedOut reads once more, without blocking, in case bytes arrived as the wait timed out: closing a connection
-// with unread bytes would reset it. If no bytes have arrived, it returns the error timeout. In that case it also
-// rejects a request of which a part was read before.
+// with unread bytes would reset it. If no bytes have arrived, readTimedOut returns the error timeout. If a part of a
+// request was read before, it rejects that request first.
 func (c *clientConn) readTimedOut(p []byte, timeout error) (int, error) {
 	n, err := receive(c.Conn, p, syscall.MSG_DONTWAIT)
 	switch {
@@ -102,8 +102,8 @@
 	return n, err
 }
 
-// watchForClose buffers bytes that arrive behind the open request, until a read fails or maxPipelinedBytes are
-// buffered. It returns the error. A read fails when the connection ends, or when the server ends it by a read deadline.
+// watchForClose buffers the bytes that arrive behind an open request, until a read fails or maxPipelinedBytes are
+// buffered, and returns the error. A read fails when the connection has ended or its read deadline has passed.
 func (c *clientConn) watchForClose(p []byte) error {
 	n, err := c.Conn.Read(p)
 	c.pipelined = append(c.pipelined, p[:n]...)
@@ -120,8 +120,8 @@
 	return err
 }
 
-// SetReadDeadline sets the read deadline for the HTTP server. The deadline of the socket may be earlier; see
-// applyReadDeadline.
+// SetReadDeadline stores the read deadline that the HTTP server sets, and applies it to the socket. The deadline of the
+// socket may be earlier; see applyReadDeadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -12,14 +12,14 @@
 const (
 	softLimitShare     = 0.8                    // share of maxConns above which new connections evict idle ones
 	evictionGrace      = 2 * time.Second        // time without activity after which a connection may be evicted
-	minEvictionGrace   = 100 * time.Millisecond // replaces evictionGrace while maxConns connections are not closing
+	minEvictionGrace   = 100 * time.Millisecond // replaces evictionGrace while the table is full (see evictIdle)
 	maxEvictionsPerAdd = 2                      // maximum number of evictions in one call of tryAdd
 )
 
 // clientConnections is a listener that keeps the client connections in a table and limits their number. If it only
 // stopped accepting at the limit, clients that connect and send nothing could occupy all slots, and other clients
 // would wait in the kernel's accept queue. Instead, a new connection evicts idle connections, which are connections
-// without an open request. Those without activity for the longest time are evicted first.
+// without an open request. The connections without activity for the longest time are evicted first.
 type clientConnections struct {
 	net.Listener
 	maxConns  int
@@ -33,7 +33,7 @@
 
 	mu           sync.Mutex
 	conns        map[*clientConn]struct{}
-	idle         list.List // the *clientConn without an open request, ordered by lastActive
+	idle         list.List // values *clientConn: the connections without an open request, ordered by lastActive
 	closingCount int       // number of connections whose closing is set
 	draining     bool      // each connection is closed when it becomes idle
 	readCutoff   time.Time // time at which a graceful shutdown rejects incomplete requests; zero: no shutdown
@@ -68,8 +68,9 @@
 }
 
 // evictIdle evicts idle connections while the table is above its soft limit, maxEvictionsPerAdd at most. A connection
-// must have been without activity for evictionGrace, or for minEvictionGrace while maxConns connections are not
-// closing. The slot of an evicted connection becomes free when the server has closed the connection.
+// must have been without activity for evictionGrace. If the table is full, minEvictionGrace is sufficient. Connections
+// that are already closing don't count towards the soft limit or a full table. The slot of an evicted connection
+// becomes free when the server has closed the connection.
 func (c *clientConnections) evictIdle() {
 	softLimit := int(softLimitShare * float64(c.maxConns))
 	now := time.Now()
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -153,7 +153,7 @@
 				disconnect(dial(t, g.address, requestText("POST", "booking", "x", quotaHeader, singleGatewayQuota)))
 			}
 			close(gate)
-			g.expectServed(t, stayingID) // accepted after the connections above
+			g.expectServed(t, stayingID) // this connection is accepted after the connections above
 			for end := time.Now().Add(testTimeout); len(g.loop.inbox) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -62,8 +62,8 @@
 	io.WriteString(w, "ready\n")
 }
 
-// rejectInvalid answers a request that could not be decoded, and closes its connection: the end of an invalid request
-// is not reliable, so the next bytes may be a part of it.
+// rejectInvalid answers a request that could not be decoded, and closes its connection: the next bytes on the
+// connection may still be a part of the invalid request.
 func (f *frontend) rejectInvalid(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var invalid *requestError
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -67,8 +67,8 @@
 	idempotencyKeyHeader,
 }
 
-// forwardedHeaders removes the headers that must not be forwarded from header, and returns header: hopByHopHeaders, and
-// the headers that a Connection header names, except endToEndHeaders.
+// forwardedHeaders modifies and returns header: it removes hopByHopHeaders and the headers that a Connection header
+// names. Of the headers that a Connection header names, endToEndHeaders are kept.
 func forwardedHeaders(header http.Header) http.Header {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -89,7 +89,7 @@
 	return slog.GroupValue(attrs...)
 }
 
-// logPeriodically logs the counts at each metricsInterval until ctx ends.
+// logPeriodically logs the counts every metricsInterval until ctx ends.
 func (m *metrics) logPeriodically(ctx context.Context, log *slog.Logger) {
 	ticker := time.NewTicker(metricsInterval)
 	defer ticker.Stop()
--- a/internal/gateway/recentids.go
+++ b/internal/gateway/recentids.go
@@ -6,8 +6,8 @@
 )
 
 // recentIDs remembers ids for a limited time. It divides time into windows, and holds the ids of the current window and
-// of the previous window. So it remembers an id for at least recentIDWindow, unless windows become full. The zero value
-// is empty.
+// of the previous window. An id is therefore remembered for at least recentIDWindow, unless a window becomes full. The
+// zero value is empty.
 type recentIDs struct {
 	current      map[string]struct{}
 	previous     map[string]struct{}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -35,7 +35,7 @@
 }
 
 // server is a running gateway. It owns the goroutines of all components, and stop waits for them. The HTTP server
-// owns the goroutines of client connections, and the event loop owns those of attempts.
+// owns the goroutines of client connections, and the event loop owns the goroutines of attempts.
 type server struct {
 	config            *Config
 	log               *slog.Logger
@@ -46,7 +46,7 @@
 	httpServer        *http.Server
 	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // ends after the last client connection; not used by the HTTP server
+	componentsContext context.Context // context of all components except the HTTP server; ends after the last client connection
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// stop ends the components and waits for their goroutines. It waits for attempts last: the event loop starts them,
-// and they end when sweepIdle closes the pools.
+// stop ends the components and waits for their goroutines. It waits for attempts last, because the event loop starts
+// attempts, and attempts end when sweepIdle closes the pools.
 func (s *server) stop() {
 	s.cachedListTimer.Stop()
 	s.stopComponents()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -11,7 +11,7 @@
 // the longest deadline plus killDelay.
 const (
 	killDelay            = 700 * time.Millisecond // from the longest deadline to the earliest SIGKILL
-	maxKillDeadline      = 3 * time.Second        // the earliest SIGKILL comes as if no deadline were longer
+	maxKillDeadline      = 3 * time.Second        // a longer deadline does not delay the earliest SIGKILL further
 	lateConnectionPeriod = 400 * time.Millisecond // time after SIGTERM during which new connections arrive
 )
 
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -18,7 +18,7 @@
 // emptyEndpointList is a full list from discovery without backends.
 const emptyEndpointList = `{"generation": 41, "reset": true, "instances": []}`
 
-// Handlers of a stand-in for discovery:
+// Handlers of a stand-in for the discovery service.
 
 func respondWithList(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, emptyEndpointList) }
 
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -7,9 +7,9 @@
 
 // Limits of awaitAnswers.
 const (
-	finalPolls        = 100 // checks for answers that are still being written, finalPollInterval apart
+	finalPolls        = 100 // number of checks for answers that are still being written
 	finalPollInterval = 10 * time.Millisecond
-	maxLoggedRequests = 32 // unanswered requests that are logged, at most
+	maxLoggedRequests = 32 // maximum number of unanswered requests that are logged
 )
 
 // unansweredRequest is an open request with the address of its client.
