--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// checkFraming rejects requests for which net/http and a backend might disagree on where they end.
+// checkFraming rejects a request if net/http and a backend might find the end of the request at different bytes.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		// HTTP/1.0 frames requests by other rules, and net/http silently drops its Transfer-Encoding header.
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -219,7 +219,7 @@
 	defer slow.Close()
 	io.WriteString(slow, requestText("GET", "lookup", ""))
 	serveOne(t, backend, strings.Repeat("x", maxBodyBytes))
-	for range 2 { // may reuse the first connection to the backend or open a new one
+	for range 2 { // the gateway may reuse the first connection to the backend or open a new one
 		_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
 		resp := await(t, answers, "another client's answer")
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -46,7 +46,7 @@
 	httpServer        *http.Server
 	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // context of all components except the HTTP server; ends after the last client connection
+	componentsContext context.Context // for all components except the HTTP server; ends after the last client connection
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -34,7 +34,7 @@
 	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // the first call of the window; no later call reconciles
+	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // window's first call; no later call corrects the total
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -10,7 +10,7 @@
 // Times that the protocol sets for a shutdown, in its section "Figures". The time from SIGTERM to SIGKILL is at least
 // the longest deadline plus killDelay.
 const (
-	killDelay            = 700 * time.Millisecond // from the longest deadline to the earliest SIGKILL
+	killDelay            = 700 * time.Millisecond // time from the longest deadline to the earliest SIGKILL
 	maxKillDeadline      = 3 * time.Second        // a longer deadline does not delay the earliest SIGKILL further
 	lateConnectionPeriod = 400 * time.Millisecond // time after SIGTERM during which new connections arrive
 )
@@ -18,14 +18,14 @@
 // The margins of the shutdown schedule.
 const (
 	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading the clock and writing
-	deliveryTime    = 50 * time.Millisecond  // from the event loop's answer to the last byte at the client
-	listenMargin    = 100 * time.Millisecond // from the end of admission to the close of the listener
+	deliveryTime    = 50 * time.Millisecond  // time from the event loop's answer to the last byte at the client
+	listenMargin    = 100 * time.Millisecond // time from the end of admission to the close of the listener
 	slowReaderGrace = time.Second            // time after the earliest SIGKILL for clients that read their answers slowly
 )
 
-// shutdownSchedule holds the times of a graceful shutdown, as durations since SIGTERM. They are computed backwards
-// from the earliest SIGKILL, so that a request that is admitted at the last moment, with the longest deadline, is
-// answered before SIGKILL. The fields are in the order of their times.
+// shutdownSchedule holds the times of a graceful shutdown, as durations since SIGTERM. The times are computed
+// backwards from the earliest SIGKILL, so that a request that is admitted at the last moment, with the longest
+// deadline, is answered before SIGKILL. The fields are in the order of their times.
 type shutdownSchedule struct {
 	// admitUntil is when the gateway stops admitting requests. A request that is incomplete at that time or arrives
 	// later is answered 503. The time from admitUntil to answerBy is the longest deadline, maxKillDeadline at most.
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -164,7 +164,7 @@
 	}
 	await(t, held, "connection")
 	g.stop()
-	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // when the listener is to be closed
+	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // past the listener's closing time
 	close(release)
 	for _, answers := range allAnswers {
 		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
