--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -77,7 +77,7 @@
 	if conn := p.takeIdle(e); conn != nil {
 		return e, conn, nil
 	}
-	if p.openConns >= p.maxConns && !p.evictOldestIdle() {
+	if p.openConns >= p.maxConns && !p.evictLongestIdle() {
 		return nil, nil, errTooManyConns
 	}
 	p.openConns++
@@ -88,18 +88,18 @@
 // the idle connections that it finds to be idle for too long, closed by the backend or holding unread bytes. The caller
 // holds mu.
 func (p *connectionPools) takeIdle(e *endpoint) *backendConn {
-	idleLimit := min(p.idleLimit, p.idleEstimator.limit(time.Now()))
+	reuseLimit := min(p.idleLimit, p.idleEstimator.limit(time.Now()))
 	for n := len(e.idleConns) - 1; n >= 0; n-- {
 		conn := e.idleConns[n]
-		age := time.Since(conn.idleSince)
+		idleTime := time.Since(conn.idleSince)
 		// Surplus bytes after the last response may still arrive, and would be read as the next response.
-		if age < reuseDelay {
+		if idleTime < reuseDelay {
 			continue // stays idle, and can be evicted at the connection limit
 		}
 		e.idleConns = slices.Delete(e.idleConns, n, n+1)
-		if age < idleLimit && isOpenWithoutInput(conn.Conn) {
+		if idleTime < reuseLimit && isOpenWithoutInput(conn.Conn) {
 			conn.idleSince = time.Time{}
-			conn.idleFor = age
+			conn.idleFor = idleTime
 			return conn
 		}
 		conn.Close()
@@ -108,22 +108,22 @@
 	return nil
 }
 
-// evictOldestIdle closes the connection that has been idle the longest, to whichever backend, so that idle connections
+// evictLongestIdle closes the connection that has been idle the longest, to whichever backend, so that idle connections
 // to some backends don't prevent a new connection to another. It returns false if no connection is idle. The caller
 // holds mu.
-func (p *connectionPools) evictOldestIdle() bool {
-	var oldest *backendConn
+func (p *connectionPools) evictLongestIdle() bool {
+	var longestIdle *backendConn
 	for _, e := range p.endpoints {
-		if len(e.idleConns) > 0 && (oldest == nil || e.idleConns[0].idleSince.Before(oldest.idleSince)) {
-			oldest = e.idleConns[0]
+		if len(e.idleConns) > 0 && (longestIdle == nil || e.idleConns[0].idleSince.Before(longestIdle.idleSince)) {
+			longestIdle = e.idleConns[0]
 		}
 	}
-	if oldest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	oldest.endpoint.idleConns = slices.Delete(oldest.endpoint.idleConns, 0, 1)
-	oldest.Close()
-	p.untrack(oldest)
+	longestIdle.endpoint.idleConns = slices.Delete(longestIdle.endpoint.idleConns, 0, 1)
+	longestIdle.Close()
+	p.untrack(longestIdle)
 	return true
 }
 
@@ -149,8 +149,8 @@
 func (p *connectionPools) dial(ctx context.Context, e *endpoint) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
-	unlink := context.AfterFunc(e.ctx, cancel)
-	defer unlink()
+	stop := context.AfterFunc(e.ctx, cancel)
+	defer stop()
 	dialer := net.Dialer{KeepAlive: -1} // no TCP keep-alive: its probes would detect an unresponsive host too late
 	conn, err := dialer.DialContext(ctx, "tcp", e.address)
 	if err != nil {
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -66,7 +66,7 @@
 
 // A backend may send a duplicate of a response a little later. If another request were sent on the connection before
 // that, the duplicate would be read as its response.
-func TestDuplicateResponseIsNotReadAsTheNext(t *testing.T) {
+func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
 	results := startRoundTrip(p, newAttempt(testTimeout))
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -61,7 +61,7 @@
 	openConns.Add(1)
 	c.readers.Go(func() {
 		defer openConns.Add(-1)
-		conn.readReplies()
+		conn.readResponses()
 	})
 	return conn, nil
 }
@@ -121,9 +121,9 @@
 	c.pipeline <- call
 }
 
-// readReplies reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the calls
+// readResponses reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the calls
 // behind the failed one end as policy.ConnectionReset, since their amounts may have been added.
-func (c *counterConn) readReplies() {
+func (c *counterConn) readResponses() {
 	defer c.Conn.Close()
 	limited := &io.LimitedReader{R: c.Conn}
 	reader := bufio.NewReader(limited)
@@ -135,7 +135,7 @@
 		}
 		c.headCall.Store(call)
 		limited.N = maxCounterResponseBytes
-		outcome, total, err := c.readReply(reader, call)
+		outcome, total, err := c.readResponse(reader, call)
 		if err != nil {
 			readFailed = true
 			c.failed.Store(true)
@@ -147,9 +147,9 @@
 	}
 }
 
-// readReply reads the response to the call at the head of the pipeline, and records for the idle estimator whether the
+// readResponse reads the response to the call at the head of the pipeline, and records for the idle estimator whether the
 // connection had survived its idle time. After an error, no further response may be read from the connection.
-func (c *counterConn) readReply(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
+func (c *counterConn) readResponse(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
 	c.SetReadDeadline(time.Now().Add(c.responseTimeout))
 	if _, err := reader.Peek(1); err != nil {
 		outcome := readErrorOutcome(err)
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -66,11 +66,11 @@
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
-	_, responses := g.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
+	_, answers := g.sendRequest(t, requestText("GET", "lookup", "", quotaHeader, "units=2,spread=6,first=1"))
 	_, reader := counter.accept(t)
 	readRequest(t, reader)
 	serveOne(t, backend, "ok")
-	if resp := await(t, responses, "answer"); resp.StatusCode != 200 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -97,7 +97,7 @@
 	// The gateway's local tokens are not enough to admit the request.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	began := time.Now()
-	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	_, answers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := counter.accept(t)
 	first, _ := readRequest(t, reader)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
@@ -119,7 +119,7 @@
 		return false
 	}
 	serveOne(t, backend, "ok")
-	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	return true
@@ -134,13 +134,13 @@
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are not enough to admit the request.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
-	_, responses := g.sendRequest(t, requestText("GET", "lookup", ""))
+	_, answers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := counter.accept(t)
 	first, _ := readRequest(t, reader)
 	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; if not, it admits the request too
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // no other call to the counter has got a response
-	if resp := await(t, responses, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -44,7 +44,7 @@
 	log      *slog.Logger
 
 	generation       int64     // the version of the last list received
-	hasList          bool      // the next poll is a watch from generation; if false, it asks for the full list
+	canWatch         bool      // the next poll is a watch from generation; if false, it asks for the full list
 	listInUse        bool      // the gateway routes requests by some list, possibly one from before this watcher
 	fullListTimeouts int       // number of polls for the full list that have timed out in a row
 	warnedAt         time.Time // when a failed poll was last logged
@@ -89,7 +89,7 @@
 // handleList records the version of a list and passes the list to onList.
 func (w *discoveryWatcher) handleList(list EndpointList) {
 	w.generation = list.Generation
-	w.hasList = true
+	w.canWatch = true
 	w.listInUse = true
 	w.fullListTimeouts = 0
 	w.onList(list)
@@ -100,9 +100,9 @@
 func (w *discoveryWatcher) handleFailure(ctx context.Context, err error) {
 	var invalidList *invalidListError
 	if errors.As(err, &invalidList) {
-		w.hasList = false
+		w.canWatch = false
 	}
-	if !w.hasList && errors.Is(err, context.DeadlineExceeded) {
+	if !w.canWatch && errors.Is(err, context.DeadlineExceeded) {
 		w.fullListTimeouts++
 	}
 	if ctx.Err() == nil && time.Since(w.warnedAt) > discoveryWarnInterval {
@@ -115,7 +115,7 @@
 func (w *discoveryWatcher) poll(ctx context.Context) (EndpointList, error) {
 	url := "http://" + w.address + endpointsPath
 	timeout := w.timeouts.fullListTimeout(w.fullListTimeouts, w.listInUse)
-	if w.hasList {
+	if w.canWatch {
 		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.generation, w.timeouts.longPoll.Milliseconds())
 		timeout = w.timeouts.watchTimeout()
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return EndpointList{}, err
 	}
-	list, err := decodeEndpointList(body, !w.hasList)
+	list, err := decodeEndpointList(body, !w.canWatch)
 	if err != nil {
 		return EndpointList{}, &invalidListError{cause: err}
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -86,8 +86,8 @@
 	unknownLifecycle := endpointListOf(false, "Leaving", other)
 	g.discovery.responses <- EndpointList{Generation: 2, Entries: append(unknownZone.Entries, unknownLifecycle.Entries...)}
 	await(t, g.discovery.queries, "next watch")
-	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
-	if resp := await(t, responses, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
+	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns)+len(other.conns) != 0 {
 		t.Errorf("status %d, %d and %d connections to the backends", resp.StatusCode, len(backend.conns), len(other.conns))
 	}
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -71,8 +71,8 @@
 // limit on attempts is not exceeded, and the deadline has not passed.
 func (l *eventLoop) canStart(a *attempt) bool {
 	req := a.request
-	clientWaits := req.unanswered && !req.disconnected.Load()
-	return clientWaits && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
+	needsAnswer := req.unanswered && !req.disconnected.Load()
+	return needsAnswer && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
 }
 
 // finishAttempt ends an attempt: it sends a served response to the client and reports the outcome to the engine. An
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -16,10 +16,10 @@
 	g := startTestGateway(t, dead, backend)
 	dead.listener.Close()
 	for range 4 { // no request may fail, whichever backend is picked first
-		_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
+		_, answers := g.sendRequest(t, requestText("POST", "payment", "x"))
 		conn, _ := backend.acceptRequest(t)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := await(t, responses, "response"); resp.StatusCode != 200 {
+		if resp := await(t, answers, "response"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -28,8 +28,8 @@
 	await(t, g.discovery.queries, "watch")
 	g.discovery.responses <- endpointListOf(false, "Terminating", backend)
 	await(t, g.discovery.queries, "next watch")
-	_, responses := g.sendRequest(t, requestText("GET", "glance", ""))
-	if resp := await(t, responses, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
+	if resp := await(t, answers, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
 }
@@ -41,14 +41,14 @@
 	backend, other := newFullBacklogBackend(t), newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"connectTimeoutS": 5`, `"connectTimeoutS": 15`).Replace)
 	g.publishBackends(t, backend.address)
-	_, responses := g.sendRequest(t, requestText("POST", "payment", "x"))
+	_, answers := g.sendRequest(t, requestText("POST", "payment", "x"))
 	awaitCondition(t, "the backend was never dialed", func() bool { return isDialing(t, backend.address) })
 	list := endpointListOf(true, "Ready", other)
 	list.Entries = append(list.Entries,
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
 	g.discovery.responses <- list
 	serveOne(t, other, "ok")
-	if resp := await(t, responses, "response"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if isDialing(t, backend.address) {
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -171,13 +171,13 @@
 		t.Run(c.class, func(t *testing.T) {
 			backend := newPeer(t)
 			g := startTestGateway(t, backend)
-			_, responses := g.sendRequest(t, requestText("POST", c.class, "x"))
+			_, answers := g.sendRequest(t, requestText("POST", c.class, "x"))
 			conn, _ := backend.acceptRequest(t)
 			conn.Close()
 			if c.status == http.StatusOK {
 				serveOne(t, backend, "ok")
 			}
-			if resp := await(t, responses, "response"); resp.StatusCode != c.status {
+			if resp := await(t, answers, "response"); resp.StatusCode != c.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
 			if n := len(backend.conns); n > 0 {
@@ -210,11 +210,11 @@
 			l.startRequest(req)
 			_, reader := backend.acceptRequest(t)
 			c.endAttempt(l, req)
-			responses := len(req.response)
+			answers := len(req.response)
 			served := attemptResult{outcome: policy.Served, header: http.Header{}, body: []byte("late")}
 			l.handleMessage(attemptDone{req.attempts[0], served})
-			if len(req.response) != responses || len(l.requests) != 0 || req.attemptsInFlight != 0 {
-				t.Errorf("%d responses, want %d; %d open requests", len(req.response), responses, len(l.requests))
+			if len(req.response) != answers || len(l.requests) != 0 || req.attemptsInFlight != 0 {
+				t.Errorf("%d responses, want %d; %d open requests", len(req.response), answers, len(l.requests))
 			}
 			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Errorf("read from the attempt's connection: %v, want EOF", err)
