--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -24,17 +24,17 @@
 // has been fully written.
 //
 // The transport's goroutine waits for a connection, attaches it to the attempt, writes the request, reads the response
-// and detaches the connection. The loop may cancel the attempt at any of these steps. mu orders the two: a cancel
-// before attach makes attach fail, and a cancel after attach closes the connection.
+// and detaches the connection. The loop may cancel the attempt at any of these steps. mu orders cancel and attach: a
+// cancel before attach makes attach fail, and a cancel after attach closes the connection.
 type attempt struct {
-	// Set before the attempt is passed to the transport, and constant afterwards. ctx and cancelContext are nil for
-	// an attempt that ended before it was passed to the transport.
+	// The fields below are set before the attempt is passed to the transport, and constant afterwards. ctx and
+	// cancelContext are nil if the attempt ended before it was passed to the transport.
 	request        *clientRequest
 	number         int // index among the request's attempts, from 0
 	backend        policy.BackendID
-	sentAt         float64            // when the attempt was started, in seconds of the loop's clock
-	deadline       float64            // in seconds of the loop's clock
-	socketDeadline time.Time          // the same deadline, for socket operations
+	sentAt         float64            // start of the attempt, in seconds of the loop's clock
+	deadline       float64            // end of the attempt at the latest, in seconds of the loop's clock
+	socketDeadline time.Time          // deadline as a time.Time, for socket operations
 	ctx            context.Context    // bounds the wait for a connection
 	cancelContext  context.CancelFunc // may be called from any goroutine
 
@@ -54,7 +54,7 @@
 	a.cancelLocked()
 }
 
-// cancelLocked does what cancel does. The caller holds mu.
+// cancelLocked implements cancel. The caller holds mu.
 func (a *attempt) cancelLocked() {
 	a.cancelContext()
 	a.cancelled = true
@@ -94,8 +94,8 @@
 	a.fullyWritten = true
 }
 
-// detach separates the connection from the attempt. It returns false if the attempt was cancelled: the connection has
-// then been closed and can't be reused.
+// detach separates the connection from the attempt. It returns false if the attempt was cancelled: the cancel has
+// closed the connection, so it can't be reused.
 func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxResponseBytes    = 128 << 10 // maximum size of a response, with headers, framing and interim responses
-	maxInterimResponses = 8         // maximum number of responses read for a request, up to the first that is not 1xx
+	maxResponseBytes    = 128 << 10 // bytes; maximum size of a response, with headers, framing and interim responses
+	maxInterimResponses = 8         // maximum number of responses read for a request, interim (1xx) responses included
 )
 
 // errTooManyInterimResponses is returned if the first maxInterimResponses responses to a request are all interim (1xx).
@@ -28,8 +28,8 @@
 	reader        *bufio.Reader     // reads from responseLimit
 	writer        *bufio.Writer     // writes to Conn
 	endpoint      *endpoint         // constant
-	idleSince     time.Time         // zero while an attempt uses the connection
-	idleFor       time.Duration     // how long the connection was idle before its current use; 0 for a new connection
+	idleSince     time.Time         // start of the idle time; zero while an attempt uses the connection
+	idleFor       time.Duration     // idle time before the current use; 0 for a new connection
 }
 
 func newBackendConn(conn net.Conn, e *endpoint) *backendConn {
@@ -98,7 +98,7 @@
 func (c *backendConn) noResponseYet() bool { return c.responseLimit.N == maxResponseBytes }
 
 // responseOutcome returns the outcome of an attempt that got a complete response. Only status 503 or 504 together with
-// unprocessedHeader proves that the backend executed nothing of the request.
+// unprocessedHeader proves that the backend did not execute any part of the request.
 func responseOutcome(resp *http.Response) policy.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -111,12 +111,12 @@
 	return policy.Failed
 }
 
-// readErrorOutcome returns the outcome if reading a response failed with err. In all of these cases the request may have
-// been executed.
+// readErrorOutcome returns the outcome of an attempt or counter call whose response could not be read because of err.
+// With each of these outcomes, the request may have been executed.
 func readErrorOutcome(err error) policy.Outcome {
 	switch {
 	case errors.Is(err, errTooManyInterimResponses):
-		return policy.Failed // the backend does respond, but never with a final response
+		return policy.Failed // the backend responds, but has sent no final response
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return policy.TimedOut
 	}
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -7,8 +7,8 @@
 // time because gateways derive the boundaries of lease windows from it and must agree on them. Use newClock to make a
 // clock; the zero value is not usable.
 type clock struct {
-	start     time.Time // when the clock was made, with a monotonic reading
-	startUnix float64   // the same time in Unix seconds
+	start     time.Time // time at which the clock was made, with a monotonic reading
+	startUnix float64   // start in Unix seconds
 }
 
 // newClock returns a clock that starts at the current system time.
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	idleTimeoutMargin = time.Second            // a connection is not reused this close to the backend's own idle timeout
+	idleTimeoutMargin = time.Second            // maximum time between idleLimit and the backend's idle timeout
 	reuseDelay        = 10 * time.Millisecond  // minimum time between a response and the reuse of its connection
-	sweepInterval     = 500 * time.Millisecond // how often connections that have been idle too long are closed
+	sweepInterval     = 500 * time.Millisecond // time between two sweeps of sweepIdle
 )
 
-// Errors of getConn, besides those of a failed dial.
+// Errors that getConn returns in addition to the errors of a failed dial.
 var (
 	errNotListed       = errors.New("backend is not in the endpoint list")
 	errEndpointRetired = errors.New("backend was removed, restarted or moved while it was dialed")
 	errTooManyConns    = errors.New("connection limit reached and no connection is idle")
 )
 
-// connectionPools holds the connections to all backends, one pool per endpoint. It is the transport of the real gateway;
-// a hollow gateway has a hollowTransport instead.
+// connectionPools holds the connections to all backends, one pool per endpoint. It is the transport of the real
+// gateway; a hollow gateway has a hollowTransport instead.
 //
 // A connection is either idle or in use by one attempt. In both states it is in endpoint.conns until it is closed. At
 // most maxConns connections are open or being dialed. When the endpoint is retired, its idle connections are closed at
 // once; a connection in use is closed at the latest when its attempt gives it back.
 type connectionPools struct {
 	connectTimeout time.Duration
-	idleLimit      time.Duration // an idle connection is closed after this time
-	maxConns       int           // maximum number of connections and dials, over all backends
+	idleLimit      time.Duration // idle time after which a connection is closed
+	maxConns       int           // maximum of openConns
 	idleEstimator  idleLimitEstimator
 
-	mu        sync.Mutex // guards the fields below, and those fields of endpoint and backendConn that say so
+	mu        sync.Mutex // guards the fields below, backendConn.idleSince, and endpoint's conns, idleConns and retired
 	endpoints map[policy.BackendID]*endpoint
-	openConns int // number of connections and dials; connections in use of retired endpoints are included
+	openConns int // number of open connections, also to retired endpoints, and of running dials
 }
 
-// newConnectionPools returns connectionPools without endpoints. backendIdleTimeout is the time after which a backend
-// closes an idle connection.
+// newConnectionPools returns connectionPools without endpoints. backendIdleTimeout is the idle time after which a
+// backend closes a connection. The pools close a connection earlier, by idleTimeoutMargin or half of
+// backendIdleTimeout, whichever is shorter.
 func newConnectionPools(connectTimeout, backendIdleTimeout time.Duration, maxConns int) *connectionPools {
 	return &connectionPools{
 		connectTimeout: connectTimeout,
@@ -65,8 +66,9 @@
 	return p.dialReserved(ctx, e)
 }
 
-// takeIdleOrReserve returns the backend's endpoint and an idle connection to it. If no idle connection can be reused, it
-// returns a nil connection and has reserved a place in openConns for the caller's dial.
+// takeIdleOrReserve returns the backend's endpoint and an idle connection to it. If no idle connection can be reused,
+// it reserves a place in openConns for the caller's dial, and returns a nil connection. It returns an error if the
+// backend is not listed, or if maxConns is reached and no idle connection can be evicted.
 func (p *connectionPools) takeIdleOrReserve(id policy.BackendID) (*endpoint, *backendConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,9 +86,8 @@
 	return e, nil, nil
 }
 
-// takeIdle returns the most recently used of the idle connections that may be reused, or nil if there is none. It closes
-// the idle connections that it finds to be idle for too long, closed by the backend or holding unread bytes. The caller
-// holds mu.
+// takeIdle returns the most recently used idle connection that may be reused, or nil if there is none. It closes each
+// connection that it finds idle for too long, closed by the backend, or with unread bytes. The caller holds mu.
 func (p *connectionPools) takeIdle(e *endpoint) *backendConn {
 	reuseLimit := min(p.idleLimit, p.idleEstimator.limit(time.Now()))
 	for n := len(e.idleConns) - 1; n >= 0; n-- {
@@ -108,9 +109,9 @@
 	return nil
 }
 
-// evictLongestIdle closes the connection that has been idle the longest, to whichever backend, so that idle connections
-// to some backends don't prevent a new connection to another. It returns false if no connection is idle. The caller
-// holds mu.
+// evictLongestIdle closes the connection that has been idle the longest, over all backends. Otherwise idle connections
+// to some backends could prevent a new connection to another backend. It returns false if no connection is idle. The
+// caller holds mu.
 func (p *connectionPools) evictLongestIdle() bool {
 	var longestIdle *backendConn
 	for _, e := range p.endpoints {
@@ -181,7 +182,8 @@
 	p.untrack(conn)
 }
 
-// untrack removes a closed connection from endpoint.conns, if it is there. The caller holds mu.
+// untrack removes a closed connection from endpoint.conns and releases its place in openConns. It does nothing if the
+// connection has been removed before. The caller holds mu.
 func (p *connectionPools) untrack(conn *backendConn) {
 	if _, tracked := conn.endpoint.conns[conn]; tracked {
 		delete(conn.endpoint.conns, conn)
@@ -189,8 +191,8 @@
 	}
 }
 
-// sweepIdle periodically closes connections that have been idle too long. When ctx ends, it closes all connections and
-// returns.
+// sweepIdle periodically closes the connections that have been idle for longer than idleLimit. When ctx ends, it
+// retires all endpoints, closes their connections and returns.
 func (p *connectionPools) sweepIdle(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -224,7 +226,8 @@
 	}
 }
 
-// closeIdleBefore closes the connections of an endpoint that became idle before the given time. The caller holds mu.
+// closeIdleBefore closes the idle connections of an endpoint whose idleSince is before the given time. The caller holds
+// mu.
 func (p *connectionPools) closeIdleBefore(e *endpoint, before time.Time) {
 	expired := 0
 	for expired < len(e.idleConns) && e.idleConns[expired].idleSince.Before(before) {
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -23,7 +23,7 @@
 }
 
 // markRecentlyUsed makes the first idle connection to backend 1 look as if it had just been used, so that the next
-// attempt is sure to come within its reuseDelay.
+// attempt begins within reuseDelay after that use.
 func markRecentlyUsed(p *connectionPools) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// A backend may close an idle connection. A request written to such a connection would end as a reset and could not be
-// retried, so the pool checks the socket before it reuses the connection.
+// A backend may close an idle connection. A request written to a closed connection would end as a reset and could not
+// be retried, so the pool checks the socket before it reuses the connection.
 func TestIdleConnectionClosedByBackendIsNotReused(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -64,8 +64,8 @@
 	}
 }
 
-// A backend may send a duplicate of a response a little later. If another request were sent on the connection before
-// that, the duplicate would be read as its response.
+// A backend may send a duplicate of a response a little later. If another request had been sent on the connection in
+// the meantime, the duplicate would be read as the response to that request.
 func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -83,7 +83,8 @@
 	}
 }
 
-// At the connection limit, an idle connection within its reuseDelay is evicted for a new one, and not reused.
+// At the connection limit, a connection that has been idle for less than reuseDelay is not reused, but evicted for a
+// new connection.
 func TestDuplicateResponseAtConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -115,7 +116,7 @@
 		if got := await(t, results, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as after the deadline of an earlier attempt
+		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as after an earlier attempt
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
 			results = startRoundTrip(p, newAttempt(testTimeout))
@@ -137,7 +138,7 @@
 	}
 	respondOK(conn, "")
 	await(t, results, "result")
-	// An idle connection to another backend is evicted to make room.
+	// An idle connection is evicted for a new connection to another backend.
 	other := newPeer(t)
 	p.updateEndpoint(2, other.address(), 0)
 	a := newAttempt(testTimeout)
--- a/internal/gateway/countercalls.go
+++ b/internal/gateway/countercalls.go
@@ -6,14 +6,14 @@
 	"amberlb/policy"
 )
 
-// Bounds of the TTL that a call gives its key on the counter. The protocol has it in whole milliseconds.
+// Bounds of the TTL that a call sets for its key on the counter. The protocol states the TTL in whole milliseconds.
 const (
 	minCounterTTL = time.Millisecond
 	maxCounterTTL = 60 * time.Second // the counter treats a longer TTL as 60 s
 )
 
-// callCounter starts a call to the counter. The call ends at once as policy.Rejected if the deployment has no counter or
-// the queue of the call's stream is full.
+// callCounter starts a call to the counter. The call ends at once as policy.Rejected if the deployment has no counter
+// or the queue of the call's stream is full.
 func (l *eventLoop) callCounter(action policy.CounterAdd) {
 	call := &counterCall{
 		id:     action.CallID,
@@ -35,9 +35,10 @@
 	l.timers.schedule(call.sentAt+l.deployment.CounterTimeout, counterCallDeadline{call})
 }
 
-// finishCall ends a call with the given outcome; deliverReplies passes its reply to the engine when it is its turn. If
-// the call has already ended as policy.TimedOut, the engine gets a LateCounterReply with the outcome instead, since the
-// counter may have added the amount. If it has ended with another outcome, finishCall does nothing.
+// finishCall ends a call with the given outcome. The engine gets the reply as soon as all earlier calls for the key
+// have ended (see deliverReplies). If the call has already ended as policy.TimedOut, the engine gets a LateCounterReply
+// with the new outcome, since the counter may have added the amount. If the call has already ended with another
+// outcome, finishCall does nothing.
 func (l *eventLoop) finishCall(call *counterCall, outcome policy.Outcome, total float64) {
 	if call.ended {
 		if call.outcome == policy.TimedOut {
@@ -56,11 +57,11 @@
 }
 
 // deliverReplies delivers the replies for a key to the engine, up to the first call that has not ended. The engine
-// expects them in the order of the calls, but a call that callCounter rejects, or that is sent on a new connection, can
-// end before an earlier call.
+// expects the replies in the order of the calls, but a call that callCounter rejects, or that is sent on a new
+// connection, can end before an earlier call.
 func (l *eventLoop) deliverReplies(key uint64) {
 	for {
-		pending := l.pendingCalls[key] // read in each round: handling a reply may add a call for the same key
+		pending := l.pendingCalls[key] // read in each round, since handling a reply may add a call for the key
 		if len(pending) == 0 || !pending[0].ended {
 			return
 		}
@@ -79,10 +80,10 @@
 	}
 }
 
-// timeOutCall ends a call at its deadline. If a part of the response has arrived, the call ends as policy.Failed, like a
-// call with a malformed response: the engine then assumes that the amount was added. With policy.TimedOut, the engine
-// would take the counter for overloaded, and the added amount would be lost. The assumption is wrong for a rejection of
-// which only a part arrives in time; the engine then takes back an amount that was never added, that of one call.
+// timeOutCall ends a call at its deadline. If a part of the response has arrived, the call ends as policy.Failed, like
+// a call with a malformed response: the engine then assumes that the amount was added. With policy.TimedOut, the engine
+// would take the counter for overloaded, and the added amount would be lost. The assumption is wrong if the response is
+// a rejection: the engine then takes back the amount of this call although it was never added.
 func (l *eventLoop) timeOutCall(call *counterCall) {
 	call.abandoned.Store(true)
 	outcome := policy.TimedOut
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -51,8 +51,8 @@
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// Calls are pipelined in order. The late response to an abandoned call must not be mistaken for the next call's. A call
-// whose response is cut off ends as ConnectionReset, since its amount may have been added.
+// Calls are pipelined in order. The late response to an abandoned call must not be mistaken for the response to the
+// next call. A call whose response is cut off ends as ConnectionReset, since its amount may have been added.
 func TestCounterCallsArePipelined(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -67,8 +67,8 @@
 			t.Errorf("call %d: %s, want %s", i, req.RequestURI, uri)
 		}
 	}
-	// The loop abandons the first call. It must keep its place in the pipeline, or each later call would get the
-	// total of the previous one.
+	// The loop abandons the first call. The call must keep its place in the pipeline, or each later call would get the
+	// total of the previous call.
 	abandoned.abandoned.Store(true)
 	writeResponse(conn, 200, "1")
 	writeResponse(conn, 200, "-1.5\n")
@@ -97,9 +97,9 @@
 	readRequest(t, reader)
 }
 
-// A call with a malformed response ends as Failed, which counts its amount as added; one with an unexpected status ends
-// as ConnectionReset. In both cases the connection is closed, and a call behind it in the pipeline ends as
-// ConnectionReset.
+// A call with a malformed response ends as Failed, which counts its amount as added. A call with an unexpected status
+// in the response ends as ConnectionReset. In both cases the connection is closed, and a call behind it in the pipeline
+// ends as ConnectionReset.
 func TestMalformedCounterResponseClosesConnection(t *testing.T) {
 	counter := newPeer(t)
 	_, add, results := startCounterClient(t, counter.address())
@@ -134,14 +134,14 @@
 	add(3)
 	conn, reader := counter.accept(t)
 	readRequest(t, reader)
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // only the close ends the body
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // the body ends only with the connection
 	conn.Close()
 	if got := await(t, results, "result"); got.outcome != policy.Failed {
 		t.Errorf("response without a length: result %v", got)
 	}
 }
 
-// If the settings give a call a timeout above counterIOTimeout, its response may take that long.
+// If the settings give calls a timeout above counterIOTimeout, a response may take as long as the call's timeout.
 func TestCounterResponseMayTakeCallTimeout(t *testing.T) {
 	t.Parallel()
 	counter := newPeer(t)
@@ -149,7 +149,7 @@
 	add(1)
 	conn, reader := counter.accept(t)
 	readRequest(t, reader)
-	time.Sleep(counterIOTimeout + 200*time.Millisecond) // must exceed counterIOTimeout
+	time.Sleep(counterIOTimeout + 200*time.Millisecond) // above counterIOTimeout, and far below the call's timeout
 	writeResponse(conn, 200, "5")
 	if got := await(t, results, "result"); got != (callResult{1, policy.Served, 5}) {
 		t.Errorf("result %v", got)
@@ -181,7 +181,7 @@
 }
 
 // A counter that is slow on every connection must not get an unlimited number of connections: at the limit, a stream
-// keeps its last connection even if that is blocked.
+// keeps its last connection even if that connection is blocked.
 func TestCounterConnectionsAreLimited(t *testing.T) {
 	counter := newPeer(t)
 	client := newCounterClient(counter.address(), testTimeout)
@@ -244,8 +244,8 @@
 	}
 }
 
-// If connections break after an idle time, because something on the path to the counter drops them, a call after such
-// an idle time must be sent on a new connection. Otherwise it would be unknown whether its amount was added.
+// A middlebox on the path to the counter may drop connections that have been idle for some time. A call after such an
+// idle time must be sent on a new connection. Otherwise it would be unknown whether the call's amount was added.
 func TestIdleConnectionIsReplacedAboveEstimatedLimit(t *testing.T) {
 	counter := newPeer(t)
 	client, add, results := startCounterClient(t, counter.address())
@@ -297,7 +297,7 @@
 	}
 	defer conn.Close()
 	counterSide, _ := counter.accept(t)
-	conn.SetDeadline(time.Now().Add(-time.Second)) // has passed, as after an earlier call
+	conn.SetDeadline(time.Now().Add(-time.Second)) // a deadline that has passed, as after an earlier call
 	if !conn.reusable(0) {
 		t.Error("an open connection is not reusable")
 	}
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -17,27 +17,27 @@
 
 const (
 	countPath               = "/v1/count/"
-	counterIOTimeout        = 1 * time.Second // timeout of a write; of a response too, unless a call's timeout is longer
-	maxCounterResponseBytes = 16 << 10        // maximum size of a response, with its headers
+	counterIOTimeout        = 1 * time.Second // timeout of a write, and minimum of counterConn.responseTimeout
+	maxCounterResponseBytes = 16 << 10        // bytes; maximum size of a response, with its headers
 )
 
-// countRequest tells http.ReadResponse that a response is to a POST request, and so may have a body. It is never
-// modified.
+// countRequest is passed to http.ReadResponse as the request of every call: the response to a POST request may have a
+// body. It is never modified.
 var countRequest = &http.Request{Method: http.MethodPost}
 
 // counterConn is a pipelined connection to the counter: calls are written in order, without waiting for responses, and
 // the responses arrive in the same order. An abandoned call stays in the pipeline, so that its late response is not
-// mistaken for the next call's. The stream's goroutine writes calls; a reader goroutine, counted in
+// mistaken for the response to the next call. The stream's goroutine writes calls; a reader goroutine, counted in
 // counterClient.readers, reads the responses and finally closes the connection.
 type counterConn struct {
 	net.Conn
 	dialedAddress   string
-	responseTimeout time.Duration               // the connection is closed if a response takes longer
+	responseTimeout time.Duration               // time that a response may take before the connection is closed
 	idleEstimator   *idleLimitEstimator         // shared by all connections to the counter
 	openConns       *atomic.Int64               // counterStream.openConns; counts this connection until its reader ends
 	pipeline        chan *counterCall           // calls that have been written, in order
 	inFlight        atomic.Int64                // number of calls without a response
-	headCall        atomic.Pointer[counterCall] // the call whose response is being awaited or read; nil if there is none
+	headCall        atomic.Pointer[counterCall] // call whose response is being awaited or read; nil if there is none
 	failed          atomic.Bool                 // set after an error: no further call may be written
 	retireOnce      sync.Once
 }
@@ -70,15 +70,15 @@
 // have ended. Only the stream's goroutine may call retire, so that no call is added to the pipeline afterwards.
 func (c *counterConn) retire() { c.retireOnce.Do(func() { close(c.pipeline) }) }
 
-// Close retires the connection and closes it at once. The reader reports the calls in flight as failed.
+// Close retires the connection and closes it at once. The reader ends the calls in flight with an error outcome.
 func (c *counterConn) Close() error {
 	c.retire()
 	return c.Conn.Close()
 }
 
-// reusable reports whether another call may be written to the connection, to which none has been written for idleFor.
-// The counter may close an idle connection earlier than the protocol says. For a call that is written then, it would be
-// unknown whether the amount was added.
+// reusable reports whether another call may be written to the connection. idleFor is the time since the last call was
+// written. The counter may close an idle connection earlier than the protocol says. If a call were written to a closed
+// connection, it would be unknown whether the amount was added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
 	if c.failed.Load() || idleFor > counterIdleTimeout {
 		return false
@@ -92,17 +92,17 @@
 // headOfLineBlocked reports whether the stream should replace the connection: the call whose response comes next has
 // been abandoned, and the stream may open another connection.
 //
-// A response that never ends blocks all responses behind it. Calls that the counter has served would then time out, for
-// many customers, as if the counter were overloaded. The same holds for a connection that is lost without notice or
-// gets no responses at all. The drawback is that a counter that is slow on every connection gets more connections, which
-// is why maxConnsPerStream is low. A late response is still read on the old connection.
+// A response that never ends blocks all responses behind it. Without a new connection, calls of many customers would
+// time out although the counter has served them, as if the counter were overloaded. A connection that is lost without
+// notice, or that gets no responses at all, has the same effect. A counter that is slow on every connection gets more
+// connections; maxConnsPerStream is low to limit this. A late response is still read on the old connection.
 func (c *counterConn) headOfLineBlocked() bool {
 	call := c.headCall.Load()
 	return call != nil && call.abandoned.Load() && c.openConns.Load() < maxConnsPerStream
 }
 
-// writeCall writes a call and adds it to the pipeline, so that the reader expects its response. If the pipeline is full,
-// the connection is stuck; the call is not written and ends as policy.ConnectFailed.
+// writeCall writes a call and adds it to the pipeline, so that the reader expects its response. A full pipeline means
+// that the connection is stuck: the call is not written and ends as policy.ConnectFailed.
 func (c *counterConn) writeCall(call *counterCall) {
 	if len(c.pipeline) == cap(c.pipeline) {
 		call.report(call, policy.ConnectFailed, 0)
@@ -121,8 +121,8 @@
 	c.pipeline <- call
 }
 
-// readResponses reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the calls
-// behind the failed one end as policy.ConnectionReset, since their amounts may have been added.
+// readResponses reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the
+// calls behind the failed one end as policy.ConnectionReset, since their amounts may have been added.
 func (c *counterConn) readResponses() {
 	defer c.Conn.Close()
 	limited := &io.LimitedReader{R: c.Conn}
@@ -147,8 +147,9 @@
 	}
 }
 
-// readResponse reads the response to the call at the head of the pipeline, and records for the idle estimator whether the
-// connection had survived its idle time. After an error, no further response may be read from the connection.
+// readResponse reads the response to the call at the head of the pipeline. It records in the idle estimator whether the
+// connection broke when it was reused for the call. After an error, no further response may be read from the
+// connection.
 func (c *counterConn) readResponse(reader *bufio.Reader, call *counterCall) (policy.Outcome, float64, error) {
 	c.SetReadDeadline(time.Now().Add(c.responseTimeout))
 	if _, err := reader.Peek(1); err != nil {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// A counter that doesn't respond must not block customers who are within their quotas: the call times out, and the
-// request is paid with the gateway's local tokens.
+// A counter that doesn't respond must not block customers who are within their quotas: the call times out, and local
+// tokens of the gateway pay for the request.
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
@@ -75,8 +75,8 @@
 	}
 }
 
-// A call whose response begins but never ends must not count as timed out, since its amount was added: the gateway asks
-// for the customer's total again at once, and takes the added units back.
+// A call whose response begins but never ends must not count as timed out, since the call's amount was added. The
+// gateway asks for the customer's total again at once, and takes the added units back.
 func TestUnfinishedCounterResponseIsReconciled(t *testing.T) {
 	t.Parallel()
 	for range 10 {
@@ -88,7 +88,7 @@
 }
 
 // tryUnfinishedCounterResponse runs the test once, with a counter whose first response never ends. It returns false if
-// the test ran so slowly that a call may have timed out before the counter sent anything, which is a different case.
+// the test ran so slowly that a call may have timed out before the counter sent any byte, which is a different case.
 func tryUnfinishedCounterResponse(t *testing.T) bool {
 	t.Helper()
 	awaitCounterWindow(t, requestTextCustomer)
@@ -126,7 +126,7 @@
 }
 
 // A response that arrives after its call has timed out still shows that the amount was added, so the queued request
-// that needs it is admitted.
+// that needs the amount is admitted.
 func TestLateTotalAdmitsQueuedRequest(t *testing.T) {
 	t.Parallel()
 	awaitCounterWindow(t, requestTextCustomer)
@@ -137,7 +137,7 @@
 	_, answers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := counter.accept(t)
 	first, _ := readRequest(t, reader)
-	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; if not, it admits the request too
+	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; a response in time admits the request too
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
 	serveOne(t, backend, "ok") // no other call to the counter has got a response
 	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
@@ -146,7 +146,7 @@
 }
 
 // If the response to a call has no valid total but shows that the units were added, a later call returns the units to
-// the counter. If it is unknown whether they were added, the customer loses them once, and no more.
+// the counter. If it is unknown whether the units were added, the customer loses them once, and no more.
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // limit for replacing a blocked connection; retired ones count until closed
-	counterIdleTimeout      = 5 * time.Second // well below the 10 s after which the counter closes an idle connection
-	counterIdlePollInterval = 1 * time.Second // how often a stream checks whether its connection has been idle too long
+	maxConnsPerStream       = 4               // maximum of openConns after the replacement of a blocked connection
+	counterIdleTimeout      = 5 * time.Second // maximum idle time; well below the 10 s that the counter allows
+	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
 
-// counterStream writes the calls of one queue, in order, to one connection at a time. A connection that the stream has
-// retired closes when its calls in flight have ended. The goroutine of runStream owns all fields but openConns.
+// counterStream writes the calls of one queue, in order, to one connection at a time. A retired connection is closed
+// when its calls in flight have ended. The goroutine of runStream owns all fields except openConns.
 type counterStream struct {
 	client    *counterClient
-	conn      *counterConn // the connection in use; if nil, the next call dials
-	lastUsed  time.Time    // when the last call was written
+	conn      *counterConn // connection in use; if nil, the next call dials a new connection
+	lastUsed  time.Time    // time at which the last call was written
 	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
 }
 
@@ -49,19 +49,20 @@
 	s.conn.writeCall(call)
 }
 
-// retireIdle retires the connection if it has been idle for too long or goes to an old address of the counter.
+// retireIdle retires the connection if no call was written for counterIdleTimeout, or if the counter's address has
+// changed.
 func (s *counterStream) retireIdle() {
 	if s.conn != nil && (time.Since(s.lastUsed) > counterIdleTimeout || s.addressChanged()) {
 		s.retire()
 	}
 }
 
-// addressChanged reports whether the connection goes to an old address of the counter.
+// addressChanged reports whether the counter's address has changed since the connection was dialed.
 func (s *counterStream) addressChanged() bool {
 	return s.conn.dialedAddress != *s.client.address.Load()
 }
 
-// retire stops using the connection. The next call dials a new one.
+// retire stops using the connection. The next call dials a new connection.
 func (s *counterStream) retire() {
 	s.conn.retire()
 	s.conn = nil
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -13,10 +13,10 @@
 	"amberlb/policy"
 )
 
-// maxTotalBodyBytes is the maximum size of a response body from the counter.
+// maxTotalBodyBytes is the maximum size of a response body from the counter, in bytes.
 const maxTotalBodyBytes = 64
 
-// Errors of a malformed response. The connection must not be used after one.
+// Errors of a malformed response. After such a response, the connection must not be used.
 var (
 	errTotalTooLong   = errors.New("counter: response body is too long for a total")
 	errMalformedTotal = errors.New("counter: response body is not a finite number")
@@ -32,7 +32,7 @@
 }
 
 // readTotal reads the response to a call. It returns the total if the outcome is policy.Served. A malformed response
-// ends the call as policy.Failed: the amount is taken as added, and the total is unknown. After an error, no further
+// ends the call as policy.Failed: the amount counts as added, and the total is unknown. After an error, no further
 // response can be read from the connection.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -12,16 +12,16 @@
 
 const (
 	endpointsPath         = "/registry/instances"
-	maxListBytes          = 4 << 20          // maximum size of a response body
-	maxDiscoveryConns     = 2                // limits the file descriptors used for discovery
+	maxListBytes          = 4 << 20          // bytes; maximum size of a response body
+	maxDiscoveryConns     = 2                // maximum number of connections, to save file descriptors
 	discoveryWarnInterval = 10 * time.Second // minimum time between log lines about failed polls
 )
 
-// invalidListError reports a response from discovery that holds no valid list. The cause may be the version from which
-// the poll asked for changes, so the next poll asks for the full list.
+// invalidListError reports a response from discovery that holds no valid list. Discovery may have rejected the
+// generation in the query of a watch, so the next poll asks for the full list.
 type invalidListError struct {
-	status string // the status of a response other than 200
-	cause  error  // the error in the body of a response with status 200, else nil
+	status string // status of the response if it is not 200, else empty
+	cause  error  // error in the body of a response with status 200, else nil
 }
 
 func (e *invalidListError) Error() string {
@@ -34,8 +34,9 @@
 func (e *invalidListError) Unwrap() error { return e.cause }
 
 // discoveryWatcher polls discovery for the endpoint list and passes each list or change to onList. It asks for the full
-// list first. Once that has arrived, each poll is a watch: a long poll for the changes since the last version. After an
-// invalidListError it starts over with the full list. The goroutine that calls run owns all fields.
+// list first. After the full list has arrived, each poll is a watch: a long poll for the changes since the last
+// generation received. After an invalidListError the watcher asks for the full list again. The goroutine that calls run
+// owns all fields.
 type discoveryWatcher struct {
 	address  string
 	timeouts pollTimeouts
@@ -43,16 +44,16 @@
 	onList   func(EndpointList)
 	log      *slog.Logger
 
-	generation       int64     // the version of the last list received
+	generation       int64     // EndpointList.Generation of the last list received
 	canWatch         bool      // the next poll is a watch from generation; if false, it asks for the full list
-	listInUse        bool      // the gateway routes requests by some list, possibly one from before this watcher
-	fullListTimeouts int       // number of polls for the full list that have timed out in a row
-	warnedAt         time.Time // when a failed poll was last logged
+	listInUse        bool      // the gateway routes requests by a list, possibly one from before the watcher started
+	fullListTimeouts int       // number of consecutive polls for the full list that have timed out
+	warnedAt         time.Time // time of the last log line about a failed poll
 }
 
-// newDiscoveryWatcher returns a watcher for the discovery service at the given address. drainGrace is how long after
-// the start of a backend's drain the gateway may still send requests to it. listInUse says that the gateway already
-// routes requests by an older list. onList is called on the goroutine of run.
+// newDiscoveryWatcher returns a watcher for the discovery service at the given address. drainGrace is the time after
+// the start of a backend's drain in which the gateway may still send requests to the backend. listInUse is true if the
+// gateway already routes requests by an older list. onList is called on the goroutine of run.
 func newDiscoveryWatcher(
 	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
 ) *discoveryWatcher {
@@ -67,8 +68,8 @@
 	}
 }
 
-// run polls until ctx ends. After watchRetryDelay, a failed poll is repeated on a new connection. A watch is repeated
-// from the last version received, so that its response includes all changes made in the meantime.
+// run polls until ctx ends. A failed poll is repeated on a new connection after watchRetryDelay. A repeated watch asks
+// for the changes since the last generation received, so its response includes all changes made in the meantime.
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// handleList records the version of a list and passes the list to onList.
+// handleList records the generation of a list and passes the list to onList.
 func (w *discoveryWatcher) handleList(list EndpointList) {
 	w.generation = list.Generation
 	w.canWatch = true
@@ -95,8 +96,9 @@
 	w.onList(list)
 }
 
-// handleFailure updates what the next poll asks for and how long it may take, after a failed one. It logs the failure at
-// most once in discoveryWarnInterval.
+// handleFailure handles the error of a failed poll. After an invalid list, the next poll asks for the full list. After
+// a poll for the full list has timed out, the next poll gets a longer timeout. handleFailure logs at most one error in
+// discoveryWarnInterval.
 func (w *discoveryWatcher) handleFailure(ctx context.Context, err error) {
 	var invalidList *invalidListError
 	if errors.As(err, &invalidList) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// poll asks for the full list, or for the changes since the last version, and waits for the response.
+// poll asks for the full list, or for the changes since the last generation, and waits for the response.
 func (w *discoveryWatcher) poll(ctx context.Context) (EndpointList, error) {
 	url := "http://" + w.address + endpointsPath
 	timeout := w.timeouts.fullListTimeout(w.fullListTimeouts, w.listInUse)
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// maxChangeDelay is the time within which a gateway must know a change of the endpoint list, from when discovery has the
-// change and can be reached.
+// maxChangeDelay is the time within which a gateway must receive a change of the endpoint list. It begins when
+// discovery has the change and can be reached.
 const maxChangeDelay = 6 * time.Second
 
 // For every drain grace, the timeout of a poll that gets no response, the retry delay and the response to the next poll
@@ -33,7 +33,7 @@
 	}
 }
 
-// In whatever way polls fail, the next poll that succeeds must deliver all changes, within maxChangeDelay.
+// In whatever way polls fail, the next successful poll must deliver all changes within maxChangeDelay.
 func TestChangeAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	respond := func(status int, text string) func(net.Conn) {
@@ -74,7 +74,7 @@
 			writeResponse(conn, http.StatusOK, `{"generation": 41, "reset": true, "instances": []}`)
 			await(t, received, "list")
 			var sentAt time.Time
-			for range 4 { // the first poll is a watch; after an invalid response the next one asks for the full list
+			for range 4 { // the first poll is a watch; after an invalid response the next poll asks for the full list
 				readRequest(t, reader)
 				sentAt = time.Now()
 				failPoll(conn)
@@ -83,7 +83,7 @@
 			readRequest(t, reader)
 			writeResponse(conn, http.StatusOK, `{"generation": 45, "reset": true, "instances": []}`)
 			if list := await(t, received, "change"); list.Generation != 45 {
-				t.Errorf("received version %d", list.Generation)
+				t.Errorf("received generation %d", list.Generation)
 			}
 			if elapsed := time.Since(sentAt); elapsed > maxChangeDelay {
 				t.Errorf("received after %v", elapsed)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,7 +16,7 @@
 // fakeDiscovery is a discovery service whose responses a test supplies one by one.
 type fakeDiscovery struct {
 	*httptest.Server
-	queries   chan string // the query of each poll
+	queries   chan string // receives the query of each poll
 	responses chan any    // an EndpointList, a body (string), a status (int), or nil to break the connection
 }
 
@@ -53,8 +53,8 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// A watch that gets no response must be replaced by a new one, on a new connection, within the drain grace, also several
-// times in a row. Otherwise the gateway would miss drains and send requests to backends that have drained.
+// A watch that gets no response must be replaced by a new one, on a new connection, within the drain grace, even
+// several times in a row. Otherwise the gateway would miss drains and send requests to backends that have drained.
 func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
 		if total := newPollTimeouts(grace).watchTimeout() + watchRetryDelay; total > grace*9/10 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A backend in use whose entry becomes invalid must get no further requests, since the entry may say that the backend is
-// draining.
+// A backend in use whose entry becomes invalid must get no further requests, since the entry may say that the backend
+// is draining.
 func TestBackendWithMalformedEntryGetsNoRequests(t *testing.T) {
 	backend, other := newPeer(t), newPeer(t)
 	g := startTestGateway(t, backend, other)
@@ -92,15 +92,16 @@
 	}
 }
 
-// A failed watch is repeated from the last version received. After a response without a valid list, the watcher asks for
-// the full list.
+// A failed watch is repeated from the last generation received. After a response without a valid list, the watcher asks
+// for the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	received := make(chan EndpointList, 64)
 	runWatcher(t, newDiscoveryWatcher(discovery.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
-	// Each step has the expected query of a poll, its response, and whether onList gets a full list or no list.
+	// Each step has the expected query of a poll and the response to it. wantReset is true if onList must get a full
+	// list, noList if onList must not be called.
 	for _, step := range []struct {
 		name      string
 		wantQuery string
@@ -111,10 +112,10 @@
 		{"discovery not available yet", "", nil, false, true},
 		{"first list", "", EndpointList{Generation: 41, Entries: empty}, true, false},
 		{"broken watch", "since=41&timeout_ms=1000", nil, false, true},
-		{"watch from the same version", "since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
+		{"watch from the same generation", "since=41&timeout_ms=1000", EndpointList{Generation: 43}, false, false},
 		{"list reset", "since=43&timeout_ms=1000", EndpointList{Generation: 2, Reset: true, Entries: empty}, true, false},
-		{"rejected version", "since=2&timeout_ms=1000", 500, false, true},
-		{"full list after the rejected version", "", EndpointList{Generation: 50, Reset: true, Entries: empty}, true, false},
+		{"rejected generation", "since=2&timeout_ms=1000", 500, false, true},
+		{"full list after the rejected generation", "", EndpointList{Generation: 50, Reset: true, Entries: empty}, true, false},
 		{"malformed JSON", "since=50&timeout_ms=1000", "{", false, true},
 		{"missing list, not to be treated as empty", "", "{}", false, true},
 		{"array instead of an object", "", "[]", false, true},
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -13,11 +13,12 @@
 	"amberlb/policy"
 )
 
-// EndpointList is a response from discovery: the full list of backends, or the changes since the previous version.
+// EndpointList is a response from discovery: the full list of backends, or the changes since the generation in the
+// watch's query.
 type EndpointList struct {
-	Generation int64           `json:"generation"` // the version of the list; the next watch starts from it
-	Reset      bool            `json:"reset"`      // Entries is the full list; if false, only the changes
-	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no list, as opposed to an empty one
+	Generation int64           `json:"generation"` // version number of the list, which a watch names
+	Reset      bool            `json:"reset"`      // Entries is the full list; if false, Entries holds only the changes
+	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no such array, not even an empty one
 }
 
 // EndpointEntry describes one backend, as discovery represents it.
@@ -29,7 +30,7 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"` // a key of backendStates
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // when the process started, as Unix time in milliseconds; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // start of the process, in Unix milliseconds; 0: long ago
 }
 
 // backendStates maps the lifecycle names of discovery to the backend states of the engine.
@@ -39,12 +40,12 @@
 	"Gone":        policy.Removed,
 }
 
-// errNoEntries is returned for a full list without entries, not even an empty array. If this were treated as an empty
-// list, the gateway would remove all its backends.
+// errNoEntries is returned for a full list that has no array of entries, not even an empty one. If such a response were
+// treated as an empty list, the gateway would remove all its backends.
 var errNoEntries = errors.New("no instances in the response")
 
-// decodeEndpointList decodes the body of a response. fullList says that the poll asked for the full list: Reset is then
-// set whether the response sets it or not.
+// decodeEndpointList decodes the body of a response. If the poll asked for the full list (fullList), Reset is set in
+// the result even if the response doesn't set it.
 func decodeEndpointList(body []byte, fullList bool) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -69,8 +70,8 @@
 
 // toBackend converts an entry to the engine's representation. The engine's clock is Unix time (see clock), so the start
 // time only changes its unit. toBackend returns an error for an entry with an unknown lifecycle or zone instead of
-// guessing: a wrong guess could route requests to a draining backend, or send a retry to a zone that doesn't know of the
-// first attempt and so executes the request twice.
+// guessing. A wrong lifecycle could route requests to a draining backend. A wrong zone could send a retry to another
+// zone than the first attempt, where it is not deduplicated and the request is executed twice.
 func (e EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := backendStates[e.Lifecycle]
 	zone := slices.Index(deployment.Zones, e.Zone)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -7,7 +7,8 @@
 	"amberlb/policy"
 )
 
-// timeoutTolerance is in seconds. An attempt that the engine cancels this close to its deadline counts as timed out.
+// timeoutTolerance is the time, in seconds, before an attempt's deadline from which a cancel by the engine counts as a
+// timeout.
 const timeoutTolerance = 0.001
 
 // transport sends attempts to backends. The event loop calls its methods, which must not block.
@@ -16,13 +17,13 @@
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
 	// removeEndpoint makes further attempts at a backend fail until the next updateEndpoint.
 	removeEndpoint(id policy.BackendID)
-	// startAttempt starts an attempt. The attempt ends with its result, at its socket deadline or when it is
-	// cancelled. onDone is then called once, on another goroutine than the caller's.
+	// startAttempt starts an attempt. onDone is called once, on another goroutine than the caller's, when the attempt
+	// has a result, reaches its socket deadline or is cancelled.
 	startAttempt(a *attempt, onDone func(attemptResult))
 }
 
-// startAttempt carries out the engine's decision to send an attempt. If the attempt can't start any more, it ends at
-// once as policy.NotSent.
+// startAttempt carries out the engine's decision to send an attempt. If the attempt may no longer be sent (see
+// canStart), it ends at once as policy.NotSent.
 func (l *eventLoop) startAttempt(action policy.SendAttempt) {
 	req := l.requests[action.Request]
 	if req == nil {
@@ -75,8 +76,9 @@
 	return needsAnswer && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
 }
 
-// finishAttempt ends an attempt: it sends a served response to the client and reports the outcome to the engine. An
-// attempt ends once; later results are ignored.
+// finishAttempt ends an attempt. If the outcome is policy.Served and the request is unanswered, finishAttempt sends the
+// backend's response to the client. It reports the outcome to the engine. If the attempt has ended before, the result
+// is ignored.
 func (l *eventLoop) finishAttempt(a *attempt, result attemptResult) {
 	if a.ended {
 		return
@@ -107,7 +109,8 @@
 	l.respond(req.policyRequest.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
 }
 
-// cancelAttempt carries out the engine's decision to cancel an attempt. It does nothing if the attempt has ended.
+// cancelAttempt carries out the engine's decision to cancel an attempt. It does nothing if the request is no longer
+// open or the attempt has ended.
 func (l *eventLoop) cancelAttempt(action policy.CancelAttempt) {
 	req := l.requests[action.Request]
 	if req == nil || action.Attempt >= len(req.attempts) || req.attempts[action.Attempt].ended {
@@ -117,14 +120,14 @@
 	a.cancel()
 	outcome := policy.Cancelled
 	if l.clock.now() >= a.deadline-timeoutTolerance {
-		outcome = policy.TimedOut // a timeout, unlike a cancel, also adjusts the engine's concurrency limit
+		outcome = policy.TimedOut // a timeout also adjusts the engine's concurrency limit, a cancel does not
 	}
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsent ends those attempts of a request that have not been fully written, after its client has disconnected. In
-// a deployment where the engine cancels no attempts, one that waits for a connection would otherwise still be sent,
-// though no client waits for its response.
+// cancelUnsent cancels those attempts of a request whose bytes have not all been written, after the client has
+// disconnected. If the deployment doesn't allow the engine to cancel attempts, an attempt that waits for a connection
+// would otherwise still be sent.
 func (l *eventLoop) cancelUnsent(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -10,9 +10,9 @@
 // moves or is removed, its endpoint is retired, and no new request uses the endpoint's connections.
 type endpoint struct {
 	address   string
-	startedAt float64 // when the backend's process started, in seconds of Unix time
+	startedAt float64 // start of the backend's process, in Unix seconds
 
-	ctx    context.Context // ends when the endpoint is retired, and with it the dials to the endpoint
+	ctx    context.Context // ends when the endpoint is retired, which ends the dials to the endpoint
 	cancel context.CancelFunc
 
 	// The mutex of connectionPools guards the fields below.
@@ -27,8 +27,8 @@
 	return e
 }
 
-// updateEndpoint sets the address of a ready backend and the time at which its process started. If the address is new or
-// the start is later, the old endpoint is retired.
+// updateEndpoint sets the address of a ready backend and the time at which its process started. If the address has
+// changed or the process has started later, the old endpoint is retired.
 func (p *connectionPools) updateEndpoint(id policy.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,14 +37,14 @@
 		return
 	}
 	if old != nil {
-		restarted := old.startedAt < startedAt // the old process is gone and responds to no request in flight
+		restarted := old.startedAt < startedAt // the old process is gone, so requests in flight get no response
 		p.retire(old, restarted)
 	}
 	p.endpoints[id] = newEndpoint(address, startedAt)
 }
 
-// removeEndpoint retires the endpoint of a backend that is draining or gone. No new attempt is sent to it, and dials to
-// it end. Attempts that have a connection may still get their responses.
+// removeEndpoint retires the endpoint of a backend that is draining or gone. No new attempt is sent to the endpoint,
+// and dials to it end. Attempts that have a connection may still get their responses.
 func (p *connectionPools) removeEndpoint(id policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,9 +54,9 @@
 	}
 }
 
-// retire marks an endpoint as retired, ends its dials and closes its idle connections; with closeInUse, it also closes
-// the connections in use. Connections in use stay in endpoint.conns until their attempts give them back. The caller
-// holds mu.
+// retire marks an endpoint as retired, ends its dials and closes its idle connections. If closeInUse is true, it also
+// closes the connections in use. Connections in use stay in endpoint.conns until their attempts give them back. The
+// caller holds mu.
 func (p *connectionPools) retire(e *endpoint, closeInUse bool) {
 	e.retired = true
 	e.cancel()
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -19,7 +19,7 @@
 		_, answers := g.sendRequest(t, requestText("POST", "payment", "x"))
 		conn, _ := backend.acceptRequest(t)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := await(t, answers, "response"); resp.StatusCode != 200 {
+		if resp := await(t, answers, "answer"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -29,13 +29,13 @@
 	g.discovery.responses <- endpointListOf(false, "Terminating", backend)
 	await(t, g.discovery.queries, "next watch")
 	_, answers := g.sendRequest(t, requestText("GET", "glance", ""))
-	if resp := await(t, answers, "response"); resp.StatusCode != 429 || len(backend.conns) != 0 {
+	if resp := await(t, answers, "answer"); resp.StatusCode != 429 || len(backend.conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.conns))
 	}
 }
 
-// When a backend begins to drain, dials to it must end at once. Otherwise an attempt that waits for a slow dial would be
-// sent to the draining backend, instead of its request being retried elsewhere or rejected.
+// When a backend begins to drain, dials to it must end at once. Otherwise an attempt that waits for a slow dial would
+// be sent to the draining backend, instead of its request being retried elsewhere or rejected.
 func TestDrainEndsDial(t *testing.T) {
 	t.Parallel()
 	backend, other := newFullBacklogBackend(t), newPeer(t)
@@ -48,7 +48,7 @@
 		EndpointEntry{ID: backend.address, HostPort: backend.address, Zone: "a", Lifecycle: "Terminating"})
 	g.discovery.responses <- list
 	serveOne(t, other, "ok")
-	if resp := await(t, answers, "response"); resp.StatusCode != http.StatusOK {
+	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if isDialing(t, backend.address) {
@@ -57,7 +57,7 @@
 }
 
 // When a backend restarts or moves, its old connections must not be reused: the process behind them is gone. A request
-// written to one would be lost, or it would be unknown whether it was executed.
+// written to an old connection would be lost, or it would be unknown whether the request was executed.
 func TestNewIncarnationOrAddressGetsNewConnections(t *testing.T) {
 	backend, moved := newPeer(t), newPeer(t)
 	p := newPoolsFor(t, backend.address())
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -3,7 +3,7 @@
 import "amberlb/policy"
 
 // applyEndpointList applies a full list of backends, or changes to the list, to the transport and the engine. The
-// transport comes first: the engine's event may start attempts, which must not reach a draining backend.
+// transport is updated first: the engine's event may start attempts, which must not reach a draining backend.
 func (l *eventLoop) applyEndpointList(list EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
@@ -25,8 +25,9 @@
 	}
 }
 
-// convertEntry converts an entry to the engine's representation, and returns false if the entry is to be ignored. An
-// invalid entry is ignored unless it is for a backend in use: that backend may be draining, and is treated as such.
+// convertEntry converts an entry to the engine's representation. It returns false if the entry has to be ignored. An
+// invalid entry is ignored unless it is for a backend in use: the backend may be draining, so it is treated as
+// draining.
 func (l *eventLoop) convertEntry(entry EndpointEntry) (backend policy.Backend, ok bool) {
 	backend, err := entry.toBackend(l.deployment)
 	if err != nil {
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -19,7 +19,7 @@
 // into events for the engine, and carries out the engine's actions. It never waits for a socket.
 //
 // Its methods and fields belong to the goroutine of run; before run begins and after it has returned, they belong to
-// the goroutine that starts it. Other goroutines may call post and postEndpointList, read clock and stopped, and use
+// the goroutine that starts run. Other goroutines may call post and postEndpointList, read clock and stopped, and use
 // metrics, attempts, counterCalls and counterCallsUnanswered.
 type eventLoop struct {
 	clock          clock
@@ -35,23 +35,23 @@
 	stopped  chan struct{}  // closed when run returns
 	attempts sync.WaitGroup // attempts for which the transport has not called onDone
 
-	counterCalls           atomic.Uint64 // calls to the counter
-	counterCallsUnanswered atomic.Uint64 // calls among them that ended without a response from the counter
+	counterCalls           atomic.Uint64 // number of calls to the counter, with calls rejected before they were sent
+	counterCallsUnanswered atomic.Uint64 // number of these calls that ended without a response
 
 	requests           map[policy.RequestID]*clientRequest // open requests: unanswered, or with attempts in flight
 	openCorrelationIDs map[string]struct{}                 // correlation ids of the open requests
 	recentIDs          recentIDs                           // correlation ids of recent requests
-	lastRequestID      policy.RequestID                    // the last id assigned to a request
+	lastRequestID      policy.RequestID                    // last id assigned to a request
 	backendNames       map[policy.BackendID]string         // discovery's instance id of each ready backend
-	pendingCalls       map[uint64][]*counterCall           // by key, in order: calls whose replies the engine has not got
+	pendingCalls       map[uint64][]*counterCall           // by key, in order: calls whose reply the engine lacks
 	timers             timerQueue
 
 	actions       []policy.Action // buffer for the actions of one event
 	pendingEvents []policy.Event  // the event being handled, and the events that its actions have caused
 }
 
-// newEventLoop returns an event loop with a new engine, whose initial actions have been carried out. counter is nil if
-// the deployment has none.
+// newEventLoop returns an event loop with a new engine, and carries out the engine's initial actions. counter is nil if
+// the deployment has no counter.
 func newEventLoop(config *Config, transport transport, counter *counterClient, onEndpointList func()) *eventLoop {
 	l := &eventLoop{
 		clock:              newClock(),
@@ -82,7 +82,8 @@
 	}
 }
 
-// postEndpointList sends the loop a response from discovery.
+// postEndpointList sends the loop a response from discovery, as a policy.FullList if Reset is set and otherwise as a
+// policy.DeltaList.
 func (l *eventLoop) postEndpointList(list EndpointList) {
 	kind := policy.DeltaList
 	if list.Reset {
@@ -139,8 +140,9 @@
 	}
 }
 
-// handleEvent passes an event to the engine and carries out the resulting actions. The engine handles one event at a
-// time, so a call made while an action is carried out only queues its event; the outer call handles the queue in order.
+// handleEvent passes an event to the engine and carries out the resulting actions. Carrying out an action may call
+// handleEvent again. Since the engine handles one event at a time, the inner call only queues its event, and the outer
+// call handles the queued events in order.
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
@@ -174,7 +176,7 @@
 			l.callCounter(a)
 		case policy.Log:
 			l.log.Info(a.Text)
-		case policy.PollEndpoints: // nothing to do: the discovery watcher polls all the time
+		case policy.PollEndpoints: // nothing to do, since the discovery watcher polls all the time
 		}
 	}
 }
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -10,7 +10,7 @@
 )
 
 // The engine expects the replies for a key in the order of the calls, so the reply of a call that ends early must wait
-// for those of the calls before it.
+// for the replies of the earlier calls.
 func TestCounterRepliesInCallOrder(t *testing.T) {
 	l := &eventLoop{pendingCalls: map[uint64][]*counterCall{}, engine: &policy.Engine{}}
 	l.pendingEvents = []policy.Event{nil} // as during an outer handleEvent, so replies are only queued
@@ -60,7 +60,7 @@
 	}
 }
 
-// The correlation id of an open request must not be accepted for another request, however long the first stays open.
+// The correlation id of an open request must not be accepted for another request, however long the open request takes.
 func TestCorrelationIDOfOpenRequestIsReserved(t *testing.T) {
 	config, err := parseConfig([]byte(configText("127.0.0.1:1", testSettings)))
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	first := newRequest()
 	l.startRequest(first)
-	l.recentIDs = recentIDs{} // as after the time for which ids are remembered
+	l.recentIDs = recentIDs{} // as after the time in which ids are remembered
 	second := newRequest()
 	l.startRequest(second)
 	if len(second.response) != 1 || (<-second.response).status != http.StatusConflict {
@@ -92,8 +92,8 @@
 	}
 }
 
-// A timer is stale once its request, attempt or call has ended, so that the process doesn't wake up for it. A timer that
-// is still needed must not be dropped.
+// A timer is stale once its request, attempt or call has ended, so that the process doesn't wake up for it. A timer
+// that is still needed must not be dropped.
 func TestTimersAreStaleOnceUnneeded(t *testing.T) {
 	l := &eventLoop{requests: map[policy.RequestID]*clientRequest{7: {}}}
 	for _, c := range []struct {
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -9,14 +9,15 @@
 	"amberlb/policy"
 )
 
-// SimulatedBackend simulates the backends of a hollow gateway. Serve returns how long an attempt at a backend takes and
-// its outcome. It is called on the gateway's event loop and must not block.
+// SimulatedBackend simulates the backends of a hollow gateway. Serve returns the latency and the outcome of an attempt
+// at a backend. It is called on the gateway's event loop and must not block.
 type SimulatedBackend interface {
 	Serve(id policy.BackendID) (time.Duration, policy.Outcome)
 }
 
-// Hollow is a hollow gateway: a gateway without sockets to clients and backends, of which many fit in one process, for
-// measurements of a large fleet. Its event loop, discovery watcher and counter client are those of the real gateway.
+// Hollow is a hollow gateway: a gateway without sockets to clients and backends. Many hollow gateways fit in one
+// process, so that a large fleet can be measured. Its event loop, discovery watcher and counter client are those of the
+// real gateway.
 type Hollow struct {
 	config  Config
 	loop    *eventLoop
@@ -25,7 +26,7 @@
 }
 
 // NewHollow returns a hollow gateway. It ignores the configuration's Name, Listen, CachedEndpoints, Cores, MemoryMB and
-// Sockets, and returns an error if the rest is invalid.
+// Sockets. It returns an error if another setting is invalid.
 func NewHollow(c *Config, backend SimulatedBackend) (*Hollow, error) {
 	h := &Hollow{config: *c, ready: make(chan struct{})}
 	h.config.Listen = "127.0.0.1:0"
@@ -44,7 +45,7 @@
 	return h, nil
 }
 
-// Run runs the gateway until ctx ends. Requests that are still open are then answered with status 500.
+// Run runs the gateway until ctx ends. Requests that are open at the end are answered with status 500.
 func (h *Hollow) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { h.loop.run(ctx) })
@@ -59,7 +60,8 @@
 	h.loop.attempts.Wait()
 }
 
-// cancelAttempts cancels the attempts that are still in flight. The loop owns them, so it must have ended.
+// cancelAttempts cancels the attempts that are still in flight. It is called after the loop has ended, since the loop
+// owns the attempts.
 func (h *Hollow) cancelAttempts() {
 	for _, req := range h.loop.requests {
 		for _, a := range req.attempts {
@@ -75,11 +77,11 @@
 
 // Submit sends the gateway a request with the given correlation id, without blocking.
 //
-// decoded.Deadline is how long the client waits, in seconds from now; the deadline of the request's class is the upper
-// limit. Submit sets the request's SentAt, and the gateway its ID. onSent is called at most once, on the event loop,
-// when the first attempt has reached a backend; it must not block. onAnswered is called once, on its own goroutine, with
-// the status and the seconds of Retry-After, or 0 for none. A gateway that has stopped answers with status 500; a
-// gateway that was never run does not answer.
+// policyRequest.Deadline is the time that the client waits, in seconds from now; the deadline of the request's class is
+// the upper limit. Submit sets SentAt, and the gateway sets ID. onSent is called at most once, on the event loop, when
+// the first attempt has reached a backend; it must not block. onAnswered is called once, on a separate goroutine, with
+// the status and the value of Retry-After in seconds, or 0 without Retry-After. A gateway that has stopped answers with
+// status 500; a gateway that was never run does not answer.
 func (h *Hollow) Submit(
 	policyRequest policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
 ) {
@@ -105,7 +107,8 @@
 	}()
 }
 
-// CounterCalls returns the number of calls to the counter, and how many of them ended without a response from it.
+// CounterCalls returns the number of calls that the engine made to the counter, and the number of them that ended
+// without a response. Both include calls that were rejected before they were sent.
 func (h *Hollow) CounterCalls() (made, unanswered uint64) {
 	return h.loop.counterCalls.Load(), h.loop.counterCallsUnanswered.Load()
 }
@@ -119,14 +122,15 @@
 // updateEndpoint does nothing: startAttempt reads the listed backends from the event loop.
 func (t *hollowTransport) updateEndpoint(policy.BackendID, string, float64) {}
 
-// removeEndpoint does nothing, for the same reason as updateEndpoint.
+// removeEndpoint does nothing: startAttempt reads the listed backends from the event loop.
 func (t *hollowTransport) removeEndpoint(policy.BackendID) {}
 
-// startAttempt simulates an attempt with a timer. Its end is reported either when the timer fires or when the attempt's
-// context ends; the first of the two stops the other.
+// startAttempt simulates an attempt with a timer. It calls onDone when the timer fires or when the attempt's context
+// ends, whichever happens first. An attempt at a backend that is not listed ends at once.
 func (t *hollowTransport) startAttempt(a *attempt, onDone func(attemptResult)) {
 	if _, listed := t.loop.backendNames[a.backend]; !listed {
-		go onDone(attemptResult{outcome: policy.ConnectFailed}) // not on the loop, to which onDone posts
+		// onDone posts to the loop and may block until the loop reads its inbox, so the loop must not call it.
+		go onDone(attemptResult{outcome: policy.ConnectFailed})
 		return
 	}
 	a.markWritten()
--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -21,7 +21,7 @@
 	return time.Duration(l), policy.Served
 }
 
-// runHollow runs a hollow gateway with one backend until stop is called or the test ends.
+// runHollow runs a hollow gateway with one backend until the caller calls stop or the test ends.
 func runHollow(t *testing.T, settings, counter string, backend SimulatedBackend) (h *Hollow, stop func()) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
@@ -67,8 +67,8 @@
 	return c.calls
 }
 
-// A hollow gateway serves requests within the customer's quota, which the counter keeps, after the backend's latency. It
-// rejects the other requests.
+// A hollow gateway serves the requests within the customer's quota, after the backend's latency, and rejects the other
+// requests. The counter keeps the quota.
 func TestHollowServesWithinQuota(t *testing.T) {
 	const (
 		burst   = 5
@@ -106,7 +106,7 @@
 	for deadline := time.Now().Add(testTimeout); !countsAgree(); time.Sleep(time.Millisecond) { // a call may be in flight
 		if time.Now().After(deadline) {
 			made, unanswered := h.CounterCalls()
-			t.Fatalf("%d calls reported, %d of them unanswered; the counter had others", made, unanswered)
+			t.Fatalf("%d calls reported, %d of them unanswered; the counter's own count differs", made, unanswered)
 		}
 	}
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -12,8 +12,8 @@
 // response channel.
 type requestArrived struct{ request *clientRequest }
 
-// clientDisconnected reports that the client of a request has closed its connection or the sending side of it. The
-// sender of the message sets the request's disconnected flag first, since the loop may handle the message late.
+// clientDisconnected reports that the client of a request has closed its connection or its sending side. The sender of
+// the message sets the request's disconnected flag first, since the loop may handle the message late.
 type clientDisconnected struct{ request *clientRequest }
 
 // attemptDone reports the result of an attempt from the transport.
@@ -22,7 +22,7 @@
 	result  attemptResult
 }
 
-// counterCallDone reports the outcome of a call to the counter, also if the loop has already timed the call out.
+// counterCallDone reports the outcome of a call to the counter, even if the loop has already timed the call out.
 type counterCallDone struct {
 	call    *counterCall
 	outcome policy.Outcome
@@ -31,7 +31,7 @@
 
 // shutdownStarted reports that a graceful shutdown has begun.
 type shutdownStarted struct {
-	answerBy float64 // when all requests must have been answered, in seconds of the loop's clock
+	answerBy float64 // deadline for the answers to all requests, in seconds of the loop's clock
 }
 
 // endpointListReceived passes a response from discovery to the loop.
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -15,7 +15,7 @@
 
 var errAttemptCancelled = errors.New("attempt cancelled or client disconnected")
 
-// startAttempt runs an attempt on a new goroutine, which calls onDone at its end.
+// startAttempt runs an attempt on a new goroutine, which calls onDone with the result.
 func (p *connectionPools) startAttempt(a *attempt, onDone func(attemptResult)) {
 	go func() { onDone(p.roundTrip(a)) }()
 }
@@ -32,7 +32,7 @@
 	result, reusable := conn.readResponse(a.request.method)
 	notCancelled := a.detach()
 	if notCancelled && conn.idleFor > 0 {
-		// A reset before any byte of the response may be due to the time for which the connection was idle.
+		// A reset before any byte of the response may be caused by the idle time of the connection.
 		resetUnanswered := result.outcome == policy.ConnectionReset && conn.noResponseYet()
 		p.idleEstimator.observe(time.Now(), conn.idleFor, resetUnanswered)
 	}
@@ -64,8 +64,8 @@
 	return conn, nil
 }
 
-// outboundRequest returns the request to send to a backend: the client's request, with timeLeft instead of the time that
-// the client stated.
+// outboundRequest returns the request to send to a backend: the client's request, with timeLeft in timeLeftHeader in
+// place of the client's value.
 func (req *clientRequest) outboundRequest(timeLeft time.Duration) *http.Request {
 	header := make(http.Header, len(req.header))
 	for name, values := range req.header {
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -22,7 +22,7 @@
 		response string
 		want     policy.Outcome
 		body     string
-		reusable bool // the connection
+		reusable bool // whether the connection may be reused afterwards
 	}{
 		{"served",
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -141,8 +141,8 @@
 	await(t, results, "result")
 }
 
-// The connections of a host that has stopped responding stay open, so only the attempt's deadline ends the wait. The
-// connection is then closed.
+// The connections of a host that has stopped responding stay open, so only the attempt's deadline ends the wait for a
+// response. The connection must be closed at the deadline.
 func TestSilentBackendTimesOut(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -177,7 +177,7 @@
 			if c.status == http.StatusOK {
 				serveOne(t, backend, "ok")
 			}
-			if resp := await(t, answers, "response"); resp.StatusCode != c.status {
+			if resp := await(t, answers, "answer"); resp.StatusCode != c.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
 			if n := len(backend.conns); n > 0 {
@@ -214,7 +214,7 @@
 			served := attemptResult{outcome: policy.Served, header: http.Header{}, body: []byte("late")}
 			l.handleMessage(attemptDone{req.attempts[0], served})
 			if len(req.response) != answers || len(l.requests) != 0 || req.attemptsInFlight != 0 {
-				t.Errorf("%d responses, want %d; %d open requests", len(req.response), answers, len(l.requests))
+				t.Errorf("%d answers, want %d; %d open requests", len(req.response), answers, len(l.requests))
 			}
 			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Errorf("read from the attempt's connection: %v, want EOF", err)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -16,10 +16,10 @@
 	fire(l *eventLoop)
 }
 
-// engineTimer is a timer that the engine has set. It gives the engine a TimerFired event.
+// engineTimer is a timer that the engine has set. When it fires, the engine gets a policy.TimerFired event.
 type engineTimer struct {
 	token   uint64           // policy.SetTimer.Token
-	request policy.RequestID // the timer is stale once this request is gone; 0: the timer belongs to no request
+	request policy.RequestID // request whose end makes the timer stale; 0: the timer belongs to no request
 }
 
 func (t engineTimer) isStale(l *eventLoop) bool {
@@ -57,8 +57,8 @@
 	heap.Push(&q.entries, timerEntry{at: at, timer: t})
 }
 
-// popDue removes and returns the earliest timer that is not stale, if it is due, and else returns nil. It drops the
-// stale timers before that one, whether they are due or not.
+// popDue removes and returns the earliest timer that is not stale, if that timer is due. Otherwise it returns nil. It
+// drops all stale timers that are earlier, whether they are due or not.
 func (q *timerQueue) popDue(l *eventLoop, now float64) timer {
 	for len(q.entries) > 0 {
 		earliest := q.entries[0]
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// next returns the time of the earliest timer, and false if the queue is empty.
+// next returns the time of the earliest timer, which may be stale. scheduled is false if the queue is empty.
 func (q *timerQueue) next() (at float64, scheduled bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -104,7 +104,7 @@
 func (h *timerHeap) Pop() any {
 	entries := *h
 	last := entries[len(entries)-1]
-	entries[len(entries)-1] = timerEntry{} // for the garbage collector
+	entries[len(entries)-1] = timerEntry{} // so that the garbage collector can free the timer
 	*h = entries[:len(entries)-1]
 	return last
 }
