--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -33,7 +33,7 @@
 	number         int // index among the request's attempts, from 0
 	backend        policy.BackendID
 	sentAt         float64            // start of the attempt, in seconds of the loop's clock
-	deadline       float64            // end of the attempt at the latest, in seconds of the loop's clock
+	deadline       float64            // latest end of the attempt, in seconds of the loop's clock
 	socketDeadline time.Time          // deadline as a time.Time, for socket operations
 	ctx            context.Context    // bounds the wait for a connection
 	cancelContext  context.CancelFunc // may be called from any goroutine
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// getConn returns an idle connection to the backend, or dials a new one. The caller must give the connection back with
-// putIdle or discard. If getConn returns an error, nothing has been sent.
+// getConn returns an idle connection to the backend, or dials a new connection. The caller must give the connection
+// back with putIdle or discard. If getConn returns an error, nothing has been sent.
 func (p *connectionPools) getConn(ctx context.Context, id policy.BackendID) (*backendConn, error) {
 	e, idle, err := p.takeIdleOrReserve(id)
 	if err != nil {
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -104,7 +104,7 @@
 }
 
 // An idle connection can be reused after the deadlines of earlier attempts on it have passed. Otherwise connections
-// would be replaced needlessly, and each new one costs its backend work.
+// would be replaced needlessly, and each new connection costs the backend work.
 func TestReuseAfterPastDeadline(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -122,7 +122,7 @@
 }
 
 // readResponses reads the responses to the calls in the pipeline until the pipeline is closed. After an error, the
-// calls behind the failed one end as policy.ConnectionReset, since their amounts may have been added.
+// calls behind the failed call end as policy.ConnectionReset, since their amounts may have been added.
 func (c *counterConn) readResponses() {
 	defer c.Conn.Close()
 	limited := &io.LimitedReader{R: c.Conn}
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -14,7 +14,7 @@
 )
 
 // counterTestTime is the time that a test may take within one counter window of its customer. It is several times the
-// duration of the longest such test.
+// 1.3 s that the longest of these tests takes.
 const counterTestTime = 10 * time.Second
 
 // requestTextCustomer is the customer of the requests that requestText returns.
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -23,8 +23,8 @@
 	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
 }
 
-// send writes a call, on a new connection if the current one can't be used. If the call can't be written, send reports
-// its outcome.
+// send writes a call, on a new connection if the current connection can't be used. If the call can't be written, send
+// reports its outcome.
 func (s *counterStream) send(ctx context.Context, call *counterCall) {
 	if call.abandoned.Load() {
 		call.report(call, policy.TimedOut, 0) // not written, so nothing was added
@@ -68,7 +68,7 @@
 	s.conn = nil
 }
 
-// close closes the connection in use, if there is one, at once.
+// close closes the connection in use at once. It does nothing if there is no connection in use.
 func (s *counterStream) close() {
 	if s.conn != nil {
 		s.conn.Close()
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -53,7 +53,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// A watch that gets no response must be replaced by a new one, on a new connection, within the drain grace, even
+// A watch that gets no response must be replaced by a new watch, on a new connection, within the drain grace, even
 // several times in a row. Otherwise the gateway would miss drains and send requests to backends that have drained.
 func TestSilentWatchIsReplacedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -16,7 +16,7 @@
 // EndpointList is a response from discovery: the full list of backends, or the changes since the generation in the
 // watch's query.
 type EndpointList struct {
-	Generation int64           `json:"generation"` // version number of the list, which a watch names
+	Generation int64           `json:"generation"` // version number of the list; the next watch sends it as since
 	Reset      bool            `json:"reset"`      // Entries is the full list; if false, Entries holds only the changes
 	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no such array, not even an empty one
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -125,9 +125,9 @@
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsent cancels those attempts of a request whose bytes have not all been written, after the client has
-// disconnected. If the deployment doesn't allow the engine to cancel attempts, an attempt that waits for a connection
-// would otherwise still be sent.
+// cancelUnsent cancels the attempts of a request that are not fully written yet, after the client has disconnected. If
+// the deployment doesn't allow the engine to cancel attempts, an attempt that waits for a connection would otherwise
+// still be sent.
 func (l *eventLoop) cancelUnsent(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// If a connection is reset after the last byte of a request, the backend may have executed the request. A request that
-// is not idempotent must then fail: neither the engine nor the pools may retry it, and it must not be answered
+// If a connection is reset after the last byte of a request, the backend may have executed the request. In that case, a
+// request that is not idempotent must fail: neither the engine nor the pools may retry it, and it must not be answered
 // as rejected, which would promise that nothing was executed.
 func TestResetAfterLastByteIsRetriedOnlyWithIdempotencyKey(t *testing.T) {
 	t.Parallel()
