--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // limit for replacing a blocked connection; retired ones count until closed
-	counterIdleTimeout      = 5 * time.Second // well below the 10 s after which the counter closes an idle connection
-	counterIdlePollInterval = 1 * time.Second // how often a stream checks whether its connection has been idle too long
+	maxConnsPerStream       = 4               // maximum of openConns after the replacement of a blocked connection
+	counterIdleTimeout      = 5 * time.Second // maximum idle time; well below the 10 s that the counter allows
+	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
 
-// counterStream writes the calls of one queue, in order, to one connection at a time. A connection that the stream has
-// retired closes when its calls in flight have ended. The goroutine of runStream owns all fields but openConns.
+// counterStream writes the calls of one queue, in order, to one connection at a time. A retired connection is closed
+// when its calls in flight have ended. The goroutine of runStream owns all fields except openConns.
 type counterStream struct {
 	client    *counterClient
-	conn      *counterConn // the connection in use; if nil, the next call dials
-	lastUsed  time.Time    // when the last call was written
+	conn      *counterConn // connection in use; if nil, the next call dials a new connection
+	lastUsed  time.Time    // time at which the last call was written
 	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
 }
 
-// send writes a call, on a new connection if the current one can't be used. If the call can't be written, send reports
-// its outcome.
+// send writes a call, on a new connection if the current connection can't be used. If the call can't be written, send
+// reports its outcome.
 func (s *counterStream) send(ctx context.Context, call *counterCall) {
 	if call.abandoned.Load() {
 		call.report(call, policy.TimedOut, 0) // not written, so nothing was added
@@ -49,25 +49,26 @@
 	s.conn.writeCall(call)
 }
 
-// retireIdle retires the connection if it has been idle for too long or goes to an old address of the counter.
+// retireIdle retires the connection if no call was written for counterIdleTimeout, or if the counter's address has
+// changed.
 func (s *counterStream) retireIdle() {
 	if s.conn != nil && (time.Since(s.lastUsed) > counterIdleTimeout || s.addressChanged()) {
 		s.retire()
 	}
 }
 
-// addressChanged reports whether the connection goes to an old address of the counter.
+// addressChanged reports whether the counter's address has changed since the connection was dialed.
 func (s *counterStream) addressChanged() bool {
 	return s.conn.dialedAddress != *s.client.address.Load()
 }
 
-// retire stops using the connection. The next call dials a new one.
+// retire stops using the connection. The next call dials a new connection.
 func (s *counterStream) retire() {
 	s.conn.retire()
 	s.conn = nil
 }
 
-// close closes the connection in use, if there is one, at once.
+// close closes the connection in use at once. It does nothing if there is no connection in use.
 func (s *counterStream) close() {
 	if s.conn != nil {
 		s.conn.Close()
