--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -250,7 +250,7 @@
 	counter := newPeer(t)
 	client, add, results := startCounterClient(t, counter.address())
 	for range 2 * int(minBreaks) {
-		client.idleEstimator.observe(time.Now(), 2*minIdleBucket, true)
+		client.idleEstimator.observe(time.Now(), 2*minBucketIdleTime, true)
 	}
 	for range 2 {
 		add(1)
@@ -258,7 +258,7 @@
 		readRequest(t, reader)
 		writeResponse(conn, 200, "1")
 		await(t, results, "result")
-		time.Sleep(10 * minIdleBucket) // above the estimated limit
+		time.Sleep(10 * minBucketIdleTime) // above the estimated limit
 	}
 }
 
@@ -275,7 +275,7 @@
 		readRequest(t, reader)
 		writeResponse(conn, 200, "1")
 		await(t, results, "result")
-		time.Sleep(2 * minIdleBucket)
+		time.Sleep(2 * minBucketIdleTime)
 		add(2)
 		readRequest(t, reader)
 		conn.Close()
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -125,10 +125,10 @@
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsent cancels the attempts of a request that are not fully written yet, after the client has disconnected. If
+// cancelUnsentAttempts cancels the attempts of a request that are not fully written yet, after the client has disconnected. If
 // the deployment doesn't allow the engine to cancel attempts, an attempt that waits for a connection would otherwise
 // still be sent.
-func (l *eventLoop) cancelUnsent(req *clientRequest) {
+func (l *eventLoop) cancelUnsentAttempts(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
 			l.finishAttempt(a, attemptResult{outcome: policy.NotSent})
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -8,11 +8,11 @@
 
 // Parameters of idleLimitEstimator.
 const (
-	minIdleBucket   = 25 * time.Millisecond // beginning of the first bucket; shorter idle times are always allowed
-	idleBucketCount = 10                    // number of buckets; each begins at twice the idle time of its predecessor
-	minBreaks       = 3.0                   // minimum weight of the broken reuses in a bucket that sets the limit
-	minBreakShare   = 1.0 / 3               // minimum share of broken reuses in a bucket that sets the limit
-	idleDecayTime   = 20 * time.Second      // time in which the weight of an observation falls to 1/e
+	minBucketIdleTime = 25 * time.Millisecond // beginning of the first bucket; shorter idle times are always allowed
+	idleBucketCount   = 10                    // number of buckets; each begins at twice the idle time of its predecessor
+	minBreaks         = 3.0                   // minimum weight of the broken reuses in a bucket that sets the limit
+	minBreakShare     = 1.0 / 3               // minimum share of broken reuses in a bucket that sets the limit
+	idleDecayTime     = 20 * time.Second      // time in which the weight of an observation falls to 1/e
 )
 
 // idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
@@ -40,7 +40,7 @@
 
 // observe records whether a connection broke when it was reused after being idle for idleFor.
 func (e *idleLimitEstimator) observe(now time.Time, idleFor time.Duration, broke bool) {
-	if idleFor < minIdleBucket {
+	if idleFor < minBucketIdleTime {
 		return
 	}
 	e.mu.Lock()
@@ -54,9 +54,9 @@
 	}
 }
 
-// idleBucketIndex returns the index of the bucket for an idle time of at least minIdleBucket.
+// idleBucketIndex returns the index of the bucket for an idle time of at least minBucketIdleTime.
 func idleBucketIndex(idleFor time.Duration) int {
-	return min(int(math.Log2(float64(idleFor)/float64(minIdleBucket))), idleBucketCount-1)
+	return min(int(math.Log2(float64(idleFor)/float64(minBucketIdleTime))), idleBucketCount-1)
 }
 
 // limit returns the idle time from which on connections must not be reused; math.MaxInt64 if there is no limit. The
@@ -67,7 +67,7 @@
 	e.decay(now)
 	for i, bucket := range e.buckets {
 		if bucket.broke >= minBreaks && bucket.broke >= minBreakShare*(bucket.worked+bucket.broke) {
-			return minIdleBucket << i
+			return minBucketIdleTime << i
 		}
 	}
 	return math.MaxInt64
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -26,7 +26,7 @@
 		{"two breaks may be chance", 300 * time.Millisecond, 0, 2, 0, noLimit},
 		{"random breaks among many reuses", 300 * time.Millisecond, 80, 10, 0, noLimit},
 		{"below the shortest range", time.Millisecond, 0, 9, 0, noLimit},
-		{"beyond the longest range", time.Hour, 0, 9, 0, minIdleBucket << (idleBucketCount - 1)},
+		{"beyond the longest range", time.Hour, 0, 9, 0, minBucketIdleTime << (idleBucketCount - 1)},
 		{"old observations", 300 * time.Millisecond, 0, 9, 3 * idleDecayTime, noLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 		if got := await(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection, want served", got)
 		}
-		time.Sleep(2 * minIdleBucket) // reuses of connections that were idle for less than minIdleBucket are not observed
+		time.Sleep(2 * minBucketIdleTime) // reuses of connections that were idle for less than minBucketIdleTime are not observed
 		ended = startAttempt()
 		readRequest(t, reader) // on the same connection
 		conn.Close()
@@ -97,7 +97,7 @@
 	for range int(minBreaks) {
 		pools.idleEstimator.observe(time.Now(), limit, true) // keeps the limit in place during the wait below
 	}
-	time.Sleep(limit + minIdleBucket)
+	time.Sleep(limit + minBucketIdleTime)
 	ended = startAttempt()
 	conn, reader = backend.accept(t)
 	readRequest(t, reader)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -66,7 +66,7 @@
 	l.metrics.add(clientsDisconnected)
 	req.unanswered = false
 	l.handleEvent(policy.ClientDisconnected{Request: req.policyRequest.ID})
-	l.cancelUnsent(req)
+	l.cancelUnsentAttempts(req)
 	l.removeIfDone(req)
 }
 
