--- a/internal/lab/backend/instances.go
+++ b/internal/lab/backend/instances.go
@@ -14,8 +14,8 @@
 	firstIP = 127<<24 | 1<<16 // 127.1.0.0, so that no backend gets 127.0.0.1
 )
 
-// Instances returns the endpoint list entries of the pool's first count backends. Zones and machine types
-// are assigned in turn. Start must have been called before; count is at most MaxInstances.
+// Instances returns the endpoint list entries of the pool's backends with the indices below count. Zones and machine
+// types are assigned in turn. Start must have been called before, and count must not exceed MaxInstances.
 func (p *Pool) Instances(count int, zones, machineTypes []string) []gateway.EndpointEntry {
 	entries := make([]gateway.EndpointEntry, count)
 	for i := range entries {
--- a/internal/lab/backend/pool.go
+++ b/internal/lab/backend/pool.go
@@ -17,13 +17,13 @@
 	"amberlb/internal/lab/netstats"
 )
 
-// maxConns is the limit of open connections to all backends together. Connections above it are closed at once.
+// maxConns is the limit of open connections to all backends together. A connection above the limit is closed at once.
 const maxConns = 20_000
 
 // Options configure the backends.
 type Options struct {
-	ServiceTime time.Duration // the same for every request; the variance comes from the load
-	Listeners   int           // number of ports that the backends are spread over
+	ServiceTime time.Duration // service time of each request; constant, since the variance comes from the load
+	Listeners   int           // number of listeners, each on its own port, over which the backends are spread
 }
 
 // Stats holds the counts of all backends since the start of the pool.
@@ -53,13 +53,13 @@
 	peakConns           int
 	peakConnsPerBackend int
 	backendsReached     int
-	endpoints           map[netip.AddrPort]*endpoint // backends that have had a connection
+	endpoints           map[netip.AddrPort]*endpoint // backends that have had a connection, by address
 }
 
 // endpoint is the state of one backend.
 type endpoint struct {
 	openConns int
-	reached   bool // it has got a request
+	reached   bool // the backend has received a request
 }
 
 // New creates a pool. If options.Listeners is below 1, the pool has one listener.
--- a/internal/lab/backend/serve.go
+++ b/internal/lab/backend/serve.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	idleTimeout  = 30 * time.Second // a connection with no request for this long is closed
-	writeTimeout = 10 * time.Second // bounds the wait for a client that doesn't read its response
-	maxLineBytes = 4 << 10          // of a line of a request
+	idleTimeout  = 30 * time.Second // time without a request after which a connection is closed
+	writeTimeout = 10 * time.Second // longest wait for a client that doesn't read its response
+	maxLineBytes = 4 << 10          // largest size of a line of a request
 )
 
 // okResponse is the response to every request, including health checks.
@@ -46,7 +46,7 @@
 	}
 }
 
-// isHealthCheck reports whether a request is a health check. Health checks are answered without delay.
+// isHealthCheck reports whether a request is a health check, to which a backend responds without delay.
 func isHealthCheck(q *request.Request) bool {
 	target := string(q.Target)
 	return target == "/health/live" || target == "/stats"
--- a/internal/lab/counter/call.go
+++ b/internal/lab/counter/call.go
@@ -14,7 +14,7 @@
 const (
 	maxNameBytes      = 64
 	maxAmount         = 1e9
-	maxLifetimeMillis = 60_000 // a longer lifetime is reduced to this
+	maxLifetimeMillis = 60_000 // longest lifetime; longer lifetimes are reduced to maxLifetimeMillis
 )
 
 // call is a request to add an amount to the total of a name.
@@ -24,8 +24,8 @@
 	lifetime time.Duration // of the name; used only if this call creates the name
 }
 
-// parseCall parses a call. Percent-encoding in the name is not decoded. status is 200 for a valid call, else the status
-// of the error response.
+// parseCall parses a call. Percent-encoding in the name is not decoded. The result status is 200 for a valid call, else
+// the status of the error response.
 func parseCall(q *request.Request) (parsed call, status int) {
 	path, query, _ := bytes.Cut(q.Target, []byte("?"))
 	name, found := bytes.CutPrefix(path, []byte("/v1/count/"))
@@ -45,7 +45,7 @@
 	return call{name: name, amount: amount, lifetime: lifetime}, http.StatusOK
 }
 
-// parseQuery returns the values of add and ttl_ms in a call's query. Of a repeated parameter, the last value is
+// parseQuery returns the values of add and ttl_ms in a call's query. If a parameter is repeated, its last value is
 // returned.
 func parseQuery(query []byte) (amount, lifetimeMillis []byte) {
 	for len(query) > 0 {
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	idleTimeout  = 10 * time.Second      // a connection with no calls and no pending responses for this long is closed
-	writeTimeout = 10 * time.Second      // bounds the wait for a client that doesn't read its responses
-	pollInterval = 20 * time.Millisecond // longest sleep of the writer: a fault may change the service clock's speed
-	maxLineBytes = 2 << 10               // of a line of a request
-	maxPending   = 4096                  // calls on a connection that wait for a response; further ones are read later
+	idleTimeout  = 10 * time.Second      // longest time without calls and pending responses
+	writeTimeout = 10 * time.Second      // longest wait for a client that doesn't read its responses
+	pollInterval = 20 * time.Millisecond // longest sleep of the writer: faults change the service clock's speed
+	maxLineBytes = 2 << 10               // largest size of a line of a request
+	maxPending   = 4096                  // largest number of pending responses of a connection; reading stops at this number
 )
 
-// conn is a connection of a client. One goroutine reads its calls. A second one, the writer, writes the responses; it
-// runs only while some are pending, so that an idle connection needs only one goroutine.
+// conn is a connection of a client. One goroutine reads calls. A second goroutine, the writer, writes the responses. The
+// writer runs only while responses are pending, so that an idle connection needs only one goroutine.
 type conn struct {
 	net.Conn
 	counter *Counter
@@ -30,7 +30,7 @@
 	changed *sync.Cond // signals that pending has become shorter or that writing is false
 	pending []response // in the order of their calls
 	writing bool       // the writer is running
-	muted   bool       // a call gets no response, so later calls must not get one either
+	muted   bool       // no further response is written, since an earlier call got none
 }
 
 // serve handles the calls of a connection until it ends, and closes it.
@@ -93,8 +93,8 @@
 	return len(k.pending) == 0 && !k.writing && !k.muted
 }
 
-// enqueueResponse handles a call, enqueues its response, and starts the writer if it is not running. readErr is not nil
-// if the request is malformed.
+// enqueueResponse handles a call, enqueues its response, and starts the writer if it is not running. The parameter
+// readErr is not nil if the request is malformed.
 func (k *conn) enqueueResponse(q *request.Request, readErr error) {
 	k.counter.callCount.Add(1)
 	fault := k.counter.currentFault.Load()
@@ -114,7 +114,7 @@
 	}
 }
 
-// respond handles a request and returns its response. readErr is not nil if the request is malformed.
+// respond handles a request and returns its response. The parameter readErr is not nil if the request is malformed.
 func (c *Counter) respond(fault *faultState, q *request.Request, readErr error) response {
 	if readErr != nil {
 		return response{status: http.StatusBadRequest}
@@ -144,8 +144,9 @@
 	}
 }
 
-// takeDue removes the responses that are due from pending, appends their text to buffer, and returns it. If none is due,
-// wait is the time after which to call it again. If none is pending, done is true and the writer has to end.
+// takeDue removes the responses that are due from pending, appends their text to buffer, and returns the result. If no
+// response is due, wait is the time after which the writer must call takeDue again. If no response is pending, done is
+// true and the writer must end.
 func (k *conn) takeDue(buffer []byte) (text []byte, wait time.Duration, done bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -184,7 +185,8 @@
 	return due
 }
 
-// writeText writes the text of responses. If that fails, it closes the connection, which also ends the reading of calls.
+// writeText writes the text of responses. If the write fails, writeText closes the connection, so that the reading of
+// calls ends too.
 func (k *conn) writeText(text []byte) {
 	k.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := k.Write(text); err == nil {
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -19,15 +19,15 @@
 // Options define the counter's capacity, which is Shards / ServiceTime calls a second if
 // the calls are spread evenly over the shards.
 type Options struct {
-	Shards      int           // number of shards, over which names are spread by xxhash; each serves one call at a time
+	Shards      int           // number of shards, each serving one call at a time; xxhash spreads the names
 	ServiceTime time.Duration // time for which a call occupies its shard
-	MaxQueued   int           // largest number of calls waiting at a shard; further ones are rejected with 503
+	MaxQueued   int           // largest number of calls waiting at a shard; further calls are rejected with 503
 }
 
 // Stats holds the counts since the start of the counter.
 type Stats struct {
 	Calls     uint64 // calls read completely
-	Rejected  uint64 // calls that were answered with 503
+	Rejected  uint64 // calls rejected with 503
 	Names     int    // names that exist now
 	PeakNames int    // largest number of names that existed at the same time
 	Traffic   netstats.Traffic
@@ -49,10 +49,10 @@
 
 	listener *netstats.Listener
 	serving  sync.WaitGroup
-	closed   atomic.Bool // from then on, no response is written
+	closed   atomic.Bool // Close was called or the context of Start ended; no response is written any more
 }
 
-// New creates a counter with no fault. If options.Shards is below 1, it has one shard.
+// New creates a counter with no fault. If options.Shards is below 1, the counter has one shard.
 func New(options Options) *Counter {
 	options.Shards = max(options.Shards, 1)
 	c := &Counter{options: options, startedAt: time.Now(), shards: make([]*shard, options.Shards)}
@@ -136,8 +136,8 @@
 	return response{status: http.StatusOK, total: total, due: due}
 }
 
-// countNames updates the number of names and its peak. created is true if a name was added; expired is the number of
-// names that were removed before.
+// countNames updates the number of names and its peak. The parameter created is true if a name was added, and
+// expired is the number of names that were removed before that.
 func (c *Counter) countNames(created bool, expired int) {
 	count := c.nameCount.Add(-int64(expired))
 	if created {
--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// An invalid call is answered with 400 or 404 and adds nothing, and its connection remains usable.
+// The response to an invalid call has status 400 or 404. The call adds nothing, and its connection remains usable.
 func TestInvalidCallsAddNothing(t *testing.T) {
 	_, dial := start(t, Options{})
 	client := dial()
@@ -183,14 +183,14 @@
 	c.awaitCalls(t, 1)
 	second.write("n", 1)
 	second.want(503, 0)
-	c.SetFault(Fault{SlowFactor: 1e-9}) // also shortens the service of the first call, which has begun
+	c.SetFault(Fault{SlowFactor: 1e-9}) // also shortens the service time of the first call, which is already in service
 	first.want(200, 1)
 	if stats := c.Stats(); stats.Calls != 2 || stats.Rejected != 1 {
 		t.Errorf("%+v", stats)
 	}
 }
 
-// Calls are rejected or left unanswered while there is such a fault, and answered again after it.
+// Calls are rejected during the fault Rejecting, get no response during a blackhole, and are served again afterwards.
 func TestFaults(t *testing.T) {
 	c, dial := start(t, Options{Shards: 1, MaxQueued: 10})
 	client := dial()
--- a/internal/lab/counter/response.go
+++ b/internal/lab/counter/response.go
@@ -9,8 +9,8 @@
 // response holds the response to a call until it is due.
 type response struct {
 	status int           // HTTP status: 200, 400, 404 or 503
-	total  float64       // of the name, if status is 200
-	due    time.Duration // time on the service clock at which it is sent; 0: at once
+	total  float64       // total of the name, if status is 200
+	due    time.Duration // time on the service clock at which the response is sent; 0: at once
 }
 
 // appendHTTP appends the response in HTTP/1.1 format to text.
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -7,32 +7,32 @@
 )
 
 // shard holds a part of the names and serves their calls one at a time, in the order of
-// their arrival. It reads no clock: its methods are given the time. mu must be held during
-// its methods.
+// their arrival. It reads no clock: its methods are given the time. The caller of a method must
+// hold mu.
 type shard struct {
 	mu          sync.Mutex
-	finishTimes []time.Duration // of the calls in service or waiting, in order, on the service clock
+	finishTimes []time.Duration // service clock times at which calls in service or waiting finish, ascending
 	names       map[string]*entry
-	byExpiry    expiryHeap // the same names, by the time at which they expire
+	byExpiry    expiryHeap // entries of names, ordered by the time at which they expire
 }
 
 // entry is a name with its total.
 type entry struct {
 	name      string
 	total     float64
-	expiresAt time.Duration // set by the first call; later calls do not extend it
+	expiresAt time.Duration // time of expiry, set by the first call; later calls do not extend it
 }
 
-// schedule schedules a call that takes serviceTime, to be served after all calls scheduled before it. due is the time at
-// which its service ends; due and serviceNow are on the service clock. ok is false, and the call is not scheduled, if
-// maxQueued calls are already waiting.
+// schedule schedules a call that takes serviceTime. The call is served after all calls that were scheduled earlier. The
+// result due is the time at which its service ends; due and serviceNow are on the service clock. If maxQueued calls are
+// already waiting, the call is not scheduled and ok is false.
 func (s *shard) schedule(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
 	finished := 0
 	for finished < len(s.finishTimes) && s.finishTimes[finished] <= serviceNow {
 		finished++
 	}
 	s.finishTimes = s.finishTimes[finished:]
-	if len(s.finishTimes) > maxQueued { // the first one is in service, the others wait
+	if len(s.finishTimes) > maxQueued { // the first call is in service, the other calls wait
 		return 0, false
 	}
 	serviceStart := serviceNow
@@ -45,7 +45,7 @@
 }
 
 // add adds an amount to the total of a name, and returns the new total. A name that doesn't exist is created and expires
-// after lifetime. expired is the number of expired names that were removed before.
+// after lifetime. The result expired is the number of expired names that were removed before that.
 func (s *shard) add(
 	now time.Duration, name []byte, amount float64, lifetime time.Duration,
 ) (total float64, created bool, expired int) {
--- a/internal/lab/discovery/handler.go
+++ b/internal/lab/discovery/handler.go
@@ -44,9 +44,9 @@
 	return int64(value), err
 }
 
-// awaitList waits while since is the current generation, but at most for timeout, and returns the
-// list for a client that has the generation since (0: none). A full list also waits for the rate
-// limiter. It returns ctx's error if ctx ends first.
+// awaitList returns the list for a client whose generation is since (0: none). While since is the current generation, it
+// waits for a change of the list, but at most for timeout. For a full list, it also waits for the rate limiter. It
+// returns ctx's error if ctx ends first.
 func (s *Server) awaitList(ctx context.Context, since int64, timeout time.Duration) (*encodedList, error) {
 	if err := s.awaitChange(ctx, since, timeout); err != nil {
 		return nil, err
@@ -61,8 +61,8 @@
 	return s.list.since(since), nil
 }
 
-// awaitChange waits until generation is not the current one any more, but at most for timeout. It returns ctx's error
-// if ctx ends first.
+// awaitChange waits while the given generation is the current generation, but at most for timeout. It returns ctx's
+// error if ctx ends first.
 func (s *Server) awaitChange(ctx context.Context, generation int64, timeout time.Duration) error {
 	if timeout <= 0 {
 		return nil
@@ -83,14 +83,14 @@
 	}
 }
 
-// watch returns the current generation, and a channel that is closed when the next one is made.
+// watch returns the current generation, and a channel that is closed when the next generation is made.
 func (s *Server) watch() (changed <-chan struct{}, generation int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed, s.list.generation
 }
 
-// needsFullList reports whether a client that has the generation since has to be sent the full list.
+// needsFullList reports whether a client whose generation is since needs the full list instead of a delta.
 func (s *Server) needsFullList(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/discovery/list.go
+++ b/internal/lab/discovery/list.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	maxChanges       = 1024 // number of changes that are kept; a client with an older generation gets the full list
+	maxChanges       = 1024 // largest number of changes that are kept; clients with older generations get the full list
 	lifecycleRemoved = "Gone"
 )
 
-// list is the list of backends with its last changes. Its methods must not be called concurrently.
+// list is the list of backends with its last changes. Each change of the list makes a new generation, which has the next
+// number. The methods of a list must not be called concurrently.
 type list struct {
 	generation int64
 	instances  []gateway.EndpointEntry
 	indexByID  map[string]int // index in instances
-	changes    []change       // the last ones, oldest first; each made one generation
+	changes    []change       // last changes, oldest first; each change made one generation
 
 	// Cache of the lists encoded for the current generation.
-	encodedFull   *encodedList           // nil until it is requested
-	encodedDeltas map[int64]*encodedList // by the generation that the client has
+	encodedFull   *encodedList           // nil until the full list is requested
+	encodedDeltas map[int64]*encodedList // by the generation of the client
 }
 
 // change holds the entries of the delta that made a generation.
@@ -33,7 +34,7 @@
 type encodedList struct {
 	body    []byte // JSON
 	entries int
-	full    bool // else it is a delta
+	full    bool // true: full list; false: delta
 }
 
 // newList creates a list of generation 1.
@@ -55,7 +56,7 @@
 	clear(l.encodedDeltas)
 }
 
-// apply adds or replaces entries in instances, and removes those with the lifecycle Gone.
+// apply adds or replaces entries in instances. Entries with the lifecycle Gone are removed.
 func (l *list) apply(entries []gateway.EndpointEntry) {
 	for _, entry := range entries {
 		index, known := l.indexByID[entry.ID]
@@ -72,7 +73,7 @@
 	}
 }
 
-// removeAt removes an instance and moves the last one into its place.
+// removeAt removes the instance at an index and moves the last instance into its place.
 func (l *list) removeAt(index int) {
 	removed := l.instances[index].ID
 	last := len(l.instances) - 1
@@ -88,8 +89,8 @@
 	return generation > 0 && generation <= l.generation && generation >= oldest
 }
 
-// since returns the list for a client that has a generation: the delta since then if all changes are still kept, else
-// the full list.
+// since returns the list for a client with the given generation. It is a delta if all changes after that generation are
+// still kept, else the full list.
 func (l *list) since(generation int64) *encodedList {
 	if l.hasChangesSince(generation) {
 		return l.deltaSince(generation)
@@ -137,7 +138,7 @@
 	}
 	body, err := json.Marshal(gateway.EndpointList{Generation: l.generation, Reset: full, Entries: entries})
 	if err != nil {
-		panic(err) // only an infinite or NaN weight can fail, and the lab uses neither
+		panic(err) // only an infinite or NaN weight can't be encoded, and the lab uses neither
 	}
 	return &encodedList{body: body, entries: len(entries), full: full}
 }
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// maxCatchUp is how late a permit may be granted without delaying the permits after it. It
-// covers the imprecision of the system's timers, so that late timers don't lower the rate.
+// maxCatchUp is the longest delay of a permit that does not delay the permits after it. It covers the imprecision of the
+// system's timers, so that late timers don't lower the rate.
 const maxCatchUp = 10 * time.Millisecond
 
 // rateLimiter grants permits at a limited rate, in the order of the calls of wait. A call
-// whose context ends leaves the queue without using a permit.
+// of wait whose context ends uses no permit.
 type rateLimiter struct {
-	interval time.Duration // between two permits
-	permits  chan struct{} // unbuffered, so that each permit goes to the call that has waited longest
+	interval time.Duration // time between two permits
+	permits  chan struct{} // unbuffered, so that each permit goes to the call of wait that has waited longest
 }
 
 func newRateLimiter(perSecond float64) *rateLimiter {
@@ -23,7 +23,7 @@
 	}
 }
 
-// run grants permits until ctx ends. If no call is waiting, one permit is kept for the next call.
+// run grants permits until ctx ends. If no call of wait is waiting, one permit is kept for the next call.
 func (l *rateLimiter) run(ctx context.Context) {
 	next := time.Now()
 	for {
--- a/internal/lab/discovery/server.go
+++ b/internal/lab/discovery/server.go
@@ -1,6 +1,6 @@
 // Package discovery is a stand-in for the discovery service. It sends the list of backends
-// to its clients, in full or as a delta. Clients poll it, or watch it: a watch is a request
-// that is answered at the next change of the list, or after its timeout.
+// to its clients, in full or as a delta. Clients poll or watch the list. A watch is a request
+// whose response is sent at the next change of the list or after the timeout of the watch.
 package discovery
 
 import (
@@ -17,7 +17,7 @@
 
 // Options configure the server.
 type Options struct {
-	FullListsPerSecond float64 // rate limit for all clients together, above which requests wait; 0: no limit
+	FullListsPerSecond float64 // rate limit of full lists for all clients together; above it, requests wait; 0: no limit
 }
 
 // Stats holds the counts since the start of the server. Calls are requests for the list.
@@ -35,7 +35,7 @@
 
 	mu      sync.Mutex
 	list    *list
-	changed chan struct{} // closed at the next change, which replaces it
+	changed chan struct{} // closed and replaced by a new channel at the next change of the list
 
 	callCount      atomic.Uint64
 	fullListCount  atomic.Uint64
@@ -77,7 +77,7 @@
 	}
 	s.serving.Go(func() {
 		defer cancel()
-		s.httpServer.Serve(s.listener) // it returns once the listener is closed
+		s.httpServer.Serve(s.listener) // returns once the listener is closed
 	})
 	return listener.Addr().String(), nil
 }
@@ -92,8 +92,9 @@
 	return errors.Join(err, s.httpServer.Shutdown(context.Background()))
 }
 
-// ApplyDelta adds entries to the list or replaces the existing ones with the same ids; entries
-// with the lifecycle Gone are removed. It answers the open watches and returns the new generation.
+// ApplyDelta adds entries to the list, or replaces the existing entries with the same ids. Entries with the lifecycle
+// Gone are removed. ApplyDelta ends the open watches, which get the change as their response, and returns the new
+// generation.
 func (s *Server) ApplyDelta(entries []gateway.EndpointEntry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A watch is answered with the delta as soon as the list changes, or with an empty delta after its timeout.
+// The response to a watch is the delta as soon as the list changes, or an empty delta after the timeout.
 func TestWatchIsNotifiedOfAChange(t *testing.T) {
 	server, get := start(t, instance("x", "Ready"), instance("y", "Ready"))
 	want(t, get(""), 1, true, "x:Ready", "y:Ready")
@@ -110,7 +110,7 @@
 		granted := make(chan bool, 200)
 		for i := range cap(granted) {
 			callerCtx := ctx
-			if i%2 == 0 { // these leave the queue
+			if i%2 == 0 { // calls with even numbers leave the queue
 				timeoutCtx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 				defer cancel()
 				callerCtx = timeoutCtx
@@ -124,7 +124,7 @@
 				served++
 			}
 		}
-		if served != 51 { // the first one at once, then 10 per second
+		if served != 51 { // the first permit at once, then 10 per second
 			t.Errorf("%d full lists in 5 s, want 51", served)
 		}
 		cancel()
--- a/internal/lab/netstats/conn.go
+++ b/internal/lab/netstats/conn.go
@@ -8,9 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is an accepted connection that counts its payload. The number of its segments is
-// read from the kernel whenever the traffic is requested, and for the last time just
-// before the connection is closed.
+// conn is an accepted connection that counts its payload bytes. The number of its segments is read from the kernel
+// whenever the traffic is requested, and for the last time just before the connection is closed.
 type conn struct {
 	net.Conn
 	listener *Listener
@@ -31,11 +30,11 @@
 }
 
 func (c *conn) Close() error {
-	c.listener.connClosed(c) // first, since the kernel reports the segments of open connections only
+	c.listener.connClosed(c) // before the close, since the kernel reports the segments of open connections only
 	return c.Conn.Close()
 }
 
-// traffic returns the connection's traffic so far. Its Conns is 0, since the listener counts the connections.
+// traffic returns the connection's traffic so far. The field Conns is 0, since the listener counts the connections.
 func (c *conn) traffic() Traffic {
 	return Traffic{BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(), Segments: segments(c.Conn)}
 }
--- a/internal/lab/netstats/listener.go
+++ b/internal/lab/netstats/listener.go
@@ -19,7 +19,7 @@
 
 	mu            sync.Mutex
 	openConns     map[*conn]struct{}
-	closedTraffic Traffic // of the closed connections; its Conns also counts the open ones
+	closedTraffic Traffic // traffic of the closed connections; the field Conns also counts open connections
 	closed        bool
 }
 
@@ -55,8 +55,8 @@
 	return c, nil
 }
 
-// Serve accepts connections until the listener is closed, and calls handle for each on its
-// own goroutine, which is added to serving. handle has to close the connection.
+// Serve accepts connections until the listener is closed, and calls the function handle for each
+// connection on its own goroutine, which is added to serving. The function must close the connection.
 func (l *Listener) Serve(serving *sync.WaitGroup, handle func(net.Conn)) {
 	for {
 		accepted, err := l.Accept()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Traffic returns the traffic of all connections so far, open or closed.
+// Traffic returns the traffic so far of all connections, including closed connections.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 	return total
 }
 
-// ResetConns resets all open connections. The listener keeps accepting new ones.
+// ResetConns resets all open connections. The listener keeps accepting new connections.
 func (l *Listener) ResetConns() {
 	for _, c := range l.open() {
 		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
--- a/internal/lab/netstats/traffic.go
+++ b/internal/lab/netstats/traffic.go
@@ -12,8 +12,8 @@
 	Conns    uint64 // connections accepted
 }
 
-// Bytes returns the bytes on the wire, including headers. Segments that follow the
-// close of a connection (the FIN and its acknowledgement) are not counted.
+// Bytes returns the bytes on the wire, including headers. Segments that are sent or received
+// after the close of a connection (the FIN and its acknowledgement) are not counted.
 func (t Traffic) Bytes() uint64 { return t.BytesIn + t.BytesOut + segmentHeaderBytes*t.Segments }
 
 // Plus returns the sum of t and other.
--- a/internal/lab/request/request.go
+++ b/internal/lab/request/request.go
@@ -1,6 +1,6 @@
 // Package request parses HTTP/1.1 requests for the stand-ins, which have to handle many
-// of them at little cost. It supports only the requests that the gateway writes, which
-// have neither chunked bodies nor folded header lines.
+// requests at little cost. It supports only requests as the gateway writes them, with
+// neither chunked bodies nor folded header lines.
 package request
 
 import (
@@ -22,7 +22,7 @@
 type Request struct {
 	Method []byte // valid until the next Read
 	Target []byte // valid until the next Read
-	Close  bool   // the header has "Connection: close": no other request follows on the connection
+	Close  bool   // the header has "Connection: close", so no other request follows on the connection
 
 	line []byte // copy of the request line; Method and Target are slices of it
 }
--- a/internal/lab/soak/acceptor.go
+++ b/internal/lab/soak/acceptor.go
@@ -10,7 +10,7 @@
 type acceptor struct {
 	listener net.Listener
 	conns    connSet        // open connections; Close closes them, which ends their handlers
-	serving  sync.WaitGroup // for the accept loop and the handlers
+	serving  sync.WaitGroup // counts the goroutines of the accept loop and the handlers
 }
 
 // listen starts listening on a port that the system chooses.
@@ -20,8 +20,8 @@
 	return err
 }
 
-// start starts the accept loop, which calls handle for each connection. handle has to add its connections to a.conns
-// and to remove them before it returns.
+// start starts the accept loop, which calls the function handle for each connection. The function must add its
+// connections to a.conns, and remove them before it returns.
 func (a *acceptor) start(handle func(net.Conn)) {
 	a.serving.Go(func() {
 		for {
--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -15,17 +15,17 @@
 // Behavior defines how a backend handles one request.
 type Behavior struct {
 	ServiceTime time.Duration // time from the request to its response
-	Hang        bool          // the request is never answered
+	Hang        bool          // send no response
 }
 
 // BackendAttempt is a backend's record of one attempt of a request. Times are on the run's clock.
 type BackendAttempt struct {
-	ID          string // of the request
+	ID          string // id of the request
 	Backend     string
-	FirstByteAt time.Duration // when its first byte was read
-	ReceivedAt  time.Duration // when it was complete
-	EndedAt     time.Duration // when it was answered or its connection ended; 0: neither had happened at the end of the run
-	Timeout     time.Duration // how long the gateway waits for the response, by the timeout header
+	FirstByteAt time.Duration // time at which the first byte of the request was read
+	ReceivedAt  time.Duration // time at which the request was complete
+	EndedAt     time.Duration // time of the response or of the end of the connection; 0: neither came during the run
+	Timeout     time.Duration // time for which the gateway waits for the response, from the timeout header
 	Answered    bool
 }
 
@@ -117,9 +117,9 @@
 	return attempt, nil
 }
 
-// respond waits for the service time and sends the response, whose body is the request's id. It returns false if the
-// connection ended before the response was sent. If the behavior is to hang, it waits for the end of the connection and
-// returns false.
+// respond waits for the service time, sends the response, whose body is the request's id, and returns true. It returns
+// false if the connection ends before the response is sent. If the backend hangs, respond sends no response, waits for
+// the end of the connection and returns false.
 func respond(conn net.Conn, reader *bufio.Reader, id string, behavior Behavior) bool {
 	if behavior.Hang {
 		reader.ReadByte() // returns when the connection ends, since no further request is sent on it
@@ -137,7 +137,7 @@
 }
 
 // watchClose watches for the end of a connection while no bytes are expected on it; it closes peerClosed when the
-// connection ends. stop ends the watch; once it has returned, the connection may be read again.
+// connection ends. The returned function stop ends the watch. Once stop has returned, the connection may be read again.
 func watchClose(conn net.Conn, reader *bufio.Reader) (peerClosed <-chan struct{}, stop func()) {
 	done := make(chan struct{})
 	closed := make(chan struct{})
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -8,49 +8,51 @@
 	"time"
 )
 
-// Time limits that gateways have to keep. Check adds timingMargin to those that are measured over sockets.
+// Limits and tolerances of the checks. Check adds timingMargin to disconnectGrace, timeoutSlack and drainGrace, which
+// are measured over sockets.
 const (
-	// closeRaceWindow is the longest time from sending a request to the end of its connection that counts as a close
-	// race: the request was sent while the gateway was closing the idle connection. It includes pauses of the process
-	// and the delays of the proxy.
+	// closeRaceWindow is the longest time from sending a request to the end of its connection in a close race. In a
+	// close race, the request is sent while the gateway is closing the idle connection. The window allows for pauses of
+	// the process and for the delays of the proxy.
 	closeRaceWindow = 300 * time.Millisecond
 
 	// disconnectGrace is the time after a client's disconnect during which an attempt of its request may still begin.
 	disconnectGrace = 100 * time.Millisecond
 
-	// timeoutSlack is by how much the timeout sent to a backend may exceed the time that the client has left.
+	// timeoutSlack is the largest excess of the timeout sent to a backend over the time left until the client's
+	// deadline.
 	timeoutSlack = 150 * time.Millisecond
 
-	// readyTimeout is the time from the start of a process within which it has to be ready.
+	// readyTimeout is the longest time that a process may take from its start until it is ready.
 	readyTimeout = 10 * time.Second
 
-	// drainGrace is the time during which an attempt at a draining backend may still begin, counted from when gateways
-	// were notified of the drain. It is also part of the gateways' settings.
+	// drainGrace is the time during which an attempt at a draining backend may still begin, counted from the
+	// notification of the gateways. The settings of the gateways contain the same time.
 	drainGrace = 2 * time.Second
 
-	// overlapTolerance is by how much two attempts of a request may overlap in the backends' records, since a backend
-	// notices the end of an attempt late.
+	// overlapTolerance is the longest permitted overlap of two attempts of a request in the backends' records. The
+	// records may overlap because a backend notices the end of an attempt late.
 	overlapTolerance = 150 * time.Millisecond
 
-	// killObservationSlack is how long before the recorded time of a SIGKILL a client may record the end of a connection
-	// that the SIGKILL ended.
+	// killObservationSlack is the longest time by which a client's record of the end of a connection may precede the
+	// record of the SIGKILL that ended the connection.
 	killObservationSlack = 50 * time.Millisecond
 )
 
-// Verdict is the result of Check. Each request that was sent completely and reached a gateway is counted in one of the
-// numbers or has a violation.
+// Verdict is the result of Check. A client attempt that was sent completely and reached a gateway is counted in one of
+// the numbers, unless it got no complete response and nothing excuses that. In this case, it has a violation.
 type Verdict struct {
 	Violations    []Violation
-	ExcusedByKill int // requests ended by a stop's SIGKILL, sent within KillDelay after SIGTERM
+	ExcusedByKill int // requests that a SIGKILL ended and that were sent at most KillDelay after SIGTERM
 	HardKilled    int // requests ended by a hard kill (see Stop)
-	CloseRaces    int // requests that the gateway never read, as it was closing the idle connection
-	Served        int // answered with 200
-	Rejected      int // answered with 429 or 503
-	Failed        int // answered with another status
-	Disconnected  int // the client disconnected
+	CloseRaces    int // requests that the gateway never read, since it was closing the idle connection
+	Served        int // requests answered with status 200
+	Rejected      int // requests answered with status 429 or 503
+	Failed        int // requests answered with another status
+	Disconnected  int // requests whose client disconnected
 }
 
-// processID identifies a process among those of all gateways.
+// processID identifies a process of any gateway by the gateway's number and the process's number.
 type processID struct {
 	gateway int
 	number  int
@@ -99,13 +101,13 @@
 	return c
 }
 
-// processOf returns the process that the attempt's connection was made to, or nil if it is not known.
+// processOf returns the process that the attempt's connection was made to, or nil if the process is not known.
 func (c *checker) processOf(attempt *ClientAttempt) *Process {
 	return c.processes[processID{attempt.Gateway, attempt.ProcessNumber}]
 }
 
 // backendAttemptsOf returns the backend attempts that a client attempt may have caused: those of the same request that
-// began after the client attempt began and, unless the client disconnected, before it ended.
+// began after the client attempt began and, unless the client disconnected, before the client attempt ended.
 func (c *checker) backendAttemptsOf(attempt *ClientAttempt) []BackendAttempt {
 	var caused []BackendAttempt
 	for _, b := range c.backendAttempts[attempt.ID] {
@@ -160,19 +162,19 @@
 	}
 }
 
-// checkResponseTime checks that a complete response came in time.
+// checkResponseTime checks that a complete response came at most lateResponseLimit after the client's deadline.
 func (c *checker) checkResponseTime(attempt *ClientAttempt) {
 	if late := attempt.EndedAt - attempt.Deadline(); late > lateResponseLimit+timingMargin {
 		c.addViolation(LostRequest, attempt, "the response came %.3f s after the client's deadline", late.Seconds())
 	}
 }
 
-// checkMissingResponse classifies an attempt without a complete response. It is counted if a SIGKILL or the close of an
-// idle connection excuses it; otherwise it is a lost request.
+// checkMissingResponse classifies an attempt without a complete response. The attempt is counted if a SIGKILL or the
+// close of an idle connection excuses the missing response; otherwise it is reported as a lost request.
 func (c *checker) checkMissingResponse(attempt *ClientAttempt) {
 	process := c.processOf(attempt)
 	switch {
-	case endedByKill(attempt, process) && process.hardKilled: // no response is owed after a hard kill
+	case endedByKill(attempt, process) && process.hardKilled: // a hard kill excuses any missing response
 		c.verdict.HardKilled++
 	case endedByKill(attempt, process) && attempt.SentAt <= process.SigtermAt+KillDelay:
 		c.verdict.ExcusedByKill++
@@ -192,7 +194,8 @@
 	}
 }
 
-// endedByKill reports whether the attempt ended after its process got SIGKILL, allowing for killObservationSlack.
+// endedByKill reports whether the attempt ended after the SIGKILL of its process, or at most killObservationSlack before
+// the SIGKILL.
 func endedByKill(attempt *ClientAttempt, process *Process) bool {
 	return process != nil && process.SigkillAt > 0 && attempt.EndedAt >= process.SigkillAt-killObservationSlack
 }
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Client attempts that the cases of TestCheckFindsEachViolation use, with changes.
+// Client attempts on which the cases of TestCheckFindsEachViolation are based.
 var (
 	sentAttempt = ClientAttempt{
 		ID:            "a",
@@ -195,7 +195,7 @@
 	},
 }
 
-// Check finds the violation in each case that has one, and none in the other cases.
+// Check finds the violation in each case with a violated invariant, and no violation in the other cases.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for name, c := range checkCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/soak/class.go
+++ b/internal/lab/soak/class.go
@@ -6,10 +6,11 @@
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	Deadline    time.Duration // from the arrival of a request to its final response
+	Deadline    time.Duration // time from the arrival of a request to its final answer
 }
 
-// Idempotency defines whether a request may be executed more than once. Its values are those of the settings.
+// Idempotency defines whether a request may be executed more than once. Its values are those of
+// the setting "effect" of a class.
 type Idempotency string
 
 // The kinds of idempotency.
@@ -20,15 +21,14 @@
 )
 
 const (
-	// KillDelay is the part of the time from SIGTERM to the earliest SIGKILL that comes on top of the longest deadline.
-	// See KillAfter.
+	// KillDelay is the time that KillAfter adds to the longest deadline.
 	KillDelay = 700 * time.Millisecond
 
-	maxCountedDeadline = 3 * time.Second // KillAfter counts a longer deadline as this
+	maxCountedDeadline = 3 * time.Second // KillAfter reduces a longer deadline to this
 )
 
-// KillAfter returns the time from SIGTERM to the earliest SIGKILL: the longest deadline of the classes, of which
-// at most 3 s count, plus KillDelay.
+// KillAfter returns the time from SIGTERM to the earliest SIGKILL. It is the sum of KillDelay and the longest deadline
+// of the classes, which is limited to 3 s.
 func KillAfter(classes []Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,20 +12,20 @@
 
 // ClientAttempt is a client's record of sending a request once. Times are on the run's clock.
 type ClientAttempt struct {
-	ID               string // of the request
+	ID               string // id of the request
 	Class            string
 	Gateway          int           // number of the gateway
 	ProcessNumber    int           // number of the gateway's process when the connection was made, from 1
-	Resent           bool          // second sending, after the first connection ended without any byte of a response
-	FirstByteAt      time.Duration // when the first byte was sent
-	SentAt           time.Duration // when the last byte was sent; 0: the request was not sent completely
-	Timeout          time.Duration // how long the client waits, from SentAt
-	EndedAt          time.Duration // when the response was complete, the connection ended, or the client stopped waiting
+	Resent           bool          // resend, after a connection that ended without any byte of a response
+	FirstByteAt      time.Duration // time at which the first byte was sent
+	SentAt           time.Duration // time at which the last byte was sent; 0: the request was not sent completely
+	Timeout          time.Duration // time for which the client waits for the response, from SentAt
+	EndedAt          time.Duration // time of the complete response, of the connection's end or of the client's timeout
 	Disconnected     bool          // the client closed the connection before the response was complete
 	TargetDialFailed bool          // the proxy in front of the gateway could not connect to it
-	Status           int           // of the complete response; 0: there is none
+	Status           int           // status of the complete response; 0: no complete response came
 	ResponseStarted  bool          // at least one byte of a response came
-	Err              error         // why there is no complete response
+	Err              error         // error that prevented a complete response
 }
 
 // Deadline returns the time at which the client's timeout ends.
@@ -38,7 +38,7 @@
 	clock         Clock
 	gateway       int    // number of the gateway
 	processNumber int    // number of the gateway's process when the connection was made
-	proxy         *Proxy // between client and gateway; nil: none
+	proxy         *Proxy // proxy between the client and the gateway; nil: none
 }
 
 // Dial opens a connection to the address of a gateway or of the proxy in front of it. gateway and processNumber are
@@ -57,18 +57,19 @@
 	}, nil
 }
 
-// closeProbeTimeout is how long PeerClosed waits for the close of an idle connection to show.
+// closeProbeTimeout is the time for which PeerClosed waits for the gateway's close of an idle connection.
 const closeProbeTimeout = 100 * time.Microsecond
 
-// PeerClosed reports whether the gateway has closed the idle connection, as far as the client can see yet.
+// PeerClosed reports whether the client has received the gateway's close of the idle connection. It also returns true if
+// the client has received bytes.
 func (c *Conn) PeerClosed() bool {
 	c.SetReadDeadline(time.Now().Add(closeProbeTimeout))
 	_, err := c.reader.Peek(1)
 	return !isTimeout(err)
 }
 
-// Do sends a request and waits for its response, until the latest time at which a response still counts. reusable
-// reports whether another request may be sent on the connection.
+// Do sends a request and waits for its response. It stops waiting when the client disconnects, or when a response would
+// be too late. The result reusable reports whether another request may be sent on the connection.
 func (c *Conn) Do(request Request) (attempt ClientAttempt, reusable bool) {
 	attempt = ClientAttempt{
 		ID:            request.ID,
@@ -82,8 +83,8 @@
 	c.SetReadDeadline(time.Now().Add(timeout))
 	reusable = c.receive(request, &attempt)
 	attempt.EndedAt = c.clock.Now()
-	// A client may also disconnect in the middle of a response. Then the error is that of parsing a truncated response,
-	// so the disconnect is recognized by the time and not by the error.
+	// If a client disconnects in the middle of a response, the error is that of parsing a truncated response. Therefore,
+	// a disconnect is recognized by the time and not by the error.
 	attempt.Disconnected = attempt.Err != nil && attempt.SentAt > 0 && request.DisconnectAfter > 0 &&
 		attempt.EndedAt >= attempt.SentAt+request.DisconnectAfter
 	attempt.TargetDialFailed = c.proxy != nil && c.proxy.TargetDialFailed(c.LocalAddr())
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// receive reads the response into attempt. reusable reports whether the connection may be used again.
+// receive reads the response and records it in attempt. The result reusable reports whether another request may be sent
+// on the connection.
 func (c *Conn) receive(request Request, attempt *ClientAttempt) (reusable bool) {
 	if _, err := c.reader.Peek(1); err != nil {
 		attempt.Err = err
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// An attempt is recorded as disconnected if the client closed the connection, and not if the gateway did, wherever in
-// the response that happens.
+// An attempt is recorded as disconnected if the client closed the connection at any point of the response, and not if
+// the gateway closed the connection.
 func TestDisconnectIsDistinguishedFromAClosedConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		response        string
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -7,6 +7,6 @@
 // NewPlan generates a plan from a seed, Run carries it out, and Check examines the records. Clients and backends keep
 // their records separately, with times on one monotonic clock. Check joins them by the ids of the requests, and reports
 // each request that was lost, answered late, executed twice, sent to a backend with too long a timeout, or sent to a
-// backend after its client had disconnected. The invariants are those of the protocol's description; requests that the
-// description excuses are counted separately.
+// backend after its client had disconnected. The invariants are those of the protocol's description.
+// Requests whose missing response the description excuses are counted separately.
 package soak
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -24,7 +24,7 @@
 	current Process                 // record of the running process
 
 	mu             sync.Mutex
-	processNumber  int  // of the running process, or of the last one
+	processNumber  int  // number of the running process or, if none is running, of the last one
 	inRotation     bool // clients open new connections to the gateway
 	lastHardKilled int  // number of the last process with a hard kill; 0: none
 }
@@ -58,7 +58,7 @@
 	n.proxy.Close()
 }
 
-// nextProcessNumber counts the process that is about to start, and returns its number.
+// nextProcessNumber increments the process number for the process that is about to start, and returns the number.
 func (n *gatewayNode) nextProcessNumber() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +101,8 @@
 	if err != nil {
 		return err
 	}
-	// Without ctx's cancellation, so that the process is not killed at the end of the run but stopped as in a restart.
+	// The process is started without ctx's cancellation, so that the end of the run does not kill it. At the end of the
+	// run, it is stopped in the same way as in a restart.
 	n.process, err = gatewayprocess.Start(context.WithoutCancel(ctx), r.options.Program, options)
 	if err != nil {
 		return err
--- a/internal/lab/soak/gatewayoptions.go
+++ b/internal/lab/soak/gatewayoptions.go
@@ -14,7 +14,7 @@
 // GatewayOptions configure one gateway.
 type GatewayOptions struct {
 	Name            string
-	Listen          string // address on which it accepts clients
+	Listen          string // address on which the gateway accepts clients
 	Discovery       string // address of discovery
 	DescriptorLimit int    // limit of open file descriptors
 	Classes         []Class
@@ -50,7 +50,7 @@
 	FamilyInfo  familyInfoSettings `json:"familyInfo"`
 }
 
-// allowedSettings define which measures the gateway may take.
+// allowedSettings define which measures the gateway may take, and their limits.
 type allowedSettings struct {
 	Cancel          bool    `json:"cancel"`
 	ConnectTimeoutS float64 `json:"connectTimeoutS"`
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -7,23 +7,23 @@
 	ClientAttempts  []ClientAttempt
 	BackendAttempts []BackendAttempt
 	Processes       []Process
-	ListChanges     []ListChange // by time
-	Outages         []Outage     // of discovery
+	ListChanges     []ListChange // sorted by time
+	Outages         []Outage     // outages of discovery
 }
 
 // Process is the record of one process of a gateway, from its start to its end.
 type Process struct {
 	Gateway    int // number of the gateway
-	Number     int // counts the processes of the gateway, from 1
+	Number     int // number of the process among those of the gateway, from 1
 	StartedAt  time.Duration
 	ReadyAt    time.Duration
-	SigtermAt  time.Duration // 0: it got no SIGTERM
-	SigkillAt  time.Duration // 0: it got no SIGKILL
-	EndedAt    time.Duration // 0: it did not end
-	Err        error         // how it ended; nil only for exit status 0
-	Log        string        // the last part of its log
+	SigtermAt  time.Duration // time of the first SIGTERM; 0: the process got no SIGTERM
+	SigkillAt  time.Duration // time of the SIGKILL; 0: the process got no SIGKILL
+	EndedAt    time.Duration // time of the end of the process; 0: the process did not end
+	Err        error         // result of the process; nil only for exit status 0
+	Log        string        // last part of the log of the process
 	signals    []signalRecord
-	hardKilled bool // it got a hard kill (see Stop), or SIGKILL because the run was interrupted during its start
+	hardKilled bool // hard kill (see Stop), or SIGKILL because the run was interrupted during the start
 	neverReady bool
 }
 
@@ -41,19 +41,20 @@
 }
 
 const (
-	watchDelay     = 300 * time.Millisecond // longest time until an open watch has notified the gateways of a change
-	maxNotifyDelay = 6 * time.Second        // the same after an outage of discovery, when gateways have to open a new watch
+	watchDelay     = 300 * time.Millisecond // longest time from a change until an open watch has notified the gateways
+	maxNotifyDelay = 6 * time.Second        // longest time from the end of an outage until gateways are notified
 )
 
-// removalNotifiedAt returns the time from which gateways are taken to know that a backend is out of service (draining or
-// removed). removed is false, and at has no meaning, if the backend was in service at the given moment.
+// removalNotifiedAt returns the time by which gateways must have been notified that a backend is out of service
+// (draining or removed). If the backend was in service at the given moment, the result removed is false, and the time
+// has no meaning.
 func (h *History) removalNotifiedAt(backend string, moment time.Duration) (at time.Duration, removed bool) {
 	for _, change := range h.ListChanges {
 		if change.Backend != backend || change.At > moment {
 			continue
 		}
 		if !change.Ready && removed {
-			continue // it was already out of service
+			continue // the backend was already out of service
 		}
 		at = h.notifiedAt(change)
 		removed = !change.Ready
@@ -61,11 +62,12 @@
 	return at, removed
 }
 
-// notifiedAt returns the time from which gateways are taken to know of a change.
+// notifiedAt returns the time by which gateways must have been notified of a change.
 func (h *History) notifiedAt(change ListChange) time.Duration {
 	at := change.At + watchDelay
 	for _, outage := range h.Outages {
-		// A watch that was open during the outage stays silent, and gateways open a new one only after a while.
+		// A watch that was open during the outage delivers no change, even after the outage, and gateways take up to
+		// maxNotifyDelay to open a new watch.
 		if change.At > outage.From-watchDelay && change.At < outage.To+maxNotifyDelay {
 			at = max(change.At, outage.To) + maxNotifyDelay
 		}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Plan defines one run of the soak: its gateways, backends and clients, and the faults with their times, which count
-// from the start of the run. The same seed and duration give the same plan. It is unrelated to the plans of customers.
+// Plan defines one run of the soak: its gateways, backends and clients, and the faults with their times. Times count
+// from the start of the run. The same seed and duration give the same plan. A Plan is unrelated to the plans of
+// customers.
 type Plan struct {
 	Seed              uint64
 	Duration          time.Duration
@@ -18,70 +19,72 @@
 	DescriptorLimit   int // limit of open file descriptors of a gateway
 	IdleConns         int // number of idle connections held open to each gateway
 	Classes           []Class
-	ClientFaults      NetworkFaults // between clients and gateways
-	BackendFaults     NetworkFaults // between gateways and backends
-	Stops             []Stop        // by time
-	Drains            []Drain       // by time
-	Outages           []Outage      // of discovery, by time
+	ClientFaults      NetworkFaults // faults between clients and gateways
+	BackendFaults     NetworkFaults // faults between gateways and backends
+	Stops             []Stop        // sorted by time
+	Drains            []Drain       // sorted by time
+	Outages           []Outage      // outages of discovery, sorted by time
 }
 
-// Drain takes a backend out of service and brings it back. The backend keeps answering requests all the time.
+// Drain takes a backend out of service and brings it back. The backend keeps responding to requests all the time.
 type Drain struct {
 	Backend   int           // number of the backend
-	DrainAt   time.Duration // when it is listed as draining
-	RemovedAt time.Duration // when it is removed from the list
-	ReadyAt   time.Duration // when it is added to the list again
+	DrainAt   time.Duration // time at which the backend is listed as draining
+	RemovedAt time.Duration // time at which the backend is removed from the list
+	ReadyAt   time.Duration // time at which the backend is added to the list again
 }
 
-// Outage is a time during which discovery does not answer. Connections to it are still accepted, but nothing is
-// forwarded on them, not even after the outage.
+// Outage is a time during which discovery does not respond. Connections to discovery are accepted during an outage, but
+// nothing is forwarded on them, not even after the outage.
 type Outage struct{ From, To time.Duration }
 
-// Stop is one restart of a gateway. Its process gets SIGTERM and other signals and, if it has not ended by then, SIGKILL
-// at the earliest time that the protocol allows (see KillAfter). A new process is started soon after its end. In a hard
-// kill, the process gets only SIGKILL, with no SIGTERM before, and owes no responses to the requests that it had.
+// Stop is one restart of a gateway. The gateway's process gets SIGTERM and the planned signals. If it is still running
+// at the earliest time that the protocol allows for SIGKILL (see KillAfter), it gets SIGKILL. RestartDelay after the end
+// of the process, a new process is started. In a hard kill, the process gets SIGKILL only, and the requests that it has
+// received need no responses.
 type Stop struct {
 	Gateway            int             // number of the gateway
-	At                 time.Duration   // of SIGTERM, or of SIGKILL in a hard kill
+	At                 time.Duration   // time of SIGTERM or, in a hard kill, of SIGKILL
 	Signals            []PlannedSignal // signals in addition to SIGTERM
-	OutOfRotationDelay time.Duration   // from At until clients open no new connections to the gateway
-	RestartDelay       time.Duration   // from the end of the process to the next start
+	OutOfRotationDelay time.Duration   // time after At during which clients may still open connections to the gateway
+	RestartDelay       time.Duration   // time from the end of the process to the start of the next one
 	HardKill           bool            // end the process by a hard kill
 }
 
 // PlannedSignal is a signal that is sent in a stop in addition to its SIGTERM. A pair of SIGSTOP and SIGCONT pauses the
 // process.
 type PlannedSignal struct {
-	Offset time.Duration // from SIGTERM; negative: before it
+	Offset time.Duration // time after SIGTERM; negative: before SIGTERM
 	Signal syscall.Signal
 }
 
-// longestDeadlines are the values from which a plan's longest class deadline is chosen. Some are far below
-// maxCountedDeadline, one is equal to it and one is above it; one is the deadline of an incident.
+// longestDeadlines are the values from which a plan's longest class deadline is chosen. They include deadlines far below
+// maxCountedDeadline, a deadline equal to maxCountedDeadline and a longer one, and the deadline of the incident that the
+// shutdown test of cmd/amberlb describes.
 var longestDeadlines = []time.Duration{
 	300 * time.Millisecond,
 	600 * time.Millisecond,
 	1200 * time.Millisecond,
-	2412 * time.Millisecond, // the deadline of the incident
+	2412 * time.Millisecond, // deadline of the incident
 	3 * time.Second,
 	4500 * time.Millisecond,
 }
 
 const (
-	earliestFault = 1500 * time.Millisecond // by then, clients are sending requests
-	endMargin     = 500 * time.Millisecond  // from the last fault to the end of the run
+	earliestFault = 1500 * time.Millisecond // time of the earliest fault; clients are sending requests by then
+	endMargin     = 500 * time.Millisecond  // shortest time from the last fault to the end of the run
 
-	maxPause              = 150 * time.Millisecond // of a process between SIGSTOP and SIGCONT
+	maxPause              = 150 * time.Millisecond // longest pause of a process, between SIGSTOP and SIGCONT
 	minOutOfRotationDelay = 200 * time.Millisecond
 	maxOutOfRotationDelay = 400 * time.Millisecond
 	maxOutage             = 3 * time.Second
 
-	lowDescriptorLimit     = 192 // with as many idle connections, which use up the file descriptors
+	lowDescriptorLimit     = 192 // limit in plans with as many idle connections, which use up the file descriptors
 	defaultDescriptorLimit = 1024
 )
 
-// NewPlan generates a random plan from a seed. The order of the calls to the random number generator must not change, or
-// every seed would give another plan than before.
+// NewPlan generates a random plan from a seed. The order of the calls to the random number generator must not change,
+// since a change would give every seed another plan.
 func NewPlan(seed uint64, duration time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	longestDeadline := longestDeadlines[rng.IntN(len(longestDeadlines))]
@@ -107,7 +110,8 @@
 	return p
 }
 
-// newClasses generates a class of each kind of idempotency. At least one has the longest deadline.
+// newClasses generates one class of each kind of idempotency. The non-idempotent class has the longest deadline, and the
+// other classes may have it too.
 func newClasses(rng *rand.Rand, longestDeadline time.Duration) []Class {
 	var classes []Class
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
@@ -176,7 +180,7 @@
 	return []Outage{{From: from, To: from + randomDuration(rng, time.Second, maxOutage)}}
 }
 
-// newStops generates the stops, in which the gateways take turns. A stop may begin before the previous one has ended.
+// newStops generates the stops. It stops the gateways in turn. A stop may begin before the previous stop has ended.
 func newStops(rng *rand.Rand, gateways int, killAfter, duration time.Duration) []Stop {
 	maxInterval := killAfter + time.Second
 	var stops []Stop
@@ -219,7 +223,7 @@
 	return s
 }
 
-// randomDuration returns a random duration of at least low and less than high, which has to be above low.
+// randomDuration returns a random duration d with low <= d < high. It panics if high is not above low.
 func randomDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Int64N(int64(high-low)))
 }
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// NetworkFaults define the faults that a proxy injects into connections. With the zero value it injects none.
+// NetworkFaults define the faults that a proxy injects into connections. The zero value defines no faults.
 type NetworkFaults struct {
-	MaxDelay      time.Duration // each piece (the bytes of one read) is delayed by a random time below this
+	MaxDelay      time.Duration // upper bound of the random delay of each piece (the bytes of one read)
 	SplitShare    float64       // share of the pieces that are forwarded in two parts
-	ResetShare    float64       // share of the connections that are reset at a random time
-	MaxResetDelay time.Duration // time from the start of a connection within which it is reset
+	ResetShare    float64       // share of the connections that are reset after a random delay
+	MaxResetDelay time.Duration // upper bound of the time from the start of a connection to its reset
 }
 
 // Proxy forwards connections to a target address and injects faults into them. Its methods may be called concurrently.
@@ -24,7 +24,7 @@
 	mu             sync.Mutex
 	rng            *rand.Rand
 	failedDials    map[string]bool // addresses of clients for whose connections the dial of the target failed
-	blackholed     bool            // nothing is forwarded
+	blackholed     bool            // a blackhole has begun and not ended: nothing is forwarded
 	blackholeStart chan struct{}   // closed when the next blackhole begins
 }
 
@@ -51,8 +51,9 @@
 	return p.failedDials[client.String()]
 }
 
-// SetBlackhole begins or ends a blackhole. Connections that are open at any time during a blackhole drop all bytes from
-// then on, even after it, until one of their ends closes them. Connections opened later are forwarded as usual.
+// SetBlackhole begins or ends a blackhole. The proxy drops all further bytes of each connection that is open during a
+// blackhole, until the client or the target closes the connection. The end of the blackhole doesn't change this.
+// Connections that are opened after the end of the blackhole are forwarded as usual.
 func (p *Proxy) SetBlackhole(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	p.failedDials[client.String()] = true
 }
 
-// randomlyTrue returns true for a share of its calls, at random.
+// randomlyTrue returns true with the probability share.
 func (p *Proxy) randomlyTrue(share float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/proxyforward.go
+++ b/internal/lab/soak/proxyforward.go
@@ -35,8 +35,8 @@
 	directions.Wait()
 }
 
-// copyOneWay forwards one direction of a connection, including its end or its reset. Once blackholed is closed, it drops
-// the bytes that it reads.
+// copyOneWay forwards one direction of a connection, including the end or reset of the connection. Once the channel
+// blackholed is closed, copyOneWay drops the bytes that it reads.
 func (p *Proxy) copyOneWay(to, from *net.TCPConn, blackholed <-chan struct{}) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// writePiece forwards a piece, delayed and in two parts if the faults say so.
+// writePiece forwards a piece. As p.faults defines, it delays the piece and splits it into two parts.
 func (p *Proxy) writePiece(to net.Conn, piece []byte) error {
 	if p.faults.MaxDelay > 0 {
 		time.Sleep(p.randomDelay(p.faults.MaxDelay))
--- a/internal/lab/soak/request.go
+++ b/internal/lab/soak/request.go
@@ -9,14 +9,14 @@
 // Request is a request of a client.
 type Request struct {
 	ID              string
-	Class           string // name of its class
+	Class           string // name of the class
 	Method          string
 	Key             string        // idempotency key; "": none
 	BodyBytes       int           // size of the body in bytes
-	Timeout         time.Duration // how long the client waits for the response, from the last byte sent
-	Pieces          int           // number of pieces in which it is written; 0 means 1
+	Timeout         time.Duration // time for which the client waits for the response, from the last byte sent
+	Pieces          int           // number of pieces in which the request is written; 0 means 1
 	PieceGap        time.Duration // pause between two pieces
-	DisconnectAfter time.Duration // time from the last byte sent until the client closes the connection; 0: it does not
+	DisconnectAfter time.Duration // time from the last byte sent until the client disconnects; 0: it does not disconnect
 }
 
 // encode returns the request in HTTP/1.1 format.
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -10,7 +10,7 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// settleTime is the wait after the end of the last gateway, so that the backends see the end of all attempts.
+// settleTime is the wait after the last gateway process has ended, so that the backends see the end of all attempts.
 const settleTime = 2 * time.Second
 
 // Options configure a run.
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// runPlan runs the clients and injects the faults until the plan's duration is over. interrupted is true if ctx ended
-// before.
+// runPlan runs the clients and injects the faults until the plan's duration is over. The result interrupted is
+// true if ctx ended before that.
 func (r *runner) runPlan(ctx context.Context) (interrupted bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Until(r.clock.At(r.plan.Duration)))
 	defer cancel()
@@ -97,7 +97,7 @@
 	return !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// history returns all records. It may be called only when everything that adds records has ended.
+// history returns all records. It may be called only after all clients, stops and drains have ended.
 func (r *runner) history() History {
 	return History{
 		ClientAttempts:  r.clientAttempts,
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	minServiceTime = 2 * time.Millisecond // service times of the backends
+	minServiceTime = 2 * time.Millisecond // service times of backends are between minServiceTime and maxServiceTime
 	maxServiceTime = 40 * time.Millisecond
 	hangLead       = 200 * time.Millisecond // time before SIGTERM at which backends begin to hang
 )
@@ -36,7 +36,8 @@
 		}
 	}
 	s.discovery = discovery.New(slices.Clone(s.entries), discovery.Options{})
-	// Without ctx's cancellation: gateways still need discovery while they are stopped at the end of the run.
+	// Discovery is started without ctx's cancellation, since gateways still need discovery while they are stopped at the
+	// end of the run.
 	address, err := s.discovery.Start(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// newBehavior returns the behavior of the backend with the given number, as a function of the time. During each stop of
-// a gateway, from hangLead before SIGTERM until the time of the SIGKILL, plan.HangingBackends backends hang.
+// newBehavior returns the behavior of the backend with the given number, as a function of the time. For each stop,
+// plan.HangingBackends backends hang from hangLead before the start of the stop until the earliest SIGKILL.
 func newBehavior(plan Plan, number int) func(now time.Duration) Behavior {
 	rng := rand.New(rand.NewPCG(plan.Seed, uint64(100+number)))
 	killAfter := KillAfter(plan.Classes)
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -11,7 +11,8 @@
 	"amberlb/internal/lab/ctxtime"
 )
 
-// stopLead is how long before SIGTERM the handling of a stop begins, since a plan may send other signals before SIGTERM.
+// stopLead is the time before SIGTERM at which the handling of a stop begins, since a plan may send other signals before
+// SIGTERM.
 const stopLead = time.Second
 
 // runStops carries out the planned stops of one gateway, each with the restart after it.
@@ -72,8 +73,8 @@
 	return signals
 }
 
-// sendSignals sends the signals of a stop that are due before the SIGKILL, until the process ends. killAt is the time at
-// which the SIGKILL is due, counted from when the first SIGTERM was actually sent.
+// sendSignals sends the signals of a stop that are due before the SIGKILL, until the process ends. The result killAt is
+// the time at which the SIGKILL is due: KillAfter after the first SIGTERM was actually sent.
 func (r *runner) sendSignals(n *gatewayNode, stop Stop) (killAt time.Duration) {
 	killAfter := KillAfter(r.plan.Classes)
 	killAt = stop.At + killAfter
@@ -117,7 +118,7 @@
 	stopping.Wait()
 }
 
-// waitUntil waits until a time on the run's clock. It returns false if the gateway's process ends before.
+// waitUntil waits until a time on the run's clock. It returns false if the gateway's process ends before that time.
 func (r *runner) waitUntil(n *gatewayNode, at time.Duration) bool {
 	select {
 	case <-n.process.Done():
@@ -127,7 +128,7 @@
 	}
 }
 
-// sleepUntil waits until a time on the run's clock. It returns false if ctx ends before.
+// sleepUntil waits until a time on the run's clock. It returns false if ctx ends before that time.
 func (r *runner) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return ctxtime.Sleep(ctx, time.Until(r.clock.At(at)))
 }
--- a/internal/lab/soak/violation.go
+++ b/internal/lab/soak/violation.go
@@ -25,7 +25,7 @@
 	Detail          string
 	ClientAttempt   *ClientAttempt // nil if the violation concerns a process only
 	BackendAttempts []BackendAttempt
-	Process         *Process // nil if it is not known
+	Process         *Process // nil if the process is not known
 }
 
 // String describes a violation, with one line for each record and each signal.
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	maxFirstRequestDelay = 1200 * time.Millisecond // from connecting to the first request; gateways wait 2.5 s for it
-	maxThinkTime         = 150 * time.Millisecond  // between two requests of a client
-	redialInterval       = 20 * time.Millisecond   // between two attempts of a client to open a connection
-	idleConnInterval     = 5 * time.Millisecond    // between the opening of two idle connections
-	maxPieceGap          = 150 * time.Millisecond  // between two pieces of a slow request
+	maxFirstRequestDelay = 1200 * time.Millisecond // longest wait before the first request; gateways allow 2.5 s
+	maxThinkTime         = 150 * time.Millisecond  // longest pause between two requests of a client
+	redialInterval       = 20 * time.Millisecond   // pause of a client after it could not open a connection
+	idleConnInterval     = 5 * time.Millisecond    // pause before each idle connection is opened
+	maxPieceGap          = 150 * time.Millisecond  // longest pause between two pieces of a slow request
 	maxBodyBytes         = 2000
-	minResendTimeout     = time.Millisecond // a request is not sent again with less of its timeout left
+	minResendTimeout     = time.Millisecond // shortest remaining timeout with which a request is sent again
 )
 
-// anyGateway, as the argument excluded of dialGateway, excludes no gateway.
+// anyGateway is the value of dialGateway's parameter "excluded" that excludes no gateway.
 const anyGateway = -1
 
 // runClient runs one client, which opens one connection after another and uses each for as long as it stays open.
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// sendWithResend sends a request and, if mayResend allows it, sends it once more on a connection to another gateway.
-// reusable reports whether another request may be sent on conn.
+// sendWithResend sends a request. If mayResend allows a resend, sendWithResend sends the request once more on a
+// connection to another gateway, unless no connection can be opened or less than minResendTimeout of the timeout is
+// left. The result reusable reports whether another request may be sent on conn.
 func (r *runner) sendWithResend(rng *rand.Rand, conn *Conn) (reusable bool) {
 	request := r.nextRequest(rng)
 	attempt, reusable := conn.Do(request)
@@ -90,8 +91,9 @@
 	return false
 }
 
-// mayResend reports whether a client may send a request again: its connection must have ended without any byte of a
-// response. Requests to a process that got a hard kill may have been executed, so they are not sent again.
+// mayResend reports whether a client may send a request again. The request must have been sent completely, and the
+// connection must have ended without any byte of a response and without a disconnect of the client. A request to a
+// process that got a hard kill is not sent again, since it may have been executed.
 func (r *runner) mayResend(attempt ClientAttempt) bool {
 	answered := attempt.Status != 0 || attempt.ResponseStarted
 	sent := attempt.SentAt != 0
@@ -137,8 +139,8 @@
 	return fmt.Sprintf("%016x", r.requestCount)
 }
 
-// holdIdleConns keeps plan.IdleConns idle connections to a gateway open. It replaces them one after another, since the
-// gateway closes them.
+// holdIdleConns opens an idle connection to a gateway every idleConnInterval and holds the last plan.IdleConns of them.
+// It keeps opening new connections because the gateway closes idle ones.
 func (r *runner) holdIdleConns(ctx context.Context, n *gatewayNode) {
 	if r.plan.IdleConns == 0 {
 		return
@@ -153,7 +155,7 @@
 	}()
 	for next := 0; ctxtime.Sleep(ctx, idleConnInterval); next = (next + 1) % len(conns) {
 		if conns[next] != nil {
-			conns[next].Close() // the gateway has probably closed its end already
+			conns[next].Close() // the oldest connection, which the gateway has probably closed already
 		}
 		conns[next], _ = net.DialTimeout("tcp", n.options.Listen, dialTimeout) // nil after an error
 	}
