--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	minDescriptors = 128              // lowest limit of file descriptors that a gateway accepts
-	testTimeout    = 20 * time.Second // longest wait for one step of a test; all are expected to be far shorter
+	minDescriptors = 128              // number of file descriptors: lowest limit that a gateway accepts
+	testTimeout    = 20 * time.Second // longest wait for one step of a test; far longer than any step should take
 )
 
 // descriptorLimitConfig is the format of the configuration of a gateway that calls the counter for every customer.
@@ -52,7 +52,7 @@
 	}))
 	defer discovery.Close()
 	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-counterUnblocked // while calls hang, the gateway replaces their connections by new ones
+		<-counterUnblocked // while calls hang, the gateway replaces their connections by new connections
 		io.WriteString(w, r.URL.Query().Get("add"))
 	}))
 	defer counter.Close()
@@ -76,9 +76,9 @@
 	client.awaitOK(t, "health check with the cached endpoint list", client.healthCheck)
 	maxDescriptors := 0
 	for range 6 {
-		client.openIdle(minDescriptors) // more than the gateway has descriptors for, so that it evicts the oldest ones
+		client.openIdle(minDescriptors) // exceeds the gateway's descriptors, so it closes the oldest connections
 		var requests sync.WaitGroup
-		for range 24 { // each from a different customer, to use all connections to the counter
+		for range 24 { // each request from a different customer, to use all connections to the counter
 			requests.Go(func() { client.do(client.request()) })
 		}
 		answered := make(chan struct{})
@@ -167,8 +167,8 @@
 	return resp.StatusCode
 }
 
-// awaitOK repeats a request until the response has status 200. If that does not happen within testTimeout, it fails
-// the test and names the purpose of the request.
+// awaitOK repeats a request until the response has status 200. If no response has status 200 within testTimeout,
+// awaitOK fails the test with a message that names the given purpose.
 func (c *descriptorClient) awaitOK(t *testing.T, purpose string, request func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); c.do(request()) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -10,8 +10,8 @@
 	"amberlb/internal/lab/soak"
 )
 
-// If nothing reads a gateway's log, its pipe is closed or full. Neither may terminate the gateway or block its
-// requests or its graceful shutdown.
+// If nothing reads a gateway's log, the pipe of the log is closed or full. In neither case may the gateway terminate,
+// and neither its requests nor its graceful shutdown may be blocked.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	t.Parallel()
 	for name, closed := range map[string]bool{"closed": true, "full": false} {
@@ -43,7 +43,7 @@
 			if closed {
 				reader.Close()
 			}
-			for range 1000 { // each reload writes a log line; 1000 of them fill a pipe of 64 KiB
+			for range 1000 { // each reload writes a log line; 1000 lines fill a pipe of 64 KiB
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(time.Millisecond)
 			}
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -68,7 +68,7 @@
 	polled := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		polled <- struct{}{}
-		<-r.Context().Done() // never answers
+		<-r.Context().Done() // discovery never responds
 	}))
 	defer discovery.Close()
 	cmd, stderr := gatewayCommand(t, `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "`+
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -17,16 +17,16 @@
 
 const sweepStep = 20 * time.Millisecond // difference between the offsets of consecutive requests in a sweep
 
-// commandEnv makes the test binary run as the command. GORACE turns off the second for which the race detector
-// sleeps before the process exits.
+// commandEnv is the environment in which the test binary runs as the command. Without the setting in GORACE, the race
+// detector would sleep for one second before the process exits.
 var commandEnv = []string{asCommandKey + "=1", "GORACE=atexit_sleep_ms=0"}
 
-// shutdownSweep is a graceful shutdown with one request on each of many connections, which are opened before it.
-// Each request has an offset from SIGTERM at which it is sent. Offsets start at 0 and increase by sweepStep.
+// shutdownSweep defines a graceful shutdown with one request on each of many connections, which are opened before the
+// shutdown. Each request is sent at its own offset from SIGTERM. Offsets start at 0 and increase by sweepStep.
 type shutdownSweep struct {
 	deadline    time.Duration // deadline of the only class, whose requests are not idempotent
 	lastOffset  time.Duration // upper bound of the offsets
-	inTwoPieces bool          // send the first half of each request right after SIGTERM, the second half at its offset
+	inTwoPieces bool          // send half of each request right after SIGTERM, and the other half at the offset
 }
 
 // A gateway in graceful shutdown answers every request that it admits, at any time during the shutdown and with any
@@ -52,9 +52,9 @@
 	}
 }
 
-// A request that is only partly read when the shutdown begins, or that begins during the shutdown, is answered
-// however late its last byte arrives. If the gateway closed the connection instead, the client could not tell this
-// from the close of an idle connection, although the gateway has read a part of the request.
+// A request whose first byte arrives before or during the shutdown is answered however late its last byte arrives. If
+// the gateway closed the connection after it has read a part of the request, the client could not distinguish this from
+// the close of an idle connection.
 func TestShutdownAnswersPartlyReadRequests(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second} {
@@ -179,8 +179,8 @@
 	return options
 }
 
-// startHangingBackends starts backends that accept requests and never answer, and a discovery service that lists
-// them.
+// startHangingBackends starts backends that accept requests and never respond, and a discovery service that lists the
+// backends.
 func startHangingBackends(t *testing.T, clock soak.Clock) (backends []*soak.Backend, discoveryAddress string) {
 	t.Helper()
 	var list []gateway.EndpointEntry
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -23,11 +23,11 @@
 }
 
 // instance is one simulated gateway. It collects its own actions in a batch, since the reply groups the actions by
-// instance. Each start of an instance begins a new incarnation, which knows nothing of the one before.
+// instance. Each start of an instance begins a new incarnation, which has no state of the previous incarnation.
 type instance struct {
 	settings policy.Settings
 	engine   *policy.Engine  // nil while the instance is stopped
-	actions  []policy.Action // actions in response to the current batch
+	actions  []policy.Action // actions that result from the current batch
 	inReply  bool            // host.replyOrder contains this instance
 }
 
@@ -63,7 +63,7 @@
 // host runs the instances, which share no state.
 type host struct {
 	instances  map[uint32]*instance
-	replyOrder []uint32 // instances with records in the current batch, in the order of their first record
+	replyOrder []uint32 // numbers of the instances with records in the current batch, in the order of their first record
 }
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
@@ -104,7 +104,7 @@
 }
 
 // instanceFor returns the instance that a record is for and lists it in replyOrder. It creates the instance if the
-// record is its first start.
+// record is the first start of the instance.
 func (h *host) instanceFor(record wire.Record) (*instance, error) {
 	inst := h.instances[record.Instance]
 	if inst == nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -28,10 +28,10 @@
 	return append(header.data, body...)
 }
 
-// instanceRecord returns the record that names the instance of the records after it.
+// instanceRecord returns the record that names the instance for which the next records are.
 func instanceRecord(number byte) []byte { return []byte{eventInstanceEvents, 0, 0, 0, number} }
 
-// startRecord returns the record that starts an instance with the settings above and the seed 0.
+// startRecord returns the record that starts an instance with the constant settings and the seed 0.
 func startRecord() []byte {
 	var w recordWriter
 	w.begin(eventStartInstance)
--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// simAttempt is one attempt of a request at a backend. mayHaveExecuted stays true unless the attempt's status proves
-// that the backend did not execute it.
+// simAttempt is one attempt of a request at a backend. The field mayHaveExecuted is true until the attempt's status
+// proves that the backend did not execute the attempt.
 type simAttempt struct {
 	backend         *simBackend
 	sentAt          float64
@@ -36,8 +36,8 @@
 	return statusServed, latency
 }
 
-// startAttempt sends an attempt to a backend and schedules the attempt's end; in rare cases the end is never
-// reported. A timeout of 0 means that only the client's deadline limits the attempt.
+// startAttempt sends an attempt to a backend and schedules the report of the attempt's end. In rare cases, the end is
+// never reported. If the timeout is 0, only the client's deadline limits the attempt.
 func (s *simulation) startAttempt(req *simRequest, timeout float64, backendID uint32) {
 	i := slices.IndexFunc(s.backends, func(b *simBackend) bool { return b.id == backendID })
 	if i < 0 {
@@ -56,7 +56,7 @@
 	switch {
 	case req.ended || req.streamedAttempt > 0:
 		s.after(0, func() { s.endAttempt(req, n, statusNotSent) })
-	case s.chance(0.01): // its end is never reported
+	case s.chance(0.01): // the end of the attempt is never reported
 	case latency >= limit:
 		s.after(limit, func() { s.endAttempt(req, n, statusTimeout) })
 	case req.class.Streamed && status == statusServed:
@@ -66,8 +66,8 @@
 	}
 }
 
-// startResponse starts the streamed response of an attempt. It cancels the attempt instead if the request has ended
-// or another attempt's response has started.
+// startResponse starts the streamed response of attempt n. If the request or the incarnation has ended, or the
+// response of another attempt has started, it ends the attempt as cancelled instead.
 func (s *simulation) startResponse(req *simRequest, n int) {
 	a := req.attempts[n]
 	if !a.inFlight || !req.incarnationRuns() || req.ended || req.streamedAttempt > 0 {
@@ -127,7 +127,7 @@
 	w.u8(status)
 	w.f64(s.now - a.sentAt)
 	w.flag(req.ended, 1)
-	w.u16(s.IntN(150)) // 1 + the customer's use of its quota in percent; 0: not known
+	w.u16(s.IntN(150)) // 1 + percentage of its quota that the customer has used; 0: not known
 	w.u16(actualUnits)
 	s.writeLoadReport(w, s.settings.LoadReport.Delivery == "inline", a.backend)
 }
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -1,6 +1,7 @@
 package main
 
-// condition determines how the attempts at a backend, or the calls to the counter, end for a while.
+// condition is the current state of health of a backend or of the counter. It determines the outcomes of the attempts
+// at the backend, or of the calls to the counter. Conditions change at random.
 type condition string
 
 const (
@@ -11,17 +12,17 @@
 	unreachable condition = "unreachable"
 	silent      condition = "silent"
 	overloaded  condition = "overloaded" // counter only
-	malformed   condition = "malformed"  // counter only: its replies can't be parsed
+	malformed   condition = "malformed"  // counter only: the counter's responses can't be parsed
 )
 
-// Bounds of the number of ready backends. A backend is added if there are fewer than the minimum, and none is
-// added once there are as many as the maximum.
+// Bounds of the number of ready backends. If there are fewer than minReadyBackends, the next change of the list adds a
+// backend. If there are maxReadyBackends or more, no backend is added.
 const (
 	minReadyBackends = 1
 	maxReadyBackends = 8
 )
 
-// simBackend is a simulated backend: its entry of the endpoint list, and the state that the list does not show.
+// simBackend is a simulated backend: its entry in the endpoint list, and state that is not in the list.
 type simBackend struct {
 	id        uint32
 	version   uint32 // incremented by each change of the entry
@@ -29,8 +30,8 @@
 	cell      int
 	state     uint8
 	weight    float64
-	startedAt float64 // clock time of the last start; 0: long ago
-	latency   float64 // seconds that a request takes while the backend is idle and healthy
+	startedAt float64 // clock time of the last start; 0: long before the stream
+	latency   float64 // latency in seconds of a request while the backend is idle and healthy
 	condition condition
 	inFlight  int // number of attempts in flight
 }
@@ -59,7 +60,7 @@
 	return list
 }
 
-// refreshCachedList replaces the cached list, which instances receive when they start, by the current list.
+// refreshCachedList replaces the cached list by the current list. Instances receive the cached list when they start.
 func (s *simulation) refreshCachedList() { s.cachedList = s.currentList() }
 
 func (s *simulation) readyBackends() int {
@@ -87,7 +88,7 @@
 }
 
 // changeList draws whether and how to change the endpoint list: it adds a backend, restarts all ready backends or
-// changes the entry of backend b. It reports whether it changed anything.
+// changes the entry of backend b. It reports whether it changed the list.
 func (s *simulation) changeList(b *simBackend) bool {
 	ready := s.readyBackends()
 	switch {
@@ -118,9 +119,9 @@
 	}
 }
 
-// scheduleEndpointUpdate schedules an update of the given form from discovery to an instance. The update is not
-// sent if the instance is not subscribed by then. Where instances poll, the subscription may fail instead, which the
-// instance is told by an update of the form listFailed.
+// scheduleEndpointUpdate schedules an update of the given form from discovery to an instance. The update is not sent if
+// the incarnation has ended, or if the instance is not subscribed when the update is due. If the settings make instances
+// poll discovery, the subscription may fail instead. In that case, the instance gets an update of the form listFailed.
 func (s *simulation) scheduleEndpointUpdate(inst *simInstance, form uint8) {
 	incarnation := inst.incarnation
 	s.schedule(s.between(0.02, 0.6), true, func() {
@@ -135,8 +136,8 @@
 	})
 }
 
-// answerPoll answers an instance's poll of discovery: it either subscribes the instance and sends the full list, or
-// reports a failure.
+// answerPoll handles an instance's poll of discovery. It either subscribes the instance and schedules the full list, or
+// schedules the report of a failure.
 func (s *simulation) answerPoll(inst *simInstance) {
 	inst.subscribed = s.chance(0.75)
 	if inst.subscribed {
@@ -146,7 +147,7 @@
 	s.notify(inst, s.between(0.01, 0.3), func(*recordWriter) { s.writeEndpointUpdate(inst, listFailed, nil) })
 }
 
-// writeEndpointUpdate writes an update of the given form for an instance and stores the entries that it sends in
+// writeEndpointUpdate writes an update of the given form for an instance and stores the entries of the update in
 // knownEndpoints.
 func (s *simulation) writeEndpointUpdate(inst *simInstance, form uint8, current []simBackend) {
 	if form != listFailed {
@@ -219,7 +220,7 @@
 	})
 }
 
-// writeLoadReport writes the load report of a backend, or an empty one if it is not included.
+// writeLoadReport writes the load report of a backend, or an empty load report if the parameter included is false.
 func (s *simulation) writeLoadReport(w *recordWriter, included bool, b *simBackend) {
 	if !included {
 		w.u8(0)
--- a/cmd/simadapter/simchecks_test.go
+++ b/cmd/simadapter/simchecks_test.go
@@ -19,8 +19,8 @@
 	return req
 }
 
-// mayExecuteTwice reports whether a further attempt at backend b could execute the request a second time. If b is
-// nil, it reports whether a rejection could be wrong in its promise that the client may safely retry.
+// mayExecuteTwice reports whether a further attempt at backend b could execute the request a second time. If b is nil,
+// it reports whether the client's retry of a rejected request could execute the request a second time.
 func (req *simRequest) mayExecuteTwice(b *simBackend, now float64) bool {
 	return slices.ContainsFunc(req.attempts, func(a simAttempt) bool {
 		switch {
@@ -57,8 +57,8 @@
 	}
 }
 
-// expectFinalAnswer schedules a check that the request has ended, or its response has started, by its deadline plus
-// the answer slack and one tick.
+// expectFinalAnswer schedules a check at the request's deadline plus the answer slack and one tick. By that time, the
+// request must have ended or its response must have started.
 func (s *simulation) expectFinalAnswer(req *simRequest) {
 	s.after(req.deadline+s.settings.Requirements.AnswerSlackS+s.settings.TickS-s.now, func() {
 		if req.incarnationRuns() && !req.ended && req.streamedAttempt == 0 {
@@ -68,7 +68,7 @@
 }
 
 // handleFinalAnswer checks a final answer of the adapter against the rules for answers and ends the request. It
-// ignores an answer to a request that has ended in the same batch.
+// ignores a permitted answer to a request that has ended in the same batch.
 func (s *simulation) handleFinalAnswer(req *simRequest, rejected bool) {
 	if rule := s.finalAnswerViolation(req, rejected); rule != "" {
 		s.reportViolation(req, rule)
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -4,7 +4,7 @@
 type simCustomer struct {
 	id           uint64
 	plan         int
-	firstGateway int // rank of the first of its gateways; the others have the ranks after it, modulo the fleet size
+	firstGateway int // rank of the customer's first gateway; the next ranks follow, modulo the fleet size
 	gatewayCount int
 	meanInterval float64 // mean time between requests in seconds
 }
@@ -13,7 +13,7 @@
 type simRequest struct {
 	id              uint32
 	instance        *simInstance // instance that the request was sent to
-	incarnation     int          // incarnation of the instance at that time
+	incarnation     int          // incarnation of the instance that the request was sent to
 	class           *simClass
 	classIndex      int
 	customer        *simCustomer
@@ -22,9 +22,9 @@
 	giveUpAt        float64 // clock time after which the client sends no further retry
 	attempts        []simAttempt
 	streamedAttempt int    // 1 + the index of the attempt whose response has started; 0: none
-	streamedInBatch uint32 // batch in which that response started
+	streamedInBatch uint32 // sequence number of the batch in which the response started
 	ended           bool
-	endedInBatch    uint32 // batch in which the request ended
+	endedInBatch    uint32 // sequence number of the batch in which the request ended
 	answered        bool   // a final answer of the instance ended the request
 }
 
@@ -64,12 +64,12 @@
 	s.after(s.ExpFloat64()*2, func() { s.sendNextRequest(c) })
 }
 
-// drawInterval draws the mean time between a customer's requests, from many a second to about one a minute.
+// drawInterval draws the mean time between a customer's requests, from 0.05 s to 70 s.
 func (s *simulation) drawInterval(c *simCustomer) {
 	c.meanInterval = oneOf(s.randomSource, 0.05, 0.3, 0.5, 1, 1, 2, 10, 70)
 }
 
-// sendNextRequest sends a request of a customer and schedules the customer's next one.
+// sendNextRequest sends a request of a customer and schedules the next request of the customer.
 func (s *simulation) sendNextRequest(c *simCustomer) {
 	if s.chance(0.03) || c.meanInterval > 5 {
 		s.drawInterval(c)
@@ -83,8 +83,8 @@
 	s.after(s.ExpFloat64()*c.meanInterval, func() { s.sendNextRequest(c) })
 }
 
-// sendRequest sends a request of a customer to a random instance. It sends none if the instance is not running, if
-// drawReachable rules the instance out, or after giveUpAt. In some cases the request's deadline is before giveUpAt,
+// sendRequest sends a request of a customer to a random instance. It sends no request if the instance is not running,
+// if drawReachable returns false, or after giveUpAt. In some cases the request's deadline is before giveUpAt,
 // or its client disconnects before the deadline.
 func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
 	inst := s.instances[s.IntN(len(s.instances))]
@@ -114,8 +114,8 @@
 	}
 }
 
-// drawReachable reports whether to send a customer's request to an instance. All of the customer's gateways get
-// requests; other gateways get a few.
+// drawReachable reports whether to send a customer's request to an instance. It is always true for the gateways that
+// are assigned to the customer, and sometimes true for other gateways.
 func (s *simulation) drawReachable(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
 	offset := (inst.rank - c.firstGateway + fleet) % fleet
@@ -148,7 +148,8 @@
 	req.instance.events.u32(req.id)
 }
 
-// retryLater schedules a retry of a rejected request through a random instance, unless the client doesn't retry.
+// retryLater schedules a retry of a rejected request through a random instance, or decides at random that the client
+// doesn't retry. There is no retry if the request has ended or the retry would come at giveUpAt or later.
 func (s *simulation) retryLater(req *simRequest, retryAfter float64) {
 	backoff := retryAfter + s.ExpFloat64()*0.2
 	if !req.ended && s.chance(0.5) && s.now+backoff < req.giveUpAt {
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -3,17 +3,17 @@
 // simCounterTotal is the total that the counter stores under one name until the total expires.
 type simCounterTotal struct {
 	total   float64
-	expires float64 // clock time at which the counter forgets the name
+	expires float64 // clock time at which the total expires
 }
 
-// simCounterCaller identifies the counter calls of one instance for one name. Their replies arrive in the order of
-// the calls.
+// simCounterCaller identifies the counter calls of one instance for one name. The replies to these calls
+// arrive in the order of the calls.
 type simCounterCaller struct {
 	instance int
 	name     uint64
 }
 
-// counterOutcome is how a counter call ends, and whether the counter added the amount.
+// counterOutcome is the outcome of a counter call. The field added is true if the counter added the amount.
 type counterOutcome struct {
 	status  uint8
 	latency float64
@@ -43,7 +43,7 @@
 	})
 }
 
-// drawCounterOutcome draws how a call ends in the counter's current condition.
+// drawCounterOutcome draws the outcome of a call in the counter's current condition.
 func (s *simulation) drawCounterOutcome() counterOutcome {
 	timeout := s.settings.QuotaCounter.CounterTimeoutS
 	outcome := counterOutcome{status: statusServed, latency: s.between(0.001, 0.02), added: true}
@@ -67,8 +67,8 @@
 	return outcome
 }
 
-// addToCounter adds an amount to the total of a name, if added is set, and returns the total. Afterwards it may add
-// more to the total, for the gateways of the fleet that are not simulated.
+// addToCounter returns the total of a name. If the parameter added is true, it adds the amount first. At the end, it
+// may add a further amount, which the result does not include, for gateways of the fleet that are not simulated.
 func (s *simulation) addToCounter(name uint64, amount, ttl float64, added bool) float64 {
 	c := s.counterTotals[name]
 	if s.now >= c.expires {
--- a/cmd/simadapter/simstrayevents_test.go
+++ b/cmd/simadapter/simstrayevents_test.go
@@ -1,7 +1,7 @@
 package main
 
-// sendStrayEvent sends a running instance an event that it does not expect: for an unknown or ended request or
-// attempt, for an unknown timer or counter name, or a message from a peer.
+// sendStrayEvent sends a random instance, if it is running, an event that the instance does not expect. The event is for
+// an unknown or ended request or attempt or for an unknown timer or counter name, or it is a message from a peer.
 func (s *simulation) sendStrayEvent() {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running {
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// maxInstances is the largest number of gateways of the fleet that are simulated.
+// maxInstances is the largest number of gateways of the fleet that a stream simulates.
 const maxInstances = 3
 
 // simInstance is one simulated gateway.
 type simInstance struct {
 	number         int // number of the instance in frames
-	rank           int // index of the gateway in the fleet
+	rank           int // index of the instance's gateway in the fleet
 	incarnation    int // number of starts
 	running        bool
-	subscribed     bool                  // discovery sends changes of the list to it
+	subscribed     bool                  // discovery sends changes of the list to the instance
 	knownEndpoints map[uint32]simBackend // endpoint list as sent to this incarnation
 	events         recordWriter          // records for the next batch
 }
@@ -48,13 +48,13 @@
 
 	now     float64          // clock time
 	endsAt  float64          // clock time at which the stream ends
-	tick    float64          // clock time in ticks
+	tick    float64          // clock time as a number of ticks
 	pending []scheduledEvent // ordered by time
 
 	instances     []*simInstance
 	backends      []*simBackend
 	cachedList    []simBackend // endpoint list that an instance receives at its start
-	listNumber    uint32       // number of the endpoint list that was defined last
+	listNumber    uint32       // number of the last defined endpoint list
 	customers     []*simCustomer
 	requests      map[uint32]*simRequest // by id
 	lastRequestID uint32
@@ -120,10 +120,10 @@
 	}
 }
 
-// after schedules a change of the simulated system, which takes effect in a later batch.
+// after schedules a change of the simulated system. Even with a delay of 0, the change takes effect in a later batch.
 func (s *simulation) after(delay float64, apply func()) { s.schedule(delay, false, apply) }
 
-// repeat schedules a change of the simulated system again and again, at random intervals.
+// repeat schedules a change of the simulated system at random intervals until the end of the stream.
 func (s *simulation) repeat(meanInterval float64, apply func()) {
 	s.after(s.ExpFloat64()*meanInterval, func() {
 		apply()
@@ -131,7 +131,7 @@
 	})
 }
 
-// notify schedules an event for an instance. The event is dropped if the incarnation ends first.
+// notify schedules an event for an instance. The event is dropped if the instance's current incarnation ends first.
 func (s *simulation) notify(inst *simInstance, delay float64, write func(w *recordWriter)) {
 	incarnation := inst.incarnation
 	s.after(delay, func() {
--- a/cmd/simadapter/stream_test.go
+++ b/cmd/simadapter/stream_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// TestSeededStreams sends streams of batches to the adapter that are drawn from seeds. The files whose names begin
-// with sim generate the streams: like a small simulator, they send a batch, read the reply and apply its actions,
-// whose effects are part of later batches. Batches and replies are recorded as frames, so that streams recorded
-// with one version of the adapter can be replayed with another.
+// TestSeededStreams sends streams of batches to the adapter. Each stream is drawn from a seed. The files whose names
+// begin with sim generate the streams. They act as a small simulator: they send a batch, read the reply and apply the
+// actions of the reply, whose effects are part of later batches. Batches and replies are recorded as frames, so that
+// streams recorded with one version of the adapter can be replayed with another version.
 
 var (
 	recordDir = flag.String("record", "", "directory in which to write SEED.batches and SEED.replies")
@@ -54,7 +54,7 @@
 	t.Logf("actions by code: %v", actionCounts)
 }
 
-// runSimulation generates the stream of a seed and sends it to a new adapter.
+// runSimulation generates the stream of a seed and sends the stream to a new adapter.
 func runSimulation(t *testing.T, seed uint64, actionCounts map[uint8]int) *simulation {
 	t.Helper()
 	batchReader, batchWriter := io.Pipe()
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -90,8 +90,8 @@
 	OverloadDurationS float64 `json:"overloadForS"`
 }
 
-// randomSource generates the random numbers of a stream. Their order determines the stream: a draw that is added,
-// removed or moved changes all streams.
+// randomSource generates the random numbers of a stream. The order in which they are drawn determines the stream: if a
+// draw is added, removed or moved, all streams change.
 type randomSource struct{ *rand.Rand }
 
 // chance returns true with probability p.
@@ -104,7 +104,7 @@
 func oneOf[T any](d randomSource, values ...T) T { return values[d.IntN(len(values))] }
 
 // settings draws the settings of a deployment. The fleet size and the presence of a counter depend on the seed only,
-// so that a few consecutive seeds cover all of their values.
+// so that a few consecutive seeds cover all values.
 func (d randomSource) settings(seed uint64) simSettings {
 	s := simSettings{
 		FleetSize:    []int{3, 60, 1, 8, 5}[seed%5],
@@ -163,8 +163,8 @@
 	}
 }
 
-// classes draws two idempotent classes, one that is not idempotent, and one for each dedupe scope of idempotency by
-// key.
+// classes draws the settings of two idempotent classes, one non-idempotent class, and one class for each dedupe scope
+// of idempotency by key.
 func (d randomSource) classes() []simClass {
 	var classes []simClass
 	for _, kind := range []struct{ idempotency, scope string }{
@@ -188,7 +188,8 @@
 	return classes
 }
 
-// plans draws plans with no quota, with a rate only, with a rate and a ceiling, and with a concurrency limit.
+// plans draws the settings of plans with no quota, with a rate only, with a rate and a ceiling, and with a concurrency
+// limit.
 func (d randomSource) plans() []simPlan {
 	rate := d.between(0.5, 4)
 	plans := []simPlan{
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -64,9 +64,9 @@
 
 const (
 	flagRetry         = 2  // bit in the flags of a request: the client marks it as a retry
-	countedHeaderSize = 8  // bytes of a batch header that the length includes
+	countedHeaderSize = 8  // bytes of a batch header that are included in the length
 	maxEndpointLists  = 16 // lists that can be defined at a time
-	replyLengthSize   = 4  // bytes of a reply's length field, which the length does not include
+	replyLengthSize   = 4  // bytes of a reply's length field; the length counts the bytes after that field
 )
 
 // provesNotExecuted reports whether a status proves that the backend did not execute the attempt.
@@ -105,7 +105,7 @@
 func (w *recordWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
 func (w *recordWriter) f32(v float64) { w.u32(math.Float32bits(float32(v))) }
 
-// flag writes a byte with the value bit if set is true, and 0 otherwise.
+// flag writes one byte: the parameter bit if the parameter set is true, and 0 otherwise.
 func (w *recordWriter) flag(set bool, bit uint8) {
 	if !set {
 		bit = 0
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -25,7 +25,7 @@
 // queueEntry is a line, or a marker that Flush queues to learn when all entries before it have been written.
 type queueEntry struct {
 	line    []byte
-	flushed chan struct{} // closed when forward reaches the marker; nil for a line
+	flushed chan struct{} // closed when the method forward reaches the marker; nil for a line
 }
 
 // New returns a Writer with the destination dst and starts its goroutine.
@@ -45,7 +45,7 @@
 	return len(p), nil
 }
 
-// Flush waits until all lines that are queued before the call have been written, or until the timeout.
+// Flush waits until all lines that are queued before the call have been written, or until the timeout has passed.
 func (w *Writer) Flush(timeout time.Duration) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -17,7 +17,7 @@
 	writeTimeout = 10 * time.Second      // longest wait for a client that doesn't read its responses
 	pollInterval = 20 * time.Millisecond // longest sleep of the writer: faults change the service clock's speed
 	maxLineBytes = 2 << 10               // largest size of a line of a request
-	maxPending   = 4096                  // largest number of pending responses of a connection; reading stops at this number
+	maxPending   = 4096                  // largest number of pending responses of a connection; further calls are read later
 )
 
 // conn is a connection of a client. One goroutine reads calls. A second goroutine, the writer, writes the responses. The
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,12 +1,12 @@
 // Package wire translates between the simulator's binary frames and the events and actions of package
 // policy, and parses the settings of a deployment. It converts names and units and makes no decisions.
 //
-// The specification of the simulator's protocol uses terms of its own, which this package alone translates to those
-// of package policy. They occur as JSON keys in settings.go, as values of settings in settingsmap.go and as record
-// names in the comments of codes.go.
+// The specification of the simulator's protocol uses terms of its own. Only this package translates these terms to
+// those of package policy. The terms occur as JSON keys in settings.go, as values of settings in settingsmap.go and
+// as record names in the comments of codes.go.
 //
 // An instance is one simulated gateway. A batch is a frame with all events of one moment, for any number of
-// instances; each batch is answered by one reply frame with the actions of those instances.
+// instances. The reply to a batch is one frame with the actions of these instances.
 package wire
 
 import (
@@ -19,10 +19,10 @@
 )
 
 const (
-	batchHeaderSize   = 20      // bytes: clock, length, number of records and sequence number
-	countedHeaderSize = 8       // header bytes that the length includes: number of records and sequence number
+	batchHeaderSize   = 20      // size in bytes of a batch header: clock, length, number of records and sequence number
+	countedHeaderSize = 8       // bytes of the header fields that the length includes: number of records, sequence number
 	maxFrameSize      = 1 << 30 // largest accepted value of the length field, in bytes
-	bodyReadStep      = 1 << 20 // bytes that readBody allocates and reads at a time
+	bodyReadStep      = 1 << 20 // number of bytes that readBody allocates and reads at a time
 )
 
 // InstanceStart holds the parameters with which an instance is started.
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -4,7 +4,7 @@
 
 const (
 	endpointEntrySize = 22 // encoded size of a list entry, in bytes
-	maxEndpointLists  = 16 // lists that can be defined at a time; they are numbered from 0
+	maxEndpointLists  = 16 // largest number of lists that are defined at the same time, numbered from 0
 )
 
 // endpointList is an endpoint list that endpoint updates refer to by number. Its entries may be shared by
@@ -14,14 +14,15 @@
 	entries []policy.Backend
 }
 
-// backendStatesByAvailability maps the availability of an endpoint entry; other values are malformed.
+// backendStatesByAvailability maps the availability of an endpoint entry to the backend's state. Other values are
+// malformed.
 var backendStatesByAvailability = map[uint8]policy.BackendState{
 	0: policy.Removed,
 	1: policy.Ready,
 	2: policy.Draining,
 }
 
-// listKindsByForm maps the form of an endpoint update; other values are malformed.
+// listKindsByForm maps the form of an endpoint update to the kind of list. Other values are malformed.
 var listKindsByForm = map[uint8]policy.ListKind{
 	0: policy.FullList,
 	1: policy.DeltaList,
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -17,9 +17,9 @@
 	ErrTruncatedRecord = errors.New("the record extends past the end of the frame")
 	// ErrUnknownCode reports a record code that the protocol does not define.
 	ErrUnknownCode = errors.New("unknown record code")
-	// ErrNoInstance reports a record that comes before any record that names an instance in its batch.
+	// ErrNoInstance reports a record without an earlier record of the same batch that names an instance.
 	ErrNoInstance = errors.New("no earlier record of the batch names an instance")
-	// ErrNoClassesOrPlans reports settings with no classes or no plans, which the setting "packages" lists.
+	// ErrNoClassesOrPlans reports settings with no classes or no plans. The setting "packages" lists the plans.
 	ErrNoClassesOrPlans = errors.New("settings: classes or packages is missing or empty")
 )
 
@@ -39,8 +39,8 @@
 
 // RecordError reports which record of a batch is malformed.
 type RecordError struct {
-	Index uint32 // counted from 0
-	Code  int    // record code, or noCode
+	Index uint32 // index of the record in the batch, from 0
+	Code  int    // code of the record, or noCode
 	Err   error
 }
 
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -5,7 +5,7 @@
 // flagRetry is the bit in a request's flags that marks the request as a client's retry.
 const flagRetry = 2
 
-// outcomesByCode maps the outcomes of attempts, probes and counter calls; other values are malformed.
+// outcomesByCode maps the codes of the outcomes of attempts, probes and counter calls. Other values are malformed.
 var outcomesByCode = map[uint8]policy.Outcome{
 	0:   policy.Served,
 	255: policy.Failed,
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	replyHeaderSize = 12 // bytes: length, number of records and sequence number
-	replyLengthSize = 4  // bytes of the length field, which the length does not include
-	pollOn          = 1  // field value of a codePollEndpoints record: subscribe
+	replyHeaderSize = 12 // size in bytes of a reply header: length, number of records and sequence number
+	replyLengthSize = 4  // size in bytes of the length field; the length counts the bytes after it
+	pollOn          = 1  // value of the field of a codePollEndpoints record: subscribe
 )
 
 // Reply encodes the actions of all instances in response to one batch. Reset must be called before any other
@@ -105,7 +105,7 @@
 func (r *Reply) f32(v float64) { r.u32(math.Float32bits(float32(v))) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// text appends the length of s as 16 bits, then s itself. It cuts s to the longest length that fits.
+// text appends the length of s as 16 bits, then s itself. It cuts s to the longest length that 16 bits can express.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(s)))
--- a/internal/wire/settingsmap.go
+++ b/internal/wire/settingsmap.go
@@ -2,7 +2,8 @@
 
 import "amberlb/policy"
 
-// Values with which the settings "discovery", "weights" and "how" (in "loadReport") are compared.
+// Values of the settings "discovery", "weights" and "how" (in "loadReport"). Other values of these settings are not
+// distinguished from each other.
 const (
 	discoveryByPolling = "ask"
 	weightsRough       = "rough"
@@ -10,7 +11,7 @@
 	loadReportsInline  = "inline"
 )
 
-// idempotencyByName maps the setting "effect" of a class.
+// idempotencyByName maps the setting "effect" of a class to its idempotency.
 var idempotencyByName = map[string]policy.Idempotency{
 	"":           policy.Idempotent,
 	"repeatable": policy.Idempotent,
@@ -18,8 +19,8 @@
 	"once":       policy.NonIdempotent,
 }
 
-// dedupeScopesByName maps the setting "keyScope" of a class: the backends among which duplicates of a keyed request
-// are dropped.
+// dedupeScopesByName maps the setting "keyScope" of a class to its dedupe scope: the set of backends that drop
+// duplicates of a request with an idempotency key.
 var dedupeScopesByName = map[string]policy.DedupeScope{
 	"":     policy.ScopeAll,
 	"all":  policy.ScopeAll,
@@ -27,8 +28,8 @@
 	"cell": policy.ScopeCell,
 }
 
-// loadFieldsByName maps the names of the values in a load report. Any other name maps to the zero value,
-// policy.LoadOther.
+// loadFieldsByName maps the names of the values in a load report to load fields. Any other name maps to the zero
+// value, policy.LoadOther.
 var loadFieldsByName = map[string]policy.LoadField{
 	"busy_reqs": policy.LoadInFlight,
 	"pending":   policy.LoadQueued,
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -16,7 +16,7 @@
 type entry struct {
 	test    string // name of the top-level test function
 	command string // shell command that runs the test, with its seed if it has one, and prints the failure
-	seen    string // failure that was observed
+	seen    string // description of the observed failure
 	issue   int    // number of the open issue about the fault
 }
 
@@ -66,7 +66,7 @@
 	return entries, nil
 }
 
-// addField parses a "key: value" line and adds the field to those of the current entry.
+// addField parses a "key: value" line of an entry and adds the field to fields.
 func addField(fields map[string]string, line string) error {
 	key, value, found := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -3,8 +3,9 @@
 //	knownred pattern FILE   prints a pattern for go test -skip that matches the listed tests; nothing for an empty list
 //	knownred check FILE     runs the command of each listed test
 //
-// The subcommand check prints each known failure. It exits with status 1 if a listed test passes, since its entry must
-// then be removed, if a command fails without a failure of its test, or if the list can't be read.
+// The subcommand check prints each known failure. It exits with status 1 if a command fails without a failure of its
+// test or if the list can't be read. It also exits with status 1 if a listed test passes, since the entry of the test
+// must then be removed.
 package main
 
 import (
@@ -71,7 +72,7 @@
 	return "^(" + strings.Join(names, "|") + ")$\n"
 }
 
-// check checks all entries and returns an error for each entry whose test does not fail as listed.
+// check checks all entries. It returns the joined errors of the entries whose tests did not fail.
 func check(entries []entry, out io.Writer) error {
 	var problems []error
 	for _, e := range entries {
