--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -76,7 +76,7 @@
 	client.awaitOK(t, "health check with the cached endpoint list", client.healthCheck)
 	maxDescriptors := 0
 	for range 6 {
-		client.openIdle(minDescriptors) // exceeds the gateway's descriptors, so it closes the oldest connections
+		client.openIdle(minDescriptors) // exceeds the descriptors, so the gateway closes the oldest connections
 		var requests sync.WaitGroup
 		for range 24 { // each request from a different customer, to use all connections to the counter
 			requests.Go(func() { client.do(client.request()) })
--- a/cmd/amberlb/log_test.go
+++ b/cmd/amberlb/log_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// awaitReady waits until the health check of a gateway reports that it is ready.
+// awaitReady waits until the health check of a gateway reports that the gateway is ready.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -72,7 +72,8 @@
 }
 
 // run starts a gateway, shuts it down and reports each violation of the rules that package soak checks. The gateway
-// must exit before the earliest time at which the rules allow SIGKILL; otherwise run kills it and reports an error.
+// must exit before the earliest time at which the rules allow SIGKILL. Otherwise, run kills the gateway and reports an
+// error.
 func (s shutdownSweep) run(t *testing.T) []soak.ClientAttempt {
 	t.Helper()
 	clock := soak.NewClock()
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -205,7 +205,7 @@
 	w.f64(b.startedAt)
 }
 
-// answerProbe schedules the result of a health check, which always succeeds.
+// answerProbe schedules the result of a health check. The health check always succeeds.
 func (s *simulation) answerProbe(inst *simInstance, backend uint32) {
 	if !s.settings.Capabilities.CanProbe {
 		s.t.Errorf("seed %d batch %d: a probe, which the settings don't allow", s.seed, s.batchSeq)
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -18,7 +18,7 @@
 	classIndex      int
 	customer        *simCustomer
 	units           float64
-	deadline        float64 // clock time at which the client stops waiting for this request
+	deadline        float64 // clock time at which the client stops waiting for the answer
 	giveUpAt        float64 // clock time after which the client sends no further retry
 	attempts        []simAttempt
 	streamedAttempt int    // 1 + the index of the attempt whose response has started; 0: none
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -1,6 +1,6 @@
 package main
 
-// simCounterTotal is the total that the counter stores under one name until the total expires.
+// simCounterTotal is the total that the counter stores for a name, until the total expires.
 type simCounterTotal struct {
 	total   float64
 	expires float64 // clock time at which the total expires
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -22,7 +22,7 @@
 	incarnation    int // number of starts
 	running        bool
 	subscribed     bool                  // discovery sends changes of the list to the instance
-	knownEndpoints map[uint32]simBackend // endpoint list as sent to this incarnation
+	knownEndpoints map[uint32]simBackend // endpoint list that the incarnation has received, by backend id
 	events         recordWriter          // records for the next batch
 }
 
@@ -56,11 +56,11 @@
 	cachedList    []simBackend // endpoint list that an instance receives at its start
 	listNumber    uint32       // number of the last defined endpoint list
 	customers     []*simCustomer
-	requests      map[uint32]*simRequest // by id
+	requests      map[uint32]*simRequest // requests by id
 	lastRequestID uint32
 
 	counterCondition   condition
-	counterTotals      map[uint64]simCounterTotal // by name
+	counterTotals      map[uint64]simCounterTotal // totals by name
 	lastCounterReplyAt map[simCounterCaller]float64
 
 	batchSeq     uint32
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -22,7 +22,7 @@
 	dropped atomic.Uint64 // lines dropped since the last report of dropped lines
 }
 
-// queueEntry is a line, or a marker that Flush queues to learn when all entries before it have been written.
+// queueEntry is a line or a marker. Flush queues a marker, which shows that all earlier entries have been written.
 type queueEntry struct {
 	line    []byte
 	flushed chan struct{} // closed when the method forward reaches the marker; nil for a line
@@ -73,7 +73,7 @@
 	}
 }
 
-// reportDropped writes the number of lines dropped since its last report, if any, to the destination.
+// reportDropped writes the number of lines dropped since the last report, if any, to the destination.
 func (w *Writer) reportDropped() {
 	if n := w.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w.dst, "log: %d lines were dropped\n", n)
--- a/internal/lab/backend/pool_test.go
+++ b/internal/lab/backend/pool_test.go
@@ -28,8 +28,8 @@
 		t.Fatalf("%d addresses, entries by zone and machine type %v", len(addresses), placements)
 	}
 
-	// Three connections to the last backend and one to each of two others. All except the last connection carry
-	// requests.
+	// Open three connections to the last backend and one connection to each of the first two backends. Send requests on
+	// all connections except the last one.
 	var conns []net.Conn
 	for n, i := range []int{299, 299, 299, 0, 1} {
 		conn, err := net.Dial("tcp", entries[i].HostPort)
--- a/internal/lab/counter/call.go
+++ b/internal/lab/counter/call.go
@@ -21,7 +21,7 @@
 type call struct {
 	name     []byte // valid until the next request is read
 	amount   float64
-	lifetime time.Duration // of the name; used only if this call creates the name
+	lifetime time.Duration // lifetime of the name; used only if the call creates the name
 }
 
 // parseCall parses a call. Percent-encoding in the name is not decoded. The result status is 200 for a valid call, else
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -28,12 +28,13 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond // signals that pending has become shorter or that writing is false
-	pending []response // in the order of their calls
+	pending []response // pending responses, in the order of their calls
 	writing bool       // the writer is running
 	muted   bool       // no further response is written, since an earlier call got none
 }
 
-// serve handles the calls of a connection until it ends, and closes it.
+// serve handles the calls of a connection until no further calls are read and the writer has ended. Then it closes the
+// connection.
 func (c *Counter) serve(netConn net.Conn) {
 	defer netConn.Close()
 	k := &conn{Conn: netConn, counter: c}
@@ -126,7 +127,7 @@
 	return c.handleCall(fault, parsed)
 }
 
-// writeResponses is the writer: it writes responses as they become due, until none is pending.
+// writeResponses is the writer: it writes responses as they become due, until no response is pending.
 func (k *conn) writeResponses() {
 	var text []byte
 	for {
@@ -176,7 +177,7 @@
 }
 
 // countDue returns how many of the pending responses can be written. Responses are written in the order of their calls,
-// so a response that is not due yet delays all later ones.
+// so a response that is not due yet delays all later responses.
 func (k *conn) countDue(serviceNow time.Duration) int {
 	due := 0
 	for due < len(k.pending) && k.pending[due].due <= serviceNow {
--- a/internal/lab/counter/counter_test.go
+++ b/internal/lab/counter/counter_test.go
@@ -18,7 +18,8 @@
 	reader *bufio.Reader
 }
 
-// start starts a counter that is closed at the end of the test. dial opens a connection to it.
+// start starts a counter that is closed at the end of the test. The returned function dial opens a
+// connection to the counter.
 func start(t *testing.T, options Options) (c *Counter, dial func() *testClient) {
 	t.Helper()
 	c = New(options)
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -40,7 +40,7 @@
 	previous := c.currentFault.Load()
 	c.currentFault.Store(&faultState{Fault: fault, faultStart: now, serviceClockAtFault: previous.serviceClock(now)})
 	if previous.Blackhole && !fault.Blackhole {
-		// A connection with a call that got no response stays muted until it is reset here. Clients match responses
+		// A connection with a call that got no response stays muted until its reset here. Clients match responses
 		// to calls by their order, so they would take the response to a later call for the missing response.
 		c.listener.ResetConns()
 	}
--- a/internal/lab/discovery/list.go
+++ b/internal/lab/discovery/list.go
@@ -21,7 +21,7 @@
 
 	// Cache of the lists encoded for the current generation.
 	encodedFull   *encodedList           // nil until the full list is requested
-	encodedDeltas map[int64]*encodedList // by the generation of the client
+	encodedDeltas map[int64]*encodedList // encoded deltas, by the generation of the client
 }
 
 // change holds the entries of the delta that made a generation.
@@ -34,7 +34,7 @@
 type encodedList struct {
 	body    []byte // JSON
 	entries int
-	full    bool // true: full list; false: delta
+	full    bool // true for a full list, false for a delta
 }
 
 // newList creates a list of generation 1.
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// run grants permits until ctx ends. If no call of wait is waiting, one permit is kept for the next call.
+// run grants permits until ctx ends. If no call of wait is pending, one permit is kept for the next call.
 func (l *rateLimiter) run(ctx context.Context) {
 	next := time.Now()
 	for {
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -17,7 +17,8 @@
 	return gateway.EndpointEntry{ID: id, HostPort: "127.1.0.0:1", Zone: "a", Lifecycle: lifecycle, Weight: 1}
 }
 
-// start starts a server that is closed at the end of the test. get requests the list with a query and returns it.
+// start starts a server that is closed at the end of the test. The returned function get requests the
+// list with a query and returns the list.
 func start(
 	t *testing.T, instances ...gateway.EndpointEntry,
 ) (server *Server, get func(query string) gateway.EndpointList) {
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -16,7 +16,8 @@
 	// the process and for the delays of the proxy.
 	closeRaceWindow = 300 * time.Millisecond
 
-	// disconnectGrace is the time after a client's disconnect during which an attempt of its request may still begin.
+	// disconnectGrace is the time after a client's disconnect during which an attempt of the client's request may still
+	// begin.
 	disconnectGrace = 100 * time.Millisecond
 
 	// timeoutSlack is the largest excess of the timeout sent to a backend over the time left until the client's
@@ -61,7 +62,7 @@
 // checker joins the records of a run and collects the verdict.
 type checker struct {
 	history         History
-	backendAttempts map[string][]BackendAttempt // by request id
+	backendAttempts map[string][]BackendAttempt // backend attempts by request id
 	processes       map[processID]*Process
 	verdict         Verdict
 }
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -57,7 +57,7 @@
 	change          func(*ClientAttempt)
 	clientAttempt   ClientAttempt
 	backendAttempts []BackendAttempt
-	process         Process // the test sets its gateway and number
+	process         Process // the test sets the fields Gateway and Number
 	listChanges     []ListChange
 	outages         []Outage
 }
--- a/internal/lab/soak/class.go
+++ b/internal/lab/soak/class.go
@@ -24,7 +24,7 @@
 	// KillDelay is the time that KillAfter adds to the longest deadline.
 	KillDelay = 700 * time.Millisecond
 
-	maxCountedDeadline = 3 * time.Second // KillAfter reduces a longer deadline to this
+	maxCountedDeadline = 3 * time.Second // upper limit of the deadline that KillAfter counts
 )
 
 // KillAfter returns the time from SIGTERM to the earliest SIGKILL. It is the sum of KillDelay and the longest deadline
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -22,7 +22,7 @@
 	Timeout          time.Duration // time for which the client waits for the response, from SentAt
 	EndedAt          time.Duration // time of the complete response, of the connection's end or of the client's timeout
 	Disconnected     bool          // the client closed the connection before the response was complete
-	TargetDialFailed bool          // the proxy in front of the gateway could not connect to it
+	TargetDialFailed bool          // the proxy in front of the gateway could not connect to the gateway
 	Status           int           // status of the complete response; 0: no complete response came
 	ResponseStarted  bool          // at least one byte of a response came
 	Err              error         // error that prevented a complete response
@@ -41,8 +41,8 @@
 	proxy         *Proxy // proxy between the client and the gateway; nil: none
 }
 
-// Dial opens a connection to the address of a gateway or of the proxy in front of it. gateway and processNumber are
-// recorded in the attempts on the connection.
+// Dial opens a connection to the address of a gateway or of the proxy in front of it. The parameters gateway and
+// processNumber are recorded in the attempts on the connection.
 func Dial(clock Clock, address string, gateway, processNumber int) (*Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -91,11 +91,11 @@
 	return attempt, reusable
 }
 
-// send writes a request and returns how long the client waits for the response from now on.
+// send writes a request and returns the time for which the client waits for the response afterwards.
 func (c *Conn) send(request Request, attempt *ClientAttempt) time.Duration {
 	attempt.Err = c.writeRequest(request)
 	if attempt.Err != nil {
-		return timingMargin // the gateway may have answered and closed before the request was complete
+		return timingMargin // the gateway may have answered and closed the connection before it had the whole request
 	}
 	attempt.SentAt = c.clock.Now()
 	if request.DisconnectAfter > 0 {
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -9,11 +9,11 @@
 	"amberlb/internal/lab/gatewayprocess"
 )
 
-// startTimeout is how long startProcess waits for a gateway to be ready.
+// startTimeout is the longest time that startProcess waits for a gateway to be ready.
 const startTimeout = 30 * time.Second
 
 // gatewayNode is a gateway with the proxy in front of it. The gateway has at most one running process at a time; each
-// restart starts a new one.
+// restart starts a new process.
 type gatewayNode struct {
 	number  int
 	options GatewayOptions
@@ -29,7 +29,7 @@
 	lastHardKilled int  // number of the last process with a hard kill; 0: none
 }
 
-// newGatewayNode creates a gateway and starts its proxy, but no process yet.
+// newGatewayNode creates a gateway and starts its proxy, but starts no process.
 func (r *runner) newGatewayNode(number int) (*gatewayNode, error) {
 	address, err := gatewayprocess.FreeAddress()
 	if err != nil {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -39,20 +39,20 @@
 type Outage struct{ From, To time.Duration }
 
 // Stop is one restart of a gateway. The gateway's process gets SIGTERM and the planned signals. If it is still running
-// at the earliest time that the protocol allows for SIGKILL (see KillAfter), it gets SIGKILL. RestartDelay after the end
-// of the process, a new process is started. In a hard kill, the process gets SIGKILL only, and the requests that it has
-// received need no responses.
+// at the earliest time that the protocol allows for SIGKILL (see KillAfter), it gets SIGKILL. A new process is started
+// RestartDelay after the end of the old process. In a hard kill, the process gets SIGKILL only, and the requests that it
+// has received need no responses.
 type Stop struct {
 	Gateway            int             // number of the gateway
 	At                 time.Duration   // time of SIGTERM or, in a hard kill, of SIGKILL
 	Signals            []PlannedSignal // signals in addition to SIGTERM
 	OutOfRotationDelay time.Duration   // time after At during which clients may still open connections to the gateway
-	RestartDelay       time.Duration   // time from the end of the process to the start of the next one
+	RestartDelay       time.Duration   // time from the end of the process to the start of the new process
 	HardKill           bool            // end the process by a hard kill
 }
 
-// PlannedSignal is a signal that is sent in a stop in addition to its SIGTERM. A pair of SIGSTOP and SIGCONT pauses the
-// process.
+// PlannedSignal is a signal that is sent during a stop in addition to the first SIGTERM. A pair of SIGSTOP and SIGCONT
+// pauses the process.
 type PlannedSignal struct {
 	Offset time.Duration // time after SIGTERM; negative: before SIGTERM
 	Signal syscall.Signal
@@ -171,7 +171,7 @@
 	}
 }
 
-// newOutages generates at most one outage of discovery, and none in a short run.
+// newOutages generates at most one outage of discovery. There is no outage if the run is not longer than 4*maxOutage.
 func newOutages(rng *rand.Rand, duration time.Duration) []Outage {
 	if rng.IntN(3) != 0 || duration <= 4*maxOutage {
 		return nil
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The same seed gives the same plan, and another seed a different one.
+// The same seed gives the same plan, and another seed gives a different plan.
 func TestSeedDeterminesPlan(t *testing.T) {
 	first := NewPlan(7, time.Minute)
 	same := NewPlan(7, time.Minute)
--- a/internal/lab/soak/proxyforward.go
+++ b/internal/lab/soak/proxyforward.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// writePiece forwards a piece. As p.faults defines, it delays the piece and splits it into two parts.
+// writePiece forwards a piece. Depending on p.faults, it delays the piece and splits it into two parts.
 func (p *Proxy) writePiece(to net.Conn, piece []byte) error {
 	if p.faults.MaxDelay > 0 {
 		time.Sleep(p.randomDelay(p.faults.MaxDelay))
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -22,7 +22,7 @@
 // value, none is started.
 type standins struct {
 	backends       []*Backend
-	backendProxies []*Proxy                // in front of the backends, by number of the backend
+	backendProxies []*Proxy                // proxies in front of the backends, by number of the backend
 	entries        []gateway.EndpointEntry // entries of the backends in discovery's list, by number of the backend
 	discovery      *discovery.Server
 	discoveryProxy *Proxy
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -63,7 +63,7 @@
 	signal syscall.Signal
 }
 
-// timedSignals returns the signals of a stop in the order of their times, including its SIGTERM.
+// timedSignals returns the signals of a stop in the order of their times, including SIGTERM.
 func (s Stop) timedSignals() []timedSignal {
 	signals := []timedSignal{{s.At, syscall.SIGTERM}}
 	for _, planned := range s.Signals {
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -23,7 +23,8 @@
 // anyGateway is the value of dialGateway's parameter "excluded" that excludes no gateway.
 const anyGateway = -1
 
-// runClient runs one client, which opens one connection after another and uses each for as long as it stays open.
+// runClient runs one client, which opens one connection after another and uses each connection for as long as the
+// connection stays open.
 func (r *runner) runClient(ctx context.Context, number uint64) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 10_000+number))
 	for ctx.Err() == nil {
@@ -139,8 +140,8 @@
 	return fmt.Sprintf("%016x", r.requestCount)
 }
 
-// holdIdleConns opens an idle connection to a gateway every idleConnInterval and holds the last plan.IdleConns of them.
-// It keeps opening new connections because the gateway closes idle ones.
+// holdIdleConns opens an idle connection to a gateway every idleConnInterval and holds the newest plan.IdleConns of
+// these connections. It keeps opening connections because the gateway closes idle connections.
 func (r *runner) holdIdleConns(ctx context.Context, n *gatewayNode) {
 	if r.plan.IdleConns == 0 {
 		return
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -4,7 +4,7 @@
 
 const (
 	endpointEntrySize = 22 // encoded size of a list entry, in bytes
-	maxEndpointLists  = 16 // largest number of lists that are defined at the same time, numbered from 0
+	maxEndpointLists  = 16 // number of lists that can be defined at the same time; list numbers start at 0
 )
 
 // endpointList is an endpoint list that endpoint updates refer to by number. Its entries may be shared by
