--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -136,9 +136,9 @@
 	})
 }
 
-// answerPoll handles an instance's poll of discovery. It either subscribes the instance and schedules the full list, or
+// handlePoll handles an instance's poll of discovery. It either subscribes the instance and schedules the full list, or
 // schedules the report of a failure.
-func (s *simulation) answerPoll(inst *simInstance) {
+func (s *simulation) handlePoll(inst *simInstance) {
 	inst.subscribed = s.chance(0.75)
 	if inst.subscribed {
 		s.scheduleEndpointUpdate(inst, listFull)
@@ -205,8 +205,8 @@
 	w.f64(b.startedAt)
 }
 
-// answerProbe schedules the result of a health check. The health check always succeeds.
-func (s *simulation) answerProbe(inst *simInstance, backend uint32) {
+// handleProbe schedules the result of a health check. The health check always succeeds.
+func (s *simulation) handleProbe(inst *simInstance, backend uint32) {
 	if !s.settings.Capabilities.CanProbe {
 		s.t.Errorf("seed %d batch %d: a probe, which the settings don't allow", s.seed, s.batchSeq)
 	}
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -260,9 +260,9 @@
 		s.callCounter(inst, name, amount, ttl)
 	case actionPollEndpoints:
 		r.u8() // always 1: subscribe
-		s.answerPoll(inst)
+		s.handlePoll(inst)
 	case actionProbe:
-		s.answerProbe(inst, r.u32())
+		s.handleProbe(inst, r.u32())
 	case actionSendAttempt:
 		req := s.openRequest(inst, r.u32())
 		timeout, backendID := r.f64(), r.u32()
--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -26,7 +26,7 @@
 	ReceivedAt  time.Duration // time at which the request was complete
 	EndedAt     time.Duration // time of the response or of the end of the connection; 0: neither came during the run
 	Timeout     time.Duration // time for which the gateway waits for the response, from the timeout header
-	Answered    bool
+	Responded   bool
 }
 
 // Backend is a stand-in for one backend. Its methods may be called concurrently.
@@ -81,12 +81,12 @@
 	if err != nil {
 		return false
 	}
-	answered := respond(conn, reader, attempt.ID, b.behavior(attempt.ReceivedAt))
+	responded := respond(conn, reader, attempt.ID, b.behavior(attempt.ReceivedAt))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	attempt.EndedAt = b.clock.Now()
-	attempt.Answered = answered
-	return answered
+	attempt.Responded = responded
+	return responded
 }
 
 // receive reads the next request and records it. It returns an error, and records nothing, if the connection fails or
