--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -15,7 +15,7 @@
 	malformed   condition = "malformed"  // counter only: the counter's responses can't be parsed
 )
 
-// Bounds of the number of ready backends. If there are fewer than minReadyBackends, the next change of the list adds a
+// Bounds of the number of ready backends. If there are fewer than minReadyBackends, the next call of changeList adds a
 // backend. If there are maxReadyBackends or more, no backend is added.
 const (
 	minReadyBackends = 1
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -59,8 +59,8 @@
 }
 
 // longestDeadlines are the values from which a plan's longest class deadline is chosen. They include deadlines far below
-// maxCountedDeadline, a deadline equal to maxCountedDeadline and a longer one, and the deadline of the incident that the
-// shutdown test of cmd/amberlb describes.
+// maxCountedDeadline, a deadline equal to maxCountedDeadline, a longer deadline, and the deadline of the incident that
+// TestShutdownAnswersAdmittedRequests in cmd/amberlb describes.
 var longestDeadlines = []time.Duration{
 	300 * time.Millisecond,
 	600 * time.Millisecond,
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -84,7 +84,7 @@
 	p.failedDials[client.String()] = true
 }
 
-// randomlyTrue returns true with the probability share.
+// randomlyTrue returns true with the given probability.
 func (p *Proxy) randomlyTrue(share float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/violation.go
+++ b/internal/lab/soak/violation.go
@@ -55,7 +55,7 @@
 }
 
 func describeBackendAttempt(a *BackendAttempt) string {
-	return fmt.Sprintf("\n  backend %s: received %.3f to %.3f, timeout %.3f, ended %.3f, answered %t",
+	return fmt.Sprintf("\n  backend %s: received %.3f to %.3f, timeout %.3f, ended %.3f, responded %t",
 		a.Backend, a.FirstByteAt.Seconds(), a.ReceivedAt.Seconds(), a.Timeout.Seconds(), a.EndedAt.Seconds(),
 		a.Responded)
 }
