--- a/internal/lab/soak/violation.go
+++ b/internal/lab/soak/violation.go
@@ -25,7 +25,7 @@
 	Detail          string
 	ClientAttempt   *ClientAttempt // nil if the violation concerns a process only
 	BackendAttempts []BackendAttempt
-	Process         *Process // nil if it is not known
+	Process         *Process // nil if the process is not known
 }
 
 // String describes a violation, with one line for each record and each signal.
@@ -55,9 +55,9 @@
 }
 
 func describeBackendAttempt(a *BackendAttempt) string {
-	return fmt.Sprintf("\n  backend %s: received %.3f to %.3f, timeout %.3f, ended %.3f, answered %t",
+	return fmt.Sprintf("\n  backend %s: received %.3f to %.3f, timeout %.3f, ended %.3f, responded %t",
 		a.Backend, a.FirstByteAt.Seconds(), a.ReceivedAt.Seconds(), a.Timeout.Seconds(), a.EndedAt.Seconds(),
-		a.Answered)
+		a.Responded)
 }
 
 // describeProcess describes a process and its signals.
