--- a/policy/actions.go
+++ b/policy/actions.go
@@ -32,7 +32,7 @@
 type Action interface{ action() }
 
 // SendAttempt sends a request to a backend. The attempts of a request are numbered from 0, in the order of
-// these actions.
+// their SendAttempt actions.
 type SendAttempt struct {
 	Request RequestID
 	Backend BackendID
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// requestArrived registers a new request, and admits it if its customer's quota allows it now. If the request
-// stays open, timers ensure that it is answered in time.
+// requestArrived registers a new request and tries to admit it. A request that has too little time left is
+// rejected. Timers ensure that a request that stays open is answered in time.
 func (e *Engine) requestArrived(arrival Request) {
 	req := e.newRequest(arrival)
 	if req.answerBy < e.now+e.latency.mean/2 {
@@ -13,8 +13,8 @@
 	req.customer.addWaiting(req)
 	e.admit(req.customer)
 	if req.finished {
-		// A rejected request needs no timers. Most rejected requests are rejected here, so timers for them
-		// would be almost as many as the requests.
+		// A rejected request needs no timers. Most rejected requests are rejected here, so almost every
+		// rejected request would otherwise have useless timers.
 		return
 	}
 	e.setTimer(req.answerBy-e.now, timerToken{kind: answerDeadlineTimer, request: req.ID})
@@ -43,10 +43,10 @@
 	return req
 }
 
-// answerBy returns the clock time by which an arriving request is to be answered: timingMargin before the
-// client's deadline, or the end of the latency objective if that is earlier. Later answers earn nothing. Only
-// the deadline counts if late answers of the class earn a share of the weight, or if its latency objective
-// grows with the request's work.
+// answerBy returns the clock time by which an arriving request is to be answered. This is timingMargin before
+// the client's deadline, or the end of the latency objective if the objective ends earlier, since later
+// answers earn nothing. The objective does not count for two kinds of class: classes whose late answers earn
+// a share of the weight, and classes whose objective grows with the request's work.
 func (e *Engine) answerBy(arrival Request, class *Class) float64 {
 	deadline := arrival.Deadline - e.timingMargin()
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -14,9 +14,9 @@
 }
 
 // retryAfter returns the number of seconds after which the client of a rejected request should repeat the
-// request, 0 if that is unknown or the settings don't allow a Retry-After. An admitted request is rejected
-// for lack of capacity, so its client should wait for MaxRetryAfter. For any other request the customer's
-// limits decide.
+// request. It returns 0 if this time is unknown, or if the settings don't allow a Retry-After. An admitted
+// request is rejected for lack of capacity, so its client should wait for MaxRetryAfter. If the request was
+// not admitted, the time depends on the customer's limits.
 func (e *Engine) retryAfter(req *request) float64 {
 	if !e.settings.CanSendRetryAfter {
 		return 0
@@ -25,7 +25,8 @@
 		return e.settings.MaxRetryAfter
 	}
 	if quota := req.customer.quota; quota.concurrencyLimit > 0 && quota.localConcurrency == 0 {
-		// The retry may reach another gateway, which may have capacity for the customer after a mean latency.
+		// The retry may reach another gateway. That gateway may have capacity for the customer after a mean
+		// latency.
 		return min(e.settings.MaxRetryAfter, e.latency.mean)
 	}
 	return min(e.settings.MaxRetryAfter, max(req.customer.exhaustedUntil-e.now, 0))
@@ -33,7 +34,7 @@
 
 // finish ends a request. The request no longer waits for admission. If it was admitted but never sent, its
 // units and its slot under the customer's concurrency limit are returned. Attempts in flight are cancelled if
-// possible.
+// possible (see cancelAttempts).
 func (e *Engine) finish(req *request) {
 	req.finished = true
 	req.customer.waiting = slices.DeleteFunc(req.customer.waiting, func(w *request) bool { return w == req })
--- a/policy/attemptend.go
+++ b/policy/attemptend.go
@@ -55,8 +55,8 @@
 }
 
 // answerOrRetry decides how a request continues after the end of an attempt. A request that was served or no
-// longer needs an answer is finished. Any other request waits for its attempts in flight. Without attempts in
-// flight, a retry is started, or the gateway answers the request itself.
+// longer needs an answer is finished. Any other request waits for its attempts in flight. If it has none, the
+// gateway starts a retry. If no retry can be started, the gateway answers the request itself.
 func (e *Engine) answerOrRetry(req *request, event AttemptEnded) {
 	if req.finished {
 		return
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -12,7 +12,7 @@
 	ordered []*backend // in order of ID
 }
 
-// backend is the state that this gateway keeps of one backend.
+// backend is the state that this gateway keeps for one backend.
 type backend struct {
 	Backend
 
@@ -21,10 +21,10 @@
 	abandoned           []abandonedAttempt // attempts that the backend may still be executing
 	consecutiveTimeouts int                // attempts timed out or cancelled since the last served attempt
 
-	failureRate   float64 // share of recent attempts that failed
+	failureRate   float64 // share of recent attempts that failed or were overdue
 	latency       float64 // seconds; mean latency of recent attempts; 0: unknown
 	lastSuccessAt float64 // clock time of the last served attempt; 0: never
-	nextTrialAt   float64 // clock time of the next trial; used only while ejected
+	nextTrialAt   float64 // clock time at which the next trial is due; used only while ejected
 	trialInterval float64 // seconds between trials
 
 	slowStartTokens   float64 // attempts that may be sent now while the backend is in slow start
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -26,10 +26,11 @@
 // retry, at this or another gateway. It returns 0 for a request that it does not recognize as a retry.
 //
 // Most requests of a class and plan have the same timeout. If the timeout of a request differs from the usual
-// one, the client has shortened it to the time left of the class's deadline, so the request is a retry.
+// timeout, the client has probably shortened the timeout to the time left of the class's deadline. The
+// request therefore counts as a retry.
 //
 // A retry whose latency objective has passed earns nothing, but uses units, a counter call and backend time
-// that other requests could use. A request that is not a retry must not be mistaken for one, so the
+// that other requests could use. A request that is not a retry must not be mistaken for a retry, so the
 // result is 0 as long as the usual timeout is unknown.
 func (e *Engine) timeSpentBeforeRetry(r Request, class *Class) float64 {
 	timeout := r.Deadline - r.SentAt
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -12,7 +12,7 @@
 	lastMaintenance  float64    // clock time of the last round of maintenance
 	shutdownAnswerBy float64    // clock time by which every request must be answered; 0: no shutdown
 
-	requests       map[RequestID]*request // requests that are not finished or have attempts in flight
+	requests       map[RequestID]*request // requests that are unfinished, or finished with attempts in flight
 	queue          priorityQueue
 	limiter        concurrencyLimiter
 	latency        latencyStats
@@ -24,9 +24,9 @@
 	counter        counterState
 }
 
-// New returns the engine of a gateway that starts at the clock time now, and appends its first actions to
-// out. No state is carried over from an earlier process of the gateway. Engines with the same settings, seed
-// and events return the same actions.
+// New returns the engine of a gateway and appends the engine's first actions to out. The parameter now is the
+// clock time at which the gateway starts. No state is carried over from an earlier process of the gateway.
+// Engines with the same settings, seed, events and clock times return the same actions.
 func New(set Settings, seed uint64, now float64, out []Action) (*Engine, []Action) {
 	e := &Engine{
 		settings:        set,
@@ -51,8 +51,8 @@
 	return e, e.actions
 }
 
-// Handle processes an event that happened at the clock time now, and appends the resulting actions to out.
-// Events that no decision depends on (ProbeEnded, PeerMessage) are ignored.
+// Handle processes an event and appends the resulting actions to out. The parameter now is the clock time at
+// which the event happened. Events that no decision depends on (ProbeEnded, PeerMessage) are ignored.
 func (e *Engine) Handle(now float64, event Event, out []Action) []Action {
 	e.limiter.updateMeanInFlight(e.now, now)
 	e.now = now
--- a/policy/events.go
+++ b/policy/events.go
@@ -28,7 +28,7 @@
 	Cell        int // number of a group of backends that share their memory of idempotency keys
 	State       BackendState
 	Weight      float64 // relative size, if Settings.ApproximateWeights is set; decisions don't use it
-	StartedAt   float64 // clock time at which its process started; 0: long ago
+	StartedAt   float64 // clock time at which the backend's process started; 0: long ago
 }
 
 // ListKind says what an EndpointsUpdated event contains.
@@ -95,7 +95,7 @@
 	Units        float64 // units of quota that the request needs
 	FirstGateway int     // index of the first gateway of the customer's gateway set
 	Gateways     int
-	SentAt       float64 // clock time at which the client sent the request; 0: that of the event
+	SentAt       float64 // clock time at which the client sent the request; 0: time of arrival
 	Deadline     float64 // clock time until which the client waits
 	IsRetry      bool    // the client has marked the request as a retry
 }
@@ -146,7 +146,7 @@
 	Latency float64 // seconds since the call was sent
 }
 
-// LateCounterReply reports the reply to a CounterAdd that had ended as TimedOut before. Not every late reply
+// LateCounterReply reports the reply to a CounterAdd that has already ended as TimedOut. Not every late reply
 // is reported. Total is valid only if the outcome is Served.
 type LateCounterReply struct {
 	CallID  uint64 // CounterAdd.CallID
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// smallBurstSettings returns settings in which plan 1 has a low rate and a small burst. Half of the burst, the part of
-// one of two gateways, doesn't cover a request of two units, so a request of two units needs a counter call.
+// smallBurstSettings returns settings in which plan 1 has a low rate and a small burst. Each of two gateways gets half
+// of the burst, which is less than two units. A request of two units therefore needs a counter call.
 func smallBurstSettings() Settings {
 	set := testSettings()
 	set.Plans[1].Rate = 0.1
@@ -102,8 +102,8 @@
 	return d.nextID
 }
 
-// grantCounterCalls replies to each counter call among the actions with the total that the first call for a name gets.
-// It returns the actions that follow from the replies.
+// grantCounterCalls replies to each counter call among the actions with a total equal to the amount of the call, as for
+// the first call for a name. It returns the actions that follow from the replies.
 func (d *engineDriver) grantCounterCalls(actions []Action) (all []Action) {
 	for _, c := range actionsOf[CounterAdd](actions) {
 		all = append(all, d.engine.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
--- a/policy/inflight.go
+++ b/policy/inflight.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// abandonedAttempt is an attempt that ended without a response and that its backend may still be executing.
+// abandonedAttempt is an attempt that ended without a response, although its backend may still be executing
+// it.
 type abandonedAttempt struct {
 	sentAt    float64
 	expiresAt float64 // clock time after which the attempt no longer counts as in flight
@@ -24,9 +25,9 @@
 }
 
 // attemptAbandoned keeps an attempt that timed out or was cancelled in the counts of work in flight for a
-// while, since the backend may still be executing it. If the attempt left the counts at once, another
+// while, since the backend may still be executing it. If the attempt left the counts immediately, another
 // attempt could be sent to a backend that is full. The attempt is counted for the mean latency times the
-// backend's consecutiveTimeouts, but at most for the deadline of its class.
+// backend's consecutiveTimeouts, but at most for the Deadline of the request's class.
 func (e *Engine) attemptAbandoned(req *request, a *attempt) {
 	b := a.backend
 	b.consecutiveTimeouts++
@@ -39,8 +40,9 @@
 }
 
 // expireAbandoned removes abandoned attempts of a backend from the counts of work in flight if their
-// expiresAt has passed, or if they were sent before an attempt that has been served: backends process work in
-// order. servedSentAt is the clock time at which the served attempt was sent, 0 if no attempt was served.
+// expiresAt has passed, or if they were sent before an attempt that has been served, since backends process
+// attempts in order. servedSentAt is the clock time at which the served attempt was sent, 0 if no attempt was
+// served.
 func (e *Engine) expireAbandoned(b *backend, servedSentAt float64) {
 	b.abandoned = slices.DeleteFunc(b.abandoned, func(a abandonedAttempt) bool {
 		expired := a.sentAt < servedSentAt || a.expiresAt < e.now
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -5,13 +5,13 @@
 // Parameters of the concurrency limit. A latency ratio is the latency of an attempt divided by the latency
 // objective of its class.
 const (
-	initialLimitPerBackend = 4.0  // attempts at all gateways together; a limit that is too high is soon cut
-	minLimitPerBackend     = 3.0  // attempts at all gateways together; the cores of slow backends need work too
+	initialLimitPerBackend = 4.0  // attempts, summed over all gateways; a limit that is too high is soon cut
+	minLimitPerBackend     = 3.0  // attempts, summed over all gateways; keeps the cores of slow backends busy
 	limitCutFactor         = 0.75 // factor by which a cut multiplies the limit
 	latencyRatioHigh       = 0.38 // mean latency ratio above which the limit is cut
 	latencyRatioLow        = 0.28 // mean latency ratio below which the limit may grow
-	limitUtilization       = 0.8  // share of the limit that must be in use for the limit to grow
-	limitBurst             = 3.0  // attempts that a gateway with a smaller limit may have in flight at once
+	limitUtilization       = 0.8  // lowest share of the limit that must be in use for the limit to grow
+	limitBurst             = 3.0  // attempts; most that may be in flight if the limit is smaller (see full)
 	limitAveragingWindow   = 1.0  // seconds; averaging time of meanInFlight and meanLatencyRatio
 	minLatencyRatioGain    = 0.05 // weight of the newest latency ratio in the mean if attempts end often
 	maxLatencyRatioGain    = 0.3  // weight of the newest latency ratio in the mean if attempts end rarely
@@ -37,9 +37,9 @@
 	l.meanInFlight += gain * (float64(l.inFlight) - l.meanInFlight)
 }
 
-// full reports whether the limit allows no further attempt now. Only top levels may use the reserve. A
-// limit below limitBurst applies to meanInFlight, since with many gateways the limit of each can be less than
-// one attempt.
+// full reports whether the limit allows no further attempt now. Only requests of a top level may use the
+// reserve. With many gateways, the limit of each can be less than one attempt. A limit below limitBurst
+// therefore applies to meanInFlight, and up to limitBurst attempts may be in flight.
 func (l *concurrencyLimiter) full(topLevel bool) bool {
 	capacity := l.limit
 	if !topLevel {
@@ -51,9 +51,10 @@
 	return capacity < limitBurst && l.meanInFlight >= capacity
 }
 
-// adjust records the latency ratio of an attempt and adjusts the limit. When latency approaches the
-// objective, the limit is cut, at most once per cutInterval (in seconds). While latency is low and the limit
-// is in use, the limit grows slowly.
+// adjust records the latency ratio of an attempt and adjusts the limit. When the mean latency ratio exceeds
+// latencyRatioHigh, latency approaches the objective, and the limit is cut, at most once in cutInterval
+// seconds. The limit is not cut below minLimitPerBackend times backendsPerGateway. While the mean is below
+// latencyRatioLow and the limit is in use, the limit grows slowly.
 func (l *concurrencyLimiter) adjust(now, latencyRatio, cutInterval, backendsPerGateway float64) {
 	l.recordLatencyRatio(now, latencyRatio)
 	switch {
@@ -65,8 +66,8 @@
 	}
 }
 
-// recordLatencyRatio updates the mean latency ratio. The less often attempts end, the higher
-// the weight of each.
+// recordLatencyRatio updates the mean latency ratio. The weight of the new ratio grows with the time since
+// the last update.
 func (l *concurrencyLimiter) recordLatencyRatio(now, latencyRatio float64) {
 	gain := (now - l.meanLatencyRatioAt) / limitAveragingWindow
 	gain = min(max(gain, minLatencyRatioGain), maxLatencyRatioGain)
@@ -74,7 +75,7 @@
 	l.meanLatencyRatio += gain * (min(latencyRatio, 1) - l.meanLatencyRatio)
 }
 
-// inUse reports whether at least the share limitUtilization of the limit is in use.
+// inUse reports whether the share of the limit that is in use is at least limitUtilization.
 func (l *concurrencyLimiter) inUse() bool {
 	return max(float64(l.inFlight), l.meanInFlight) >= limitUtilization*l.limit
 }
@@ -82,8 +83,8 @@
 // atLimit reports whether the concurrency limit allows no further attempt for requests of a level.
 func (e *Engine) atLimit(level int) bool { return e.limiter.full(e.queue.isTopLevel(level)) }
 
-// adjustLimit adjusts the concurrency limit by the latency ratio of an attempt. The limit is cut at most once
-// in the mean latency of an attempt.
+// adjustLimit adjusts the concurrency limit by the latency ratio of an attempt. The shortest time between two
+// cuts is the mean latency of an attempt, but at least one tick.
 func (e *Engine) adjustLimit(latencyRatio float64) {
 	cutInterval := max(e.latency.mean, e.settings.Tick)
 	e.limiter.adjust(e.now, latencyRatio, cutInterval, e.backendsPerGateway())
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -1,13 +1,13 @@
 package policy
 
-// pollRetryInterval is the number of seconds after which discovery is polled again if it has failed.
+// pollRetryInterval is the number of seconds from a failure of discovery to the next poll.
 const pollRetryInterval = 1.0
 
-// endpointsUpdated applies an update of the endpoint list. From now on, only backends that are ready get
+// endpointsUpdated applies an update of the endpoint list. After the update, only backends that are ready get
 // attempts.
 func (e *Engine) endpointsUpdated(event EndpointsUpdated) {
 	if event.Kind == ListFailed {
-		// If all gateways polled again at once, discovery could not recover.
+		// If all gateways polled again immediately, discovery could not recover.
 		e.setTimer(pollRetryInterval, timerToken{kind: pollEndpointsTimer})
 		return
 	}
@@ -22,8 +22,8 @@
 	}
 }
 
-// applyEntry applies one entry of the endpoint list. A StartedAt earlier than the known one is outdated
-// and ignored; the other fields of the entry are used.
+// applyEntry applies one entry of the endpoint list. A StartedAt that is earlier than the known value is
+// outdated and ignored. The other fields of the entry are used.
 func (e *Engine) applyEntry(entry Backend) {
 	isNew := e.backends.byID[entry.ID] == nil
 	b := e.findOrAddBackend(entry)
@@ -35,10 +35,11 @@
 	b.Backend = entry
 }
 
-// resetForNewProcess discards the statistics of a backend's previous process and begins its slow start with a
-// random fraction of a token. With many gateways, each of them may send a backend in slow start only one
-// request in many seconds. If every gateway began without tokens, the backend would be idle while it is
-// needed most, and would then get a request from every gateway at once.
+// resetForNewProcess discards the latency and the failure rate of a backend's previous process. It begins the
+// slow start of the new process with a random fraction of a token. With many gateways, a single gateway may
+// send a backend in slow start only one request in many seconds. If every gateway began without tokens, the
+// backend would first be idle although it is needed, and would then get requests from all gateways
+// simultaneously.
 func (e *Engine) resetForNewProcess(b *backend) {
 	b.latency = 0
 	b.failureRate = 0
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -2,7 +2,7 @@
 
 // Parameters of the cost by which backends are compared.
 const (
-	lowerLevelLoad       = 0.1  // load of an attempt in flight of lower level; 1 more at equal or higher level
+	lowerLevelLoad       = 0.1  // load of each attempt in flight; 1 more if its level is equal or higher
 	maxLatencyFactor     = 8.0  // largest factor by which a backend counts as slower or faster than average
 	maxFailureRateInCost = 0.9  // failure rate above which the cost no longer grows
 	sameBackendCost      = 1e3  // added for the backend of the previous attempt; exceeds any other cost
@@ -22,14 +22,13 @@
 }
 
 // pick returns the backend for the next attempt of a request, or nil if no backend may be used now. A backend
-// that is due for a trial comes first. Otherwise pick returns the backend with the lowest cost, which is the
-// load of this gateway's attempts there, scaled by the backend's speed and health. It leaves out ejected
-// backends unless most candidates are ejected.
+// that is due for a trial comes first. Otherwise pick returns the backend with the lowest cost (see cost),
+// and leaves out ejected backends unless most candidates are ejected.
 func (e *Engine) pick(req *request) *backend {
 	found := e.findCandidates(req)
 	if found.dueForTrial != nil {
-		// Only a trial can end an ejection, so trials come first, even if most backends are ejected.
-		// Otherwise the ejected backends would stay ejected, and the few others would get all the load.
+		// Trials come first, even if most backends are ejected. Without trials, the ejected backends would stay
+		// ejected, and the few others would get all the load.
 		found.dueForTrial.startTrial(e.now)
 		return found.dueForTrial
 	}
@@ -52,8 +51,8 @@
 	return found
 }
 
-// add adds a backend to the candidates. cost is the cost of an attempt there; trialDue says whether a trial
-// is due, if the backend is ejected.
+// add adds a backend to the candidates. The parameter cost is the cost of an attempt at the backend. The
+// parameter trialDue matters only if the backend is ejected: it says whether a trial is due.
 func (c *candidates) add(b *backend, cost float64, trialDue bool) {
 	c.count++
 	if c.cheapest == nil || cost < c.cheapestCost {
@@ -82,12 +81,14 @@
 		!req.inFlightAt(b)
 }
 
-// cost returns the cost of sending an attempt of the request to the backend. It is meaningful only in
-// comparison with the costs of other backends.
+// cost returns the cost of sending an attempt of the request to the backend. The cost depends on the
+// backend's load, latency, failure rate, slow start and zone. It also depends on whether the previous attempt
+// was there, and includes a random share. It is meaningful only in comparison with the costs of other
+// backends.
 func (e *Engine) cost(req *request, b *backend) float64 {
 	successRate := 1 - min(b.failureRate, maxFailureRateInCost)
 	// The factor slowStartShare makes a backend in slow start cheaper, so that its tokens are used as soon as
-	// they are earned. With many gateways, each of them has no attempts in flight at most backends. Without
+	// they are earned. With many gateways, each gateway has no attempts in flight at most backends. Without
 	// the factor, a backend in slow start would then look like the worst choice until its slow start is over.
 	cost := b.load(req.level) * e.relativeLatency(b) * e.slowStartShare(b) / (successRate * successRate)
 	if b.Zone != e.settings.Zone {
@@ -99,8 +100,9 @@
 	return cost * (1 + costJitter*e.rng.Float64())
 }
 
-// load returns the load of the backend for a new attempt of a level: the number of this gateway's attempts in
-// flight there, plus the new attempt. Attempts in flight of lower levels count only lowerLevelLoad each.
+// load returns the load of the backend for a new attempt of a level. The new attempt counts 1. Each of this
+// gateway's attempts in flight at the backend counts lowerLevelLoad, and 1 more if its level is equal or
+// higher.
 func (b *backend) load(level int) float64 {
 	equalOrHigher := 0
 	for _, n := range b.inFlightByLevel[level:] {
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -34,7 +34,7 @@
 }
 
 // answersUnderUnusualEvents sends one request among events that are unknown, repeated or out of order, and returns the
-// number of answers that it got.
+// number of answers that the request got.
 func answersUnderUnusualEvents(d *engineDriver, id RequestID, gateways int) (answered int) {
 	out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
 	for _, c := range actionsOf[CounterAdd](out) {
@@ -58,8 +58,9 @@
 	return answered + len(actionsOf[Reject](d.handle(timerFired(answerDeadlineTimer, id))))
 }
 
-// TestRandomEvents checks that the engine's actions follow the rules under events in random order, and that the same
-// events lead to the same actions.
+// TestRandomEvents checks the engine's actions under events in random order. It checks when and where attempts are
+// started, and that each request is answered once and in time. It also checks that the same events lead to the same
+// actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		first := randomRun(t, seed)
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,7 +7,7 @@
 	customer         *customer
 	level            int     // level in priorityQueue; 0: over quota
 	answerBy         float64 // clock time by which the request is to be answered; a later answer earns nothing
-	admitted         bool    // the request's units have been charged to the customer's quota
+	admitted         bool    // the request has passed the customer's quota and concurrency limit
 	finished         bool    // the request has its final answer, or no longer needs an answer
 	streaming        bool    // a backend has begun to stream its response to the client
 	attempts         []attempt
@@ -25,7 +25,7 @@
 	ended   bool
 }
 
-// openRequest returns the request with an ID, or nil if it is unknown or finished.
+// openRequest returns the request with the given ID, or nil if it is unknown or finished.
 func (e *Engine) openRequest(id RequestID) *request {
 	if req := e.requests[id]; req != nil && !req.finished {
 		return req
@@ -40,7 +40,7 @@
 	}
 }
 
-// attemptInFlight reports whether the request's attempt with a number exists and has not ended.
+// attemptInFlight reports whether the request's attempt with the given number exists and has not ended.
 func (req *request) attemptInFlight(number int) bool {
 	return number < len(req.attempts) && !req.attempts[number].ended
 }
@@ -82,8 +82,8 @@
 }
 
 // mayBeRepeatedAnywhere reports whether a client may repeat the request, through any gateway, without a
-// second effect. A rejection tells the client that the request may be repeated, so a request that may not is
-// failed instead.
+// second effect. A rejection tells the client that the request may be repeated, so a request that must not be
+// repeated is failed instead.
 func (req *request) mayBeRepeatedAnywhere() bool {
 	if req.class.Idempotency == Idempotent || !req.mayHaveExecuted {
 		return true
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -29,7 +29,8 @@
 }
 
 // retry starts one more attempt of the request, as a retry or a hedged request, if the retry budget, the time
-// left, the concurrency limit and the rules of send allow it. It reports whether it started an attempt.
+// left, the concurrency limit and the rules of send allow it, and a backend is usable. It reports whether it
+// started an attempt.
 func (e *Engine) retry(req *request) bool {
 	if e.retries.tokens < 1 || e.now+e.latency.mean > req.answerBy || e.atLimit(e.queue.highestLevel()) {
 		return false
--- a/policy/send.go
+++ b/policy/send.go
@@ -1,8 +1,8 @@
 package policy
 
-// send starts an attempt of the request at the backend if maySend allows it, and reports whether it started
-// one. It is the only function that starts attempts, so maySend's rules on repeated execution, on attempts in
-// flight and on draining backends hold for all attempts.
+// send starts an attempt of the request at the backend if maySend allows the attempt, and reports whether it
+// did. Only send starts attempts, so maySend's rules on repeated execution, on attempts in flight and on
+// draining backends hold for all attempts.
 func (e *Engine) send(req *request, b *backend) bool {
 	if !e.maySend(req, b) {
 		return false
@@ -60,8 +60,8 @@
 }
 
 // countAttempt counts a new attempt; number is its number within the request. The first attempt adds to the
-// retry budget, and has taken its slot under the customer's concurrency limit at admission. Each further
-// attempt takes one more slot.
+// retry budget. Its slot under the customer's concurrency limit was taken at admission. Each further attempt
+// takes one more slot.
 func (e *Engine) countAttempt(req *request, number int) {
 	if number == 0 {
 		e.retries.recordFirstAttempt()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -98,7 +98,7 @@
 
 	HasCounter     bool    // the deployment has a counter service
 	CounterTimeout float64 // seconds after which a counter call times out
-	CounterPrice   float64 // price if there is one counter call per first attempt; see CrossZonePrice
+	CounterPrice   float64 // share of all earned weight that one counter call per first attempt costs
 	MaxUnits       float64 // limit on the units of a request; 0: no limit
 	UnitsEstimated bool    // Request.Units is an estimate; AttemptEnded.ActualUnits corrects it
 
@@ -112,8 +112,8 @@
 	ConnectTimeout    float64 // seconds for which an attempt may wait for a connection
 
 	AnswerSlack       float64 // seconds after a request's deadline in which its answer still counts as in time
-	DrainGrace        float64 // seconds in which attempts may still start after a backend is draining or removed
-	SlowStartMinShare float64 // share of its full capacity that a backend has at its start, at least
+	DrainGrace        float64 // seconds within which a gateway must learn that a backend is draining or removed
+	SlowStartMinShare float64 // lowest share of its full capacity that a backend has at its start
 	SlowStartWindow   float64 // seconds from a backend's start until it has its full capacity; 0: no slow start
 	OverloadFactor    float64 // load that overloads a backend in slow start, as a multiple of its capacity
 	OverloadDuration  float64 // seconds for which a load of OverloadFactor must last to overload the backend
--- a/policy/shutdown_test.go
+++ b/policy/shutdown_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// After a shutdown has begun, queued requests, requests in flight and new requests are answered by its deadline. The
-// shutdown doesn't change requests that must be answered earlier. Without a shutdown, every request has its own
-// deadline.
+// After a shutdown has begun, queued requests, requests in flight and new requests are answered by the deadline of the
+// shutdown. The shutdown doesn't change when requests with an earlier deadline are answered. Without a shutdown, every
+// request is answered by its own deadline.
 func TestShutdownLimitsTimeOfAllRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		shutdown bool
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,7 +1,7 @@
 package policy
 
-// Parameters of slow start. During slow start, a token bucket for each backend limits the attempts at a
-// backend that has just started. A backend is warm once its slow start is over.
+// Parameters of slow start. A backend that has just started is in slow start: a token bucket limits its
+// attempts. Once its slow start is over, the backend is warm.
 const (
 	rateAveragingTime  = 2.0 // seconds over which send rates and arrival rates are averaged
 	minSlowStartRate   = 0.5 // attempts per second at a backend; lowest refill rate, summed over all gateways
@@ -36,8 +36,9 @@
 	return warm
 }
 
-// slowStartShare returns the share of its full capacity that a backend has at least. The share grows linearly
-// from SlowStartMinShare at the backend's start to 1 at the end of SlowStartWindow.
+// slowStartShare returns the share of its full capacity that a backend is assumed to have now. The share
+// grows linearly from SlowStartMinShare at the backend's start to 1 at the end of SlowStartWindow. It is 1
+// for a warm backend.
 func (e *Engine) slowStartShare(b *backend) float64 {
 	window := e.settings.SlowStartWindow
 	if b.StartedAt == 0 || window <= 0 || e.now-b.StartedAt >= window {
@@ -49,9 +50,9 @@
 
 // slowStartAllows updates the tokens of a backend in slow start, and reports whether the backend may get an
 // attempt. It protects the backend from overload without coordination among gateways. Tokens are refilled at
-// slowStartShare times the rate at which this gateway sends to a warm backend. So all gateways together send
-// the backend about that share of the attempts that a warm backend gets. The refill rate is at least this
-// gateway's part of minSlowStartRate.
+// slowStartShare times the rate at which this gateway sends to a warm backend. All gateways together thus
+// send the backend about slowStartShare times the attempts that a warm backend gets. The refill rate is at
+// least this gateway's part of minSlowStartRate.
 func (e *Engine) slowStartAllows(b *backend) bool {
 	share := e.slowStartShare(b)
 	if share >= 1 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -73,8 +73,8 @@
 	heap.Push(&f.pending, scheduledEvent{f.now + latency, gateway, end})
 }
 
-// capacityShare returns the share of its full capacity that a backend has at an age, which is in seconds since its
-// start. The result exceeds 1 once the backend is warm.
+// capacityShare returns the share of its full capacity that a backend has at an age. The age is the number of seconds
+// since the backend's start. The result exceeds 1 once the backend is warm.
 func (f *slowStartFleet) capacityShare(age float64) float64 {
 	return f.set.SlowStartMinShare + (1-f.set.SlowStartMinShare)*age/f.set.SlowStartWindow
 }
@@ -244,8 +244,8 @@
 }
 
 // Each of 80 gateways may send a backend in slow start only one request in many seconds. From the first second on, all
-// gateways together must send the backend about its share of the requests that a warm backend gets. The backend must
-// not get a burst when all gateways have saved up a token.
+// gateways together must send the backend about slowStartShare times the requests that a warm backend gets. The backend
+// must not get a burst when all gateways have saved up a token.
 func TestManyGatewaysUseBackendsInSlowStartAtOnceAndEvenly(t *testing.T) {
 	const (
 		gateways = 80
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -12,7 +12,8 @@
 	slowAttemptTimer                     // an attempt takes longer than almost all others
 )
 
-// timerToken identifies a timer in SetTimer and TimerFired. The request is 0 if the timer belongs to none.
+// timerToken identifies a timer in SetTimer and TimerFired. The request is 0 if the timer belongs to no
+// request.
 type timerToken struct {
 	kind    timerKind
 	attempt int // number of the attempt within its request, below 256; only for slowAttemptTimer
