--- a/policy/actions.go
+++ b/policy/actions.go
@@ -68,8 +68,8 @@
 	Request RequestID // request that the timer belongs to; 0: none
 }
 
-// CounterAdd asks the counter service to add Amount, which may be below 0, to a total that all gateways
-// share, and to return the new total. Name identifies the total; the total of an unknown name is 0.
+// CounterAdd asks the counter service to add Amount to a total that all gateways share, and to return the new
+// total. Amount may be below 0. Name identifies the total. The total of an unknown name is 0.
 type CounterAdd struct {
 	CallID uint64 // identifies this call in LateCounterReply
 	Name   uint64
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -46,7 +46,7 @@
 	s.ordered = slices.Insert(s.ordered, at, b)
 }
 
-// findOrAddBackend returns the backend of an entry of the endpoint list, and adds it if it is new.
+// findOrAddBackend returns the backend of an entry of the endpoint list, and adds the backend if it is new.
 func (e *Engine) findOrAddBackend(entry Backend) *backend {
 	if b := e.backends.byID[entry.ID]; b != nil {
 		return b
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// No attempt is started for a request whose client disconnected while it was waiting for units.
+// No attempt is started for a request whose client disconnected while the request was waiting for units.
 func TestNothingIsSentForWaitingRequestAfterClientDisconnects(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	d.nextID++
@@ -71,7 +71,7 @@
 	}
 }
 
-// No attempt is started for a request whose client disconnected while it was queued at the concurrency limit.
+// No attempt is started for a request whose client disconnected while the request was queued at the concurrency limit.
 func TestNothingIsSentForQueuedRequestAfterClientDisconnects(t *testing.T) {
 	d := startEngine(t, testSettings(), readyBackends(2)...)
 	d.engine.limiter.limit = 3
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -4,8 +4,9 @@
 // The package is a pure state machine: New takes the settings, and Engine.Handle takes one event at a time
 // and returns the actions that the gateway has to carry out. It does no I/O, reads no clock and starts no
 // goroutines. The caller passes the clock time, in seconds, with each event; all gateways must use the same
-// origin (Unix time, for instance), since the windows of quotas are derived from it. An Engine must not be
-// used concurrently. Settings, events and actions are defined in settings.go, events.go and actions.go.
+// origin (Unix time, for instance), since the windows of quotas are derived from the clock time. An Engine
+// must not be used concurrently. Settings, events and actions are defined in settings.go, events.go and
+// actions.go.
 //
 // A request passes through these steps: its units are charged to its customer's quota (admit), it waits in
 // the queue of its priority level (enqueue) until the concurrency limit allows an attempt (dispatch), a
--- a/policy/events.go
+++ b/policy/events.go
@@ -86,7 +86,8 @@
 // one final answer: the response of a backend, a Reject or a FailRequest.
 //
 // A customer's requests are sent to a fixed set of gateways, its gateway set. The number of these gateways is
-// in the field Gateways. They have consecutive indexes in the fleet; index 0 follows the last index.
+// in the field Gateways. The gateways have consecutive indexes in the fleet. Index 0 follows the fleet's last
+// index.
 type Request struct {
 	ID           RequestID
 	Customer     CustomerID
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -26,11 +26,11 @@
 	s.mean += overallLatencyGain * (latency - s.mean)
 }
 
-// slowThreshold returns the seconds after which an attempt has taken longer than almost all others.
+// slowThreshold returns the number of seconds after which an attempt has taken longer than almost all others.
 func (s *latencyStats) slowThreshold() float64 { return s.mean + slowDeviations*s.deviation }
 
-// recordLatency adds the latency of an attempt at the backend, in seconds. The latency given for an attempt
-// that was not served is a lower bound.
+// recordLatency adds the latency of an attempt at the backend, in seconds. For an attempt that was not
+// served, elapsed is a lower bound of the latency.
 func (b *backend) recordLatency(elapsed float64) {
 	if b.latency == 0 {
 		b.latency = elapsed
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,7 +1,7 @@
 package policy
 
 // recordOutcome updates the statistics from the end of an attempt: the backend's failure rate and latency,
-// the latency over all backends, and the concurrency limit.
+// the mean latency over all backends, and the concurrency limit.
 func (e *Engine) recordOutcome(req *request, a *attempt, outcome Outcome) {
 	elapsed := e.now - a.sentAt
 	switch outcome {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// recordFailure records an attempt that failed or is overdue, whatever the cause. If the failure leads to the
+// recordFailure records an attempt that failed, was rejected or is overdue. If the failure leads to the
 // ejection of the backend, the first trial is due after minTrialInterval.
 func (b *backend) recordFailure(now float64) {
 	wasEjected := b.ejected()
@@ -35,8 +35,8 @@
 	}
 }
 
-// trialDue reports whether an ejected backend may get a request of the class as a trial. Requests of
-// a class that is not Idempotent are used as a trial only if the trial is overdue by maxTrialInterval.
+// trialDue reports whether an ejected backend may get a request of the class as a trial. Requests of a class
+// that is not Idempotent are used as a trial only if the trial is overdue by at least maxTrialInterval.
 func (b *backend) trialDue(now float64, class *Class) bool {
 	due := b.nextTrialAt
 	if class.Idempotency != Idempotent {
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -111,8 +111,9 @@
 	return 1 + float64(equalOrHigher) + lowerLevelLoad*float64(b.inFlight)
 }
 
-// relativeLatency returns the backend's latency divided by the mean latency of all backends, limited by
-// maxLatencyFactor. It returns 1 if either is unknown.
+// relativeLatency returns the backend's latency divided by the mean latency of all backends. The ratio is
+// limited to the range from 1/maxLatencyFactor to maxLatencyFactor. If one of the two latencies is unknown,
+// the result is 1.
 func (e *Engine) relativeLatency(b *backend) float64 {
 	if b.latency > 0 && e.latency.mean > 0 {
 		return min(max(b.latency/e.latency.mean, 1/maxLatencyFactor), maxLatencyFactor)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,16 +7,16 @@
 const minLimitForWait = 1e-3
 
 // priorityQueue holds admitted requests until the concurrency limit allows an attempt. There is one level for
-// each weight that a request can have (see Class), in ascending order; higher levels are served first. Level
+// each weight that a request can have (see Class), in ascending order. Higher levels are served first. Level
 // 0 is for requests over quota. The slices are indexed by level.
 type priorityQueue struct {
-	requests      [][]*request // each level in order of admission
+	requests      [][]*request // queued requests of each level, in order of admission
 	weights       []float64    // weight of the level's requests
 	arrivalRates  []float64    // requests per second; mean over rateAveragingTime
 	arrivalCounts []float64    // requests that arrived since the last maintenance
 }
 
-// newPriorityQueue returns an empty queue with the levels that the settings result in.
+// newPriorityQueue returns an empty queue with the levels that result from the settings.
 func newPriorityQueue(settings *Settings) priorityQueue {
 	weights := []float64{0} // level 0: over quota
 	for _, class := range settings.Classes {
@@ -73,9 +73,9 @@
 // wouldWaitTooLong reports whether the expected wait in the queue exceeds the time until the request must be
 // sent. A request waits for the queued requests of its level and of higher levels, and for requests of higher
 // levels that arrive during the wait. The expected wait is s * ahead / (1 - s*higherRate). Here s is
-// secondsPerAttempt, the average time between two attempts that the concurrency limit allows, ahead is 1 plus
-// the number of queued requests that the request waits for, and higherRate is the number of arrivals per
-// second at higher levels.
+// secondsPerAttempt, the average time between two attempts that the concurrency limit allows. The value ahead
+// is 1 plus the number of queued requests that the request waits for. The value higherRate is the number of
+// arrivals per second at higher levels.
 func (e *Engine) wouldWaitTooLong(req *request) bool {
 	secondsPerAttempt := e.latency.mean / max(e.limiter.limit, minLimitForWait)
 	ahead := 1 + float64(len(e.queue.requests[req.level]))
@@ -98,8 +98,8 @@
 }
 
 // dispatchLevel sends the queued requests of a level in order of admission, and reports whether lower levels
-// may be dispatched too: false if the concurrency limit is reached, true if no request is left or no backend
-// is usable for the first queued request.
+// may be dispatched too. It returns false if the concurrency limit is reached. It returns true if no request
+// is left, or if no backend is usable for the first queued request.
 func (e *Engine) dispatchLevel(level int) bool {
 	for len(e.queue.requests[level]) > 0 {
 		req := e.queue.requests[level][0]
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -227,7 +227,7 @@
 	env.handle(r)
 }
 
-// attemptEnds ends the oldest attempt in flight of one of the 20 newest requests, if it has any.
+// attemptEnds selects one of the 20 newest requests at random, and ends its oldest attempt in flight, if there is one.
 func (env *randomEnvironment) attemptEnds() {
 	env.t.Helper()
 	if len(env.order) == 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,7 +37,7 @@
 	Streamed         bool        // responses are streamed; decisions don't use it
 }
 
-// LongestDeadline returns the longest Deadline of the classes in seconds, 0 if there are none.
+// LongestDeadline returns the longest Deadline of the classes in seconds, 0 if there are no classes.
 func LongestDeadline(classes []Class) float64 {
 	longest := 0.0
 	for _, class := range classes {
@@ -73,7 +73,7 @@
 	LoadCPU                              // share of the CPU in use
 	LoadServiceMillis                    // milliseconds that a request takes
 	LoadServedPerSecond                  // requests served per second
-	LoadErrorsPerSecond                  // requests failed per second
+	LoadErrorsPerSecond                  // failed requests per second
 )
 
 // Settings describes a deployment and the gateway's place in it. The engine keeps the slices, so the caller
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -33,7 +33,7 @@
 type simulatedBackend struct {
 	startedAt float64   // clock time at which the backend started; 0: warm
 	freeAt    float64   // clock time at which the next request can begin
-	sends     []float64 // clock times of the attempts sent to the backend in slow start
+	sends     []float64 // clock times of the attempts sent to the backend during its slow start
 }
 
 // handle passes an event to a gateway and carries out its actions.
@@ -79,7 +79,8 @@
 	return f.set.SlowStartMinShare + (1-f.set.SlowStartMinShare)*age/f.set.SlowStartWindow
 }
 
-// run simulates traffic of a rate in requests per second. It ends when the clock time reaches the parameter until.
+// run simulates traffic at a constant rate, in requests per second. It ends when the clock time reaches the parameter
+// until.
 func (f *slowStartFleet) run(until, rate float64) {
 	const step = 0.005
 	for ; f.now < until; f.now += step {
@@ -201,7 +202,7 @@
 	for i := range gateways {
 		f.handle(i, EndpointsUpdated{Kind: FullList, Entries: list})
 	}
-	rate := load.utilization * float64(warmAtFirst) * cores / meanServiceTime // as before the change of backends
+	rate := load.utilization * float64(warmAtFirst) * cores / meanServiceTime // same rate as before the change of backends
 	f.run(107, rate)
 	if load.lull > 0 {
 		f.run(107+load.lull, 0)
@@ -317,7 +318,7 @@
 		}
 	}
 	for second := range 8 {
-		// The capacity of a backend in slow start, as a share of a warm backend's.
+		// The capacity of a backend in slow start, as a share of the capacity of a warm backend.
 		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*(float64(second)+0.5)/set.SlowStartWindow
 		sendsPerStarting := float64(sendsStarting[second]) / starting
 		sendsPerWarm := float64(sendsWarm[second]) / warm
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -6,7 +6,7 @@
 // The kinds of timer.
 const (
 	maintenanceTimer    timerKind = iota // the next round of maintenance is due
-	sendDeadlineTimer                    // from now on a request's first attempt would be too late
+	sendDeadlineTimer                    // from now on, the first attempt of a request would end too late
 	answerDeadlineTimer                  // a request must be answered now
 	pollEndpointsTimer                   // discovery is to be polled again after a failure
 	slowAttemptTimer                     // an attempt takes longer than almost all others
@@ -46,8 +46,7 @@
 	e.emit(SetTimer{Delay: max(delay, 0), Token: token.pack(), Request: token.request})
 }
 
-// handleTimer handles a timer that has fired. It does nothing if the request or attempt that the timer was
-// set for has ended.
+// handleTimer handles a timer that has fired. A timer of a request or attempt that has ended has no effect.
 func (e *Engine) handleTimer(token timerToken) {
 	switch token.kind {
 	case maintenanceTimer:
