--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -121,8 +121,8 @@
 			return total
 		})))
 	}
-	// The ceiling's 18 units must cover the bursts of two adjacent windows, and unexpired leases of half a burst. A window
-	// therefore grants at most 18/2.5 = 7.2 units instead of 9.
+	// The ceiling's 18 units must cover the bursts of two adjacent windows, and unexpired leases of half a burst. The
+	// burst of a window is therefore 18/2.5 = 7.2 units instead of 9, and admits 7 requests of one unit.
 	if sent != 7 {
 		t.Errorf("%d units of a burst of 9 sent at once, want 7", sent)
 	}
@@ -137,7 +137,8 @@
 		admits        bool
 		rejected      int // number of rejections among ten requests over quota
 	}{
-		// The two gateways share half of the 14 - 1.5*4 units as local tokens: 2 at each gateway.
+		// Leases need 1+leaseLifetimeShare = 1.5 times the burst of 4, which leaves 8 of the ceiling's 14 units. Half of
+		// the 8 units are local tokens: 2 at each of the two gateways.
 		{name: "requests over quota earn more than they cost", overQuotaCost: 0, admits: true, rejected: 8},
 		{name: "requests over quota cost more than they earn", overQuotaCost: 0.5, admits: false, rejected: 10},
 	} {
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -70,7 +70,7 @@
 	d.engine.latency.mean, d.engine.limiter.limit = 0.1, 100
 	total, sent := 0.0, 0
 	names := map[uint64]bool{}
-	for i := range 60 { // 60 requests within one window
+	for i := range 60 { // 60 requests in 0.06 s; a window takes 1 s
 		d.now += 0.001
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 50, Customer: 5, Deadline: d.now + 2})
 		for _, call := range actionsOf[CounterAdd](out) {
@@ -80,7 +80,8 @@
 		}
 		sent += len(actionsOf[SendAttempt](out))
 	}
-	// The limit allows two attempts at a time, each of 0.1 s: at most 20 a second, or 20 in each window of 1 s.
+	// The limit allows two attempts at a time, each of 0.1 s. This makes at most 20 attempts a second, and 20 in each
+	// window of 1 s. The rate uses concurrencyUtilization = 0.65 of them: 13 attempts.
 	if sent < 10 || sent > 20*len(names) {
 		t.Errorf("%d requests admitted, want about 13", sent)
 	}
--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -21,8 +21,8 @@
 	b.until = now + b.pause
 }
 
-// delayIfRepeated begins the pause and then lengthens it for the next failure. After the first failure in a
-// row there is thus no pause.
+// delayIfRepeated begins the pause and then lengthens it for the next failure. There is thus no pause after
+// the first failure in a row.
 func (b *backoff) delayIfRepeated(now float64) {
 	b.until = now + b.pause
 	b.grow()
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	counterNameTTL     = 60.0 // seconds for which the counter keeps a name; longer than a window
-	maxUnansweredCalls = 64   // timed-out calls that are kept for a late reply, at most
+	counterNameTTL     = 60.0 // seconds for which the counter keeps a name; longer than a refilling window
+	maxUnansweredCalls = 64   // largest number of timed-out calls that are kept for a late reply
 )
 
 // counterCall is a call to the counter, made by a CounterAdd. The counter adds the sum of spent, adjustment
--- a/policy/counterfault_test.go
+++ b/policy/counterfault_test.go
@@ -123,8 +123,8 @@
 }
 
 // overloadedCallShares sends requests of two kinds in turn, each from a new customer whose gateway set has the given
-// number of gateways, while one counter call in ten times out. For each kind, it returns the share of requests that led
-// to a call. It counts only the second half of the run, since the gateway first has to measure the failure rate. If
+// number of gateways. Every tenth counter call times out. For each kind, it returns the share of requests that led to a
+// call. It counts only the second half of the run, since the gateway first has to measure the failure rate. If
 // maintenance is false, the gateway does not measure the arrival rates of the levels.
 func overloadedCallShares(d *engineDriver, gateways int, maintenance bool, requestOf func(kind int) Request) (shares [2]float64) {
 	var requests, called [2]int
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -7,10 +7,12 @@
 	maxShedShare       = 0.9  // share of the calls; upper bound of the share to shed
 )
 
-// recordReply updates the failure rate with a call that did not fail through overload.
+// recordReply lowers the failure rate when a call has ended. If the call failed through overload,
+// recordOverload must be called next.
 func (s *counterState) recordReply() { s.failureRate -= counterFailureGain * s.failureRate }
 
-// recordOverload marks the call that recordReply has just counted as failed through overload.
+// recordOverload raises the failure rate for a call that failed through overload. recordReply must have been
+// called for the same call before.
 func (s *counterState) recordOverload() { s.failureRate += counterFailureGain }
 
 // shedCounterCall decides at random whether to shed the call for a customer's first waiting request, and
@@ -34,10 +36,10 @@
 	return true
 }
 
-// shedShareFor returns which share to shed of the calls for requests of the same kind as req, if shedShare of
+// shedShareFor returns the share to shed of the calls for requests of the same kind as req, if shedShare of
 // all calls are to be shed. Requests are of the same kind if they have the same level and are all retries or
-// all first requests. Calls for retries are shed before calls for first requests, and calls for lower levels
-// before calls for higher levels.
+// all first requests. Calls for retries are shed before calls for first requests. Within retries and
+// within first requests, calls for lower levels are shed before calls for higher levels.
 func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
 	// shedBefore is the share of all calls that are shed before calls for requests of this kind. callShare is
 	// the share of calls for requests of this kind in all calls.
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -4,8 +4,8 @@
 // requests.
 //
 // A call without a reply grants nothing. The counter may have added the call's amount; if it has, the next
-// total includes the amount. A call with a malformed reply grants nothing either. The counter has added its
-// amount, and the next call takes back the units for the lease.
+// total includes the amount. A call with a malformed reply grants nothing either. The counter has added the
+// call's amount, and the next call takes back the units for the lease.
 func (e *Engine) handleCounterReply(event CounterReply) {
 	call, ok := e.takePendingCall(event.Name)
 	if !ok {
@@ -31,9 +31,9 @@
 }
 
 // handleMalformedReply handles a reply that cannot be read, or a connection that was reset. Neither is a sign
-// of overload. To treat them as overload would shed calls that the counter can handle, and would reject
-// requests of customers within their quotas. After a single failure of this kind, the counter may therefore
-// be called again at once. After repeated failures, there is a backoff.
+// of overload. Treating either as overload would shed calls that the counter can handle, and would reject
+// requests of customers within their quotas. After a single malformed reply or reset, the counter may
+// therefore be called again at once. After repeated failures, there is a backoff.
 func (e *Engine) handleMalformedReply(c *customer, call counterCall, outcome Outcome) {
 	if outcome == Failed {
 		c.reclaimLease(call)
@@ -43,10 +43,10 @@
 
 // handleCounterOverload handles a call that was rejected or had no reply.
 //
-// If a call did not time out, the counter has not added its amount, and the next call repeats the report.
-// Otherwise units that the call should have returned would be missing at all gateways. If a call timed out,
-// the counter may have added its amount, and the report is not repeated. The fallback of the local tokens is
-// released unless the call was rejected.
+// If the call timed out, the counter may have added its amount, and the report is not repeated. If the call
+// ended otherwise, the counter has not added its amount, and the next call repeats the report. Without the
+// repeated report, units that the call should have returned would be missing at all gateways. The fallback of
+// the local tokens is released unless the call was rejected.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
@@ -103,9 +103,10 @@
 }
 
 // reclaimLease makes the next call take back the lease units that a call added to the total and that were not
-// granted. Under deferred reporting, the next call also takes back the adjustment, and the overflow in it is
-// added again later. Under upfront leasing, the adjustment stays in the total: without the overflow that the
-// first call of a refilling window adds, the shared bucket would hold more than its initial balance.
+// granted. It does nothing if the call's window is over. Under deferred reporting, the next call also takes
+// back the adjustment, since a later call adds the overflow again. Under upfront leasing, the adjustment
+// stays in the total: without the overflow that the first call of a refilling window adds, the shared bucket
+// would hold more than its initial balance.
 func (c *customer) reclaimLease(call counterCall) {
 	if call.leaseUnits > 0 && call.window == c.window.number {
 		c.unreportedUnits -= call.leaseUnits
@@ -119,8 +120,8 @@
 // the corrections in the call that still apply.
 func (c *customer) requeueReport(call counterCall) {
 	if c.quota.deferredReporting {
-		// Spent units may be reported in any window, a correction only in the window that it was made for. The
-		// next call does not repeat adjustments above 0, since overflow is determined again.
+		// Spent units may be reported in any window. A correction may be made only in its own window. The
+		// next call does not repeat an adjustment above 0, since overflow is determined again.
 		c.unreportedUnits += call.spent
 		if call.window == c.window.number {
 			c.unreportedUnits += min(call.adjustment, 0)
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -8,9 +8,9 @@
 // the gateways have charged since the window began: units spent, units leased, and overflow. The refill is
 // the number of units that the shared bucket has earned since the window began; it is 0 in a fixed window.
 //
-// The balance of the shared bucket is burst + refill - total, or, under deferred reporting, burstTolerance +
-// refill - total, but at most burst. Under upfront leasing, the bucket is thus full if the total is equal to
-// the refill.
+// Under upfront leasing, the balance of the shared bucket is burst + refill - total. The bucket is thus full
+// if the total is equal to the refill. Under deferred reporting, the balance is burstTolerance + refill -
+// total, but at most burst.
 //
 // Overflow is refill that arrives while the bucket is full. A token bucket discards the overflow. Here the
 // gateways add the overflow to the total, so that the total does not fall behind the refill.
@@ -36,8 +36,8 @@
 	}
 }
 
-// windowRefill returns the refill of the present window: the total at which the shared bucket is full. It is
-// 0 in a fixed window, which grants its units at the start.
+// windowRefill returns the refill: the units that the shared bucket has earned since the present window
+// began. It is 0 in a fixed window, which grants its units at the start.
 func (c *customer) windowRefill(now float64) float64 {
 	if !c.quota.refillingWindow {
 		return 0
@@ -50,13 +50,14 @@
 	return (number + 1 - c.windowPhase()) * c.quota.windowDuration
 }
 
-// windowPhase returns the share of a window, from 0 to 1, by which the customer's windows begin early.
-// Windows of different customers thus begin at different times, which spreads the calls for new windows.
+// windowPhase returns the share of a window, from 0 to 1, by which the customer's windows begin before the
+// multiples of windowDuration. Windows of different customers thus begin at different times, which spreads
+// the calls for new windows.
 func (c *customer) windowPhase() float64 { return float64(splitMix64(uint64(c.id))%1024) / 1024 }
 
-// splitMix64 hashes a number. Hashes serve as names at the counter, so that different names hardly ever
-// collide. The function is one step of the generator SplitMix64 by Sebastiano Vigna
-// (https://prng.di.unimi.it/splitmix64.c).
+// splitMix64 hashes a number. The name of a total at the counter is a hash of the customer and the window.
+// Different totals must not get the same name, and hashes of 64 bits hardly ever collide. The function is one
+// step of the generator SplitMix64 by Sebastiano Vigna (https://prng.di.unimi.it/splitmix64.c).
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -76,11 +76,11 @@
 // fillLocalTokens sets the first local tokens of a customer that is new to this gateway.
 //
 // In a large gateway set, a gateway's equal part of the burst may be less than one unit, while localBurst is
-// at least one unit. If the counter rejects calls for a moment, the gateways together would admit far more
-// than the burst if each started with a whole unit. Each gateway therefore starts with its part and a random
-// fraction of a unit, so that the gateways together admit about the burst. The remaining tokens up to
-// localBurst become the fallback, which is released when the counter does not reply. Without a counter,
-// nothing is withheld, since only local tokens admit requests.
+// at least one unit. If each gateway started with a whole unit, the gateways together would admit far more
+// than the burst while the counter rejects calls. Each gateway therefore starts with its part and a random
+// fraction of a unit, but at most localBurst. The gateways together then admit about the burst. The remaining
+// tokens up to localBurst become the fallback, which is released when the counter does not reply. Without a
+// counter, nothing is withheld, since only local tokens admit requests.
 func (e *Engine) fillLocalTokens(c *customer, plan *Plan, gateways int) {
 	quota := e.quotaFor(plan, gateways, 0) // any index: localConcurrency is not used here
 	c.localTokens.tokens = quota.localBurst
--- a/policy/deferredreporting.go
+++ b/policy/deferredreporting.go
@@ -11,7 +11,7 @@
 	minReportThreshold   = 2.0     // units; with a lower threshold, each request could cost a call
 	reportGain           = 0.2     // weight of the newest report in the mean report
 
-	overflowCallShare = 0.75 // share of the burst; overflow above it is added to the total by an extra call
+	overflowCallShare = 0.75 // share of the burst; an extra call adds larger overflow to the total
 	maxReportLagShare = 0.25 // share of the burst; upper bound of the report lag (reconcileDeferred)
 	maxCarryOverAge   = 30.0 // seconds; an older balance is not carried over into a new window
 
@@ -27,17 +27,17 @@
 	overflow   float64 // units of overflow that the last call found and that are not in the total yet
 	meanReport float64 // units per report, exponential mean
 	balance    float64 // units left in the bucket after the last call, as of balanceAt
-	balanceAt  float64 // clock time
-	exhausted  bool    // the last call found fewer units than it requested or the next request needs
+	balanceAt  float64 // clock time at which balance was determined
+	exhausted  bool    // the last call found fewer units than it requested, or than the next request needs
 }
 
 // deferredLeaseUnits returns the units of the next lease: the units of the waiting requests and a prefetch.
 // It returns 0 if the next call should only read the total.
 //
 // If a customer is over its quota, most lease requests are granted nothing, and the units that they added to
-// the total are missing at the other gateways until a correction takes them back. If a call has found the
-// bucket exhausted, the next calls therefore only read the total, until a call finds enough units or until
-// exhaustedReadPeriod after exhaustedUntil.
+// the total are missing at the other gateways until a correction takes them back. After a call has found the
+// bucket exhausted, the next calls therefore only read the total. They do so until a call finds the units for
+// the next request, or until exhaustedReadPeriod seconds after exhaustedUntil.
 //
 // In a large gateway set, there is an exception for a gateway whose demand is within its fair share. The
 // bucket is then exhausted because of the leases of other gateways, and the gateway requests a lease at once,
@@ -68,9 +68,9 @@
 }
 
 // deferredOverflow returns the estimated overflow, which the next call adds to the total. The estimate is the
-// overflow that this gateway found at its last call, but at most the refill less the last total. The overflow
-// found at a call has built up since the last call before it, made by any gateway of the set. Since the
-// gateways together call about equally often all the time, about the same overflow has built up by now.
+// overflow that this gateway found at its last call, but at most the refill less the last total. Overflow
+// builds up between any two successive calls of the gateway set. These calls are about equally spaced in
+// time, so about as much overflow has built up now as at the last call.
 func (c *customer) deferredOverflow(refill float64) float64 {
 	return min(c.sharedBucket.overflow, max(refill-c.window.lastTotal, 0))
 }
@@ -119,9 +119,10 @@
 // totalWithoutEstimates subtracts the lease and the estimated overflow of a call from the total that the call
 // returned.
 //
-// Two gateways may add the same overflow. Without its own estimate, the gateway that called second then finds
-// the overflow of the first gateway in the total, and a correction takes its own estimate back. A negative
-// adjustment and a balance carried over from the window before are not estimates, and stay in the total.
+// Two gateways may add the same overflow. The gateway that called second subtracts its own estimate here. The
+// result still includes the overflow that the other gateway has added. A correction then takes back the
+// second gateway's estimate. A negative adjustment and a balance carried over from the window before are not
+// estimates, and stay in the total.
 func (call *counterCall) totalWithoutEstimates(total float64) float64 {
 	reportedTotal := total - call.leaseUnits
 	if !call.carriedOver {
@@ -130,8 +131,8 @@
 	return reportedTotal
 }
 
-// recordReport updates the mean report with the spent units that a call reported. A call that reported none
-// does not count.
+// recordReport updates the mean report with the spent units that a call reported. A call that reported no
+// spent units does not count.
 func (b *sharedBucketView) recordReport(spent float64) {
 	if spent > 0 {
 		b.meanReport += reportGain * (spent - b.meanReport)
@@ -147,7 +148,8 @@
 
 // grantDeferred grants the lease that a call requested, as far as the bucket's balance allows, and returns
 // the units granted. If the bucket is exhausted, it sets exhaustedUntil to the time at which the bucket will
-// hold the units of two requests, within refillWaitLimit.
+// hold the units of two requests. The wait is at most the time in which the bucket earns the units of
+// refillWaitLimit requests.
 func (e *Engine) grantDeferred(c *customer, call counterCall, requestUnits float64) float64 {
 	granted := affordableUnits(call.leaseUnits, c.sharedBucket.balance, requestUnits)
 	c.sharedBucket.exhausted = granted < call.leaseUnits ||
@@ -164,7 +166,7 @@
 }
 
 // refillWaitLimit returns the longest wait for an exhausted bucket, as the number of requests whose units the
-// bucket earns during the wait. The wait grows with the number of gateways that compete for the refill,
+// bucket earns during the wait. The limit grows with the number of gateways that compete for the refill,
 // unless this gateway's demand is within its fair share.
 func (c *customer) refillWaitLimit() float64 {
 	if c.withinFairShare() {
@@ -173,7 +175,10 @@
 	return max(maxRefillWaitRequests, c.quota.gatewayCount/2)
 }
 
-// correctTotal makes a call that changes the counter's total to target if the difference is worth a call.
+// correctTotal makes a call that changes the counter's total to target if the total must fall by more than
+// minCorrection of a request, or rise by more than overflowCallShare of the burst. If a balance is carried
+// over, it also makes the call if the total must rise by more than the units of a request.
+//
 // The difference consists of overflow, units that were requested and not granted, and the balance carried
 // over into a new window.
 func (e *Engine) correctTotal(
--- a/policy/deferredreporting_test.go
+++ b/policy/deferredreporting_test.go
@@ -98,7 +98,7 @@
 }
 
 // Units that were spent at the end of a window and could not be reported must be reported in the next window. Otherwise
-// the customer would get that many units over its quota each time.
+// the customer would get these units in addition to its quota.
 func TestUnreportedUnitsAreReportedInTheNextWindow(t *testing.T) {
 	gateways, _ := startDeferredPair(t)
 	d := gateways[0]
@@ -133,8 +133,8 @@
 }
 
 // If an exhausted bucket refills soon, a request of a customer within its quota must wait for the refill and then be
-// admitted, since its client would not retry any sooner. If the refill takes longer, the request must be rejected at
-// once.
+// admitted, since a rejected client would retry only after the refill. If the refill takes longer, the request must be
+// rejected at once.
 func TestRequestWaitsForABucketThatRefillsSoon(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -8,7 +8,7 @@
 	minCorrection = 0.25
 
 	minRate         = 1e-3 // units per second; a lower rate is replaced by minRate where it is a divisor
-	minRequestUnits = 1e-3 // units; a request of fewer units counts as one of minRequestUnits
+	minRequestUnits = 1e-3 // units; a request of fewer units counts as minRequestUnits units
 	unitRounding    = 1e-3 // share of a request's units; a smaller shortfall is taken for a rounding error
 )
 
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("%d more calls for an exhausted window", n)
 	}
 	calledForNext := false
-	for range 40 { // 4 s; a window takes 2 s
+	for range 40 { // 4 s; a window takes Burst/Rate = 2 s
 		d.now += 0.1
 		d.nextID += 10
 		out = d.handle(Request{ID: d.nextID, Units: 1, Gateways: 60, Customer: 5, Deadline: d.now + 2})
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -12,14 +12,14 @@
 
 const (
 	admitNow             admissionDecision = iota // the request is admitted, and its units have been spent
-	deferRequest                                  // the request waits for capacity, units or a reply
+	deferRequest                                  // the request waits for concurrency, units or a counter reply
 	needsLease                                    // call the counter for a lease, then decide again
 	rejectForQuota                                // the customer has too few units
 	rejectForConcurrency                          // this gateway's part of the concurrency limit is 0
 )
 
-// admit decides on a customer's waiting requests in order. It admits or rejects them, and stops at the first
-// request that has to go on waiting.
+// admit decides on a customer's waiting requests in order. It admits, rejects or fails each request, and
+// stops at the first request that has to go on waiting.
 func (e *Engine) admit(c *customer) {
 	for len(c.waiting) > 0 {
 		req := c.waiting[0]
@@ -65,7 +65,8 @@
 // end in time. If the part is 0, the request is rejected, and its client retries at another gateway.
 //
 // The limit is divided among the gateways and not leased from the counter. While a call for a lease is
-// pending, its concurrency would be missing at the other gateways, and the calls would overload the counter.
+// pending, the concurrency to be leased would be missing at the other gateways. The calls would also overload
+// the counter.
 func (c *customer) decideAtConcurrencyLimit() admissionDecision {
 	if c.quota.localConcurrency > 0 {
 		return deferRequest
@@ -73,8 +74,8 @@
 	return rejectForConcurrency
 }
 
-// decideByUnits decides on a request whose customer has a quota of units. If it admits the request, it has
-// spent the units.
+// decideByUnits decides on a request whose customer has a quota of units. If it returns admitNow, it has
+// spent the request's units.
 func (e *Engine) decideByUnits(c *customer, req *request) admissionDecision {
 	c.enterWindow(e.now)
 	switch {
@@ -98,8 +99,9 @@
 }
 
 // decideWhileExhausted decides on a request while the shared bucket has too few units. The request waits if
-// the bucket refills soon. Else the request counts as over quota: local tokens admit it at the lowest level
-// if the plan allows requests over quota.
+// the bucket refills soon. Otherwise the request is over quota. Local tokens then admit it at the lowest
+// level if the plan allows requests over quota and there are at least as many tokens as the request has
+// units. If not, the request is rejected.
 func (e *Engine) decideWhileExhausted(c *customer, req *request) admissionDecision {
 	if c.refillsSoon(req, e.settings.MaxRetryAfter) {
 		return deferRequest
@@ -112,8 +114,10 @@
 }
 
 // decideWithoutCounter decides on a request while the counter cannot be called. Local tokens admit the
-// request if there are enough of them. Else the request waits if the customer's gateway set is small and the
-// backoff ends in time, since an overloaded counter may have capacity by then.
+// request if there are at least as many tokens as the request has units. Otherwise the request waits or is
+// rejected. It waits if there is a counter, the customer's gateway set is small, and the backoff ends more
+// than the mean latency before the request has to be answered. An overloaded counter may have capacity after
+// the backoff.
 func (e *Engine) decideWithoutCounter(c *customer, req *request) admissionDecision {
 	if c.takeLocalTokens(e.now, req.Units) {
 		c.unreportedUnits += req.Units
@@ -128,11 +132,12 @@
 // refillsSoon reports whether a request should wait for the exhausted shared bucket to refill. retryAfter is
 // the number of seconds after which the client of a rejected request retries.
 //
-// The bucket must refill within retryAfter seconds after the request was sent, since the client would
-// otherwise retry before the end of the wait, and within maxQuotaWaitShare of the time until the request's
+// The bucket must refill within retryAfter seconds after the request was sent, since a rejected client would
+// retry by then. It must also refill within maxQuotaWaitShare of the time from the request's sending to its
 // deadline. Waiting helps if the bucket is exhausted only for a moment because other gateways have prefetched
-// its units. It does not help if the demand at this gateway alone exceeds the customer's whole rate. Under
-// upfront leasing no request waits for a refill; a fixed window stays exhausted until it ends.
+// its units. Waiting does not help if the demand at this gateway alone exceeds the customer's whole rate.
+// Under upfront leasing, no request waits for a refill. A fixed window, once exhausted, stays exhausted until
+// it ends.
 func (c *customer) refillsSoon(req *request, retryAfter float64) bool {
 	return c.quota.deferredReporting && c.demand.sustainedRate < c.quota.rate &&
 		c.exhaustedUntil < req.SentAt+min(retryAfter, maxQuotaWaitShare*(req.answerBy-req.SentAt))
@@ -140,8 +145,8 @@
 
 // refund returns the units of a request that was admitted but never sent. Under upfront leasing, the units go
 // back to the lease. Under deferred reporting, they go to the local tokens, and the next call subtracts them
-// from the total. In a lease under deferred reporting, which lasts long, the units would be missing at the
-// other gateways until the lease expires.
+// from the total. They do not go back to the lease: leases last long under deferred reporting, and the units
+// of a lease are missing at the other gateways until the lease expires.
 func (c *customer) refund(units float64) {
 	if !c.quota.deferredReporting {
 		c.lease.units += units
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -18,7 +18,7 @@
 	gateways      int
 	plan          Plan
 	rate          float64                       // requests per second; each request has one unit
-	rateFactor    func(elapsed float64) float64 // factor on rate, at most 16; nil: always 1
+	rateFactor    func(elapsed float64) float64 // factor on rate, at most 16 (peakFactor); nil: always 1
 	unevenWeights bool                          // gateways get uneven shares of the load, which change every 7 to 18 s
 	counterDelay  float64                       // seconds until the counter's reply
 	warmUp        float64                       // seconds at the start that do not count in the result
@@ -164,7 +164,7 @@
 	}
 }
 
-// counts reports whether events count in the result, since the warm-up is over.
+// counts reports whether the warm-up is over, so that events count in the result.
 func (run *quotaLoadRun) counts() bool { return run.now > quotaLoadStart+run.load.warmUp }
 
 // handle passes an event to its gateway and carries out the gateway's actions.
@@ -303,8 +303,8 @@
 	}
 }
 
-// After a time of low demand, a customer must get the burst of its plan and the units that may be unreported, but not
-// all the refill of that time.
+// After a time of low demand, a customer must get only a limited burst (see reconcileDeferred), and not all the refill
+// of that time.
 func TestBurstAfterLowDemandIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 20} {
@@ -318,8 +318,8 @@
 				return 1
 			}}
 		result := load.run(t)
-		// Two bursts, the overflow and report lag that may not be in the total, the refill during the burst, and the
-		// local tokens.
+		// The sum of largeSetTolerance = 2 bursts, the overflow and report lag that may not be in the total, the refill
+		// during burstTime, and the local tokens.
 		maxSent := load.plan.Burst*(2+overflowCallShare+maxReportLagShare) + load.plan.Rate*burstTime +
 			largeSetLocalBurst*float64(gateways)
 		if float64(result.sent) > maxSent {
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -3,19 +3,19 @@
 // Parameters of quotas.
 const (
 	maxSmallGatewaySet      = 5.0  // gateways; size of the largest gateway set that counts as small
-	refillingWindowDuration = 50.0 // seconds; shorter than counterNameTTL
+	refillingWindowDuration = 50.0 // seconds; below counterNameTTL, so that the counter keeps a window's total
 
 	// Deferred reporting.
-	minRefillPerGateway = 4.0 // units per window; with less, the gateways of a large set would report too rarely
-	largeSetLocalBurst  = 5.0 // bound of localBurst in units, and of its sum in bursts (useDeferredReporting)
+	minRefillPerGateway = 4.0 // units per window; with fewer, a gateway of a large set would report too rarely
+	largeSetLocalBurst  = 5.0 // units, and multiple of an equal part of the burst (useDeferredReporting)
 	smallSetTolerance   = 0.8 // share of the burst; burstTolerance of a small gateway set
 	largeSetTolerance   = 2.0 // multiple of the burst; burstTolerance of a large gateway set
 
 	// A ceiling.
-	ceilingLeaseShare = 0.22 // share of the ceiling's burst; a bound of burst in divideCeilingForFixedWindows
+	ceilingLeaseShare = 0.22 // share of the ceiling's burst; limit of burst (divideCeilingForFixedWindows)
 
 	// A concurrency limit that is applied as a rate.
-	concurrencyUtilization = 0.65 // share of the limit that the rate uses on average
+	concurrencyUtilization = 0.65 // share of the concurrency limit that the rate uses on average
 	concurrencyRateWindow  = 1.0  // seconds; duration of the fixed windows of the rate
 )
 
@@ -52,7 +52,7 @@
 
 	localRate       float64 // units per second that the local tokens earn
 	localBurst      float64 // size of the bucket of local tokens in units
-	admitsOverQuota bool    // local tokens admit requests over quota, since these earn more than they cost
+	admitsOverQuota bool    // requests over quota earn more than they cost, so local tokens admit them
 
 	concurrencyLimit int // attempts in flight over all gateways; 0: no limit
 	localConcurrency int // this gateway's part of concurrencyLimit
@@ -102,9 +102,9 @@
 	}
 }
 
-// allowsDeferredReporting reports whether a plan can use deferred reporting. It needs a rate, and a gateway
-// set that is small or whose gateways earn enough units to report often. It must have no ceiling, since the
-// gateways could exceed a ceiling before they report.
+// allowsDeferredReporting reports whether a plan can use deferred reporting. The plan must have a rate. It
+// must have no ceiling, since the gateways could exceed a ceiling before they report. The gateway set must be
+// small, or the rate must be high: at least minRefillPerGateway units for each gateway in a refilling window.
 func (q *quotaParameters) allowsDeferredReporting(p *Plan) bool {
 	return p.CeilingRate <= 0 && p.Rate > 0 &&
 		(q.smallGatewaySet || p.Rate*refillingWindowDuration >= minRefillPerGateway*q.gatewayCount)
@@ -112,9 +112,11 @@
 
 // useDeferredReporting sets the parameters of deferred reporting.
 //
-// A large gateway set gets a higher burstTolerance than a small one: with a lower value, the bucket would
-// look exhausted when its units have only been prefetched. localBurst is raised to largeSetLocalBurst units
-// at each gateway, but to at most largeSetLocalBurst times the burst at all gateways together.
+// A large gateway set gets a higher burstTolerance than a small set: with a lower value, the bucket would
+// look exhausted when its units have only been prefetched.
+//
+// In a large gateway set, localBurst is largeSetLocalBurst units, but at most largeSetLocalBurst times an
+// equal part of the burst. It is at least an equal part of the burst, and at least one unit.
 func (q *quotaParameters) useDeferredReporting(p *Plan) {
 	q.deferredReporting = true
 	if q.smallGatewaySet {
@@ -152,8 +154,9 @@
 	q.admitsOverQuota = p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// divideCeilingForRefillingWindows divides a ceiling's burst if leases use refilling windows. The units that
-// are not needed for leases are divided equally between the initial balance and the gateways' local bursts.
+// divideCeilingForRefillingWindows divides a ceiling's burst if leases use refilling windows. Of the units
+// that leases do not need, one half becomes the initial balance. The gateways' local buckets share the other
+// half equally.
 func (q *quotaParameters) divideCeilingForRefillingWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst/(1+leaseLifetimeShare))
 	q.initialBalance = (p.CeilingBurst - (1+leaseLifetimeShare)*q.burst) / 2
@@ -161,8 +164,8 @@
 }
 
 // divideCeilingForFixedWindows divides a ceiling's burst if leases use fixed windows. A window grants at most
-// ceilingLeaseShare of the ceiling's burst, or more if each local bucket would hold less than one unit. The
-// units that are not needed for leases are divided equally among the gateways' local buckets.
+// ceilingLeaseShare of the ceiling's burst, or more if each local bucket would otherwise hold less than one
+// unit. The gateways' local buckets share equally the units that leases do not need.
 func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
 	if q.localCeilingBurst(p) < 1 {
@@ -174,15 +177,16 @@
 	q.localBurst = q.localCeilingBurst(p)
 }
 
-// localCeilingBurst returns this gateway's part of the units of the ceiling's burst that are not needed for
-// leases in fixed windows.
+// localCeilingBurst returns the size of a local bucket if leases use fixed windows. Leases then need
+// (2+leaseLifetimeShare)*burst units of the ceiling's burst. The local buckets share the rest equally.
 func (q *quotaParameters) localCeilingBurst(p *Plan) float64 {
 	return (p.CeilingBurst - (2+leaseLifetimeShare)*q.burst) / q.gatewayCount
 }
 
 // useConcurrencyRate drops the concurrency limit of a large gateway set. If the plan has no rate and the mean
-// latency is known, a quota of units replaces the limit, with the rate that the limit allows on average. To
-// count attempts in flight at the counter would need two calls for each request, and the count would drift.
+// latency is known, a quota of units replaces the limit. Its rate is concurrencyUtilization of the highest
+// rate that the limit allows at the mean latency. Counting attempts in flight at the counter would need two
+// calls for each request, and the count would drift.
 func (q *quotaParameters) useConcurrencyRate(p *Plan, meanLatency float64) {
 	q.concurrencyLimit = 0
 	if q.rate == 0 && meanLatency > 0 {
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -6,20 +6,20 @@
 // describes leases and windows; counterWindow describes total, refill and overflow.
 
 const (
-	maxRefillWaitRequests = 3.0 // requests; the longest wait is until an exhausted bucket has earned their units
+	maxRefillWaitRequests = 3.0 // requests; the bucket earns their units in the longest wait (refillWaitLimit)
 	leaseLifetimeShare    = 0.5 // share of the time in which the burst is earned; lifetime of a lease
 )
 
 // upfrontLeaseUnits returns the units of the next lease: the units of the waiting requests, rounded up, and a
 // prefetch. The prefetch is rounded down, since a unit that no request uses would be missing at the other
-// gateways. A lease has at most the units of the burst, but at least one unit.
+// gateways. A lease has at most as many units as the burst, but at least one unit.
 func (c *customer) upfrontLeaseUnits() float64 {
 	units := math.Ceil(c.waitingUnits()) + math.Floor(c.upfrontPrefetch())
 	return max(min(units, c.quota.burst), 1)
 }
 
 // upfrontPrefetch returns the units to lease for later requests. Until a total from the counter has been
-// applied, these are maxPrefetch units, afterwards the demand of one second, but at most maxPrefetch.
+// applied, it returns maxPrefetch. Afterwards it returns the demand of one second, but at most maxPrefetch.
 func (c *customer) upfrontPrefetch() float64 {
 	if !c.totalSeen {
 		return c.quota.maxPrefetch
@@ -27,22 +27,22 @@
 	return min(c.demand.rate, c.quota.maxPrefetch)
 }
 
-// upfrontOverflow returns the overflow that the next call adds to the total: the refill above the last total
-// that this gateway has seen in the window. If the gateway has seen no total in the window, the returned
-// units also lower the shared bucket to its initial balance.
+// upfrontOverflow returns the overflow that the next call adds to the total: the refill less the last total
+// that this gateway has seen in the window, but at least 0. If the gateway has seen no total in the window,
+// the returned units also lower the shared bucket to its initial balance.
 func (c *customer) upfrontOverflow(refill float64) float64 {
 	if c.window.lastTotal == 0 {
 		// The window may be new at the counter. If another gateway has made the first call of the window
-		// already, a correction takes these units back.
+		// already, a correction takes back the units returned here.
 		return refill + c.quota.burst - c.quota.initialBalance
 	}
 	return max(refill-c.window.lastTotal, 0)
 }
 
 // reconcileUpfront grants the lease that a call requested, as far as the returned total allows. In a
-// refilling window, it takes the units that were not granted out of the total again. In a fixed window, the
-// units stay in the total: no gateway is granted more until the next window, and calls that take the units
-// out would double the number of calls.
+// refilling window, it removes the units that were not granted from the total. In a fixed window, these units
+// stay in the total, and no gateway is granted more until the next window. Calls that remove the units would
+// double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
 	correctedTotal := c.totalBeforeLease(call, total)
 	requestUnits := c.nextRequestUnits()
@@ -50,8 +50,8 @@
 	granted := affordableUnits(call.leaseUnits, available, requestUnits)
 	if granted < call.leaseUnits {
 		// Wait until the bucket holds the units of two requests. Another gateway may have added the same
-		// overflow and not have taken it back yet. Until then the bucket looks emptier than it is, so the
-		// wait is limited.
+		// overflow as this gateway, and not have taken it back yet. The bucket then looks emptier than it is,
+		// so the wait is limited.
 		missing := min(2*requestUnits-available+granted, maxRefillWaitRequests*requestUnits)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
