--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -1,6 +1,6 @@
 package policy
 
-// Pauses after failed calls, in seconds.
+// Pauses after failed or shed calls to the counter, in seconds.
 const (
 	minCounterBackoff = 0.25 // the first pause; each further failure in a row doubles the pause
 	maxCounterBackoff = 2.0  // the longest pause
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -1,6 +1,7 @@
 package policy
 
-// While calls to the counter fail, a share of the calls is shed, so that an overloaded counter can recover.
+// While calls to the counter fail through overload, a share of the calls is shed, so that the counter can
+// recover.
 const (
 	counterFailureGain = 0.05 // weight of the newest call in the failure rate
 	shedFactor         = 4.0  // the share of calls to shed is the failure rate times shedFactor
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -32,7 +32,7 @@
 // customerSet holds the customers that have sent requests, until they are idle (see isIdle).
 type customerSet struct {
 	byID    map[CustomerID]*customer
-	ordered []*customer // the same customers, in the order in which they were added
+	ordered []*customer // the customers of byID, in the order in which they were added
 }
 
 // customerFor returns the customer of a request and updates the customer's quota and demand. It adds the
@@ -82,7 +82,7 @@
 // tokens up to localBurst become the fallback, which is released when the counter does not reply. Without a
 // counter, nothing is withheld, since only local tokens admit requests.
 func (e *Engine) fillLocalTokens(c *customer, plan *Plan, gateways int) {
-	quota := e.quotaFor(plan, gateways, 0) // any index: localConcurrency is not used here
+	quota := e.quotaFor(plan, gateways, 0) // the index affects only localConcurrency, which is not used here
 	c.localTokens.tokens = quota.localBurst
 	burstPerGateway := plan.Burst / float64(max(gateways, 1))
 	if e.settings.HasCounter && burstPerGateway < c.localTokens.tokens {
--- a/policy/deferredreporting_test.go
+++ b/policy/deferredreporting_test.go
@@ -70,7 +70,7 @@
 // Two gateways that find the same overflow both add it to the total. The gateway that called second must take back the
 // overflow that it has added. Otherwise the shared bucket would look empty.
 func TestOverflowIsDiscardedOnce(t *testing.T) {
-	gateways, totals := startDeferredPair(t) // 20 units a second, a burst of 40
+	gateways, totals := startDeferredPair(t) // plan 1: 20 units a second, a burst of 40
 	for _, d := range gateways {
 		d.now += 25 // no new window begins in these 25 s
 	}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -7,7 +7,7 @@
 	// request's units. A total below minCorrection units counts as 0.
 	minCorrection = 0.25
 
-	minRate         = 1e-3 // units per second; a lower rate is replaced by minRate where it is a divisor
+	minRate         = 1e-3 // units per second; where a rate is a divisor, minRate replaces a lower rate
 	minRequestUnits = 1e-3 // units; a request of fewer units counts as minRequestUnits units
 	unitRounding    = 1e-3 // share of a request's units; a smaller shortfall is taken for a rounding error
 )
@@ -16,7 +16,7 @@
 // and this gateway then spends them without further calls. A lease is requested for the waiting requests and,
 // as a prefetch, for later requests. The zero value is an empty lease.
 type lease struct {
-	units     float64 // units not spent yet; below 0: debt, since more units were spent than granted
+	units     float64 // units not spent yet; below 0: debt, since requests needed more units than estimated
 	expiresAt float64
 }
 
@@ -75,7 +75,8 @@
 	return units
 }
 
-// nextRequestUnits returns the units of the first waiting request, or 1 if no request waits.
+// nextRequestUnits returns the units of the first waiting request, but at least minRequestUnits. It returns 1
+// if no request waits.
 func (c *customer) nextRequestUnits() float64 {
 	if len(c.waiting) == 0 {
 		return 1
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -13,7 +13,7 @@
 const (
 	admitNow             admissionDecision = iota // the request is admitted, and its units have been spent
 	deferRequest                                  // the request waits for concurrency, units or a counter reply
-	needsLease                                    // call the counter for a lease, then decide again
+	needsLease                                    // a lease must be requested before the decision
 	rejectForQuota                                // the customer has too few units
 	rejectForConcurrency                          // this gateway's part of the concurrency limit is 0
 )
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// A customer that is new to its gateways and far over its quota must get burstTolerance units from the shared bucket,
-// but no further burst from local tokens.
+// A customer that is new to its gateways and far over its quota must get burstTolerance units and the refill from the
+// shared bucket, but no further burst from local tokens.
 func TestFirstBurstComesFromTheCounterAlone(t *testing.T) {
 	load := quotaLoad{gateways: 20, plan: planOf(6.8, 3), rate: 100, counterDelay: 0.003, end: 2, seed: 6}
 	result := load.run(t)
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -22,9 +22,10 @@
 // quotaParameters is a plan as it applies to one customer at one gateway. The zero value is a plan without
 // limits.
 //
-// The requests of a customer arrive at the gateways of its gateway set. Its quota of units is one token
-// bucket for the whole set, the shared bucket. The counter holds the bucket's state as one total for each
-// window (see counterWindow). The gateways charge the units that they spend to the total in one of two ways:
+// The requests of a customer arrive at the gateways of its gateway set. The customer's quota of units is one
+// token bucket for the whole set, the shared bucket. The counter holds the bucket's state as one total for
+// each window (see counterWindow). The gateways charge the units that they spend to the total in one of two
+// ways:
 //
 //   - Deferred reporting: a gateway spends its local tokens without a call and reports them later. It calls
 //     for a lease only when its local tokens are too few. A customer within its quota thus costs few calls.
