--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -1,6 +1,6 @@
 package policy
 
-// Pauses after failed calls, in seconds.
+// Pauses after failed or shed calls to the counter, in seconds.
 const (
 	minCounterBackoff = 0.25 // the first pause; each further failure in a row doubles the pause
 	maxCounterBackoff = 2.0  // the longest pause
@@ -21,8 +21,8 @@
 	b.until = now + b.pause
 }
 
-// delayIfRepeated begins the pause and then lengthens it for the next failure. After the first failure in a
-// row there is thus no pause.
+// delayIfRepeated begins the pause and then lengthens it for the next failure. There is thus no pause after
+// the first failure in a row.
 func (b *backoff) delayIfRepeated(now float64) {
 	b.until = now + b.pause
 	b.grow()
