--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// capacityPollInterval is the longest time between two checks of awaitCapacity for a free slot in the table.
+// capacityPollInterval is the longest time for which awaitCapacity waits before it checks again for a free slot.
 const capacityPollInterval = 10 * time.Millisecond
 
 // Bounds of the backoff after a failed accept. The backoff doubles with each consecutive failure.
@@ -46,8 +46,8 @@
 
 // awaitCapacity adds a connection to the table as soon as there is a free slot. It returns nil if the table is still
 // full after minEvictionGrace/capacityPollInterval waits. Each wait lasts capacityPollInterval, or until a slot is
-// freed. If no slot is freed, the waits last minEvictionGrace, after which any connection that was idle at the
-// beginning may be evicted.
+// freed. If no slot is freed, the waits last minEvictionGrace in total. By then, a connection that has been idle since
+// the beginning of the first wait may be evicted.
 func (c *clientConnections) awaitCapacity(netConn net.Conn) *clientConn {
 	for remaining := minEvictionGrace; ; remaining -= capacityPollInterval {
 		conn := c.tryAdd(netConn)
@@ -96,7 +96,7 @@
 // closed at once.
 func (c *clientConnections) stopAccepting() {
 	if listener, ok := c.Listener.(deadlineListener); ok {
-		listener.SetDeadline(aLongTimeAgo) // wakes Accept
+		listener.SetDeadline(aLongTimeAgo) // makes Accept time out at once
 		return
 	}
 	c.Close()
--- a/internal/gateway/acceptdelay_test.go
+++ b/internal/gateway/acceptdelay_test.go
@@ -65,7 +65,8 @@
 	if left := timeLeft(first); left < 4900*time.Millisecond {
 		t.Errorf("without a wait, %v of %v are left", left, clientTimeout)
 	}
-	// The first two connections get no slot, and Accept waits minEvictionGrace for each. The third gets a slot.
+	// The first two of these connections get no slot, and Accept waits minEvictionGrace for each. The third gets the slot
+	// that remove frees.
 	for range 3 {
 		listener.conns <- arrive()
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -48,7 +48,7 @@
 
 	// Guarded by table.mu:
 	idleElement  *list.Element // element of table.idle; nil while a request is open
-	lastActive   time.Time     // time of the last accept, beginning of a request or answer, whichever came last
+	lastActive   time.Time     // latest time of the accept, an answer or the beginning of a request
 	isNew        bool          // no request has been read from the connection yet
 	closing      bool          // the wait for a request ends at once, so that the server closes the connection
 	readDeadline time.Time     // read deadline set by the server or extended by markReading; zero: none
@@ -86,8 +86,8 @@
 }
 
 // readTimedOut reads once more, without blocking, in case bytes arrived as the wait timed out: closing a connection
-// with unread bytes would reset it. If no bytes have arrived, readTimedOut returns the error timeout. If a part of a
-// request was read before, it rejects that request first.
+// with unread bytes would reset it. If no bytes have arrived, readTimedOut returns the given timeout error. Before
+// that, it rejects a request that has been read in part.
 func (c *clientConn) readTimedOut(p []byte, timeout error) (int, error) {
 	n, err := receive(c.Conn, p, syscall.MSG_DONTWAIT)
 	switch {
@@ -129,11 +129,11 @@
 	return c.applyReadDeadline()
 }
 
-// applyReadDeadline sets the read deadline of the socket. This is readDeadline, with two exceptions: a closing
-// connection gets a deadline in the past, and a connection on which a request is being read gets readCutoff if
-// readCutoff is before readDeadline. The caller holds table.mu. It calls applyReadDeadline after each change of
-// closing, readCutoff or readDeadline, so that no deadline overwrites another. While the server watches an open request
-// for a disconnect of the client, readDeadline is zero and neither exception applies.
+// applyReadDeadline sets the read deadline of the socket to readDeadline, with two exceptions. A closing connection
+// gets a deadline in the past. A connection on which a request is being read gets readCutoff if readCutoff is before
+// readDeadline. The caller holds table.mu. After each change of closing, readCutoff or readDeadline, applyReadDeadline
+// must be called, so that no deadline overwrites another. While the server watches the client of an open request for a
+// disconnect, readDeadline is zero and neither exception applies.
 func (c *clientConn) applyReadDeadline() error {
 	readCutoff := c.table.readCutoff
 	switch {
@@ -145,10 +145,10 @@
 	return c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-// rejectIncomplete answers a request whose header is still incomplete when the gateway stops waiting for it. The HTTP
-// server would close the connection without an answer, and a client that has just sent the last byte could not tell
-// that from a lost request. After the answer, rejectIncomplete reads and discards bytes for lingerTime at most: closing
-// a connection with unread bytes resets it, and the client might lose the answer.
+// rejectIncomplete answers a request whose header is still incomplete when the gateway stops waiting for the rest. The
+// HTTP server would close the connection without an answer. A client that has just sent the last byte could not
+// distinguish that close from the loss of its request. After the answer, rejectIncomplete reads and discards bytes
+// for lingerTime at most: closing a connection with unread bytes resets it, and the client might lose the answer.
 func (c *clientConn) rejectIncomplete(status int) {
 	c.table.metrics.add(requestsIncomplete)
 	c.Conn.SetDeadline(time.Now().Add(lingerTime))
@@ -157,8 +157,8 @@
 	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes)) // the error needs no handling: it only ends the read
 }
 
-// CloseWrite closes the sending side of the connection. The HTTP server calls it after the last answer, before it
-// closes the connection, so that the client receives the whole answer.
+// CloseWrite closes the sending side of the connection. The HTTP server calls CloseWrite after the last answer, before
+// closing the connection, so that the client receives the whole answer.
 func (c *clientConn) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
--- a/internal/gateway/clientconnections_test.go
+++ b/internal/gateway/clientconnections_test.go
@@ -16,7 +16,7 @@
 	backend := newPeer(t)
 	g := startTestGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
-	for range 100 { // the limit of client connections is 48
+	for range 100 { // the limit of client connections is clientFDShare*(128-reservedFDs) = 48
 		conn, err := net.Dial("tcp", g.address)
 		if err != nil {
 			t.Fatal(err)
@@ -142,8 +142,8 @@
 	open, _ := table.add(t, http.StateActive, 0)
 	recent := table.addServed(t, http.StateIdle, evictionGrace/2)
 	fresh, _ := table.add(t, http.StateNew, 0)
-	// The idle list must be ordered by last activity, and the first byte of the incomplete request was read after the
-	// last activity of recent.
+	// The idle list must be ordered by last activity. The connection incomplete was active later than recent, because
+	// the first byte of its request has just been read.
 	table.mu.Lock()
 	table.idle.MoveAfter(incomplete.idleElement, recent.idleElement)
 	table.mu.Unlock()
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	disconnectingClients = 30                         // clients per test; enough to detect a race that is rarely lost
+	disconnectingClients = 30                         // clients per test; enough to show a race that affects a few
 	singleGatewayQuota   = "units=1,spread=1,first=0" // value of quotaHeader for a customer of a single gateway
 	stayingID            = "stays"                    // correlation id of a client that does not disconnect
 )
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -98,7 +98,7 @@
 }
 
 // markAnswered records that a connection's request has been answered. Bytes that arrived behind that request are the
-// beginning of the next request. If there are none, a draining table closes the connection.
+// beginning of the next request. If no such bytes have arrived, a draining table closes the connection.
 func (c *clientConnections) markAnswered(conn *clientConn) {
 	c.markIdle(conn)
 	switch {
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -21,11 +21,12 @@
 	response chan clientResponse
 	// onSent is called in a hollow gateway when the first attempt reaches a backend; nil in other gateways.
 	onSent func()
-	// disconnected is set when the gateway detects that the client has disconnected. No attempt may begin after that.
+	// disconnected is set when the gateway detects that the client has disconnected. No attempt may begin once
+	// disconnected is set.
 	disconnected atomic.Bool
 
 	// Owned by the event loop:
 	unanswered       bool // the request still needs its final answer
-	attemptsInFlight int  // attempts that have not ended
+	attemptsInFlight int  // number of attempts that have not ended
 	attempts         []*attempt
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// validateNames checks the names of classes and plans that clients send.
+// validateNames checks the names by which clients refer to classes and plans.
 func (c *Config) validateNames() error {
 	if err := checkNames("class", c.ClassNames); err != nil {
 		return err
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -71,7 +71,7 @@
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	policyRequest.SentAt = receivedAt
 	// The class's deadline limits the client's timeout. Otherwise, while a backend hangs, a client with a timeout of an
-	// hour could keep its request open and delay a graceful shutdown for that long.
+	// hour could keep its request open for that long, and delay a graceful shutdown.
 	policyRequest.Deadline = min(policyRequest.Deadline, class.Deadline) + receivedAt - responseMargin
 	return &clientRequest{
 		correlationID: r.Header.Get(correlationIDHeader),
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// decodeClass returns the index of a request's class. The path must begin with the name of the class.
+// decodeClass returns the index of a request's class. The first segment of the path must be the name of the class.
 func (f *frontend) decodeClass(r *http.Request) (int, error) {
 	name := r.Header.Get(classHeader)
 	class := slices.Index(f.deployment.ClassNames, name)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// drainPollInterval is the longest time between two searches of awaitClosed for idle connections.
+// drainPollInterval is the longest time for which awaitClosed waits before it looks for idle connections again.
 const drainPollInterval = 100 * time.Millisecond
 
 // drain closes the idle connections, and from now on every connection that becomes idle. It leaves new connections
@@ -16,7 +16,7 @@
 	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
 }
 
-// setReadCutoff sets the time at which incomplete requests are rejected. It also applies to requests that have begun to
+// setReadCutoff sets the time at which incomplete requests are rejected, including requests that have already begun to
 // arrive.
 func (c *clientConnections) setReadCutoff(readCutoff time.Time) {
 	c.mu.Lock()
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -104,7 +104,7 @@
 	onRead func(*testGateway, *gatedConn)) (*testGateway, net.Conn) {
 	t.Helper()
 	var g *testGateway
-	var client atomic.Pointer[net.TCPAddr] // client of the connection whose next read calls onRead
+	var client atomic.Pointer[net.TCPAddr] // address of the client whose next bytes cause a call of onRead
 	listener := &gatedListener{}
 	listener.afterRead = func(c *gatedConn) {
 		if address := client.Load(); address != nil && c.RemoteAddr().String() == address.String() {
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -67,8 +67,8 @@
 	idempotencyKeyHeader,
 }
 
-// forwardedHeaders modifies and returns header: it removes hopByHopHeaders and the headers that a Connection header
-// names. Of the headers that a Connection header names, endToEndHeaders are kept.
+// forwardedHeaders modifies and returns header. It removes hopByHopHeaders. It also removes the headers that a
+// Connection header names, except endToEndHeaders.
 func forwardedHeaders(header http.Header) http.Header {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -9,7 +9,7 @@
 // Parameters of idleLimitEstimator.
 const (
 	minBucketIdleTime = 25 * time.Millisecond // beginning of the first bucket; shorter idle times are always allowed
-	idleBucketCount   = 10                    // number of buckets; each begins at twice the idle time of its predecessor
+	idleBucketCount   = 10                    // number of buckets; each begins at twice the start of the previous one
 	minBreaks         = 3.0                   // minimum weight of the broken reuses in a bucket that sets the limit
 	minBreakShare     = 1.0 / 3               // minimum share of broken reuses in a bucket that sets the limit
 	idleDecayTime     = 20 * time.Second      // time in which the weight of an observation falls to 1/e
@@ -20,7 +20,7 @@
 // reset, which does not show whether the request was executed: an attempt may have been executed and makes its backend
 // look like an outlier, and the units of a counter call may have been added to the total.
 //
-// Other peers break connections at random, regardless of the idle time. The estimator therefore uses, for each range of
+// Some peers break connections at random, regardless of the idle time. The estimator therefore uses, for each range of
 // idle times, the share of reuses that broke. In a range with few reuses, this share may be high by chance. New
 // connections then replace idle ones without need, until the observations have lost their weight.
 //
@@ -38,7 +38,8 @@
 	broke  float64
 }
 
-// observe records whether a connection broke when it was reused after being idle for idleFor.
+// observe records whether a connection broke when it was reused after being idle for idleFor. Idle times below
+// minBucketIdleTime are ignored.
 func (e *idleLimitEstimator) observe(now time.Time, idleFor time.Duration, broke bool) {
 	if idleFor < minBucketIdleTime {
 		return
@@ -59,7 +60,7 @@
 	return min(int(math.Log2(float64(idleFor)/float64(minBucketIdleTime))), idleBucketCount-1)
 }
 
-// limit returns the idle time from which on connections must not be reused; math.MaxInt64 if there is no limit. The
+// limit returns the idle time at which a connection must no longer be reused; math.MaxInt64 if there is no limit. The
 // limit is the beginning of the first bucket that reaches both minBreaks and minBreakShare.
 func (e *idleLimitEstimator) limit(now time.Time) time.Duration {
 	e.mu.Lock()
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -80,7 +80,7 @@
 		if got := await(t, ended, "outcome"); got != policy.Served {
 			t.Fatalf("outcome %d on a new connection, want served", got)
 		}
-		time.Sleep(2 * minBucketIdleTime) // reuses of connections that were idle for less than minBucketIdleTime are not observed
+		time.Sleep(2 * minBucketIdleTime) // observe ignores idle times below minBucketIdleTime
 		ended = startAttempt()
 		readRequest(t, reader) // on the same connection
 		conn.Close()
--- a/internal/gateway/recentids.go
+++ b/internal/gateway/recentids.go
@@ -2,7 +2,7 @@
 
 const (
 	recentIDWindow = 4.0     // seconds; minimum length of a window that does not become full
-	maxRecentIDs   = 1 << 13 // ids that fill a window; a full window ends early
+	maxRecentIDs   = 1 << 13 // number of ids in a full window; a full window ends early
 )
 
 // recentIDs remembers ids for a limited time. It divides time into windows, and holds the ids of the current window and
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -58,7 +58,7 @@
 
 // dropDisconnected ends a request whose client has closed its connection or its sending side, unless the request has
 // been answered. Attempts that are not fully written are cancelled. Backends may execute the other attempts; the engine
-// decides whether to cancel those.
+// decides whether to cancel them.
 func (l *eventLoop) dropDisconnected(req *clientRequest) {
 	if !req.unanswered {
 		return
@@ -70,7 +70,8 @@
 	l.removeIfDone(req)
 }
 
-// respond gives a request its final answer, unless it already has one.
+// respond gives a request its final answer. It does nothing if the request has been answered or its client has
+// disconnected.
 func (l *eventLoop) respond(id policy.RequestID, response clientResponse) {
 	req := l.requests[id]
 	if req == nil || !req.unanswered {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -34,8 +34,8 @@
 	return s.run(ctx, reload)
 }
 
-// server is a running gateway. It owns the goroutines of all components, and stop waits for them. The HTTP server
-// owns the goroutines of client connections, and the event loop owns the goroutines of attempts.
+// server is a running gateway. It owns the goroutines of the components, and the method stop waits for them. The
+// HTTP server owns the goroutines of client connections, and the event loop owns the goroutines of attempts.
 type server struct {
 	config            *Config
 	log               *slog.Logger
@@ -46,7 +46,7 @@
 	httpServer        *http.Server
 	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // for all components except the HTTP server; ends after the last client connection
+	componentsContext context.Context // for all components but the HTTP server; ends after the last client connection
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
@@ -106,7 +106,7 @@
 // run serves until ctx ends, and then until a graceful shutdown is complete. It returns early if the HTTP server
 // fails.
 func (s *server) run(ctx context.Context, reload Reload) error {
-	// AfterFunc records the time as soon as ctx ends, because this goroutine may be busy with a reload then.
+	// AfterFunc records the time as soon as ctx ends, because this goroutine may be busy with a reload.
 	shutdownRequested := make(chan time.Time, 1)
 	defer context.AfterFunc(ctx, func() { shutdownRequested <- time.Now() })()
 	for {
@@ -131,7 +131,7 @@
 }
 
 // markReady makes readiness checks succeed from now on, until the gateway drains. The argument source is the origin of
-// the first endpoint list in the log line: "discovery" or "cached".
+// the first endpoint list, for the log line: "discovery" or "cached".
 func (s *server) markReady(source string) {
 	if s.frontend.ready.CompareAndSwap(false, true) {
 		s.log.Info("ready", "list", source)
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -13,10 +13,11 @@
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
+	// The drain grace of 6 s is long enough that no call for a list times out in the test.
 	g := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
-		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend) // long enough that no call for a list times out in the test
+		`"drainGraceS": 2`, `"drainGraceS": 6`).Replace, backend)
 	defer g.stop() // newDiscovery is closed later, and its close waits for the end of the watch
 	_, openAnswers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	counterConn, counterReader := counter.accept(t)
@@ -34,7 +35,8 @@
 	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	writeResponse(counterConn, 200, call.URL.Query().Get("add")) // window's first call; no later call corrects the total
+	// This is the response to the first call of the window. No later call corrects the total.
+	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
 		t.Errorf("the open request: status %d", resp.StatusCode)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,28 +7,30 @@
 	"amberlb/policy"
 )
 
-// Times that the protocol sets for a shutdown, in its section "Figures". The time from SIGTERM to SIGKILL is at least
-// the longest deadline plus killDelay.
+// Times that the protocol sets for a shutdown, in its section "Figures". The time from SIGTERM to the earliest SIGKILL
+// is the sum of killDelay and the longest deadline of the classes. In this sum, a deadline above maxKillDeadline counts
+// as maxKillDeadline.
 const (
-	killDelay            = 700 * time.Millisecond // time from the longest deadline to the earliest SIGKILL
-	maxKillDeadline      = 3 * time.Second        // a longer deadline does not delay the earliest SIGKILL further
+	killDelay            = 700 * time.Millisecond // fixed part of the time from SIGTERM to the earliest SIGKILL
+	maxKillDeadline      = 3 * time.Second        // limit on the part that depends on the longest deadline
 	lateConnectionPeriod = 400 * time.Millisecond // time after SIGTERM during which new connections arrive
 )
 
 // The margins of the shutdown schedule.
 const (
-	maxProcessStall = 150 * time.Millisecond // longest stall of the process between reading the clock and writing
-	deliveryTime    = 50 * time.Millisecond  // time from the event loop's answer to the last byte at the client
+	maxProcessStall = 150 * time.Millisecond // longest stall of the process at answerBy that the schedule allows for
+	deliveryTime    = 50 * time.Millisecond  // time from the event loop's answer until its last byte reaches the client
 	listenMargin    = 100 * time.Millisecond // time from the end of admission to the close of the listener
-	slowReaderGrace = time.Second            // time after the earliest SIGKILL for clients that read their answers slowly
+	slowReaderGrace = time.Second            // time after the earliest SIGKILL for clients that read slowly
 )
 
 // shutdownSchedule holds the times of a graceful shutdown, as durations since SIGTERM. The times are computed
 // backwards from the earliest SIGKILL, so that a request that is admitted at the last moment, with the longest
-// deadline, is answered before SIGKILL. The fields are in the order of their times.
+// deadline, is answered before SIGKILL. The fields are in the order of their times if the longest deadline is at least
+// listenMargin.
 type shutdownSchedule struct {
 	// admitUntil is when the gateway stops admitting requests. A request that is incomplete at that time or arrives
-	// later is answered 503. The time from admitUntil to answerBy is the longest deadline, maxKillDeadline at most.
+	// later is answered 503. The time from admitUntil to answerBy is the longest deadline, but maxKillDeadline at most.
 	admitUntil time.Duration
 	// listenUntil is when the gateway stops accepting connections, listenMargin after admitUntil. A client that
 	// connects between admitUntil and listenUntil gets a 503 instead of a reset.
@@ -65,9 +67,9 @@
 
 // shutdown shuts the gateway down by the times of a shutdownSchedule. The gateway still admits requests for a while,
 // answers all open requests, and then closes its connections. Idle connections are closed at once, but new connections
-// are still accepted: a client whose request crosses the close of an idle connection sends the request again on a new
-// connection. The method Shutdown of the HTTP server is not used, because it also closes idle connections on which an
-// unread request waits.
+// are still accepted: a client that sends a request just as its idle connection is closed can send the request again on
+// a new connection. The method Shutdown of the HTTP server is not used, because it also closes idle connections on
+// which an unread request waits.
 func (s *server) shutdown(requestedAt time.Time) error {
 	schedule := newShutdownSchedule(s.config.longestDeadline())
 	admitUntil := requestedAt.Add(schedule.admitUntil)
@@ -102,8 +104,9 @@
 	s.log.Info("shutdown: "+name, "after", time.Since(requestedAt), "clients", s.clientConnections)
 }
 
-// startDraining makes the gateway close each connection after its answer, reject requests that are incomplete at
-// admitUntil, and answer every request by answerBy.
+// startDraining closes the idle connections as drain does. From now on, the gateway closes each connection after the
+// next answer on it. The gateway rejects requests that are incomplete at admitUntil, and answers every request by
+// answerBy.
 func (s *server) startDraining(admitUntil, answerBy time.Time) {
 	loop := s.frontend.loop
 	s.frontend.draining.Store(true)
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -60,7 +60,7 @@
 			backend := newPeer(t)
 			var hold atomic.Bool
 			release, held := make(chan struct{}), make(chan *gatedConn, 1)
-			// Only reads of this client's connection may be held, and not those of the readiness checks' connections.
+			// Only reads from this client may be held, and not the reads of readiness checks.
 			clientAddress := freeAddress(t)
 			gated := &gatedListener{beforeRead: func(c *gatedConn) {
 				if c.RemoteAddr().String() == clientAddress.String() && hold.CompareAndSwap(true, false) {
@@ -126,7 +126,7 @@
 			g.stop()
 			select {
 			case <-c.readEnded: // the shutdown has closed idle connections
-			case <-time.After(lateConnectionPeriod / 4): // the shutdown may wait for table.mu, which the caller holds
+			case <-time.After(lateConnectionPeriod / 4): // the shutdown may wait for table.mu, which is held here
 			}
 			close(shutdownBegun)
 		}
@@ -164,7 +164,7 @@
 	}
 	await(t, held, "connection")
 	g.stop()
-	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // past the listener's closing time
+	time.Sleep(newShutdownSchedule(20*time.Second).listenUntil + 50*time.Millisecond) // until after listenUntil
 	close(release)
 	for _, answers := range allAnswers {
 		if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
--- a/internal/gateway/unanswered.go
+++ b/internal/gateway/unanswered.go
@@ -18,7 +18,8 @@
 	client string // address of the client
 }
 
-// unanswered returns the requests that have been decoded but whose answers have not been written, limit at most.
+// unanswered returns requests that have been decoded but whose answers have not been completely written. It returns no
+// more requests than limit.
 func (c *clientConnections) unanswered(limit int) []unansweredRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
