--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -63,8 +63,8 @@
 
 // acceptWithRetry returns the next connection from the kernel's accept queue. An accept fails if the machine or the
 // process temporarily lacks a resource, or if the connection has already ended in the queue. In both cases the
-// listener still works, and ending the gateway would lose its open requests. The accept is therefore retried after a
-// short backoff, until the listener is closed.
+// listener still works. Returning the error would end the gateway and lose its open requests. The accept is therefore
+// retried after a short backoff, until the listener is closed.
 func (c *clientConnections) acceptWithRetry() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		netConn, err := c.acceptOnce()
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -218,8 +218,8 @@
 	return float64(millis) / 1000, nil
 }
 
-// decodeQuota parses the value of quotaHeader, which holds the units of a request and the gateways of its customer, and
-// checks their ranges. It ignores unknown keys.
+// decodeQuota parses the value of quotaHeader, which holds the units of a request and the gateways that serve its
+// customer. It checks the ranges of the numbers, and ignores unknown keys.
 func (f *frontend) decodeQuota(decoded *policy.Request, text string) error {
 	seenKeys := "" // keys that were seen, each followed by "="; their suffixes count as seen too
 	for pair := range strings.SplitSeq(text, ",") {
@@ -247,7 +247,8 @@
 	return nil
 }
 
-// quotaInRange reports whether the units of a request and the gateways of its customer are valid in this deployment.
+// quotaInRange reports whether the units of a request, and the gateways that serve its customer, are valid in this
+// deployment.
 func (f *frontend) quotaInRange(decoded *policy.Request) bool {
 	maxUnits := f.deployment.MaxUnits
 	if maxUnits <= 0 {
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -14,7 +14,7 @@
 	planHeader           = "X-Tier"           // the customer's plan
 	apiKeyHeader         = "X-Api-Key"        // the customer's id, as 16 hex digits
 	idempotencyKeyHeader = "Idempotency-Key"  // lets a backend recognize a retry
-	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways of its customer
+	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways that serve its customer
 	retryHeader          = "X-Repeat"         // "1" for a retry by the client
 	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds until the client's timeout; also sent to backends
 )
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// freeAddress returns an unused loopback address, for a client whose address the test has to know before it connects.
+// freeAddress returns an unused loopback address, for a client whose address the test has to know in advance.
 func freeAddress(t *testing.T) *net.TCPAddr {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
