--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -14,7 +14,7 @@
 	planHeader           = "X-Tier"           // the customer's plan
 	apiKeyHeader         = "X-Api-Key"        // the customer's id, as 16 hex digits
 	idempotencyKeyHeader = "Idempotency-Key"  // lets a backend recognize a retry
-	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways of its customer
+	quotaHeader          = "X-Call-Terms"     // the units of the request and the gateways that serve its customer
 	retryHeader          = "X-Repeat"         // "1" for a retry by the client
 	timeLeftHeader       = "X-Time-Left-Ms"   // milliseconds until the client's timeout; also sent to backends
 )
@@ -67,8 +67,8 @@
 	idempotencyKeyHeader,
 }
 
-// forwardedHeaders modifies and returns header: it removes hopByHopHeaders and the headers that a Connection header
-// names. Of the headers that a Connection header names, endToEndHeaders are kept.
+// forwardedHeaders modifies and returns header. It removes hopByHopHeaders. It also removes the headers that a
+// Connection header names, except endToEndHeaders.
 func forwardedHeaders(header http.Header) http.Header {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
