--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,18 +16,18 @@
 	body    []byte
 }
 
-// attempt is one try to send a request to a backend and get its response. The event loop and the transport's goroutine
-// share it.
+// attempt is one try to send a request to a backend and get the response. The event loop and the transport's goroutine
+// share the attempt.
 //
-// For the event loop, the attempt is in flight until ended is set. The first of these events sets it: the transport
-// reports the result, the deadline passes, the engine cancels the attempt, or the client disconnects before the request
-// has been fully written.
+// For the event loop, the attempt is in flight until ended is set. The first of these events sets ended: the loop finds
+// that the attempt may not be sent (see canStart), the transport reports the result, the deadline passes, the engine
+// cancels the attempt, or the client disconnects before the request has been fully written.
 //
 // The transport's goroutine waits for a connection, attaches it to the attempt, writes the request, reads the response
 // and detaches the connection. The loop may cancel the attempt at any of these steps. mu orders cancel and attach: a
 // cancel before attach makes attach fail, and a cancel after attach closes the connection.
 type attempt struct {
-	// The fields below are set before the attempt is passed to the transport, and constant afterwards. ctx and
+	// The fields below are set before the attempt is passed to the transport, and are constant afterwards. ctx and
 	// cancelContext are nil if the attempt ended before it was passed to the transport.
 	request        *clientRequest
 	number         int // index among the request's attempts, from 0
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// Once cancel has returned, the request can get its final answer, and no further byte of it may be sent: neither on a
-// connection that a pending dial opens later, nor on the attempt's current connection.
+// Once cancel has returned, the request can get its final answer. No further byte of the request may be sent, neither
+// on a connection that a pending dial opens later, nor on the attempt's current connection.
 func TestNothingIsSentAfterCancel(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -14,7 +14,7 @@
 
 const (
 	maxResponseBytes    = 128 << 10 // bytes; maximum size of a response, with headers, framing and interim responses
-	maxInterimResponses = 8         // maximum number of responses read for a request, interim (1xx) responses included
+	maxInterimResponses = 8         // number of interim (1xx) responses after which no final response is read
 )
 
 // errTooManyInterimResponses is returned if the first maxInterimResponses responses to a request are all interim (1xx).
@@ -97,8 +97,8 @@
 // be called after readResponse has returned.
 func (c *backendConn) noResponseYet() bool { return c.responseLimit.N == maxResponseBytes }
 
-// responseOutcome returns the outcome of an attempt that got a complete response. Only status 503 or 504 together with
-// unprocessedHeader proves that the backend did not execute any part of the request.
+// responseOutcome returns the outcome of an attempt that got a complete response. Only status 503 or 504 with the value
+// "1" in unprocessedHeader proves that the backend has executed nothing of the request.
 func responseOutcome(resp *http.Response) policy.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -112,7 +112,7 @@
 }
 
 // readErrorOutcome returns the outcome of an attempt or counter call whose response could not be read because of err.
-// With each of these outcomes, the request may have been executed.
+// Whichever outcome it returns, the request may have been executed.
 func readErrorOutcome(err error) policy.Outcome {
 	switch {
 	case errors.Is(err, errTooManyInterimResponses):
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -27,9 +27,9 @@
 // connectionPools holds the connections to all backends, one pool per endpoint. It is the transport of the real
 // gateway; a hollow gateway has a hollowTransport instead.
 //
-// A connection is either idle or in use by one attempt. In both states it is in endpoint.conns until it is closed. At
-// most maxConns connections are open or being dialed. When the endpoint is retired, its idle connections are closed at
-// once; a connection in use is closed at the latest when its attempt gives it back.
+// A connection is either idle or in use by one attempt. In both states the connection is in endpoint.conns. Over all
+// endpoints, at most maxConns connections are open or being dialed. When an endpoint is retired, its idle connections
+// are closed at once. A connection in use is closed when its attempt gives the connection back, or earlier.
 type connectionPools struct {
 	connectTimeout time.Duration
 	idleLimit      time.Duration // idle time after which a connection is closed
@@ -38,7 +38,7 @@
 
 	mu        sync.Mutex // guards the fields below, backendConn.idleSince, and endpoint's conns, idleConns and retired
 	endpoints map[policy.BackendID]*endpoint
-	openConns int // number of open connections, also to retired endpoints, and of running dials
+	openConns int // number of open connections and running dials, including those to retired endpoints
 }
 
 // newConnectionPools returns connectionPools without endpoints. backendIdleTimeout is the idle time after which a
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// evictLongestIdle closes the connection that has been idle the longest, over all backends. Otherwise idle connections
-// to some backends could prevent a new connection to another backend. It returns false if no connection is idle. The
-// caller holds mu.
+// evictLongestIdle closes the connection that has been idle the longest, over all backends. It returns false if no
+// connection is idle. Without eviction, at the connection limit, idle connections to some backends could prevent a new
+// connection to another backend. The caller holds mu.
 func (p *connectionPools) evictLongestIdle() bool {
 	var longestIdle *backendConn
 	for _, e := range p.endpoints {
@@ -129,7 +129,8 @@
 }
 
 // dialReserved opens a connection for which takeIdleOrReserve has reserved a place in openConns, and adds it to
-// endpoint.conns. If it fails, it releases the reserved place.
+// endpoint.conns. If the dial fails or the endpoint has been retired, it releases the reserved place and returns an
+// error.
 func (p *connectionPools) dialReserved(ctx context.Context, e *endpoint) (*backendConn, error) {
 	conn, err := p.dial(ctx, e)
 	p.mu.Lock()
@@ -160,8 +161,8 @@
 	return newBackendConn(conn, e), nil
 }
 
-// putIdle returns a connection to its pool, where other attempts can reuse it. If its endpoint has been retired, it
-// closes the connection.
+// putIdle returns a connection to its pool, where other attempts can reuse it. If the connection's endpoint has been
+// retired, putIdle closes the connection.
 func (p *connectionPools) putIdle(conn *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,8 +227,7 @@
 	}
 }
 
-// closeIdleBefore closes the idle connections of an endpoint whose idleSince is before the given time. The caller holds
-// mu.
+// closeIdleBefore closes the connections of an endpoint that became idle before the given time. The caller holds mu.
 func (p *connectionPools) closeIdleBefore(e *endpoint, before time.Time) {
 	expired := 0
 	for expired < len(e.idleConns) && e.idleConns[expired].idleSince.Before(before) {
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -22,8 +22,8 @@
 	return results
 }
 
-// markRecentlyUsed makes the first idle connection to backend 1 look as if it had just been used, so that the next
-// attempt begins within reuseDelay after that use.
+// markRecentlyUsed makes the first idle connection to backend 1 look as if it had just been used. The idle time begins
+// reuseDelay in the future, so that the connection is still too recently used if the next attempt is a little late.
 func markRecentlyUsed(p *connectionPools) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// A backend may send a duplicate of a response a little later. If another request had been sent on the connection in
-// the meantime, the duplicate would be read as the response to that request.
+// A backend may send a duplicate shortly after a response. If another request had been sent on the connection in the
+// meantime, the duplicate would be read as the response to that request.
 func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
@@ -116,7 +116,7 @@
 		if got := await(t, results, "result"); got.outcome != policy.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // as after an earlier attempt
+		p.endpoints[1].idleConns[0].SetDeadline(time.Now().Add(-time.Second)) // like the deadline of an earlier attempt
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
 			results = startRoundTrip(p, newAttempt(testTimeout))
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	counterStreams = 8   // 8 * maxConnsPerStream gives the 32 connections that the counter allows a gateway
+	counterStreams = 8   // number of streams; see counterClient for the reason
 	maxQueuedCalls = 512 // maximum number of calls queued for a stream, and of calls in a connection's pipeline
 )
 
 // counterCall is a call to the counter service, which adds an amount to the total of a key and returns the new total.
-// The event loop makes the call. After enqueue, the stream's goroutine owns the call until it has been written, and
-// afterwards the reader of the connection owns it. The loop may still use the atomic fields, the fields that the loop
-// owns, and the fields that don't change.
+// The event loop creates the call. After enqueue, the stream's goroutine owns the call until the call has been written.
+// Afterwards the reader of the connection owns the call. The loop may still use the atomic fields, the fields that the
+// loop owns, and the fields that don't change.
 type counterCall struct {
 	id      uint64 // policy.CounterAdd.CallID
 	key     uint64 // name of the total to which the amount is added
 	amount  float64
 	ttl     time.Duration // time for which the counter keeps the key
 	sentAt  float64       // time of the call, in seconds of the loop's clock
-	idleFor time.Duration // idle time of the connection before the call; 0 if it was new or had calls in flight
+	idleFor time.Duration // idle time of the connection before the call; 0 if it is new or has calls in flight
 
 	// report is called at most once, by the goroutine that owns the call, with the call's outcome. total is 0 unless
 	// the outcome is policy.Served.
@@ -39,9 +39,10 @@
 	total   float64
 }
 
-// counterClient sends calls to the counter over a few streams, each of which pipelines its calls on one connection. All
-// calls for a key use the same stream, so they are sent in order. When a stream's connection is blocked by a response
-// that doesn't arrive, the stream opens a new connection.
+// counterClient sends calls to the counter over a few streams. Each stream pipelines its calls on one connection. All
+// calls for a key use the same stream, so the calls for a key are sent in order. When a stream's connection is blocked
+// by a response that doesn't arrive, the stream opens a new connection (see headOfLineBlocked). The counter allows a
+// gateway 32 connections, which is counterStreams * maxConnsPerStream.
 type counterClient struct {
 	address       atomic.Pointer[string]
 	timeout       time.Duration // timeout of a call and of a dial
@@ -86,7 +87,7 @@
 	c.readers.Wait()
 }
 
-// runStream sends the calls of one queue until ctx ends.
+// runStream sends the calls of one queue, and periodically calls retireIdle, until ctx ends.
 func (c *counterClient) runStream(ctx context.Context, queue <-chan *counterCall) {
 	stream := &counterStream{client: c, lastUsed: time.Now()}
 	defer stream.close()
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -98,7 +98,7 @@
 }
 
 // A call with a malformed response ends as Failed, which counts its amount as added. A call with an unexpected status
-// in the response ends as ConnectionReset. In both cases the connection is closed, and a call behind it in the pipeline
+// in the response ends as ConnectionReset. In both cases the connection is closed, and the next call in the pipeline
 // ends as ConnectionReset.
 func TestMalformedCounterResponseClosesConnection(t *testing.T) {
 	counter := newPeer(t)
@@ -174,7 +174,7 @@
 	readRequest(t, reader)
 	writeResponse(conn, 200, "3")
 	for got := await(t, results, "result"); got != (callResult{2, policy.Served, 3}); got = await(t, results, "result") {
-		if got.amount != 1 { // the blocked call ends with its connection's timeout
+		if got.amount != 1 { // the blocked call ends at the timeout of its connection
 			t.Fatalf("result on the new connection: %v", got)
 		}
 	}
@@ -285,8 +285,8 @@
 	}
 }
 
-// A connection that the counter has closed while it was idle must not be reused: it would be unknown whether the amount
-// of a call written to it was added.
+// An idle connection that the counter has closed must not be reused. If a call were written to the connection, it would
+// be unknown whether the call's amount was added.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	counter := newPeer(t)
 	client := newCounterClient(counter.address(), testTimeout)
--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -21,13 +21,13 @@
 	maxCounterResponseBytes = 16 << 10        // bytes; maximum size of a response, with its headers
 )
 
-// countRequest is passed to http.ReadResponse as the request of every call: the response to a POST request may have a
-// body. It is never modified.
+// countRequest is passed to http.ReadResponse as the request of every call. The method POST means that the response may
+// have a body. countRequest is never modified.
 var countRequest = &http.Request{Method: http.MethodPost}
 
 // counterConn is a pipelined connection to the counter: calls are written in order, without waiting for responses, and
 // the responses arrive in the same order. An abandoned call stays in the pipeline, so that its late response is not
-// mistaken for the response to the next call. The stream's goroutine writes calls; a reader goroutine, counted in
+// mistaken for the response to the next call. The stream's goroutine writes the calls. A reader goroutine, counted in
 // counterClient.readers, reads the responses and finally closes the connection.
 type counterConn struct {
 	net.Conn
@@ -36,7 +36,7 @@
 	idleEstimator   *idleLimitEstimator         // shared by all connections to the counter
 	openConns       *atomic.Int64               // counterStream.openConns; counts this connection until its reader ends
 	pipeline        chan *counterCall           // calls that have been written, in order
-	inFlight        atomic.Int64                // number of calls without a response
+	inFlight        atomic.Int64                // number of calls whose response has not been read
 	headCall        atomic.Pointer[counterCall] // call whose response is being awaited or read; nil if there is none
 	failed          atomic.Bool                 // set after an error: no further call may be written
 	retireOnce      sync.Once
@@ -77,7 +77,8 @@
 }
 
 // reusable reports whether another call may be written to the connection. idleFor is the time since the last call was
-// written. The counter may close an idle connection earlier than the protocol says. If a call were written to a closed
+// written. Without a call in flight, reusable also checks the estimated idle limit and the state of the socket, since
+// the counter may close an idle connection earlier than the protocol says. If a call were written to a closed
 // connection, it would be unknown whether the amount was added.
 func (c *counterConn) reusable(idleFor time.Duration) bool {
 	if c.failed.Load() || idleFor > counterIdleTimeout {
@@ -94,15 +95,17 @@
 //
 // A response that never ends blocks all responses behind it. Without a new connection, calls of many customers would
 // time out although the counter has served them, as if the counter were overloaded. A connection that is lost without
-// notice, or that gets no responses at all, has the same effect. A counter that is slow on every connection gets more
-// connections; maxConnsPerStream is low to limit this. A late response is still read on the old connection.
+// notice, or that gets no responses at all, has the same effect. If the counter is slow on every connection, it gets
+// more connections; maxConnsPerStream is low to limit their number. A late response is still read on the old
+// connection.
 func (c *counterConn) headOfLineBlocked() bool {
 	call := c.headCall.Load()
 	return call != nil && call.abandoned.Load() && c.openConns.Load() < maxConnsPerStream
 }
 
-// writeCall writes a call and adds it to the pipeline, so that the reader expects its response. A full pipeline means
-// that the connection is stuck: the call is not written and ends as policy.ConnectFailed.
+// writeCall writes a call and adds it to the pipeline, so that the reader expects its response. If the pipeline is
+// full, the connection is stuck, and the call is not written. A call that is not completely written ends as
+// policy.ConnectFailed.
 func (c *counterConn) writeCall(call *counterCall) {
 	if len(c.pipeline) == cap(c.pipeline) {
 		call.report(call, policy.ConnectFailed, 0)
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -13,7 +13,7 @@
 	"amberlb/policy"
 )
 
-// counterTestTime is the time that a test may take within one counter window of its customer. It is several times the
+// counterTestTime is the time that a test may take within one counter window of its customer: several times the
 // 1.3 s that the longest of these tests takes.
 const counterTestTime = 10 * time.Second
 
@@ -22,7 +22,7 @@
 
 // awaitCounterWindow waits until the customer's present counter window has at least counterTestTime left. Otherwise the
 // window could end during the test: the engine doesn't use the total of a window that has ended, so it makes another
-// call, which the test doesn't expect. The wait takes at most counterTestTime, since a window is longer than that.
+// call, which the test doesn't expect. The wait takes at most counterTestTime, since a window is longer.
 func awaitCounterWindow(t *testing.T, customer policy.CustomerID) {
 	t.Helper()
 	text := withCounter(newPeer(t), 0.001, 2, time.Second)(configText("127.0.0.1:1", testSettings))
@@ -92,7 +92,7 @@
 func tryUnfinishedCounterResponse(t *testing.T) bool {
 	t.Helper()
 	awaitCounterWindow(t, requestTextCustomer)
-	const callTimeout = 500 * time.Millisecond // well below the 1 s after which a connection without a response is closed
+	const callTimeout = 500 * time.Millisecond // well below counterIOTimeout (1 s), which closes a silent connection
 	backend, counter := newPeer(t), newPeer(t)
 	// The gateway's local tokens are not enough to admit the request.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
@@ -115,7 +115,7 @@
 		added += n
 	}
 	writeResponse(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
-	if time.Since(began) >= 2*callTimeout { // the second call began when the first timed out or later
+	if time.Since(began) >= 2*callTimeout { // the second call, made at callTimeout or later, may have timed out
 		return false
 	}
 	serveOne(t, backend, "ok")
@@ -139,14 +139,14 @@
 	first, _ := readRequest(t, reader)
 	time.Sleep(callTimeout * 3 / 2) // the response is most likely late; a response in time admits the request too
 	writeResponse(conn, http.StatusOK, first.URL.Query().Get("add"))
-	serveOne(t, backend, "ok") // no other call to the counter has got a response
+	serveOne(t, backend, "ok") // only the first call has got a response, which admits the request
 	if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
 // If the response to a call has no valid total but shows that the units were added, a later call returns the units to
-// the counter. If it is unknown whether the units were added, the customer loses them once, and no more.
+// the counter. If it is unknown whether the units were added, the customer loses them only once.
 func TestUnitsWithoutTotalAreReturned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // maximum of openConns after the replacement of a blocked connection
-	counterIdleTimeout      = 5 * time.Second // maximum idle time; well below the 10 s that the counter allows
+	maxConnsPerStream       = 4               // number of connections at which a blocked connection is not replaced
+	counterIdleTimeout      = 5 * time.Second // maximum idle time of a connection; well below the counter's limit of 10 s
 	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
 
@@ -23,8 +23,8 @@
 	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
 }
 
-// send writes a call, on a new connection if the current connection can't be used. If the call can't be written, send
-// reports its outcome.
+// send writes a call, on a new connection if the current connection can't be used. If the call is abandoned or can't be
+// written, send reports the call's outcome.
 func (s *counterStream) send(ctx context.Context, call *counterCall) {
 	if call.abandoned.Load() {
 		call.report(call, policy.TimedOut, 0) // not written, so nothing was added
@@ -62,7 +62,7 @@
 	return s.conn.dialedAddress != *s.client.address.Load()
 }
 
-// retire stops using the connection. The next call dials a new connection.
+// retire retires the connection in use. The next call dials a new connection.
 func (s *counterStream) retire() {
 	s.conn.retire()
 	s.conn = nil
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -16,13 +16,13 @@
 // maxTotalBodyBytes is the maximum size of a response body from the counter, in bytes.
 const maxTotalBodyBytes = 64
 
-// Errors of a malformed response. After such a response, the connection must not be used.
+// Errors for a malformed response, after which the connection must not be used.
 var (
 	errTotalTooLong   = errors.New("counter: response body is too long for a total")
 	errMalformedTotal = errors.New("counter: response body is not a finite number")
 )
 
-// counterStatusError reports an unexpected status, after which it is unknown whether the amount was added.
+// counterStatusError reports a response with an unexpected status, which doesn't show whether the amount was added.
 type counterStatusError struct {
 	status string
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -20,8 +20,8 @@
 // invalidListError reports a response from discovery that holds no valid list. Discovery may have rejected the
 // generation in the query of a watch, so the next poll asks for the full list.
 type invalidListError struct {
-	status string // status of the response if it is not 200, else empty
-	cause  error  // error in the body of a response with status 200, else nil
+	status string // status of the response; empty if the status is 200
+	cause  error  // error in the body of the response; nil if the status is not 200
 }
 
 func (e *invalidListError) Error() string {
@@ -45,8 +45,8 @@
 	log      *slog.Logger
 
 	generation       int64     // EndpointList.Generation of the last list received
-	canWatch         bool      // the next poll is a watch from generation; if false, it asks for the full list
-	listInUse        bool      // the gateway routes requests by a list, possibly one from before the watcher started
+	canWatch         bool      // the next poll is a watch; if false, the next poll asks for the full list
+	listInUse        bool      // the gateway routes requests by a list, which may be older than the watcher
 	fullListTimeouts int       // number of consecutive polls for the full list that have timed out
 	warnedAt         time.Time // time of the last log line about a failed poll
 }
@@ -68,8 +68,9 @@
 	}
 }
 
-// run polls until ctx ends. A failed poll is repeated on a new connection after watchRetryDelay. A repeated watch asks
-// for the changes since the last generation received, so its response includes all changes made in the meantime.
+// run polls until ctx ends. After a failed poll, the next poll begins after watchRetryDelay, on a new connection. If
+// the next poll is a watch, it asks for the changes since the last generation received, so its response includes all
+// changes made in the meantime.
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// maxChangeDelay is the time within which a gateway must receive a change of the endpoint list. It begins when
+// maxChangeDelay is the time within which a gateway must receive a change of the endpoint list. The time begins when
 // discovery has the change and can be reached.
 const maxChangeDelay = 6 * time.Second
 
@@ -148,8 +148,8 @@
 	}
 }
 
-// A full list that discovery writes slowly must still arrive. If no older list is in use, it may take longer than the
-// timeout of a watch.
+// A full list that discovery writes slowly must still arrive. If no older list is in use, the full list may take longer
+// than the timeout of a watch.
 func TestSlowFullListArrives(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// A failed watch is repeated from the last generation received. After a response without a valid list, the watcher asks
+// A failed watch is repeated with the last generation received. After a response without a valid list, the watcher asks
 // for the full list.
 func TestWatchResumesOrStartsOver(t *testing.T) {
 	discovery := newFakeDiscovery(t)
@@ -100,8 +100,8 @@
 	runWatcher(t, newDiscoveryWatcher(discovery.address(), 2*time.Second, true, func(l EndpointList) { received <- l }))
 	empty := []EndpointEntry{}
 
-	// Each step has the expected query of a poll and the response to it. wantReset is true if onList must get a full
-	// list, noList if onList must not be called.
+	// Each step has the expected query of a poll and the response to the poll. wantReset is true if onList must get a
+	// full list. noList is true if onList must not be called.
 	for _, step := range []struct {
 		name      string
 		wantQuery string
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -16,9 +16,9 @@
 // EndpointList is a response from discovery: the full list of backends, or the changes since the generation in the
 // watch's query.
 type EndpointList struct {
-	Generation int64           `json:"generation"` // version number of the list; the next watch sends it as since
+	Generation int64           `json:"generation"` // version number of the list; parameter "since" of the next watch
 	Reset      bool            `json:"reset"`      // Entries is the full list; if false, Entries holds only the changes
-	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no such array, not even an empty one
+	Entries    []EndpointEntry `json:"instances"`  // nil if the response has no array; not nil for an empty array
 }
 
 // EndpointEntry describes one backend, as discovery represents it.
@@ -30,7 +30,7 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"` // a key of backendStates
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // start of the process, in Unix milliseconds; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // start of the process, in Unix milliseconds; 0 means long ago
 }
 
 // backendStates maps the lifecycle names of discovery to the backend states of the engine.
@@ -40,7 +40,7 @@
 	"Gone":        policy.Removed,
 }
 
-// errNoEntries is returned for a full list that has no array of entries, not even an empty one. If such a response were
+// errNoEntries is returned for a full list that has no array of entries, not even an empty array. If the response were
 // treated as an empty list, the gateway would remove all its backends.
 var errNoEntries = errors.New("no instances in the response")
 
@@ -68,10 +68,13 @@
 	return policy.BackendID(h.Sum32())
 }
 
-// toBackend converts an entry to the engine's representation. The engine's clock is Unix time (see clock), so the start
-// time only changes its unit. toBackend returns an error for an entry with an unknown lifecycle or zone instead of
-// guessing. A wrong lifecycle could route requests to a draining backend. A wrong zone could send a retry to another
-// zone than the first attempt, where it is not deduplicated and the request is executed twice.
+// toBackend converts an entry to the engine's representation. It converts the start time from milliseconds to
+// seconds. The start time stays Unix time, which the engine's clock also uses (see clock).
+//
+// toBackend returns an error for an empty id, an unknown lifecycle, and an invalid weight or start time. An unknown
+// zone is an error too, unless the backend is removed. Guessed values are not used instead. With a wrong lifecycle,
+// requests could be sent to a draining backend. With a wrong zone, a retry could be sent to another zone than the first
+// attempt. There the retry would not be deduplicated, and the request could be executed twice.
 func (e EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := backendStates[e.Lifecycle]
 	zone := slices.Index(deployment.Zones, e.Zone)
@@ -79,7 +82,7 @@
 	case e.ID == "" || !known:
 		return policy.Backend{}, fmt.Errorf("instance %q: empty id or unknown lifecycle %q", e.ID, e.Lifecycle)
 	case zone < 0 && state != policy.Removed:
-		// Two unknown zones must not count as the same zone: within a zone, retries are deduplicated.
+		// All unknown zones would get the same index, -1, and would count as a single zone.
 		return policy.Backend{}, fmt.Errorf("instance %q: unknown zone %q", e.ID, e.Zone)
 	case math.IsNaN(e.Weight) || e.StartedAtMs < 0:
 		return policy.Backend{}, fmt.Errorf("instance %q: invalid weight or start time", e.ID)
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -5,20 +5,23 @@
 // Parameters of the timeouts for polls of discovery. A gateway is required to receive a change of the endpoint list
 // within 6 s, even if one poll fails. The 6 s begin when discovery has the change and can be reached. Therefore the
 // timeout of a poll that gets no response, the retry delay and the response to the next poll must add up to 6 s at
-// most, which TestMissedChangeArrivesInTime checks.
+// most. TestMissedChangeArrivesInTime checks this sum. The sum is largest for a long drain grace while no older list is
+// in use: maxFirstListTimeout, watchRetryDelay and maxWatchResponseTime add up to 6 s.
+//
+// watchRetryDelay is below 200 ms, since discovery forgets a watch after that time.
 const (
 	longPollShare        = 0.5                     // pollTimeouts.longPoll as a share of the drain grace
 	responseTimeShare    = 0.25                    // pollTimeouts.response as a share of the drain grace
 	minResponseTime      = 200 * time.Millisecond  // lower bound of pollTimeouts.response
 	maxWatchResponseTime = 1400 * time.Millisecond // upper bound of pollTimeouts.response
 	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound of fullListTimeout if no older list is in use
-	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll; discovery forgets a watch after 200 ms
+	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll
 )
 
 // pollTimeouts holds the timeouts for polls of discovery.
 type pollTimeouts struct {
 	longPoll time.Duration // time that discovery may hold back the response to a watch while nothing changes
-	response time.Duration // time that a response may take in addition to longPoll, or without a long poll
+	response time.Duration // time that a response may take, not counting longPoll
 }
 
 // newPollTimeouts returns the timeouts for a gateway that may send requests to a backend for drainGrace after the
@@ -35,10 +38,10 @@
 // watchTimeout returns the timeout of a watch, including its response.
 func (p pollTimeouts) watchTimeout() time.Duration { return p.longPoll + p.response }
 
-// fullListTimeout returns the timeout of a poll for the full list. timeoutsInRow is the number of such polls that have
-// timed out in a row. Each of them doubles the timeout, since a list that takes longer than a fixed timeout would never
-// arrive. If the gateway routes requests by an older list (listInUse), the timeout is at most watchTimeout. Otherwise
-// it is at most the greater of watchTimeout and maxFirstListTimeout.
+// fullListTimeout returns the timeout of a poll for the full list. timeoutsInRow is the number of polls for the full
+// list that have timed out in a row. Each of them doubles the timeout: with a fixed timeout, a list that takes longer
+// would never arrive. If the gateway routes requests by an older list (listInUse), the timeout is at most watchTimeout.
+// Otherwise it is at most the greater of watchTimeout and maxFirstListTimeout.
 func (p pollTimeouts) fullListTimeout(timeoutsInRow int, listInUse bool) time.Duration {
 	maxTimeout := p.watchTimeout()
 	if !listInUse {
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -7,15 +7,15 @@
 	"amberlb/policy"
 )
 
-// timeoutTolerance is the time, in seconds, before an attempt's deadline from which a cancel by the engine counts as a
-// timeout.
+// timeoutTolerance is a time in seconds. If the engine cancels an attempt at most timeoutTolerance before the attempt's
+// deadline, or later, the attempt counts as timed out.
 const timeoutTolerance = 0.001
 
 // transport sends attempts to backends. The event loop calls its methods, which must not block.
 type transport interface {
 	// updateEndpoint sets the address of a ready backend and the time, in Unix seconds, at which its process started.
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
-	// removeEndpoint makes further attempts at a backend fail until the next updateEndpoint.
+	// removeEndpoint makes further attempts at a backend fail until updateEndpoint is called for the backend.
 	removeEndpoint(id policy.BackendID)
 	// startAttempt starts an attempt. onDone is called once, on another goroutine than the caller's, when the attempt
 	// has a result, reaches its socket deadline or is cancelled.
@@ -49,7 +49,7 @@
 }
 
 // addAttempt adds an attempt to its request. The attempt's deadline is the request's deadline, or the end of
-// action.Timeout if that is set and comes first.
+// action.Timeout if action.Timeout is set and ends first.
 func (l *eventLoop) addAttempt(req *clientRequest, action policy.SendAttempt) *attempt {
 	now := l.clock.now()
 	a := &attempt{
@@ -69,7 +69,7 @@
 }
 
 // canStart reports whether an attempt may be sent: its request is unanswered, the client is connected, the deployment's
-// limit on attempts is not exceeded, and the deadline has not passed.
+// limit on attempts per request is not exceeded, and the deadline has not passed.
 func (l *eventLoop) canStart(a *attempt) bool {
 	req := a.request
 	needsAnswer := req.unanswered && !req.disconnected.Load()
@@ -120,14 +120,14 @@
 	a.cancel()
 	outcome := policy.Cancelled
 	if l.clock.now() >= a.deadline-timeoutTolerance {
-		outcome = policy.TimedOut // a timeout also adjusts the engine's concurrency limit, a cancel does not
+		outcome = policy.TimedOut // unlike a cancel, a timeout adjusts the engine's concurrency limit
 	}
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsentAttempts cancels the attempts of a request that are not fully written yet, after the client has disconnected. If
-// the deployment doesn't allow the engine to cancel attempts, an attempt that waits for a connection would otherwise
-// still be sent.
+// cancelUnsentAttempts cancels the attempts of a request that have not been fully written, after the client has
+// disconnected. The engine may leave these attempts running. An attempt that is being written would then be completed,
+// and an attempt that waits for a connection would go on dialing.
 func (l *eventLoop) cancelUnsentAttempts(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	// The next poll after the response that reports the drain shows that the gateway has received the drain.
+	// When the gateway polls again after the response that reports the drain, the gateway has received the drain.
 	await(t, g.discovery.queries, "first list")
 	await(t, g.discovery.queries, "watch")
 	g.discovery.responses <- endpointListOf(false, "Terminating", backend)
--- a/internal/gateway/endpointlist.go
+++ b/internal/gateway/endpointlist.go
@@ -3,7 +3,8 @@
 import "amberlb/policy"
 
 // applyEndpointList applies a full list of backends, or changes to the list, to the transport and the engine. The
-// transport is updated first: the engine's event may start attempts, which must not reach a draining backend.
+// transport is updated first: the engine may start attempts when it gets the list, and the attempts must not reach a
+// draining backend.
 func (l *eventLoop) applyEndpointList(list EndpointList, kind policy.ListKind) {
 	event := policy.EndpointsUpdated{Kind: kind}
 	listed := map[policy.BackendID]bool{}
@@ -26,8 +27,7 @@
 }
 
 // convertEntry converts an entry to the engine's representation. It returns false if the entry has to be ignored. An
-// invalid entry is ignored unless it is for a backend in use: the backend may be draining, so it is treated as
-// draining.
+// invalid entry for a backend in use is not ignored: the backend may be draining, so it is treated as draining.
 func (l *eventLoop) convertEntry(entry EndpointEntry) (backend policy.Backend, ok bool) {
 	backend, err := entry.toBackend(l.deployment)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// removeBackend removes a backend, so that no new attempt is sent to it.
+// removeBackend removes a backend from the transport, so that no new attempt is sent to the backend.
 func (l *eventLoop) removeBackend(id policy.BackendID) {
 	delete(l.backendNames, id)
 	l.transport.removeEndpoint(id)
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -18,7 +18,7 @@
 // eventLoop owns the policy engine. It turns messages from other goroutines and due timers, one at a time and in order,
 // into events for the engine, and carries out the engine's actions. It never waits for a socket.
 //
-// Its methods and fields belong to the goroutine of run; before run begins and after it has returned, they belong to
+// Its methods and fields belong to the goroutine of run. Before run begins and after run has returned, they belong to
 // the goroutine that starts run. Other goroutines may call post and postEndpointList, read clock and stopped, and use
 // metrics, attempts, counterCalls and counterCallsUnanswered.
 type eventLoop struct {
@@ -28,7 +28,7 @@
 	deployment     *wire.Deployment
 	engine         *policy.Engine
 	transport      transport
-	counter        *counterClient // nil if the deployment has none
+	counter        *counterClient // nil if the deployment has no counter
 	onEndpointList func()         // called after each list from discovery has been applied; not for the cached list
 
 	inbox    chan message
@@ -43,7 +43,7 @@
 	recentIDs          recentIDs                           // correlation ids of recent requests
 	lastRequestID      policy.RequestID                    // last id assigned to a request
 	backendNames       map[policy.BackendID]string         // discovery's instance id of each ready backend
-	pendingCalls       map[uint64][]*counterCall           // by key, in order: calls whose reply the engine lacks
+	pendingCalls       map[uint64][]*counterCall           // calls whose reply the engine awaits, by key, in order
 	timers             timerQueue
 
 	actions       []policy.Action // buffer for the actions of one event
@@ -176,7 +176,7 @@
 			l.callCounter(a)
 		case policy.Log:
 			l.log.Info(a.Text)
-		case policy.PollEndpoints: // nothing to do, since the discovery watcher polls all the time
+		case policy.PollEndpoints: // nothing to do, since the discovery watcher polls continuously
 		}
 	}
 }
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// Correlation ids are remembered for as long as a request may be open, but not forever, so that memory stays bounded.
+// A correlation id is remembered for at least recentIDWindow, but not forever, so that memory stays bounded. If there
+// are too many ids, they are forgotten earlier.
 func TestRecentIDsAreForgotten(t *testing.T) {
 	var ids recentIDs
 	for _, c := range []struct {
@@ -77,7 +78,7 @@
 	}
 	first := newRequest()
 	l.startRequest(first)
-	l.recentIDs = recentIDs{} // as after the time in which ids are remembered
+	l.recentIDs = recentIDs{} // as if the ids had been forgotten
 	second := newRequest()
 	l.startRequest(second)
 	if len(second.response) != 1 || (<-second.response).status != http.StatusConflict {
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -8,8 +8,8 @@
 	isMessage()
 }
 
-// requestArrived passes a completely read client request to the loop. The loop sends the final answer on the request's
-// response channel.
+// requestArrived passes a client request to the loop after the request has been read completely. The loop sends the
+// final answer on the request's response channel.
 type requestArrived struct{ request *clientRequest }
 
 // clientDisconnected reports that the client of a request has closed its connection or its sending side. The sender of
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -32,7 +32,7 @@
 	result, reusable := conn.readResponse(a.request.method)
 	notCancelled := a.detach()
 	if notCancelled && conn.idleFor > 0 {
-		// A reset before any byte of the response may be caused by the idle time of the connection.
+		// A reset before any byte of the response may be due to the connection's long idle time.
 		resetUnanswered := result.outcome == policy.ConnectionReset && conn.noResponseYet()
 		p.idleEstimator.observe(time.Now(), conn.idleFor, resetUnanswered)
 	}
@@ -45,7 +45,7 @@
 }
 
 // sendRequest gets a connection, attaches it to the attempt and writes the request to it. If it returns an error, the
-// last byte has not been written, and the connection has been discarded.
+// last byte of the request has not been written, and the connection, if any, has been discarded.
 func (p *connectionPools) sendRequest(a *attempt) (*backendConn, error) {
 	conn, err := p.getConn(a.ctx, a.backend)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return conn, nil
 }
 
-// outboundRequest returns the request to send to a backend: the client's request, with timeLeft in timeLeftHeader in
-// place of the client's value.
+// outboundRequest returns the request to send to a backend: the client's request with timeLeft in timeLeftHeader, in
+// milliseconds and at least 1, in place of the client's value.
 func (req *clientRequest) outboundRequest(timeLeft time.Duration) *http.Request {
 	header := make(http.Header, len(req.header))
 	for name, values := range req.header {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -19,7 +19,7 @@
 // engineTimer is a timer that the engine has set. When it fires, the engine gets a policy.TimerFired event.
 type engineTimer struct {
 	token   uint64           // policy.SetTimer.Token
-	request policy.RequestID // request whose end makes the timer stale; 0: the timer belongs to no request
+	request policy.RequestID // request whose end makes the timer stale; 0 if the timer has no request
 }
 
 func (t engineTimer) isStale(l *eventLoop) bool {
