--- a/internal/gateway/counterconn.go
+++ b/internal/gateway/counterconn.go
@@ -95,7 +95,7 @@
 //
 // A response that never ends blocks all responses behind it. Without a new connection, calls of many customers would
 // time out although the counter has served them, as if the counter were overloaded. A connection that is lost without
-// notice, or that gets no responses at all, has the same effect. If the counter is slow on every connection, it gets
+// notice, or on which no response arrives, has the same effect. If the counter is slow on every connection, it gets
 // more connections; maxConnsPerStream is low to limit their number. A late response is still read on the old
 // connection.
 func (c *counterConn) headOfLineBlocked() bool {
--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -6,8 +6,8 @@
 	"amberlb/policy"
 )
 
-// endpoint is one incarnation of a backend, that is one run of its process, at one address. When the backend restarts,
-// moves or is removed, its endpoint is retired, and no new request uses the endpoint's connections.
+// endpoint is one incarnation of a backend: one run of the backend's process, at one address. When the backend restarts,
+// moves or is removed, its endpoint is retired. No new request uses the connections of a retired endpoint.
 type endpoint struct {
 	address   string
 	startedAt float64 // start of the backend's process, in Unix seconds
@@ -28,7 +28,7 @@
 }
 
 // updateEndpoint sets the address of a ready backend and the time at which its process started. If the address has
-// changed or the process has started later, the old endpoint is retired.
+// changed or startedAt is later than before, the old endpoint is retired.
 func (p *connectionPools) updateEndpoint(id policy.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/endpoint_test.go
+++ b/internal/gateway/endpoint_test.go
@@ -35,7 +35,7 @@
 }
 
 // When a backend begins to drain, dials to it must end at once. Otherwise an attempt that waits for a slow dial would
-// be sent to the draining backend, instead of its request being retried elsewhere or rejected.
+// be sent to the draining backend. The request must be retried elsewhere or rejected instead.
 func TestDrainEndsDial(t *testing.T) {
 	t.Parallel()
 	backend, other := newFullBacklogBackend(t), newPeer(t)
--- a/internal/gateway/roundtrip.go
+++ b/internal/gateway/roundtrip.go
@@ -20,9 +20,9 @@
 	go func() { onDone(p.roundTrip(a)) }()
 }
 
-// roundTrip sends an attempt's request and waits for the response. An error before the last byte is written gives
-// policy.ConnectFailed, since the backend can't have executed an incomplete request. After a later error, the request
-// may have been executed.
+// roundTrip sends an attempt's request and waits for the response. An error before the last byte of the request
+// is written gives policy.ConnectFailed, since the backend can't have executed an incomplete request. After a later
+// error, the request may have been executed.
 func (p *connectionPools) roundTrip(a *attempt) attemptResult {
 	conn, err := p.sendRequest(a)
 	if err != nil {
