--- a/internal/gateway/endpoint.go
+++ b/internal/gateway/endpoint.go
@@ -6,8 +6,8 @@
 	"amberlb/policy"
 )
 
-// endpoint is one incarnation of a backend: one run of the backend's process, at one address. When the backend restarts,
-// moves or is removed, its endpoint is retired. No new request uses the connections of a retired endpoint.
+// endpoint is one incarnation of a backend: one run of the backend's process, at one address. When the backend
+// restarts, moves or is removed, its endpoint is retired. No new request uses the connections of a retired endpoint.
 type endpoint struct {
 	address   string
 	startedAt float64 // start of the backend's process, in Unix seconds
