--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -9,8 +9,9 @@
 	"amberlb/internal/lab/hollow"
 )
 
-// runHollow reads a hollow.Job from stdin, runs it, and writes the hollow.Result to stdout,
-// both as JSON. The commands run and sweep start this command as a child process.
+// runHollow reads a hollow.Job from stdin, runs the job, and writes the hollow.Result to stdout.
+// The job and the result are JSON. `fleetlab run` and `fleetlab sweep` start `fleetlab hollow` as
+// a child process.
 func runHollow(ctx context.Context, stdin io.Reader, stdout io.Writer) error {
 	var job hollow.Job
 	if err := json.NewDecoder(stdin).Decode(&job); err != nil {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -44,7 +44,7 @@
 		kong.Exit(func(status int) { helpStatus = status }),
 		kong.Description("Measures gateways against stand-ins of the services that they talk to."))
 	if err != nil {
-		panic(err) // the struct tags of arguments are invalid
+		panic(err) // happens only if the struct tags of arguments are invalid
 	}
 	command, err := parser.Parse(args)
 	if helpStatus != helpNotShown {
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -111,8 +111,8 @@
 }
 
 // In a small experiment with a gateway process and hollow gateways, the counts of the
-// clients, the gateways and the stand-ins agree, and no request is over quota, since the
-// customers use only 0.3 of their quotas.
+// clients, the gateways and the stand-ins agree, and no attempt is over quota, since the
+// customers of the groups use only 0.3 of their quotas.
 func TestCountsOfBothEndsAgree(t *testing.T) {
 	var log bytes.Buffer
 	lab := newLab(t, &log, func(string) {})
--- a/cmd/fleetlab/measure.go
+++ b/cmd/fleetlab/measure.go
@@ -46,8 +46,9 @@
 	return exitOK, nil
 }
 
-// reportPath returns the path of the report: the argument, or by default a file in the
-// directory logs of the module root that is named after the experiment.
+// reportPath returns the path of the report, which the argument Report sets. The default is a file
+// in the directory logs of the module root. Its name is that of the experiment file, with the suffix
+// .json.
 func (a experimentArguments) reportPath(root string) string {
 	if a.Report != "" {
 		return a.Report
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -17,7 +17,7 @@
 // Limits of the arguments of the command soak.
 const (
 	maxSeeds    = 10_000
-	maxJobs     = 8 // each job runs up to four gateways
+	maxJobs     = 8 // a job runs one seed, with up to four gateways
 	minDuration = 6 * time.Second
 	maxDuration = time.Hour
 )
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// runSoak runs all seeds and prints a line for each, followed by its violations.
+// runSoak runs all seeds. For each seed, it prints a line, followed by the violations of the run.
 func runSoak(ctx context.Context, args soakArguments, stdout, stderr io.Writer) (status int, err error) {
 	if err := args.validate(); err != nil {
 		return 0, usageError{err}
@@ -72,9 +72,9 @@
 	return status, err
 }
 
-// runSeeds runs all seeds, args.Jobs at the same time, and returns a result for each. If ctx ends before a seed's run is
-// started, the result of the seed is the zero value. The returned error is that of the first run that could not be
-// set up.
+// runSeeds runs all seeds, up to args.Jobs at the same time, and returns a result for each seed. If ctx ends before a
+// seed's run is started, the result of the seed is the zero value. If some runs could not be set up, runSeeds returns
+// the first error.
 func runSeeds(
 	ctx context.Context, args soakArguments, program gatewayprocess.Program, log *slog.Logger,
 ) ([]soak.Result, error) {
@@ -96,8 +96,8 @@
 	return results, err
 }
 
-// printSoakResults prints the results of all seeds whose runs were started. It returns interrupted = true if not all
-// runs were completed.
+// printSoakResults prints the results of all seeds whose runs were started. The status is exitFailed if
+// there are violations. The result interrupted is true if not all runs were completed.
 func printSoakResults(stdout io.Writer, results []soak.Result) (status int, interrupted bool) {
 	status = exitOK
 	for _, result := range results {
--- a/cmd/fleetlab/version.go
+++ b/cmd/fleetlab/version.go
@@ -32,9 +32,9 @@
 }
 
 // buildVersions builds the versions to measure and returns them in the order of measuring.
-// If baseline is not "", the first version is the one checked out in the directory baseline.
-// The last version is the one that this program belongs to. If the version in the directory
-// baseline can't be built, the error is a usageError.
+// If baseline is not "", the first version is checked out in the directory baseline. This
+// program belongs to the last version. If the version in the directory baseline can't be built,
+// the error is a usageError.
 func buildVersions(ctx context.Context, root, baseline string, log *slog.Logger) ([]experiment.Version, error) {
 	var versions []experiment.Version
 	if baseline != "" {
@@ -61,8 +61,8 @@
 	return experiment.Version{Name: experiment.Candidate, Gateway: program, Fleetlab: executable}, err
 }
 
-// baselineVersion builds the earlier version that is checked out in the directory dir. Its gateway processes are started
-// by the command in its deploy file, and its hollow gateways by the program bin/fleetlab that its build makes.
+// baselineVersion builds the earlier version that is checked out in the directory dir. The command in the version's
+// deploy file starts the gateway processes. The program bin/fleetlab, which the build makes, runs the hollow gateways.
 func baselineVersion(ctx context.Context, dir string, log *slog.Logger) (experiment.Version, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return experiment.Version{Name: experiment.Baseline, Gateway: program, Fleetlab: executable}, nil
 }
 
-// buildGateway runs the build command of the version in the directory root, and returns the program that starts its
-// gateway. The deploy file of the version holds the commands for building and starting.
+// buildGateway runs the build command of the version in the directory root, and returns the command that starts a
+// gateway of this version. The version's deploy file holds both commands.
 func buildGateway(ctx context.Context, root string, log *slog.Logger) (gatewayprocess.Program, error) {
 	deploy, err := readDeployFile(root)
 	if err != nil {
@@ -98,8 +98,8 @@
 // deployFile holds the entries of a version's deploy file that the lab needs. Each entry is a shell command that runs in
 // the root directory of the version.
 type deployFile struct {
-	Build string // builds the programs
-	Run   string // starts one gateway
+	Build string // command that builds the programs
+	Run   string // command that starts one gateway
 }
 
 // readDeployFile reads the deploy file of the version in the directory root.
--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -41,7 +41,7 @@
 }
 
 // totalMemoryMB estimates the peak memory of all processes together. Gateway processes and hollow gateways never run at
-// the same time, so only the larger of their sums is added.
+// the same time, so the estimate includes only the larger of the two sums.
 func (e *Experiment) totalMemoryMB() float64 {
 	allHollowMB := 0.0
 	for _, job := range e.hollowJobs() {
--- a/internal/lab/experiment/churn.go
+++ b/internal/lab/experiment/churn.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// replaceOldest replaces the oldest listed backend with a spare backend, whose start time is now. It returns the
-// changed entries of the old backend, which is draining, and of the new backend.
+// replaceOldest replaces the oldest listed backend with a spare backend, and sets the start time of the spare backend
+// to now. It returns the changed entries of both backends. The old backend is draining.
 func (s *standins) replaceOldest(now time.Time) (old, next gateway.EndpointEntry) {
 	old = s.listedBackends[0]
 	old.Lifecycle = lifecycleDraining
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -3,9 +3,9 @@
 // with the bounds in the file.
 //
 // There are two kinds of gateways. A gateway process is the deployed program. Hollow
-// gateways share a few processes. They make the same decisions as the program, and talk to
-// discovery and the counter as it does, but have no sockets to clients and backends (see
-// gateway.Hollow).
+// gateways share a few processes. They make the same decisions as gateway processes, and talk
+// to discovery and the counter in the same way. They have no sockets to clients and backends
+// (see gateway.Hollow).
 package experiment
 
 // Experiment is the content of an experiment file. Times are in seconds if the key ends in
@@ -16,16 +16,16 @@
 	Seed    uint64 `toml:"seed" json:"seed"`   // seed of all random numbers
 
 	// Seconds is the duration of the measured load. WarmupSeconds is the duration of the
-	// load before it, which is not measured.
+	// warm-up, which is the load before the measured load.
 	Seconds       float64 `toml:"seconds" json:"seconds"`
 	WarmupSeconds float64 `toml:"warm_seconds" json:"warm_seconds"`
 
-	// IdleSeconds is how long the gateway processes are measured without requests, before
-	// the load starts.
+	// IdleSeconds is the time for which the gateway processes are measured without requests,
+	// before the load starts.
 	IdleSeconds float64 `toml:"quiet_seconds" json:"quiet_seconds"`
 
-	// Sweep is KEY=VALUE,VALUE,...: the experiment runs once for each value of the key.
-	// "" means a single run.
+	// Sweep has the form KEY=VALUE,VALUE,... The experiment runs once for each value of the
+	// key. If Sweep is "", there is a single run.
 	Sweep string `toml:"over" json:"over,omitempty"`
 
 	Fleet     Fleet     `toml:"fleet" json:"fleet"`
@@ -39,9 +39,9 @@
 	Bounds    []Bound   `toml:"bound" json:"bound,omitempty"`
 }
 
-// Fleet configures the gateways. A gateway's rank is its index in the fleet. The lowest
-// ranks are those of the gateway processes. The ranks of the hollow gateways of the groups
-// follow, and then the ranks of the hollow gateways that belong to no group.
+// Fleet configures the gateways. A gateway's rank is its index in the fleet. The gateway
+// processes have the lowest ranks. The hollow gateways of the groups have the next ranks. The
+// hollow gateways that belong to no group have the highest ranks.
 type Fleet struct {
 	// Gateways is the fleet size that the gateways are configured with. It may exceed the
 	// number of gateways that are started. Default: the number of gateways that are started,
@@ -85,8 +85,8 @@
 	FullListsPerSecond float64 `toml:"whole_per_second" json:"whole_per_second"` // maximum rate; 0: no limit
 }
 
-// Group is a set of customers that send requests to the same hollow gateways. The gateways
-// have consecutive ranks and belong to no other group.
+// Group is a set of customers, and the hollow gateways that they send requests to. The
+// gateways have consecutive ranks and belong to no other group.
 type Group struct {
 	Name string `toml:"name" json:"name"`
 
@@ -125,9 +125,9 @@
 }
 
 // Tenants configures the customers of the gateway processes. Each plan of the tenants has
-// half the quota of the plan before it. Each tenant has the plan with the smallest quota of
-// which its requests use at most the share Utilization. These requests therefore use more
-// than half of that share.
+// half the quota of the plan before it. A tenant's requests use at most the share
+// Utilization of its plan's quota. Each tenant has the plan with the smallest quota for which
+// this is true. The requests therefore use more than half of the share Utilization.
 type Tenants struct {
 	Count int `toml:"count" json:"count"`
 
--- a/internal/lab/experiment/hollow.go
+++ b/internal/lab/experiment/hollow.go
@@ -27,7 +27,7 @@
 	children, err := p.startHollowProcesses(ctx)
 	defer func() {
 		for _, child := range children {
-			child.Stop(hollowStopGrace) // after an error, the process may still run; no effect on an exited process
+			child.Stop(hollowStopGrace) // stops a process that still runs after an error
 		}
 	}()
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // awaitLists waits until discovery has sent count full lists or exited is closed, and returns a sample taken at that
-// time. It returns errListTimeout if the duration timeout elapses first.
+// time. It returns errListTimeout if the timeout passes first.
 func (s *standins) awaitLists(
 	ctx context.Context, count int, timeout time.Duration, exited <-chan struct{},
 ) (sample, error) {
@@ -124,7 +124,8 @@
 	}
 }
 
-// sampleUntil samples the stand-ins every sampleInterval until done is closed. It takes the last sample after that.
+// sampleUntil samples the stand-ins every sampleInterval until done is closed. It takes the last sample after done is
+// closed. If ctx ends first, it returns the cancellation cause of ctx.
 func (s *standins) sampleUntil(ctx context.Context, done <-chan struct{}) ([]sample, error) {
 	var samples []sample
 	for {
--- a/internal/lab/experiment/hollowjob.go
+++ b/internal/lab/experiment/hollowjob.go
@@ -20,9 +20,9 @@
 	return e.Groups[job.firstGroup : job.firstGroup+job.groupCount]
 }
 
-// hollowJobs distributes the hollow gateways over processes: first the gateways of the groups, then those that belong to
-// no group. All gateways of a group are in one process, because that process tracks the quotas of the group's
-// customers.
+// hollowJobs distributes the hollow gateways over processes: first the gateways of the groups, then the gateways that
+// belong to no group. All gateways of a group are in one process, because that process tracks the quotas of the
+// group's customers.
 func (e *Experiment) hollowJobs() []hollowJob {
 	processes := e.Fleet.HollowProcesses
 	groupProcesses := min(processes, len(e.Groups))
--- a/internal/lab/experiment/hollowresult.go
+++ b/internal/lab/experiment/hollowresult.go
@@ -75,7 +75,7 @@
 }
 
 // recordControlMetrics records the control traffic of the period in which all processes measured their load. The last
-// sample was taken when all processes had exited; its time is taken as the time of each process's last answer.
+// sample was taken when all processes had exited. Its time approximates the time of each process's last answer.
 // measuredSeconds holds, for each process, the time from the start of its measured load to its last answer.
 func (e *Experiment) recordControlMetrics(samples []sample, measuredSeconds []float64, metrics Metrics) {
 	end := samples[len(samples)-1].at
--- a/internal/lab/experiment/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -12,14 +12,15 @@
 
 // Lab runs experiments.
 type Lab struct {
-	Versions []Version // measured one after the other at each point of a sweep; they include Candidate
+	Versions []Version // versions to measure at each point of a sweep, in this order; one of them is Candidate
 	Root     string    // root directory of the repository
 	Log      *slog.Logger
 }
 
-// Run runs the experiment, once for each version and value of the sweep, and returns the report. The path file is only
-// recorded in the report. If ctx ends, Run stops all processes and stand-ins that it started, and the report says which
-// runs are partial. Run returns an error only if the experiment is invalid. In that case, it has started nothing.
+// Run runs the experiment, once for each version and value of the sweep, and returns the report. The parameter
+// file is the path of the experiment file. Run only records this path in the report. If ctx ends, Run stops all
+// processes and stand-ins that it started, and the report says which runs are partial. Run returns an error only if the
+// experiment is invalid. In that case, it has started nothing.
 func (l *Lab) Run(ctx context.Context, file string, e Experiment) (*Report, error) {
 	sweep, points, err := e.sweepPoints()
 	if err != nil {
@@ -83,7 +84,7 @@
 // describeMachine describes this machine. Values that can't be read are left empty.
 func describeMachine() Machine {
 	machine := Machine{Cores: runtime.NumCPU()}
-	machine.MemoryMB, _ = machineMemoryMB() // validateCapacity has called it before without an error
+	machine.MemoryMB, _ = machineMemoryMB() // validateCapacity has already called machineMemoryMB successfully
 	if load, err := os.ReadFile("/proc/loadavg"); err == nil {
 		averages := strings.Fields(string(load))[:3]
 		machine.Load = strings.Join(averages, " ")
--- a/internal/lab/experiment/processes.go
+++ b/internal/lab/experiment/processes.go
@@ -163,7 +163,8 @@
 // seconds returns the length of the span.
 func (s *span) seconds() float64 { return s.after.at.Sub(s.before.at).Seconds() }
 
-// measureSpan samples the stand-ins and the gateways, waits for the duration length, and samples them again.
+// measureSpan samples the stand-ins and the gateways at the start and at the end of a wait. The parameter length is
+// the duration of the wait.
 func (s *standins) measureSpan(
 	ctx context.Context, gateways []*gatewayprocess.Gateway, length time.Duration,
 ) (*span, error) {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -36,7 +36,7 @@
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Load     string  `json:"load"` // load averages of the kernel at the start
+	Load     string  `json:"load"` // load averages of the kernel at the start of the experiment
 }
 
 // Run holds the metrics of one version at one point of a sweep.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -43,7 +43,7 @@
 }
 
 // runVersion measures one version. The gateway processes and the hollow gateways are measured one after the other, so
-// that they don't compete for the machine. A phase that fails is reported as partial.
+// that they don't compete for the machine. If a phase fails, the run is partial.
 func (e *Experiment) runVersion(ctx context.Context, v Version, log *slog.Logger) Run {
 	run := Run{Version: v.Name, Metrics: Metrics{}, Groups: map[string]Metrics{}}
 	if e.Fleet.GatewayProcesses > 0 {
@@ -55,7 +55,8 @@
 	return run
 }
 
-// runPhase runs a phase and adds its metrics to the run. If the phase fails, it adds the reason to run.Partial.
+// runPhase runs a phase and adds its metrics to the run. If the phase fails, runPhase adds the reason to
+// run.Partial.
 func (e *Experiment) runPhase(
 	ctx context.Context, name string, measure measureFunc, version Version, run *Run, log *slog.Logger,
 ) {
@@ -87,7 +88,7 @@
 	return measure(p, ctx)
 }
 
-// sleep waits for the duration d. If ctx ends during the wait, sleep returns the cause.
+// sleep waits for d. If ctx ends during the wait, sleep returns the cancellation cause of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	if !ctxtime.Sleep(ctx, d) {
 		return context.Cause(ctx)
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -10,7 +10,8 @@
 const minBurstRequests = 4.0
 
 // settingsTemplate holds the deployment settings that all experiments share. The method
-// settings adds the plans, the gateway's place in the fleet, and whether there is a counter.
+// settings adds the plans, the fleet size, the gateway's rank and locality, whether there is a
+// counter, and the highest cost of a request.
 // The template describes no existing deployment.
 //
 //go:embed settings.json
--- a/internal/lab/experiment/standins.go
+++ b/internal/lab/experiment/standins.go
@@ -31,7 +31,7 @@
 	counterAddress   string           // "" without a counter
 	backends         *backend.Pool
 
-	// The goroutine of startChurn is the only user of the two fields below while it runs.
+	// While the goroutine of startChurn runs, only that goroutine uses the two fields below.
 	listedBackends []gateway.EndpointEntry // ready backends in the endpoint list, the oldest first
 	spareBackends  []gateway.EndpointEntry // backends that churn may add to the endpoint list
 }
--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -20,7 +20,8 @@
 	}
 	config := &e.Tenants
 	busiestQuota := e.busiestTenantQuota()
-	// The number of subsets that lie within the gateway processes; 1 if a subset is larger.
+	// The number of possible first gateways of a subset. It is 1 if a subset is larger than the number of gateway
+	// processes.
 	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
--- a/internal/lab/experiment/validate.go
+++ b/internal/lab/experiment/validate.go
@@ -11,9 +11,9 @@
 
 // Limits of the size of an experiment. maxTenants also limits the number of customers of a group.
 const (
-	maxProcesses = 300     // number of child processes, plus 1 for this process
+	maxProcesses = 300     // number of processes, including this process
 	maxSeconds   = 3600    // seconds; limit of each duration in the file
-	maxBackends  = 200_000 // number of backends listed during a phase, including backends added by churn
+	maxBackends  = 200_000 // number of backends in a phase, including the spare backends for churn
 	maxTenants   = 1 << 20
 )
 
@@ -52,7 +52,7 @@
 	return e.validateCapacity()
 }
 
-// rangeChecks returns the checks of all numbers, in the order in which they are made.
+// rangeChecks returns all range checks, in the order in which they are made.
 func (e *Experiment) rangeChecks() []rangeCheck {
 	checks := e.fleetChecks()
 	checks = append(checks, e.standinChecks()...)
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// validateBounds returns an error if a bound has no limit, or names an unknown metric or group.
+// validateBounds returns an error if a bound has no limit, names an unknown metric, or has a pattern that matches no
+// group.
 func (e *Experiment) validateBounds() error {
 	for _, b := range e.Bounds {
 		perGroup := b.Group != ""
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -27,7 +27,7 @@
 	return verdicts
 }
 
-// evaluateRun evaluates the bound for a run. For a bound of groups, it returns a verdict for each matching group. If no
+// evaluateRun evaluates the bound for a run. If Group is set, it returns a verdict for each matching group. If no
 // matching group was measured, it returns a single verdict, which says that the bound is not kept.
 func (b Bound) evaluateRun(run *Run) []Verdict {
 	if b.Group == "" {
--- a/internal/lab/gatewayprocess/gateway.go
+++ b/internal/lab/gatewayprocess/gateway.go
@@ -20,7 +20,7 @@
 	readyPath         = "/health/ready"
 	readyPollInterval = 10 * time.Millisecond
 	readyPollTimeout  = time.Second     // timeout of one poll
-	stopGrace         = 4 * time.Second // time from SIGTERM to SIGKILL: the longest deadline plus a shutdown's time
+	stopGrace         = 4 * time.Second // time from SIGTERM to SIGKILL: the longest deadline plus time for the shutdown
 	configEnv         = "EDGE_CONFIG"   // name of the environment variable with the path of the configuration file
 )
 
@@ -86,9 +86,9 @@
 // removeConfig removes the configuration file and its directory.
 func (g *Gateway) removeConfig() { os.RemoveAll(filepath.Dir(g.configPath)) }
 
-// WaitReady waits until the gateway is ready and returns the time since its start. The duration timeout is also counted
-// from the start of the gateway. WaitReady returns ErrReadyTimeout if the gateway is not ready within timeout, and
-// another error if ctx ends or the gateway exits.
+// WaitReady waits until the gateway is ready, and returns the time from the gateway's start until then. The timeout is
+// also counted from the gateway's start. WaitReady returns ErrReadyTimeout if the gateway is not ready within the
+// timeout, and another error if ctx ends or the gateway exits.
 func (g *Gateway) WaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
 	client := &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(g.startedAt) < timeout {
--- a/internal/lab/gatewayprocess/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -13,13 +13,13 @@
 	"amberlb/internal/lab/load"
 )
 
-// maxInFlight is the maximum number of requests in flight. While it is reached, further requests are dropped and
-// counted.
+// maxInFlight is the maximum number of requests in flight. While that many requests are in flight, further requests
+// are dropped and counted.
 const maxInFlight = 4096
 
 // Tenant is a customer of the gateways.
 type Tenant struct {
-	ID           uint64 // below 2^33
+	ID           uint64 // customer id, below 2^33
 	Plan         string
 	SubsetSize   int // number of the tenant's gateways, whose ranks are consecutive
 	FirstGateway int // rank of the tenant's first gateway
@@ -42,10 +42,10 @@
 // Scheduled = Served + Rejected + Failed + Dropped.
 type Result struct {
 	Scheduled    uint64
-	Served       uint64         // answered 200
-	Rejected     uint64         // answered 429 or 503
-	Failed       uint64         // answered with another status, or not answered
-	Dropped      uint64         // not sent because too many were in flight
+	Served       uint64         // requests answered 200
+	Rejected     uint64         // requests answered 429 or 503
+	Failed       uint64         // requests answered with another status, or not answered
+	Dropped      uint64         // requests not sent because too many requests were in flight
 	AddedLatency load.Quantiles // latency of served requests minus ServiceTime, ms
 	ScheduleLag  load.Quantiles // time from the due time of a request until it was sent, ms; part of AddedLatency
 }
@@ -57,7 +57,7 @@
 	client       *http.Client
 	rng          *rand.Rand // draws the tenant, the gateway and the id of each request
 	popularity   *load.TenantDistribution
-	measuredFrom time.Time // requests that are due before this time are not counted
+	measuredFrom time.Time // end of the warm-up; requests that are due earlier are not counted
 
 	served       atomic.Uint64
 	rejected     atomic.Uint64
@@ -67,8 +67,8 @@
 	scheduleLag  load.LatencyHistogram
 }
 
-// Run sends the load from the time start on, for the duration warmup + measured. It counts only the requests that are
-// due after the warm-up. It returns when all requests are answered or ctx ends. The rank of a gateway is its index in
+// Run sends the load, from start to start + warmup + measured. It counts only the requests that are due after the
+// warm-up. It returns when all requests have ended or ctx ends. The rank of a gateway is its index in
 // gateways.
 func (l *Load) Run(ctx context.Context, gateways []*Gateway, start time.Time, warmup, measured time.Duration) Result {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, DisableCompression: true}
@@ -98,8 +98,8 @@
 	}
 }
 
-// issue draws a request and sends it in a new goroutine, which calls done when the request
-// has ended.
+// issue draws the tenant and the gateway of a request, and sends the request in a new goroutine.
+// The goroutine calls done when the request has ended.
 func (r *loadRun) issue(ctx context.Context, due time.Time, done func()) {
 	tenant := &r.Tenants[r.popularity.Sample(r.rng)]
 	if r.isMeasured(due) {
--- a/internal/lab/gatewayprocess/options.go
+++ b/internal/lab/gatewayprocess/options.go
@@ -15,7 +15,7 @@
 	Counter         string // address of the counter; "": there is no counter
 	Seed            uint64
 	Cores           float64         // CPU limit, in cores
-	MemoryMB        int             // memory limit
+	MemoryMB        int             // memory limit, MB
 	Settings        json.RawMessage // deployment settings
 	Listen          string          // address for clients; "": a free address
 	DescriptorLimit int             // limit of file descriptors; 0: defaultDescriptorLimit
--- a/internal/lab/hollow/group.go
+++ b/internal/lab/hollow/group.go
@@ -28,7 +28,7 @@
 	warmup         time.Duration // duration of the load before the measurement
 	duration       time.Duration // duration of the whole load, warm-up included
 	startedAt      time.Time     // start of the load and time 0 of the buckets
-	rng            *rand.Rand    // used by the goroutine of runLoad only
+	rng            *rand.Rand    // used only by the goroutine of runLoad
 	customers      []customer
 	popularity     *load.TenantDistribution
 	pendingClients sync.WaitGroup // clients that wait for their final answer
@@ -74,7 +74,7 @@
 	plan := h.deployment.Plans[group.Plan]
 	for i := range g.customers {
 		g.customers[i] = customer{
-			// The id is unique, since First is below Fleet and differs by group.
+			// The id is unique, since First is below Fleet, and each group has a different First.
 			id:           policy.CustomerID(group.First + i*h.Fleet),
 			firstGateway: g.rng.IntN(group.Gateways - group.Spread + 1),
 			bucket:       oracle.New(plan.Rate, plan.Burst),
@@ -89,7 +89,7 @@
 // counterCalls counts calls of gateways to the counter.
 type counterCalls struct {
 	made       uint64
-	unanswered uint64 // calls out of made that got no response
+	unanswered uint64 // calls, included in made, that got no response
 }
 
 // counterCalls returns the number of calls to the counter that the group's gateways have made so far.
@@ -137,7 +137,7 @@
 func (g *groupLoad) isMeasured(due time.Time) bool { return due.Sub(g.startedAt) >= g.warmup }
 
 // pickGateway draws the gateway for a request from the customer's subset, and returns its index in the subset. The
-// time at is counted from the start of the load.
+// parameter at is the due time of the request, counted from the start of the load.
 func (g *groupLoad) pickGateway(c *customer, at time.Duration) int {
 	if c.weights == nil {
 		return g.rng.IntN(g.Spread)
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -15,7 +15,7 @@
 	"amberlb/internal/lab/oracle"
 )
 
-// settings are deployment settings with two plans: "none" has no quota, "basic" has one.
+// settings are deployment settings with two plans. The plan "none" has no quota. The plan "basic" has a quota.
 const settings = `{"tickS": 0.002, "localities": ["a"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": true, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -133,8 +133,8 @@
 	}
 }
 
-// A rejection is classified by the units in the customer's bucket at that time. A forwarded attempt is counted as over
-// quota if the bucket lacks its units.
+// A rejection is classified by the units in the customer's bucket at the time of the rejection. A forwarded attempt is
+// counted as over quota if the bucket holds fewer units than the attempt costs.
 func TestRejectionsAreClassifiedByTheBucket(t *testing.T) {
 	c := &customer{bucket: oracle.New(1e-9, 10)}
 	g := &groupLoad{Group: Group{Units: 2}, startedAt: time.Now()}
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -16,12 +16,14 @@
 const maxCustomerIDs = 1 << 33
 
 // Job describes the gateways and the load of one process. A job and its result are passed
-// between processes as JSON. The processes may run different versions of the lab. The names
-// of the fields of Job, Group, Result and GroupResult are the JSON keys and must not change.
+// between processes as JSON. The names of the fields of Job, Group, Result and GroupResult are
+// the JSON keys. They must not change, since the processes may run different versions of the
+// lab.
 //
 // If Retry is set, clients retry a rejected request once, at the next gateway of the customer's
-// subset. The retry is marked as one. It is sent after the Retry-After of the rejection, or
-// after 50 ms if the rejection has none.
+// subset. The retry is marked as a retry. It is sent after the Retry-After of the rejection, or
+// after 50 ms if the rejection has no Retry-After. A client does not retry if the deadline would
+// pass before the retry is sent.
 type Job struct {
 	Seed         uint64
 	Settings     json.RawMessage // deployment settings, in which each gateway's rank and the fleet size are replaced
@@ -39,7 +41,7 @@
 	Retry        bool    // clients retry a rejected request once
 }
 
-// Group is a set of customers that send requests to the same gateways. The gateways have
+// Group is a set of customers, and the gateways that they send requests to. The gateways have
 // consecutive ranks and belong to no other group.
 type Group struct {
 	Name      string
@@ -62,7 +64,7 @@
 	Gateways   int
 	Requests   uint64  // sum of Tries over all groups
 	SpanS      float64 // time from the start of the measured load to the last answer, s
-	CPUSeconds float64 // CPU time of the process during the time SpanS
+	CPUSeconds float64 // CPU time of the process from the start of the measured load to the last answer, s
 	PeakMB     float64 // peak memory of the process since its start, MB
 }
 
@@ -71,17 +73,17 @@
 type GroupResult struct {
 	Name            string
 	Tries           uint64         // attempts
-	Served          uint64         // answered 200
-	Refused         uint64         // rejected: answered 429 or 503
-	Failed          uint64         // answered with another status
-	Dropped         uint64         // not sent because too many requests were in flight
+	Served          uint64         // attempts answered 200
+	Refused         uint64         // attempts answered 429 or 503: rejections
+	Failed          uint64         // attempts answered with another status
+	Dropped         uint64         // attempts not sent because too many requests were in flight
 	Repeats         uint64         // attempts that were retries by the client
-	RefusedInside   uint64         // rejected although within the customer's quota
-	RefusedHalfFull uint64         // rejected with half of the burst or more unused
-	Beyond          uint64         // forwarded although over the customer's quota
+	RefusedInside   uint64         // attempts rejected although within the customer's quota
+	RefusedHalfFull uint64         // attempts rejected while half of the burst or more was unused
+	Beyond          uint64         // attempts forwarded although over the customer's quota
 	Calls           uint64         // calls of the group's gateways to the counter after the warm-up
-	CallsUnanswered uint64         // calls out of Calls that got no response
-	Latency         load.Quantiles // time from the due time of a served request's first attempt to its answer, ms
+	CallsUnanswered uint64         // calls, included in Calls, that got no response
+	Latency         load.Quantiles // latency of served requests, from the due time of the first attempt, ms
 }
 
 // jobRun is the state of a running job.
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	listTimeout  = 3 * time.Minute // time for a gateway's first endpoint list, in addition to StartSpreadS
+	listTimeout  = 3 * time.Minute // time limit for a gateway's first endpoint list, in addition to StartSpreadS
 	answerMargin = 2 * time.Second // time that loadTimeout adds to the longest deadline and AnswerSlack
 )
 
@@ -27,9 +27,9 @@
 	return time.Duration(s), policy.Served
 }
 
-// Run starts the gateways of a job, runs the load once all gateways have an endpoint list, and returns when all requests
-// are answered or ctx ends. All gateways have stopped when Run returns. If ctx ends during the load, Run returns the
-// error of ctx together with the results up to that time.
+// Run starts the gateways of a job. When all gateways have an endpoint list, it runs the load. It returns when all
+// requests are answered or ctx ends. All gateways have stopped when Run returns. If ctx ends during the load, Run
+// returns the error of ctx together with the results up to that time.
 func Run(ctx context.Context, job Job) (Result, error) {
 	h, err := newJobRun(job)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return result, ctx.Err()
 }
 
-// measureLoad runs the load of all groups, and records in result the resource usage of the process after the warm-up.
-// It returns for each group the calls to the counter that its gateways made before the end of the warm-up.
+// measureLoad runs the load of all groups, and sets SpanS, CPUSeconds and PeakMB of result. For each group, it returns
+// the number of calls to the counter that the group's gateways made before the end of the warm-up.
 func (h *jobRun) measureLoad(ctx context.Context, groups []*groupLoad, result *Result) (callsBefore []counterCalls) {
 	start := time.Now()
 	// A gateway that hangs may never answer. After loadTimeout, Run stops the gateways, and the open requests fail.
@@ -148,7 +148,7 @@
 	return config
 }
 
-// loadTimeout returns how long after the start of the load all requests should have been answered.
+// loadTimeout returns the time from the start of the load by which all requests should be answered.
 func (h *jobRun) loadTimeout() time.Duration {
 	longestDeadline := 0.0
 	for _, g := range h.Groups {
--- a/internal/lab/load/latency.go
+++ b/internal/lab/load/latency.go
@@ -35,7 +35,7 @@
 }
 
 // Quantiles holds quantiles of recorded durations, in the unit passed to LatencyHistogram.Quantiles. Processes of the
-// lab exchange it as JSON: the field names are the JSON keys and must not change.
+// lab exchange Quantiles as JSON. The field names are the JSON keys and must not change.
 type Quantiles struct {
 	Count int64 // number of durations
 	P50   float64
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -17,7 +17,7 @@
 	elapsed float64 // seconds from the start to the last arrival
 }
 
-// NewPoisson returns a Poisson process with a mean rate of perSecond arrivals, which must be above 0.
+// NewPoisson returns a Poisson process with a mean rate of perSecond arrivals a second. The rate must be above 0.
 func NewPoisson(rng *rand.Rand, perSecond float64) *PoissonArrivals {
 	return &PoissonArrivals{rng: rng, meanGap: 1 / perSecond}
 }
@@ -32,8 +32,8 @@
 // and on the caller's goroutine. The function issue starts the request of the arrival and must not block. It has to
 // ensure that done is called once, from any goroutine, when the request has ended. While maxInFlight requests are in
 // flight, RunOpenLoop calls dropped instead of issue. The parameter n of both functions is the number of the arrival,
-// counted from 0, and due is the time at which its request should be sent. If the process is late, the call comes after
-// due. RunOpenLoop returns when all requests have ended or ctx ends.
+// counted from 0. The parameter due is the time at which the request should be sent. If the process is late, the call
+// comes after this time. RunOpenLoop returns when all requests have ended or ctx ends.
 func RunOpenLoop(
 	ctx context.Context, arrivals *PoissonArrivals, start time.Time, duration time.Duration, maxInFlight int,
 	issue func(due time.Time, n int, done func()), dropped func(due time.Time, n int),
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -58,7 +58,7 @@
 }
 
 // When the process stalls, the requests that are due during the stall are sent late, and none is rescheduled or dropped.
-// Their delay counts as latency, because latency is measured from the due time.
+// The delay counts as latency, because latency is measured from the due time.
 func TestStallCountsAsLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall, serviceTime = time.Second, 10 * time.Millisecond
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -1,5 +1,5 @@
-// Package oracle tracks the quota of a customer exactly, as the protocol defines it: with one token bucket for all
-// gateways. The gateways have no access to this bucket. The lab compares their decisions with it.
+// Package oracle tracks the quota of a customer exactly, as the protocol defines the quota: with one token bucket for
+// all gateways. The gateways have no access to this bucket. The lab compares the gateways' decisions with the bucket.
 package oracle
 
 import (
@@ -8,8 +8,8 @@
 )
 
 // TokenBucket is the quota of one customer. Its methods are safe for concurrent use, since all gateways share the bucket.
-// Their parameter now is the time since the bucket's start. A method that is called with an earlier time than a previous
-// call uses the time of the previous call instead.
+// The parameter now of a method is the time since the start of the load, when the bucket is full. If now is earlier than
+// in a previous call, the method uses the latest time of the previous calls instead.
 type TokenBucket struct {
 	rate  float64 // units a second; 0: there is no quota
 	burst float64 // units
@@ -20,7 +20,7 @@
 }
 
 // New returns a full bucket of burst units that refills at rate units a second. With a rate of 0, there is no quota,
-// and Take and CanTake always return true.
+// and Take, CanTake and HalfFull always return true.
 func New(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
@@ -34,8 +34,8 @@
 }
 
 // Take charges an attempt to the quota, and reports whether the attempt is within the quota. It is called when the
-// attempt is first forwarded to a backend. If the bucket has the units, Take removes them. Otherwise, the attempt is
-// over quota, and Take removes no units.
+// attempt is first forwarded to a backend. If the bucket holds at least these units, Take removes them.
+// Otherwise, the attempt is over quota, and Take removes no units.
 func (b *TokenBucket) Take(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,8 +50,8 @@
 	return true
 }
 
-// CanTake reports whether the bucket has the units. If it returns true for a rejected attempt, the attempt was within
-// the quota when it was rejected.
+// CanTake reports whether the bucket holds at least these units. If it returns true for a rejected attempt, the attempt
+// was within the quota when it was rejected.
 func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxStderr     = 64 << 10        // bytes of standard error that are kept
-	maxStdout     = 16 << 20        // bytes of standard output that are kept
-	pipeWaitDelay = 2 * time.Second // time that Wait waits, after a child's exit, for processes that hold its pipes open
+	maxStderr     = 64 << 10        // maximum number of kept bytes of standard error
+	maxStdout     = 16 << 20        // maximum number of kept bytes of standard output
+	pipeWaitDelay = 2 * time.Second // longest wait after a child's exit, while other processes hold its pipes open
 )
 
 // Process is a child process. Its methods are safe for concurrent use.
@@ -28,10 +28,10 @@
 	exitErr error         // result of Wait; set before done is closed
 }
 
-// Start starts a child process, which runs the program name with the arguments args. Its
-// environment is that of this process plus the variables in env. The child reads stdin as its
-// standard input; if stdin is nil, the input is empty. The child is killed when ctx ends, and
-// when this process dies.
+// Start runs the program with the given name and arguments as a child process. The environment
+// of the child is the environment of this process plus the variables in env. The child reads
+// stdin as its standard input. If stdin is nil, the input is empty. The child is killed when
+// ctx ends, and when this process dies.
 func Start(ctx context.Context, name string, env []string, stdin io.Reader, args ...string) (*Process, error) {
 	p := &Process{
 		command: exec.CommandContext(ctx, name, args...),
@@ -54,7 +54,7 @@
 	return p, nil
 }
 
-// run starts the child, sends the error or nil to started, and waits until the child exits.
+// run starts the child, sends the error of the start, or nil, to started, and waits until the child exits.
 func (p *Process) run(started chan<- error) {
 	// The kernel sends Pdeathsig as soon as the thread that started the child ends, even if
 	// this process goes on. So the goroutine keeps its thread until the child has exited.
@@ -78,7 +78,7 @@
 // Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop sends SIGTERM. If the process has not exited after the time grace, Stop sends SIGKILL.
+// Stop sends SIGTERM. If the process has not exited after the grace period, Stop sends SIGKILL.
 // It returns the result of Wait.
 func (p *Process) Stop(grace time.Duration) error {
 	p.command.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// The output of a child is kept up to the limits, and Wait returns the child's exit status as an error.
+// The output of a child is kept up to the limits, and Wait returns an exit status other than 0 as an error.
 func TestOutputAndExitStatus(t *testing.T) {
 	p := startChild(t.Context(), t, "echo", strings.NewReader("a job"))
 	if err := p.Wait(); err == nil || err.Error() != "exit status 3" {
