--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -52,7 +52,7 @@
 	}))
 	defer discovery.Close()
 	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-counterUnblocked // while calls hang, the gateway replaces their connections by new connections
+		<-counterUnblocked // calls hang, so that the gateway opens all its connections to the counter
 		io.WriteString(w, r.URL.Query().Get("add"))
 	}))
 	defer counter.Close()
@@ -76,7 +76,7 @@
 	client.awaitOK(t, "health check with the cached endpoint list", client.healthCheck)
 	maxDescriptors := 0
 	for range 6 {
-		client.openIdle(minDescriptors) // exceeds the descriptors, so the gateway closes the oldest connections
+		client.openIdle(minDescriptors) // more connections than descriptors, so the gateway closes the oldest
 		var requests sync.WaitGroup
 		for range 24 { // each request from a different customer, to use all connections to the counter
 			requests.Go(func() { client.do(client.request()) })
--- a/cmd/amberlb/main.go
+++ b/cmd/amberlb/main.go
@@ -27,7 +27,7 @@
 // Settings of the Go runtime.
 const (
 	heapLimitShare = 0.7 // share of the memory limit for the Go heap; stacks, sockets and the binary need the rest
-	gcPercent      = 400 // heap growth in percent between collections; the heap is small compared with the limit
+	gcPercent      = 400 // heap growth in percent between collections; high, since the heap is small compared to the limit
 )
 
 // logFlushTimeout is the longest time to wait for queued log lines to be written before the process exits.
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("request %d: its class or plan is not in the settings", policy.RequestID(e))
 }
 
-// instance is one simulated gateway. It collects its own actions in a batch, since the reply groups the actions by
-// instance. Each start of an instance begins a new incarnation, which has no state of the previous incarnation.
+// instance is one simulated gateway. During a batch, it collects its own actions, since the reply groups the actions
+// by instance. Each start of an instance begins a new incarnation, which has no state of the previous incarnation.
 type instance struct {
 	settings policy.Settings
 	engine   *policy.Engine  // nil while the instance is stopped
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -13,7 +13,8 @@
 	"amberlb/internal/wire"
 )
 
-// inputBufferSize is the size in bytes of the buffer for standard input. A batch can be several megabytes long.
+// inputBufferSize is the size in bytes of the buffer for standard input. It is above bufio's default, since a batch can
+// be several megabytes long.
 const inputBufferSize = 1 << 16
 
 func main() {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -31,7 +31,7 @@
 // instanceRecord returns the record that names the instance for which the next records are.
 func instanceRecord(number byte) []byte { return []byte{eventInstanceEvents, 0, 0, 0, number} }
 
-// startRecord returns the record that starts an instance with the constant settings and the seed 0.
+// startRecord returns the record that starts an instance with the seed 0 and the settings in the constant "settings".
 func startRecord() []byte {
 	var w recordWriter
 	w.begin(eventStartInstance)
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -167,7 +167,7 @@
 	w.u32(s.listNumber)
 }
 
-// entriesFor returns the entries of the current list that an update of the given form to the instance contains.
+// entriesFor selects the entries of the current list that belong in an update of the given form to the instance.
 func (inst *simInstance) entriesFor(form uint8, current []simBackend) []simBackend {
 	var entries []simBackend
 	for _, b := range current {
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -1,6 +1,8 @@
 package main
 
-// simCustomer is a customer, whose clients send requests to the gateways that are assigned to it.
+// simCustomer is a customer of the fleet. A consecutive range of the fleet's gateways is assigned to the customer. Its
+// clients send requests to these gateways and, in rare cases, to other gateways. Only requests to instances, which are
+// the simulated gateways, are generated.
 type simCustomer struct {
 	id           uint64
 	plan         int
@@ -19,7 +21,7 @@
 	customer        *simCustomer
 	units           float64
 	deadline        float64 // clock time at which the client stops waiting for the answer
-	giveUpAt        float64 // clock time after which the client sends no further retry
+	giveUpAt        float64 // clock time from which the client sends no further retry
 	attempts        []simAttempt
 	streamedAttempt int    // 1 + the index of the attempt whose response has started; 0: none
 	streamedInBatch uint32 // sequence number of the batch in which the response started
@@ -47,8 +49,8 @@
 	return req.streamedAttempt > 0 && req.streamedInBatch < batchSeq
 }
 
-// addCustomer adds a customer with the given plan and assigns a range of gateways to it, which includes at least one
-// instance.
+// addCustomer adds a customer with the given plan and assigns a range of gateways to the customer. The range includes
+// at least one instance.
 func (s *simulation) addCustomer(plan int) {
 	fleet := s.settings.FleetSize
 	member := s.instances[s.IntN(len(s.instances))]
@@ -84,8 +86,8 @@
 }
 
 // sendRequest sends a request of a customer to a random instance. It sends no request if the instance is not running,
-// if drawReachable returns false, or after giveUpAt. In some cases the request's deadline is before giveUpAt,
-// or its client disconnects before the deadline.
+// if drawReachable returns false, or if the clock time is giveUpAt or later. In some cases the request's deadline is
+// before giveUpAt, or its client disconnects before the deadline.
 func (s *simulation) sendRequest(c *simCustomer, class int, units, giveUpAt float64, isRetry bool) {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running || s.now >= giveUpAt || !s.drawReachable(c, inst) {
--- a/cmd/simadapter/simcounter_test.go
+++ b/cmd/simadapter/simcounter_test.go
@@ -68,7 +68,7 @@
 }
 
 // addToCounter returns the total of a name. If the parameter added is true, it adds the amount first. At the end, it
-// may add a further amount, which the result does not include, for gateways of the fleet that are not simulated.
+// may add a further amount for gateways of the fleet that are not simulated. The result does not include this amount.
 func (s *simulation) addToCounter(name uint64, amount, ttl float64, added bool) float64 {
 	c := s.counterTotals[name]
 	if s.now >= c.expires {
--- a/cmd/simadapter/simstrayevents_test.go
+++ b/cmd/simadapter/simstrayevents_test.go
@@ -1,7 +1,8 @@
 package main
 
-// sendStrayEvent sends a random instance, if it is running, an event that the instance does not expect. The event is for
-// an unknown or ended request or attempt or for an unknown timer or counter name, or it is a message from a peer.
+// sendStrayEvent chooses a random instance and, if the instance is running, sends it an event that it does not expect.
+// The event is for an unknown or ended request or attempt, or for an unknown timer or counter name. It may also be a
+// message from a peer.
 func (s *simulation) sendStrayEvent() {
 	inst := s.instances[s.IntN(len(s.instances))]
 	if !inst.running {
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -15,10 +15,10 @@
 // maxInstances is the largest number of gateways of the fleet that a stream simulates.
 const maxInstances = 3
 
-// simInstance is one simulated gateway.
+// simInstance is one simulated gateway. The fleet may have further gateways, which are not simulated.
 type simInstance struct {
 	number         int // number of the instance in frames
-	rank           int // index of the instance's gateway in the fleet
+	rank           int // index of the instance among all gateways of the fleet
 	incarnation    int // number of starts
 	running        bool
 	subscribed     bool                  // discovery sends changes of the list to the instance
@@ -34,7 +34,7 @@
 // scheduledEvent is an event for an instance, or a change of the simulated system, that is due at a clock time.
 type scheduledEvent struct {
 	at            float64 // clock time
-	fromDiscovery bool    // events from discovery come first in a batch
+	fromDiscovery bool    // discovery sends the event; events from discovery come first in a batch
 	apply         func()
 }
 
@@ -259,7 +259,7 @@
 		name, amount, ttl := r.u64(), r.f32(), r.f64()
 		s.callCounter(inst, name, amount, ttl)
 	case actionPollEndpoints:
-		r.u8() // always 1: subscribe
+		r.u8() // 1: subscribe; the adapter writes no other value
 		s.handlePoll(inst)
 	case actionProbe:
 		s.handleProbe(inst, r.u32())
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -64,7 +64,8 @@
 	Rate            float64 `json:"unitsPerS"`
 }
 
-// simQuotaCounter holds the settings of the counter and of the units that requests take from a quota.
+// simQuotaCounter holds two kinds of settings: those for calls of the counter, and those for the number of units that a
+// request takes from its customer's quota.
 type simQuotaCounter struct {
 	CounterPrice    float64 `json:"counterPrice"`
 	CounterTimeoutS float64 `json:"counterTimeoutS"`
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -105,7 +105,7 @@
 func (w *recordWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
 func (w *recordWriter) f32(v float64) { w.u32(math.Float32bits(float32(v))) }
 
-// flag writes one byte: the parameter bit if the parameter set is true, and 0 otherwise.
+// flag writes one byte. The byte is the value of the parameter "bit" if the flag is set, else 0.
 func (w *recordWriter) flag(set bool, bit uint8) {
 	if !set {
 		bit = 0
--- a/internal/lab/backend/pool.go
+++ b/internal/lab/backend/pool.go
@@ -22,7 +22,7 @@
 
 // Options configure the backends.
 type Options struct {
-	ServiceTime time.Duration // service time of each request; constant, since the variance comes from the load
+	ServiceTime time.Duration // service time of each request; constant, since the load already makes latencies vary
 	Listeners   int           // number of listeners, each on its own port, over which the backends are spread
 }
 
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// listenOnLoopbackDevice listens on one port of all addresses, and binds the socket to the loopback device, so that it
-// can be reached at every address of 127.0.0.0/8, but not from other machines.
+// listenOnLoopbackDevice listens on one port of all addresses, and binds the socket to the loopback device. The port
+// can then be reached at every address of 127.0.0.0/8, but not from other machines.
 func listenOnLoopbackDevice(ctx context.Context) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, rawConn syscall.RawConn) error {
 		var bindErr error
--- a/internal/lab/backend/pool_test.go
+++ b/internal/lab/backend/pool_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// awaitStats waits until reached returns true for the pool's counts.
+// awaitStats waits until the function reached returns true for the pool's counts. If this takes longer than 30 s,
+// awaitStats fails the test with a message that begins with the parameter what.
 func awaitStats(t *testing.T, pool *Pool, what string, reached func(Stats) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !reached(pool.Stats()); time.Sleep(time.Millisecond) {
--- a/internal/lab/counter/conn.go
+++ b/internal/lab/counter/conn.go
@@ -15,9 +15,9 @@
 const (
 	idleTimeout  = 10 * time.Second      // longest time without calls and pending responses
 	writeTimeout = 10 * time.Second      // longest wait for a client that doesn't read its responses
-	pollInterval = 20 * time.Millisecond // longest sleep of the writer: faults change the service clock's speed
+	pollInterval = 20 * time.Millisecond // longest sleep of the writer, since a fault may change the clock's speed
 	maxLineBytes = 2 << 10               // largest size of a line of a request
-	maxPending   = 4096                  // largest number of pending responses of a connection; further calls are read later
+	maxPending   = 4096                  // largest number of pending responses of a connection; at the limit, calls wait
 )
 
 // conn is a connection of a client. One goroutine reads calls. A second goroutine, the writer, writes the responses. The
@@ -30,7 +30,7 @@
 	changed *sync.Cond // signals that pending has become shorter or that writing is false
 	pending []response // pending responses, in the order of their calls
 	writing bool       // the writer is running
-	muted   bool       // no further response is written, since an earlier call got none
+	muted   bool       // no further response is written, since an earlier call got no response
 }
 
 // serve handles the calls of a connection until no further calls are read and the writer has ended. Then it closes the
--- a/internal/lab/counter/counter.go
+++ b/internal/lab/counter/counter.go
@@ -33,7 +33,7 @@
 	Traffic   netstats.Traffic
 }
 
-// Counter is the stand-in server. Its methods may be called concurrently.
+// Counter is the stand-in for the counter service. Its methods may be called concurrently.
 type Counter struct {
 	options   Options
 	startedAt time.Time
@@ -136,8 +136,8 @@
 	return response{status: http.StatusOK, total: total, due: due}
 }
 
-// countNames updates the number of names and its peak. The parameter created is true if a name was added, and
-// expired is the number of names that were removed before that.
+// countNames updates the number of names and its peak after a call. The parameter created is true if the call
+// created a name. The parameter expired is the number of expired names that the call removed first.
 func (c *Counter) countNames(created bool, expired int) {
 	count := c.nameCount.Add(-int64(expired))
 	if created {
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -24,12 +24,12 @@
 	serviceClockAtFault time.Duration // reading of the service clock at faultStart
 }
 
-// serviceClock returns the reading of the service clock at now, a time since the creation of the counter.
+// serviceClock returns the reading of the service clock. The parameter now is the time since the counter was created.
 func (s *faultState) serviceClock(now time.Duration) time.Duration {
 	return s.serviceClockAtFault + time.Duration(float64(now-s.faultStart)/s.SlowFactor)
 }
 
-// SetFault replaces the counter's current fault.
+// SetFault replaces the counter's current fault. If this ends a blackhole, SetFault resets all connections.
 func (c *Counter) SetFault(fault Fault) {
 	c.faultMu.Lock()
 	defer c.faultMu.Unlock()
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -44,8 +44,8 @@
 	return due, true
 }
 
-// add adds an amount to the total of a name, and returns the new total. A name that doesn't exist is created and expires
-// after lifetime. The result expired is the number of expired names that were removed before that.
+// add removes the names that have expired, then adds an amount to the total of a name and returns the new total. A name
+// that doesn't exist is created and expires after lifetime. The result expired is the number of names removed.
 func (s *shard) add(
 	now time.Duration, name []byte, amount float64, lifetime time.Duration,
 ) (total float64, created bool, expired int) {
--- a/internal/lab/discovery/handler.go
+++ b/internal/lab/discovery/handler.go
@@ -44,9 +44,10 @@
 	return int64(value), err
 }
 
-// awaitList returns the list for a client whose generation is since (0: none). While since is the current generation, it
-// waits for a change of the list, but at most for timeout. For a full list, it also waits for the rate limiter. It
-// returns ctx's error if ctx ends first.
+// awaitList returns the full list or a delta for a client. The parameter since is the generation of the client's list,
+// or 0 if the client has no list. If this generation is the current generation, awaitList first waits for a change of
+// the list, but at most for the timeout. If the client needs the full list and there is a rate limit, awaitList also
+// waits for a permit of the rate limiter. It returns ctx's error if ctx ends during a wait.
 func (s *Server) awaitList(ctx context.Context, since int64, timeout time.Duration) (*encodedList, error) {
 	if err := s.awaitChange(ctx, since, timeout); err != nil {
 		return nil, err
@@ -90,7 +91,8 @@
 	return s.changed, s.list.generation
 }
 
-// needsFullList reports whether a client whose generation is since needs the full list instead of a delta.
+// needsFullList reports whether a client needs the full list instead of a delta. The parameter since is the generation
+// of the client's list, or 0 if the client has no list.
 func (s *Server) needsFullList(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/discovery/list.go
+++ b/internal/lab/discovery/list.go
@@ -83,14 +83,15 @@
 	delete(l.indexByID, removed)
 }
 
-// hasChangesSince reports whether all changes after a generation are still kept, so that a delta can be made.
+// hasChangesSince reports whether a delta can be made for a client that has the given generation. The generation must
+// not be 0 or above the current generation, and all later changes must still be kept.
 func (l *list) hasChangesSince(generation int64) bool {
 	oldest := l.generation - int64(len(l.changes))
 	return generation > 0 && generation <= l.generation && generation >= oldest
 }
 
-// since returns the list for a client with the given generation. It is a delta if all changes after that generation are
-// still kept, else the full list.
+// since returns the list for a client that has the given generation. It returns a delta if hasChangesSince returns true
+// for the generation, else the full list.
 func (l *list) since(generation int64) *encodedList {
 	if l.hasChangesSince(generation) {
 		return l.deltaSince(generation)
--- a/internal/lab/discovery/ratelimiter.go
+++ b/internal/lab/discovery/ratelimiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxCatchUp is the longest delay of a permit that does not delay the permits after it. It covers the imprecision of the
-// system's timers, so that late timers don't lower the rate.
+// maxCatchUp limits how late a permit may be granted without delaying the later permits. The system's timers are
+// imprecise. Without maxCatchUp, late timers would lower the rate.
 const maxCatchUp = 10 * time.Millisecond
 
 // rateLimiter grants permits at a limited rate, in the order of the calls of wait. A call
--- a/internal/lab/discovery/server.go
+++ b/internal/lab/discovery/server.go
@@ -17,7 +17,7 @@
 
 // Options configure the server.
 type Options struct {
-	FullListsPerSecond float64 // rate limit of full lists for all clients together; above it, requests wait; 0: no limit
+	FullListsPerSecond float64 // rate of full lists for all clients together; requests above the rate wait; 0: no limit
 }
 
 // Stats holds the counts since the start of the server. Calls are requests for the list.
@@ -29,7 +29,7 @@
 	Traffic    netstats.Traffic
 }
 
-// Server is the stand-in server. Its methods may be called concurrently.
+// Server is the stand-in for the discovery service. Its methods may be called concurrently.
 type Server struct {
 	fullListLimiter *rateLimiter // nil: no limit
 
--- a/internal/lab/discovery/server_test.go
+++ b/internal/lab/discovery/server_test.go
@@ -97,7 +97,7 @@
 	const last = maxChanges + 2
 	server.ApplyDelta([]gateway.EndpointEntry{instance("x", "Gone"), instance("z", "Ready")})
 	want(t, get("?since=2"), last, false, "y:Ready", "x:Gone", "z:Ready")
-	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // not the earlier entries of y
+	want(t, get("?since=3"), last, false, "y:Ready", "x:Gone", "z:Ready") // a delta has only the newest entry of y
 	want(t, get("?since=1"), last, true, "y:Ready", "z:Ready")
 	want(t, get(fmt.Sprintf("?since=%d&timeout_ms=60000", last+1)), last, true, "y:Ready", "z:Ready")
 }
--- a/internal/lab/soak/backend.go
+++ b/internal/lab/soak/backend.go
@@ -40,8 +40,8 @@
 	attempts []*BackendAttempt
 }
 
-// StartBackend starts a backend on a port of 127.0.0.1 that the system chooses. behavior is called once for each
-// request, concurrently.
+// StartBackend starts a backend on a port of 127.0.0.1 that the system chooses. The function behavior is called
+// once for each request. Calls may be concurrent.
 func StartBackend(name string, clock Clock, behavior func(now time.Duration) Behavior) (*Backend, error) {
 	b := &Backend{Name: name, clock: clock, behavior: behavior}
 	if err := b.listen(); err != nil {
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -40,8 +40,8 @@
 	killObservationSlack = 50 * time.Millisecond
 )
 
-// Verdict is the result of Check. A client attempt that was sent completely and reached a gateway is counted in one of
-// the numbers, unless it got no complete response and nothing excuses that. In this case, it has a violation.
+// Verdict is the result of Check. It counts the client attempts that were sent completely and reached a gateway, each
+// in one field. An attempt without a complete response and without an excuse is not counted, but has a violation.
 type Verdict struct {
 	Violations    []Violation
 	ExcusedByKill int // requests that a SIGKILL ended and that were sent at most KillDelay after SIGTERM
@@ -170,8 +170,10 @@
 	}
 }
 
-// checkMissingResponse classifies an attempt without a complete response. The attempt is counted if a SIGKILL or the
-// close of an idle connection excuses the missing response; otherwise it is reported as a lost request.
+// checkMissingResponse classifies an attempt without a complete response. A hard kill excuses the missing response. A
+// SIGKILL after SIGTERM excuses it if the request was sent at most KillDelay after SIGTERM. A close race (see
+// closeRaceWindow) excuses it too. The verdict has a count for each of these excuses. Without an excuse, the attempt is
+// reported as a lost request.
 func (c *checker) checkMissingResponse(attempt *ClientAttempt) {
 	process := c.processOf(attempt)
 	switch {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -79,7 +79,7 @@
 	maxOutOfRotationDelay = 400 * time.Millisecond
 	maxOutage             = 3 * time.Second
 
-	lowDescriptorLimit     = 192 // limit in plans with as many idle connections, which use up the file descriptors
+	lowDescriptorLimit     = 192 // limit in plans with equally many idle connections, which use up the descriptors
 	defaultDescriptorLimit = 1024
 )
 
@@ -180,7 +180,7 @@
 	return []Outage{{From: from, To: from + randomDuration(rng, time.Second, maxOutage)}}
 }
 
-// newStops generates the stops. It stops the gateways in turn. A stop may begin before the previous stop has ended.
+// newStops generates the stops, for one gateway after another. A stop may begin before the previous stop has ended.
 func newStops(rng *rand.Rand, gateways int, killAfter, duration time.Duration) []Stop {
 	maxInterval := killAfter + time.Second
 	var stops []Stop
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -24,7 +24,7 @@
 	mu             sync.Mutex
 	rng            *rand.Rand
 	failedDials    map[string]bool // addresses of clients for whose connections the dial of the target failed
-	blackholed     bool            // a blackhole has begun and not ended: nothing is forwarded
+	blackholed     bool            // true during a blackhole, in which nothing is forwarded
 	blackholeStart chan struct{}   // closed when the next blackhole begins
 }
 
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -15,11 +15,11 @@
 const (
 	minServiceTime = 2 * time.Millisecond // service times of backends are between minServiceTime and maxServiceTime
 	maxServiceTime = 40 * time.Millisecond
-	hangLead       = 200 * time.Millisecond // time before SIGTERM at which backends begin to hang
+	hangLead       = 200 * time.Millisecond // how long before a stop (Stop.At) backends begin to hang
 )
 
-// standins are the stand-ins of a run: backends and discovery. Gateways reach each of them through a proxy. In the zero
-// value, none is started.
+// standins are the stand-ins of a run: backends and discovery. Gateways reach each of them through a proxy. The
+// zero value has no running stand-ins.
 type standins struct {
 	backends       []*Backend
 	backendProxies []*Proxy                // proxies in front of the backends, by number of the backend
@@ -28,7 +28,7 @@
 	discoveryProxy *Proxy
 }
 
-// start starts the stand-ins. After an error, close has to be called too, to stop those that were already started.
+// start starts the stand-ins. After an error, the caller must call close to stop the stand-ins that were started.
 func (s *standins) start(ctx context.Context, plan Plan, clock Clock) error {
 	for number := range plan.Backends {
 		if err := s.startBackend(number, plan, clock); err != nil {
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// newBehavior returns the behavior of the backend with the given number, as a function of the time. For each stop,
-// plan.HangingBackends backends hang from hangLead before the start of the stop until the earliest SIGKILL.
+// newBehavior returns a function that gives the behavior of one backend at a time on the run's clock. The parameter
+// number is the number of the backend. During each stop, plan.HangingBackends backends hang. They hang from hangLead
+// before Stop.At until KillAfter after Stop.At.
 func newBehavior(plan Plan, number int) func(now time.Duration) Behavior {
 	rng := rand.New(rand.NewPCG(plan.Seed, uint64(100+number)))
 	killAfter := KillAfter(plan.Classes)
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -11,8 +11,8 @@
 	"amberlb/internal/lab/ctxtime"
 )
 
-// stopLead is the time before SIGTERM at which the handling of a stop begins, since a plan may send other signals before
-// SIGTERM.
+// stopLead is how long before Stop.At the handling of a stop begins. A plan may send other signals at most stopLead
+// before SIGTERM.
 const stopLead = time.Second
 
 // runStops carries out the planned stops of one gateway, each with the restart after it.
--- a/internal/lab/soak/workload.go
+++ b/internal/lab/soak/workload.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxFirstRequestDelay = 1200 * time.Millisecond // longest wait before the first request; gateways allow 2.5 s
+	maxFirstRequestDelay = 1200 * time.Millisecond // longest wait before the first request; readTimeout of gateways: 2.5 s
 	maxThinkTime         = 150 * time.Millisecond  // longest pause between two requests of a client
 	redialInterval       = 20 * time.Millisecond   // pause of a client after it could not open a connection
 	idleConnInterval     = 5 * time.Millisecond    // pause before each idle connection is opened
@@ -37,7 +37,8 @@
 	}
 }
 
-// useConn sends requests on a connection, one at a time, for as long as it stays open. Then it closes the connection.
+// useConn sends requests on a connection, one at a time, while the connection stays open and until ctx ends. Then it
+// closes the connection.
 func (r *runner) useConn(ctx context.Context, rng *rand.Rand, conn *Conn) {
 	defer conn.Close()
 	if rng.IntN(3) == 0 {
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -46,8 +46,8 @@
 	Records []Record
 }
 
-// Decoder reads batches. It stores the endpoint lists that a batch defines by number, so that records of the
-// same and of later batches can refer to them. Decoders are created by NewDecoder.
+// Decoder reads batches. It stores the endpoint lists that batches define. Later records of the same batch and of
+// later batches refer to a list by its number. Decoders are created by NewDecoder.
 type Decoder struct {
 	reader        io.Reader
 	body          []byte // body of the current frame; the buffer is reused
