--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -52,7 +52,7 @@
 	}))
 	defer discovery.Close()
 	counter := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-counterUnblocked // calls hang, so that the gateway opens all its connections to the counter
+		<-counterUnblocked // makes calls hang, so that the gateway opens all its connections to the counter
 		io.WriteString(w, r.URL.Query().Get("add"))
 	}))
 	defer counter.Close()
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -1,8 +1,8 @@
 package main
 
-// simCustomer is a customer of the fleet. A consecutive range of the fleet's gateways is assigned to the customer. Its
-// clients send requests to these gateways and, in rare cases, to other gateways. Only requests to instances, which are
-// the simulated gateways, are generated.
+// simCustomer is a customer of the fleet. A consecutive range of the fleet's gateways is assigned to the customer. The
+// clients of the customer send requests to these gateways and, in rare cases, to other gateways. Requests are generated
+// for the simulated gateways (instances) only.
 type simCustomer struct {
 	id           uint64
 	plan         int
--- a/cmd/simadapter/simulation_test.go
+++ b/cmd/simadapter/simulation_test.go
@@ -15,7 +15,7 @@
 // maxInstances is the largest number of gateways of the fleet that a stream simulates.
 const maxInstances = 3
 
-// simInstance is one simulated gateway. The fleet may have further gateways, which are not simulated.
+// simInstance is one simulated gateway. The fleet may have further gateways that are not simulated.
 type simInstance struct {
 	number         int // number of the instance in frames
 	rank           int // index of the instance among all gateways of the fleet
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -16,7 +16,7 @@
 	Class            string
 	Gateway          int           // number of the gateway
 	ProcessNumber    int           // number of the gateway's process when the connection was made, from 1
-	Resent           bool          // the attempt is a resend, since the first connection ended without any response
+	Resent           bool          // the attempt is a resend, since the first connection ended without any byte of a response
 	FirstByteAt      time.Duration // time at which the first byte was sent
 	SentAt           time.Duration // time at which the last byte was sent; 0: the request was not sent completely
 	Timeout          time.Duration // time for which the client waits for the response, from SentAt
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -23,7 +23,7 @@
 	Err        error         // result of the process; nil only for exit status 0
 	Log        string        // last part of the log of the process
 	signals    []signalRecord
-	hardKilled bool // hard kill (see Stop), or SIGKILL since the run ended before the process was ready
+	hardKilled bool // hard kill (see Stop), or SIGKILL because the run ended before the process was ready
 	neverReady bool
 }
 
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// newBehavior returns a function that gives the behavior of one backend at a time on the run's clock. The parameter
+// newBehavior returns a function that gives a backend's behavior at any given time on the run's clock. The parameter
 // number is the number of the backend. During each stop, plan.HangingBackends backends hang. They hang from hangLead
 // before Stop.At until KillAfter after Stop.At.
 func newBehavior(plan Plan, number int) func(now time.Duration) Behavior {
