--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -86,8 +86,9 @@
 }
 
 // readTimedOut reads once more, without blocking, in case bytes arrived as the wait timed out: closing a connection
-// with unread bytes would reset it. If no bytes have arrived, readTimedOut returns the given timeout error. Before
-// that, it rejects a request that has been read in part.
+// with unread bytes would reset the connection. It returns io.EOF if the client has closed the connection or its
+// sending side. If no bytes have arrived and the connection is open, readTimedOut rejects a request that has been read
+// in part, and then returns the given timeout error.
 func (c *clientConn) readTimedOut(p []byte, timeout error) (int, error) {
 	n, err := receive(c.Conn, p, syscall.MSG_DONTWAIT)
 	switch {
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// If a connection with a partly read request is evicted, the client gets an error response instead of a bare close.
+// If a connection with a partly read request is evicted, the gateway must answer the request with an error before it
+// closes the connection.
 func TestEvictedIncompleteRequestIsRejected(t *testing.T) {
 	conn, client := newClientConn(t)
 	send(t, conn.Conn, client, "GET /lookup")
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// A client disconnects while its request is queued. The gateway must detect this even if the client has sent bytes
-// behind the request, and must not forward the request. The client has closed only its sending side, so it reads the
-// answer, which must not have the status of a served request.
+// A client disconnects while its request is queued. The gateway must detect the disconnect even if the client has sent
+// bytes behind the request, and must not forward the request. The client has closed only its sending side and still
+// reads the answer, so the answer must not have the status of a served request.
 func TestQueuedRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, extra := range map[string]int{"nothing behind": 0, "one byte behind": 1, "a buffer behind": 5000} {
@@ -247,8 +247,8 @@
 	}
 }
 
-// A client disconnects just after a lease from the counter has admitted its request. The attempt that began with the
-// lease is cancelled.
+// A client disconnects just after the counter's response to a call for a lease has admitted the client's request. The
+// attempt that the event loop has started for the request must be cancelled.
 func TestDisconnectAfterLeaseCancelsAttempt(t *testing.T) {
 	backend, counter := newPeer(t), newPeer(t)
 	text := withCounter(counter, 0.1, 20, 30*time.Second)(configText("127.0.0.1:1", testSettings))
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -4,8 +4,8 @@
 
 // clock provides the event loop's and the engine's time: Unix time in seconds. It reads the system's clock once, at the
 // start, and advances by the monotonic clock, so that a step of the system's clock moves no deadline. All gateways must
-// agree on the boundaries of lease windows, so the boundaries are derived from Unix time. Use newClock to make a clock;
-// the zero value is not usable.
+// compute the same beginning and end of a counter window (see the package comment), so the clock shows Unix time. Use
+// newClock to make a clock; the zero value is not usable.
 type clock struct {
 	start     time.Time // time at which the clock was made, with a monotonic reading
 	startUnix float64   // start in Unix seconds
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// All gateways compute the same lease windows from their clocks, so each clock must show Unix time.
+// All gateways must compute the same counter windows from their clocks, so each clock must show Unix time.
 func TestClockIsUnixTime(t *testing.T) {
 	c := newClock()
 	now := c.now()
--- a/internal/gateway/connectionpool_test.go
+++ b/internal/gateway/connectionpool_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A backend may send a duplicate shortly after a response. If another request had been sent on the connection in the
-// meantime, the duplicate would be read as the response to that request.
+// A backend may send a duplicate of a response shortly after the response. If another request had been sent on the
+// connection between the response and the duplicate, the duplicate would be read as the response to that request.
 func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	backend := newPeer(t)
 	p := newPoolsFor(t, backend.address())
--- a/internal/gateway/counterclient_test.go
+++ b/internal/gateway/counterclient_test.go
@@ -97,7 +97,7 @@
 	readRequest(t, reader)
 }
 
-// A call with a malformed response ends as Failed, which counts its amount as added. A call with an unexpected status
+// A call with a malformed response ends as Failed, and its amount counts as added. A call with an unexpected status
 // in the response ends as ConnectionReset. In both cases the connection is closed, and the next call in the pipeline
 // ends as ConnectionReset.
 func TestMalformedCounterResponseClosesConnection(t *testing.T) {
@@ -244,8 +244,9 @@
 	}
 }
 
-// A middlebox on the path to the counter may drop connections that have been idle for some time. A call after such an
-// idle time must be sent on a new connection. Otherwise it would be unknown whether the call's amount was added.
+// A middlebox on the path to the counter may drop connections that have been idle for some time. A call after an idle
+// time above the estimated limit must be sent on a new connection. On a dropped connection, it would be unknown whether
+// the call's amount was added.
 func TestIdleConnectionIsReplacedAboveEstimatedLimit(t *testing.T) {
 	counter := newPeer(t)
 	client, add, results := startCounterClient(t, counter.address())
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -22,7 +22,8 @@
 
 // awaitCounterWindow waits until the customer's present counter window has at least counterTestTime left. Otherwise the
 // window could end during the test: the engine doesn't use the total of a window that has ended, so it makes another
-// call, which the test doesn't expect. The wait takes at most counterTestTime, since a window is longer.
+// call, which the test doesn't expect. The wait takes at most counterTestTime, since a counter window is longer than
+// counterTestTime.
 func awaitCounterWindow(t *testing.T, customer policy.CustomerID) {
 	t.Helper()
 	text := withCounter(newPeer(t), 0.001, 2, time.Second)(configText("127.0.0.1:1", testSettings))
@@ -56,13 +57,13 @@
 	return 0
 }
 
-// A counter that doesn't respond must not block customers who are within their quotas: the call times out, and local
-// tokens of the gateway pay for the request.
+// A counter that doesn't respond must not block customers who are within their quotas. The call to the counter times
+// out, and the gateway then admits the request with its local tokens.
 func TestSilentCounterBlocksNoRequestWithinQuota(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
 	g := startTestGatewayWith(t, func(config string) string {
-		// With this many gateways, local tokens pay for no request while the counter responds.
+		// With 6 gateways for the customer, a gateway uses no local tokens while the counter responds.
 		config = strings.ReplaceAll(config, `"fleetSize": 2`, `"fleetSize": 6`)
 		return withCounter(counter, 0.1, 20, time.Second)(config)
 	}, backend)
@@ -94,7 +95,7 @@
 	awaitCounterWindow(t, requestTextCustomer)
 	const callTimeout = 500 * time.Millisecond // well below counterIOTimeout (1 s), which closes a silent connection
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are not enough to admit the request.
+	// The gateway has too few local tokens for the request, so it must call the counter.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	began := time.Now()
 	_, answers := g.sendRequest(t, requestText("GET", "lookup", ""))
@@ -132,7 +133,7 @@
 	awaitCounterWindow(t, requestTextCustomer)
 	const callTimeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
-	// The gateway's local tokens are not enough to admit the request.
+	// The gateway has too few local tokens for the request, so it must call the counter.
 	g := startTestGatewayWith(t, withCounter(counter, 0.001, 2, callTimeout), backend)
 	_, answers := g.sendRequest(t, requestText("GET", "lookup", ""))
 	conn, reader := counter.accept(t)
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // number of connections at which a blocked connection is not replaced
+	maxConnsPerStream       = 4               // number of a stream's connections at which a blocked one stays in use
 	counterIdleTimeout      = 5 * time.Second // maximum idle time of a connection; well below the counter's limit of 10 s
 	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -31,9 +31,10 @@
 	return fmt.Sprintf("counter: unexpected status %s", e.status)
 }
 
-// readTotal reads the response to a call. It returns the total if the outcome is policy.Served. A malformed response
-// ends the call as policy.Failed: the amount counts as added, and the total is unknown. After an error, no further
-// response can be read from the connection.
+// readTotal reads the response to a call. It returns the outcome for the response's status, and also the total if the
+// outcome is policy.Served. A malformed or incomplete response gives policy.Failed: the amount counts as added, and the
+// total is unknown. An unexpected status gives policy.ConnectionReset: it is unknown whether the amount was added.
+// After an error, no further response can be read from the connection.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -46,14 +46,14 @@
 
 	generation       int64     // EndpointList.Generation of the last list received
 	canWatch         bool      // the next poll is a watch; if false, the next poll asks for the full list
-	listInUse        bool      // the gateway routes requests by a list, which may be older than the watcher
+	listInUse        bool      // the gateway routes requests by a cached list or a list from discovery
 	fullListTimeouts int       // number of consecutive polls for the full list that have timed out
 	warnedAt         time.Time // time of the last log line about a failed poll
 }
 
 // newDiscoveryWatcher returns a watcher for the discovery service at the given address. drainGrace is the time after
 // the start of a backend's drain in which the gateway may still send requests to the backend. listInUse is true if the
-// gateway already routes requests by an older list. onList is called on the goroutine of run.
+// gateway already routes requests by an endpoint list. onList is called on the goroutine of run.
 func newDiscoveryWatcher(
 	address string, drainGrace time.Duration, listInUse bool, onList func(EndpointList),
 ) *discoveryWatcher {
--- a/internal/gateway/discovery_drain_test.go
+++ b/internal/gateway/discovery_drain_test.go
@@ -17,8 +17,8 @@
 // discovery has the change and can be reached.
 const maxChangeDelay = 6 * time.Second
 
-// For every drain grace, the timeout of a poll that gets no response, the retry delay and the response to the next poll
-// must add up to maxChangeDelay at most.
+// For every drain grace, three times must add up to maxChangeDelay at most: the timeout of a poll that gets no
+// response, watchRetryDelay, and the time that the response to the next poll takes.
 func TestMissedChangeArrivesInTime(t *testing.T) {
 	for grace := time.Duration(0); grace <= time.Minute; grace += 100 * time.Millisecond {
 		timeouts := newPollTimeouts(grace)
@@ -33,7 +33,7 @@
 	}
 }
 
-// In whatever way polls fail, the next successful poll must deliver all changes within maxChangeDelay.
+// After any kind of failed poll, the next successful poll must deliver all changes within maxChangeDelay.
 func TestChangeAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	respond := func(status int, text string) func(net.Conn) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// A full list that discovery writes slowly must still arrive. If no older list is in use, the full list may take longer
-// than the timeout of a watch.
+// A full list that discovery writes slowly must still arrive. If the gateway has no endpoint list yet, the full list
+// may take longer than the timeout of a watch.
 func TestSlowFullListArrives(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/gateway/discoverylist.go
+++ b/internal/gateway/discoverylist.go
@@ -72,9 +72,10 @@
 // seconds. The start time stays Unix time, which the engine's clock also uses (see clock).
 //
 // toBackend returns an error for an empty id, an unknown lifecycle, and an invalid weight or start time. An unknown
-// zone is an error too, unless the backend is removed. Guessed values are not used instead. With a wrong lifecycle,
-// requests could be sent to a draining backend. With a wrong zone, a retry could be sent to another zone than the first
-// attempt. There the retry would not be deduplicated, and the request could be executed twice.
+// zone is an error too, unless the backend is removed. An invalid value is not replaced by a default. With a wrong
+// lifecycle, requests could be sent to a draining backend. With a wrong zone, a retry could be sent to a zone other
+// than that of the first attempt. In the other zone the retry would not be deduplicated, and the request could be
+// executed twice.
 func (e EndpointEntry) toBackend(deployment *wire.Deployment) (policy.Backend, error) {
 	state, known := backendStates[e.Lifecycle]
 	zone := slices.Index(deployment.Zones, e.Zone)
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -3,18 +3,20 @@
 import "time"
 
 // Parameters of the timeouts for polls of discovery. A gateway is required to receive a change of the endpoint list
-// within 6 s, even if one poll fails. The 6 s begin when discovery has the change and can be reached. Therefore the
-// timeout of a poll that gets no response, the retry delay and the response to the next poll must add up to 6 s at
-// most. TestMissedChangeArrivesInTime checks this sum. The sum is largest for a long drain grace while no older list is
-// in use: maxFirstListTimeout, watchRetryDelay and maxWatchResponseTime add up to 6 s.
+// within 6 s, even if one poll fails. The 6 s begin when discovery has the change and can be reached. Therefore three
+// times must add up to 6 s at most: the timeout of a poll that gets no response, watchRetryDelay, and the time that the
+// response to the next poll takes. TestMissedChangeArrivesInTime checks this sum. The sum is largest for a gateway
+// that has no endpoint list yet and whose drain grace (see newPollTimeouts) is so long that the upper bounds below
+// apply: maxFirstListTimeout, watchRetryDelay and maxWatchResponseTime add up to 6 s.
 //
-// watchRetryDelay is below 200 ms, since discovery forgets a watch after that time.
+// After a failed poll, the next poll must begin within 200 ms, because discovery forgets the watch after 200 ms.
+// Therefore watchRetryDelay is below 200 ms.
 const (
 	longPollShare        = 0.5                     // pollTimeouts.longPoll as a share of the drain grace
 	responseTimeShare    = 0.25                    // pollTimeouts.response as a share of the drain grace
 	minResponseTime      = 200 * time.Millisecond  // lower bound of pollTimeouts.response
 	maxWatchResponseTime = 1400 * time.Millisecond // upper bound of pollTimeouts.response
-	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound of fullListTimeout if no older list is in use
+	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound of fullListTimeout while no list is in use
 	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll
 )
 
@@ -24,9 +26,9 @@
 	response time.Duration // time that a response may take, not counting longPoll
 }
 
-// newPollTimeouts returns the timeouts for a gateway that may send requests to a backend for drainGrace after the
-// backend's drain began. A watch whose connection is dead, or that discovery forgot in an outage, does not report
-// drains. Therefore each watch must end, and the next watch begin, well within drainGrace.
+// newPollTimeouts returns the timeouts for a gateway that may send requests to a backend for drainGrace, the drain
+// grace, after the backend's drain began. A watch whose connection is dead, or that discovery forgot in an outage,
+// does not report drains. Therefore each watch must end, and the next watch begin, well within drainGrace.
 func newPollTimeouts(drainGrace time.Duration) pollTimeouts {
 	response := min(max(time.Duration(responseTimeShare*float64(drainGrace)), minResponseTime), maxWatchResponseTime)
 	return pollTimeouts{
@@ -39,9 +41,10 @@
 func (p pollTimeouts) watchTimeout() time.Duration { return p.longPoll + p.response }
 
 // fullListTimeout returns the timeout of a poll for the full list. timeoutsInRow is the number of polls for the full
-// list that have timed out in a row. Each of them doubles the timeout: with a fixed timeout, a list that takes longer
-// would never arrive. If the gateway routes requests by an older list (listInUse), the timeout is at most watchTimeout.
-// Otherwise it is at most the greater of watchTimeout and maxFirstListTimeout.
+// list that have timed out in a row. Each of these polls doubles the timeout: with a fixed timeout, a list that takes
+// longer than the timeout would never arrive. If the gateway already routes requests by an endpoint list (listInUse),
+// the timeout is at most watchTimeout. Otherwise the timeout is at most the greater of watchTimeout and
+// maxFirstListTimeout.
 func (p pollTimeouts) fullListTimeout(timeoutsInRow int, listInUse bool) time.Duration {
 	maxTimeout := p.watchTimeout()
 	if !listInUse {
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -7,8 +7,8 @@
 	"amberlb/policy"
 )
 
-// timeoutTolerance is a time in seconds. If the engine cancels an attempt at most timeoutTolerance before the attempt's
-// deadline, or later, the attempt counts as timed out.
+// timeoutTolerance is a time in seconds. An attempt that the engine cancels counts as timed out if at most
+// timeoutTolerance is left until the attempt's deadline, or if the deadline has passed.
 const timeoutTolerance = 0.001
 
 // transport sends attempts to backends. The event loop calls its methods, which must not block.
@@ -17,8 +17,8 @@
 	updateEndpoint(id policy.BackendID, address string, startedAt float64)
 	// removeEndpoint makes further attempts at a backend fail until updateEndpoint is called for the backend.
 	removeEndpoint(id policy.BackendID)
-	// startAttempt starts an attempt. onDone is called once, on another goroutine than the caller's, when the attempt
-	// has a result, reaches its socket deadline or is cancelled.
+	// startAttempt starts an attempt. onDone is called once, on a goroutine other than the event loop's, when the
+	// attempt has a result, reaches its socket deadline or is cancelled.
 	startAttempt(a *attempt, onDone func(attemptResult))
 }
 
@@ -76,9 +76,9 @@
 	return needsAnswer && a.number < max(l.deployment.MaxAttempts, 1) && a.deadline > a.sentAt
 }
 
-// finishAttempt ends an attempt. If the outcome is policy.Served and the request is unanswered, finishAttempt sends the
-// backend's response to the client. It reports the outcome to the engine. If the attempt has ended before, the result
-// is ignored.
+// finishAttempt ends an attempt, and does nothing if the attempt has already ended. If the outcome is policy.Served and
+// the request is unanswered, finishAttempt sends the backend's response to the client. It then reports the outcome to
+// the engine, and removes the request if the request is done (see removeIfDone).
 func (l *eventLoop) finishAttempt(a *attempt, result attemptResult) {
 	if a.ended {
 		return
@@ -110,7 +110,8 @@
 }
 
 // cancelAttempt carries out the engine's decision to cancel an attempt. It does nothing if the request is no longer
-// open or the attempt has ended.
+// open or the attempt has ended. The outcome is policy.TimedOut if the attempt's deadline has passed or is at most
+// timeoutTolerance away, and policy.Cancelled otherwise.
 func (l *eventLoop) cancelAttempt(action policy.CancelAttempt) {
 	req := l.requests[action.Request]
 	if req == nil || action.Attempt >= len(req.attempts) || req.attempts[action.Attempt].ended {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,8 +9,9 @@
 // drainPollInterval is the longest time for which awaitClosed waits before it looks for idle connections again.
 const drainPollInterval = 100 * time.Millisecond
 
-// drain closes the idle connections, and from now on every connection that becomes idle. It leaves new connections
-// open, because a request is about to arrive on them. Requests that are incomplete at readCutoff are rejected.
+// drain closes the idle connections, and from now on every connection that becomes idle. It leaves a connection open if
+// no request has been read from the connection yet, because the first request is about to arrive. Requests that are
+// incomplete at readCutoff are rejected.
 func (c *clientConnections) drain(readCutoff time.Time) {
 	c.setReadCutoff(readCutoff)
 	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
@@ -38,7 +39,8 @@
 	return http.StatusRequestTimeout
 }
 
-// closeAllIdle closes all idle connections, including new ones, and from now on every connection that becomes idle.
+// closeAllIdle closes all idle connections, including those from which no request has been read yet, and from now on
+// every connection that becomes idle.
 func (c *clientConnections) closeAllIdle() { c.closeIdle(func(*clientConn) bool { return true }) }
 
 // closeIdle closes the idle connections for which matches returns true, and from now on every connection that becomes
@@ -55,7 +57,7 @@
 	}
 }
 
-// awaitClosed closes idle connections, including new ones, until no connection is left. It returns false if
+// awaitClosed closes all idle connections (see closeAllIdle) until no connection is left. It returns false if
 // connections are left after the timeout.
 func (c *clientConnections) awaitClosed(timeout time.Duration) bool {
 	expired := time.After(timeout)
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// A correlation id is remembered for at least recentIDWindow, but not forever, so that memory stays bounded. If there
-// are too many ids, they are forgotten earlier.
+// A correlation id is remembered for at least recentIDWindow, but not forever, so that memory stays bounded. If a
+// window of recentIDs becomes full, ids may be forgotten earlier.
 func TestRecentIDsAreForgotten(t *testing.T) {
 	var ids recentIDs
 	for _, c := range []struct {
--- a/internal/gateway/frontend_test.go
+++ b/internal/gateway/frontend_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// The gateway rejects an invalid request and closes its connection. It does not replace the invalid value by a default,
-// which could charge the wrong customer or retry a request that must not execute twice. Operators and clients rely on
-// the statuses and bodies. If the field body is empty, net/http writes the answer's body, and the test does not check
-// that body.
+// The gateway rejects an invalid request and closes its connection. It does not replace the invalid value by a default:
+// a default could charge the wrong customer, or cause a retry of a request that must not execute twice. Operators and
+// clients rely on the status and the error text of the answer. In rows without an error text, net/http itself rejects
+// the request, and the test checks only the status and the close.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	g := startTestGateway(t, newPeer(t))
@@ -198,8 +198,8 @@
 	}
 }
 
-// A client that never reads its answer must not delay the answers to other clients. A shutdown waits for such a client,
-// but must end without it.
+// A client that never reads its answer must not delay the answers to other clients. A shutdown waits for the client,
+// but must end even if the client never reads the answer.
 func TestSlowReaderDelaysNoOtherClient(t *testing.T) {
 	t.Parallel()
 	const bufferBytes = 4096 // size of each socket's buffer in bytes; smaller than the answer
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -17,8 +17,9 @@
 
 // idleLimitEstimator estimates how long a connection may be idle and still be reused. A middlebox may drop idle
 // connections silently, or the peer may close them far sooner than agreed. A request on such a connection ends in a
-// reset, which does not show whether the request was executed: an attempt may have been executed and makes its backend
-// look like an outlier, and the units of a counter call may have been added to the total.
+// reset, which does not show whether the request was executed. An attempt that ended in a reset may have been executed,
+// and makes its backend look like an outlier, which is a backend that fails more often than the other backends. A
+// counter call that ended in a reset may have added its units to the total.
 //
 // Some peers break connections at random, regardless of the idle time. The estimator therefore uses, for each range of
 // idle times, the share of reuses that broke. In a range with few reuses, this share may be high by chance. New
--- a/internal/gateway/roundtrip_test.go
+++ b/internal/gateway/roundtrip_test.go
@@ -158,7 +158,7 @@
 
 // If a connection is reset after the last byte of a request, the backend may have executed the request. In that case, a
 // request that is not idempotent must fail: neither the engine nor the pools may retry the request. The answer must not
-// be that the request was rejected, which would promise that nothing was executed.
+// have the status of a rejected request, because that status promises that nothing was executed.
 func TestResetAfterLastByteIsRetriedOnlyWithIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -166,7 +166,7 @@
 		status int
 	}{
 		{"payment", http.StatusBadGateway},
-		{"booking", http.StatusOK}, // idempotent by key, so it may be retried in its dedupe scope and window
+		{"booking", http.StatusOK}, // idempotent by key: may be retried in its dedupe scope and dedupe window
 	} {
 		t.Run(c.class, func(t *testing.T) {
 			backend := newPeer(t)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -46,7 +46,7 @@
 	httpServer        *http.Server
 	serveErr          chan error // receives the error with which the HTTP server stops accepting
 
-	componentsContext context.Context // for all components but the HTTP server; ends after the last client connection
+	componentsContext context.Context // for all components but the HTTP server; ends after client connections are closed
 	stopComponents    context.CancelFunc
 	components        sync.WaitGroup
 
@@ -139,7 +139,7 @@
 }
 
 // watchDiscovery starts to watch the discovery service at an address. The argument listInUse reports whether the
-// gateway already has an older endpoint list.
+// gateway already routes requests by an endpoint list.
 func (s *server) watchDiscovery(address string, listInUse bool) {
 	ctx, cancel := context.WithCancel(s.componentsContext)
 	ended := make(chan struct{})
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -13,7 +13,7 @@
 func TestReloadMovesDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	backend, newBackend, counter, newCounter := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
-	// The drain grace of 6 s is long enough that no call for a list times out in the test.
+	// The drain grace of 6 s is long enough that no poll of discovery times out in the test.
 	g := startTestGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.address()+`"`,
 		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 3}`,
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`,
@@ -35,7 +35,7 @@
 	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	// This is the response to the first call of the window. No later call corrects the total.
+	// The call is the first of the counter window. No later call corrects the total in this response.
 	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
--- a/internal/gateway/shutdown_race_test.go
+++ b/internal/gateway/shutdown_race_test.go
@@ -15,8 +15,8 @@
 const readinessRequest = "GET " + readyPath + " HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
 
 // A shutdown closes idle connections when the gateway has read a part of a request but not handled that part yet. The
-// request must be answered. On a connection that was idle, it is served. A new connection is closed later in the
-// shutdown, when requests are no longer admitted, so the request is rejected.
+// request must be answered. On a connection that has served a request before, the request is served. A new connection
+// is closed later in the shutdown, when requests are no longer admitted, so a request on a new connection is rejected.
 func TestShutdownRacesRequestBeingRead(t *testing.T) {
 	t.Parallel()
 	for name, newConnection := range map[string]bool{"on an idle connection": false, "on a new one": true} {
@@ -194,8 +194,8 @@
 	}
 }
 
-// A connection that waits to be accepted when a shutdown begins is still accepted. Its request is admitted, or rejected
-// if it arrives too late.
+// A connection that waits to be accepted when a shutdown begins is still accepted. The request on the connection is
+// admitted, or rejected if the request arrives too late.
 func TestShutdownRacesAccept(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -7,7 +7,8 @@
 
 // For any longest deadline, the schedule keeps the times of the protocol. A request that is admitted at the last
 // moment, with the longest deadline, is answered before the earliest SIGKILL, even if the process is stalled. Requests
-// are admitted for as long as new connections arrive, and connections are accepted for a longer time than that.
+// are admitted for as long as new connections arrive, and connections are accepted for longer than requests are
+// admitted.
 func TestShutdownScheduleEndsBeforeSIGKILL(t *testing.T) {
 	for deadline := 10 * time.Millisecond; deadline < time.Minute; deadline = deadline*5/4 + time.Millisecond {
 		s := newShutdownSchedule(deadline)
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -21,11 +21,12 @@
 type stallableGateway struct {
 	loop    *eventLoop
 	address string
-	gate    atomic.Pointer[chan struct{}] // if not nil, stalls the loop at its next endpoint list until closed
+	gate    atomic.Pointer[chan struct{}] // stalls the loop at its next endpoint list until closed; nil: no stall
 	stalled chan struct{}                 // receives a value when the loop is stalled
 }
 
-// newStallableGateway starts a gateway with as many backends as there are disconnecting clients, all at one address.
+// newStallableGateway starts a gateway. The gateway's endpoint list has disconnectingClients backends, all with the
+// given address.
 func newStallableGateway(t *testing.T, backend string, wrapListener func(net.Listener) net.Listener) *stallableGateway {
 	t.Helper()
 	text := strings.Replace(configText("127.0.0.1:1", testSettings), `"fleetSize": 2, "rank": 1`, `"fleetSize": 1`, 1)
