--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -33,8 +33,8 @@
 	return f
 }
 
-// step lets one gateway handle a request or run its maintenance. Rarely, and at random, it replaces the gateway by a
-// new gateway, which has no state.
+// step lets one gateway handle a request, run its maintenance, or do neither. Rarely, and at random, it replaces the
+// gateway by a new gateway, which has no state.
 func (f *ceilingFleet) step(t *testing.T, step int) {
 	t.Helper()
 	plan := f.set.Plans[0]
--- a/policy/counterbackoff.go
+++ b/policy/counterbackoff.go
@@ -2,8 +2,8 @@
 
 // Pauses after failed or shed calls to the counter, in seconds.
 const (
-	minCounterBackoff = 0.25 // the first pause; each further failure in a row doubles the pause
-	maxCounterBackoff = 2.0  // the longest pause
+	minCounterBackoff = 0.25 // length of the first pause; each further failure in a row doubles the pause
+	maxCounterBackoff = 2.0  // length of the longest pause
 )
 
 // backoff is the exponential backoff of one customer's calls to the counter. The zero value is no backoff.
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -18,7 +18,7 @@
 	spent          float64 // units that the call reports as spent; below 0: units that it returns
 	adjustment     float64 // units of overflow, or a correction of the total, which may be below 0
 	leaseUnits     float64 // units of the requested lease; 0: no lease is requested
-	isLeaseRequest bool    // requests wait for the reply, even if the call only reads the total
+	isLeaseRequest bool    // requests wait for the reply; the call requests a lease or only reads the total
 	carriedOver    bool    // adjustment includes the balance that is carried over from the window before
 }
 
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -4,8 +4,8 @@
 // recover.
 const (
 	counterFailureGain = 0.05 // weight of the newest call in the failure rate
-	shedFactor         = 4.0  // the share of calls to shed is the failure rate times shedFactor
-	maxShedShare       = 0.9  // share of the calls; upper bound of the share to shed
+	shedFactor         = 4.0  // share of the calls to shed, as a multiple of the failure rate
+	maxShedShare       = 0.9  // largest share of the calls to shed
 )
 
 // recordReply lowers the failure rate when a call has ended. If the call failed through overload,
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -43,10 +43,10 @@
 
 // handleCounterOverload handles a call that was rejected or had no reply.
 //
-// If the call timed out, the counter may have added its amount, and the report is not repeated. If the call
-// ended otherwise, the counter has not added its amount, and the next call repeats the report. Without the
-// repeated report, units that the call should have returned would be missing at all gateways. The fallback of
-// the local tokens is released unless the call was rejected.
+// If the call timed out, the counter may have added the call's amount, and the report is not repeated. In any
+// other case, the counter has not added the amount, and the next call repeats the report. Without the
+// repeated report, units that the failed call should have returned would be missing at all gateways. The
+// fallback of the local tokens is released unless the call was rejected.
 func (e *Engine) handleCounterOverload(c *customer, call counterCall, outcome Outcome) {
 	if outcome != TimedOut {
 		c.requeueReport(call)
@@ -102,11 +102,13 @@
 	}
 }
 
-// reclaimLease makes the next call take back the lease units that a call added to the total and that were not
-// granted. It does nothing if the call's window is over. Under deferred reporting, the next call also takes
-// back the adjustment, since a later call adds the overflow again. Under upfront leasing, the adjustment
-// stays in the total: without the overflow that the first call of a refilling window adds, the shared bucket
-// would hold more than its initial balance.
+// reclaimLease handles a call whose amount the counter has added, although no lease was granted. It subtracts
+// the lease units from the unreported units, and the next report thus takes them back. It does nothing if the
+// call's window is over.
+//
+// Under deferred reporting, the adjustment is taken back too, since overflow is determined and added again.
+// Under upfront leasing, the adjustment stays in the total: without the overflow that is added at the start
+// of a refilling window, the shared bucket would hold more than its initial balance.
 func (c *customer) reclaimLease(call counterCall) {
 	if call.leaseUnits > 0 && call.window == c.window.number {
 		c.unreportedUnits -= call.leaseUnits
@@ -116,8 +118,8 @@
 	}
 }
 
-// requeueReport makes the next call repeat the report of a call whose amount the counter has not added, and
-// the corrections in the call that still apply.
+// requeueReport handles a call whose amount the counter has not added. The units that the call reported, and
+// its corrections that still apply, become unreported units again.
 func (c *customer) requeueReport(call counterCall) {
 	if c.quota.deferredReporting {
 		// Spent units may be reported in any window. A correction may be made only in its own window. The
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -17,7 +17,7 @@
 type counterWindow struct {
 	number    float64 // a whole number that grows from window to window; -1: no window was entered yet
 	name      uint64  // name of the window's total at the counter
-	lastTotal float64 // units; the total as this gateway last saw it, 0: not seen yet
+	lastTotal float64 // units in the total as this gateway last saw it; 0: not seen yet
 }
 
 // enterWindow enters the present window. When a new window begins under upfront leasing, it drops the
--- a/policy/deferredreporting.go
+++ b/policy/deferredreporting.go
@@ -5,17 +5,18 @@
 // Under deferred reporting, the gateways spend local tokens first and report them to the counter later.
 // quotaParameters describes leases and windows; counterWindow describes total, refill and overflow.
 
-// Parameters of deferred reporting.
+// Parameters of deferred reporting. The report threshold is the number of unreported units at which a report
+// is due (see reportIfDue).
 const (
-	reportThresholdShare = 1.0 / 3 // share of the burst; lower bound of the report threshold (reportIfDue)
-	minReportThreshold   = 2.0     // units; with a lower threshold, each request could cost a call
+	reportThresholdShare = 1.0 / 3 // lowest report threshold, as a share of the burst
+	minReportThreshold   = 2.0     // lowest report threshold in units; if lower, each request could cost a call
 	reportGain           = 0.2     // weight of the newest report in the mean report
 
-	overflowCallShare = 0.75 // share of the burst; an extra call adds larger overflow to the total
-	maxReportLagShare = 0.25 // share of the burst; upper bound of the report lag (reconcileDeferred)
-	maxCarryOverAge   = 30.0 // seconds; an older balance is not carried over into a new window
+	overflowCallShare = 0.75 // share of the burst above which an extra call adds overflow to the total
+	maxReportLagShare = 0.25 // largest report lag, as a share of the burst (see reconcileDeferred)
+	maxCarryOverAge   = 30.0 // age in seconds from which a balance is not carried over into a new window
 
-	maxPrefetchShare      = 0.25 // share of the bucket's balance; upper bound of a lease's prefetch
+	maxPrefetchShare      = 0.25 // largest share of the shared bucket's balance that a lease prefetches
 	leaseTargetDuration   = 45.0 // seconds of sustained demand that a prefetch should cover
 	deferredLeaseLifetime = 2 * leaseTargetDuration
 	exhaustedReadPeriod   = 1.0 // seconds after exhaustedUntil in which calls only read the total
@@ -78,18 +79,19 @@
 // reconcileDeferred grants the lease that a call requested, as far as the returned total allows, and corrects
 // the total at the counter.
 //
-// The total lags behind the units spent by about half a mean report for each gateway. If the total is below
-// the refill by no more than this report lag, the bucket counts as full and nothing has overflowed. If the
-// total is lower, the difference beyond the report lag is overflow. The overflow is added to the total so
-// that it cannot be spent in one burst later.
+// The total lags behind the units spent, since the gateways report late. The report lag is an estimate of the
+// difference: half a mean report for each gateway, but at most maxReportLagShare of the burst. If the total
+// is below the refill by at most the report lag, the bucket counts as full and nothing has overflowed. If the
+// total is lower, the difference beyond the report lag is overflow. The overflow is added to the total, since
+// it could otherwise be spent at once later.
 //
-// In any period of L seconds a customer gets at most rate*L units, plus:
+// The units that a customer gets are thereby limited. In a period of L seconds, they are at most the sum of:
+//   - rate*L,
 //   - burstTolerance,
-//   - the overflow and report lag that are not in the total: at most overflowCallShare + maxReportLagShare
-//     of the burst,
+//   - overflowCallShare of the burst, since up to this much overflow may be missing in the total,
+//   - the report lag,
 //   - the units that were leased before the period, and
-//   - the unreported units of each gateway: at most localBurst, reportThresholdShare of the burst or
-//     minReportThreshold, whichever is largest.
+//   - the unreported units of all gateways; each gateway reports them at the threshold in reportIfDue.
 //
 // Over a long period, the mean rate is therefore at most about the quota's rate.
 func (e *Engine) reconcileDeferred(c *customer, call counterCall, total float64) {
@@ -139,8 +141,8 @@
 	}
 }
 
-// totalAfterOverflow returns the total with all overflow added: the total is then below the refill by at most
-// the report lag.
+// totalAfterOverflow returns the total after all overflow is added. The returned total is below the refill by
+// at most the report lag (see reconcileDeferred).
 func (c *customer) totalAfterOverflow(call counterCall, reportedTotal float64) float64 {
 	lag := min(c.sharedBucket.meanReport/2*c.quota.gatewayCount, maxReportLagShare*c.quota.burst)
 	return max(reportedTotal, call.refill-lag)
@@ -175,9 +177,9 @@
 	return max(maxRefillWaitRequests, c.quota.gatewayCount/2)
 }
 
-// correctTotal makes a call that changes the counter's total to target if the total must fall by more than
-// minCorrection of a request, or rise by more than overflowCallShare of the burst. If a balance is carried
-// over, it also makes the call if the total must rise by more than the units of a request.
+// correctTotal makes a call that changes the counter's total to the target, unless the difference is small.
+// A decrease is small up to minCorrection of a request's units. An increase is small up to overflowCallShare
+// of the burst. If a balance is carried over, a small increase must also be at most the units of one request.
 //
 // The difference consists of overflow, units that were requested and not granted, and the balance carried
 // over into a new window.
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -8,7 +8,7 @@
 // demand is the rate at which a customer requests units at this gateway.
 type demand struct {
 	rate          float64 // units per second, exponential mean over demandAveragingTime
-	sustainedRate float64 // units per second, exponential mean over leaseTargetDuration without newestUnits
+	sustainedRate float64 // units per second, exponential mean over leaseTargetDuration (see record)
 	newestUnits   float64 // units of the newest request
 }
 
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,7 +7,7 @@
 	settings         Settings
 	now              float64    // clock time of the event that is being handled
 	rng              *rand.Rand // only source of randomness, so that runs can be replayed
-	actions          []Action   // actions of the event that is being handled
+	actions          []Action   // result of Handle: its parameter out and the actions added so far
 	startedAt        float64    // clock time passed to New
 	lastMaintenance  float64    // clock time of the last round of maintenance
 	shutdownAnswerBy float64    // clock time by which every request must be answered; 0: no shutdown
--- a/policy/events.go
+++ b/policy/events.go
@@ -25,7 +25,7 @@
 	ID          BackendID
 	Zone        int
 	MachineType int // index in the deployment's list of machine types; decisions don't use it
-	Cell        int // number of a group of backends that share their memory of idempotency keys
+	Cell        int // ID of the group of backends with which this backend shares its memory of idempotency keys
 	State       BackendState
 	Weight      float64 // relative size, if Settings.ApproximateWeights is set; decisions don't use it
 	StartedAt   float64 // clock time at which the backend's process started; 0: long ago
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,7 +6,7 @@
 const (
 	overallLatencyGain = 0.02 // weight of the newest attempt in the mean over all backends
 	backendLatencyGain = 0.15 // weight of the newest attempt in the mean of one backend
-	slowDeviations     = 4.0  // mean deviations above the mean latency at which an attempt counts as slow
+	slowDeviations     = 4.0  // distance from the mean latency to slowThreshold, in mean deviations
 )
 
 // latencyStats holds the mean latency of served attempts at all backends, and the mean deviation from that
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -7,9 +7,9 @@
 	// request's units. A total below minCorrection units counts as 0.
 	minCorrection = 0.25
 
-	minRate         = 1e-3 // units per second; where a rate is a divisor, minRate replaces a lower rate
-	minRequestUnits = 1e-3 // units; a request of fewer units counts as minRequestUnits units
-	unitRounding    = 1e-3 // share of a request's units; a smaller shortfall is taken for a rounding error
+	minRate         = 1e-3 // lowest rate used as a divisor, in units per second
+	minRequestUnits = 1e-3 // lowest number of units that a request counts as
+	unitRounding    = 1e-3 // largest shortfall that counts as a rounding error, as a share of a request's units
 )
 
 // lease is a reservation of units. The units are charged to the counter's total when the lease is requested,
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -3,16 +3,16 @@
 import "math"
 
 // Parameters of the concurrency limit. A latency ratio is the latency of an attempt divided by the latency
-// objective of its class.
+// objective of its class. The limits per backend are sums over all gateways.
 const (
-	initialLimitPerBackend = 4.0  // attempts, summed over all gateways; a limit that is too high is soon cut
-	minLimitPerBackend     = 3.0  // attempts, summed over all gateways; keeps the cores of slow backends busy
+	initialLimitPerBackend = 4.0  // attempts per backend in the first limit; soon cut if too high
+	minLimitPerBackend     = 3.0  // attempts per backend in the lowest limit; keeps cores of slow backends busy
 	limitCutFactor         = 0.75 // factor by which a cut multiplies the limit
 	latencyRatioHigh       = 0.38 // mean latency ratio above which the limit is cut
 	latencyRatioLow        = 0.28 // mean latency ratio below which the limit may grow
-	limitUtilization       = 0.8  // lowest share of the limit that must be in use for the limit to grow
-	limitBurst             = 3.0  // attempts; most that may be in flight if the limit is smaller (see full)
-	limitAveragingWindow   = 1.0  // seconds; averaging time of meanInFlight and meanLatencyRatio
+	limitUtilization       = 0.8  // share of the limit that must be in use before the limit grows
+	limitBurst             = 3.0  // attempts that may be in flight at once if the limit is lower (see full)
+	limitAveragingWindow   = 1.0  // seconds over which meanInFlight and meanLatencyRatio are averaged
 	minLatencyRatioGain    = 0.05 // weight of the newest latency ratio in the mean if attempts end often
 	maxLatencyRatioGain    = 0.3  // weight of the newest latency ratio in the mean if attempts end rarely
 	reserveShare           = 0.15 // share of the limit that is reserved for the top levels
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -4,7 +4,7 @@
 
 const (
 	maintenanceInterval    = 0.05 // seconds between rounds of maintenance
-	minMaintenanceInterval = 1e-3 // seconds; shorter intervals are rounded up, since rates are divided by them
+	minMaintenanceInterval = 1e-3 // shortest interval in seconds by which counts are divided
 )
 
 // runMaintenance updates averages and rates, and removes state of backends and customers that is no longer
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -2,10 +2,10 @@
 
 // Parameters of the cost by which backends are compared.
 const (
-	lowerLevelLoad       = 0.1  // load of each attempt in flight; 1 more if its level is equal or higher
+	lowerLevelLoad       = 0.1  // load of an attempt in flight at a lower level than the new attempt
 	maxLatencyFactor     = 8.0  // largest factor by which a backend counts as slower or faster than average
 	maxFailureRateInCost = 0.9  // failure rate above which the cost no longer grows
-	sameBackendCost      = 1e3  // added for the backend of the previous attempt; exceeds any other cost
+	sameBackendCost      = 1e3  // cost added for the backend of the previous attempt; exceeds any other cost
 	costJitter           = 0.05 // largest random share added to a cost, so that gateways pick different backends
 )
 
@@ -82,9 +82,9 @@
 }
 
 // cost returns the cost of sending an attempt of the request to the backend. The cost depends on the
-// backend's load, latency, failure rate, slow start and zone. It also depends on whether the previous attempt
-// was there, and includes a random share. It is meaningful only in comparison with the costs of other
-// backends.
+// backend's load, latency, failure rate, slow start and zone. The backend of the previous attempt costs
+// sameBackendCost more. The cost has a random part, and is meaningful only in comparison with the costs of
+// other backends.
 func (e *Engine) cost(req *request, b *backend) float64 {
 	successRate := 1 - min(b.failureRate, maxFailureRateInCost)
 	// The factor slowStartShare makes a backend in slow start cheaper, so that its tokens are used as soon as
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -72,10 +72,11 @@
 
 // wouldWaitTooLong reports whether the expected wait in the queue exceeds the time until the request must be
 // sent. A request waits for the queued requests of its level and of higher levels, and for requests of higher
-// levels that arrive during the wait. The expected wait is s * ahead / (1 - s*higherRate). Here s is
-// secondsPerAttempt, the average time between two attempts that the concurrency limit allows. The value ahead
-// is 1 plus the number of queued requests that the request waits for. The value higherRate is the number of
-// arrivals per second at higher levels.
+// levels that arrive during the wait. The expected wait in seconds is
+// ahead*secondsPerAttempt / (1 - secondsPerAttempt*higherRate), in which:
+//   - ahead is the number of queued requests that the request waits for, plus 1 for the request itself,
+//   - secondsPerAttempt is the average time between two attempts that the concurrency limit allows, and
+//   - higherRate is the number of requests per second that arrive at higher levels.
 func (e *Engine) wouldWaitTooLong(req *request) bool {
 	secondsPerAttempt := e.latency.mean / max(e.limiter.limit, minLimitForWait)
 	ahead := 1 + float64(len(e.queue.requests[req.level]))
--- a/policy/quotaadmission.go
+++ b/policy/quotaadmission.go
@@ -3,8 +3,8 @@
 // Admission by quota is the first step in handling a request. The request's units are spent from the
 // customer's lease or from this gateway's local tokens for the customer.
 
-// maxQuotaWaitShare is the share of the time between a request's sending and its deadline during which the
-// request may wait for an exhausted bucket to refill.
+// maxQuotaWaitShare is the share of the time from a request's SentAt to its answerBy during which the request
+// may wait for an exhausted bucket to refill.
 const maxQuotaWaitShare = 0.4
 
 // admissionDecision is the decision on the first waiting request of a customer.
@@ -133,8 +133,8 @@
 // the number of seconds after which the client of a rejected request retries.
 //
 // The bucket must refill within retryAfter seconds after the request was sent, since a rejected client would
-// retry by then. It must also refill within maxQuotaWaitShare of the time from the request's sending to its
-// deadline. Waiting helps if the bucket is exhausted only for a moment because other gateways have prefetched
+// retry by then. It must also refill within maxQuotaWaitShare of the time from the request's SentAt to its
+// answerBy. Waiting helps if the bucket is exhausted only for a moment because other gateways have prefetched
 // its units. Waiting does not help if the demand at this gateway alone exceeds the customer's whole rate.
 // Under upfront leasing, no request waits for a refill. A fixed window, once exhausted, stays exhausted until
 // it ends.
--- a/policy/quotaload_test.go
+++ b/policy/quotaload_test.go
@@ -303,8 +303,8 @@
 	}
 }
 
-// After a time of low demand, a customer must get only a limited burst (see reconcileDeferred), and not all the refill
-// of that time.
+// After a time of low demand, a customer must get only a limited number of additional units (see reconcileDeferred),
+// and not all the refill of that time.
 func TestBurstAfterLowDemandIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 20} {
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -2,21 +2,22 @@
 
 // Parameters of quotas.
 const (
-	maxSmallGatewaySet      = 5.0  // gateways; size of the largest gateway set that counts as small
+	maxSmallGatewaySet      = 5.0  // gateways in the largest gateway set that counts as small
 	refillingWindowDuration = 50.0 // seconds; below counterNameTTL, so that the counter keeps a window's total
 
-	// Deferred reporting.
-	minRefillPerGateway = 4.0 // units per window; with fewer, a gateway of a large set would report too rarely
-	largeSetLocalBurst  = 5.0 // units, and multiple of an equal part of the burst (useDeferredReporting)
-	smallSetTolerance   = 0.8 // share of the burst; burstTolerance of a small gateway set
-	largeSetTolerance   = 2.0 // multiple of the burst; burstTolerance of a large gateway set
+	// Deferred reporting. With a refill below minRefillPerGateway, a gateway would report too rarely.
+	minRefillPerGateway = 4.0 // lowest refill per gateway of a large gateway set, in units per window
+	largeSetLocalBurst  = 5.0 // bound of localBurst in a large set: in units, and in equal parts of the burst
+	smallSetTolerance   = 0.8 // burstTolerance of a small gateway set, as a share of the burst
+	largeSetTolerance   = 2.0 // burstTolerance of a large gateway set, as a multiple of the burst
 
-	// A ceiling.
-	ceilingLeaseShare = 0.22 // share of the ceiling's burst; limit of burst (divideCeilingForFixedWindows)
+	// A ceiling. A fixed window may grant more than ceilingLeaseShare if each local bucket would otherwise hold
+	// less than one unit (see divideCeilingForFixedWindows).
+	ceilingLeaseShare = 0.22 // share of the ceiling's burst that a fixed window usually grants at most
 
-	// A concurrency limit that is applied as a rate.
+	// Parameters of the rate that replaces a concurrency limit (see useConcurrencyRate).
 	concurrencyUtilization = 0.65 // share of the concurrency limit that the rate uses on average
-	concurrencyRateWindow  = 1.0  // seconds; duration of the fixed windows of the rate
+	concurrencyRateWindow  = 1.0  // duration in seconds of the fixed windows of the rate
 )
 
 // quotaParameters is a plan as it applies to one customer at one gateway. The zero value is a plan without
@@ -27,8 +28,9 @@
 // each window (see counterWindow). The gateways charge the units that they spend to the total in one of two
 // ways:
 //
-//   - Deferred reporting: a gateway spends its local tokens without a call and reports them later. It calls
-//     for a lease only when its local tokens are too few. A customer within its quota thus costs few calls.
+//   - Deferred reporting: a gateway spends its local tokens first and reports them to the counter later. It
+//     requests a lease only when its local tokens are too few. A customer within its quota thus costs few
+//     counter calls.
 //   - Upfront leasing: a gateway leases units before it spends them. It uses its local tokens only while the
 //     counter cannot be called, and for requests over quota under a ceiling. In a deployment without a
 //     counter, nothing is leased and local tokens admit all requests.
@@ -116,8 +118,9 @@
 // A large gateway set gets a higher burstTolerance than a small set: with a lower value, the bucket would
 // look exhausted when its units have only been prefetched.
 //
-// In a large gateway set, localBurst is largeSetLocalBurst units, but at most largeSetLocalBurst times an
-// equal part of the burst. It is at least an equal part of the burst, and at least one unit.
+// In a large gateway set, localBurst has two upper bounds: largeSetLocalBurst units, and largeSetLocalBurst
+// times an equal part of the burst. Two lower bounds take precedence: an equal part of the burst, and one
+// unit.
 func (q *quotaParameters) useDeferredReporting(p *Plan) {
 	q.deferredReporting = true
 	if q.smallGatewaySet {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,7 +3,7 @@
 // Parameters of retries.
 const (
 	retryShare      = 0.15 // retries allowed per first attempt; low, so that retries cannot amplify an overload
-	maxRetryTokens  = 10.0 // retries; limit on the tokens that can be saved up
+	maxRetryTokens  = 10.0 // largest number of retries that can be saved up
 	clientRetryGain = 0.05 // weight of the newest request in clientRetryShare
 )
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -27,7 +27,7 @@
 // request earns its weight, and requests of higher weight are served first.
 type Class struct {
 	LatencyObjective float64 // seconds; an answer within this time earns the full weight
-	ObjectivePerUnit float64 // growth of LatencyObjective with the request's work; 0: no growth
+	ObjectivePerUnit float64 // above 0 if LatencyObjective grows with the request's work; only tested for 0
 	Deadline         float64 // seconds that a client waits at most for an answer, including its retries
 	PriorityWeight   float64 // weight of a request if the plan's WeightFactor is 1
 	LateWeightShare  float64 // share of the weight that an answer between LatencyObjective and deadline earns
@@ -53,12 +53,12 @@
 type Plan struct {
 	WeightFactor    float64 // factor by which the plan multiplies Class.PriorityWeight
 	Rate            float64 // units per second that refill the quota; 0: no quota
-	Burst           float64 // units; capacity of the quota's token bucket
+	Burst           float64 // capacity of the quota's token bucket in units
 	MaxConcurrent   int     // limit on the attempts in flight; 0: no limit
 	OverQuotaWeight float64 // share of its weight that a request over quota earns if it is served
 	OverQuotaCost   float64 // share of the request's weight that an attempt costs if the request is over quota
 	CeilingRate     float64 // units per second that refill the ceiling; 0: no ceiling
-	CeilingBurst    float64 // units; capacity of the ceiling's token bucket
+	CeilingBurst    float64 // capacity of the ceiling's token bucket in units
 	CeilingSlack    float64 // units by which the ceiling's token bucket may be overdrawn; decisions don't use it
 }
 
@@ -89,7 +89,7 @@
 	GatewayIndex int     // index of this gateway in the fleet, from 0
 	FleetSize    int     // number of gateways in the deployment; below 1 counts as 1
 	Zone         int     // index of this gateway's zone; see Backend
-	Tick         float64 // seconds; resolution of the clock: an event may come one tick late
+	Tick         float64 // resolution of the clock in seconds; an event may come one tick late
 
 	PollDiscovery      bool        // discovery reports changes of the endpoint list only when polled
 	ApproximateWeights bool        // Backend.Weight is a rough measure of size; else it has no meaning
@@ -106,7 +106,7 @@
 	CanProbe          bool    // the gateway can probe backends
 	CanHedge          bool    // several attempts of a request may be in flight at once
 	CanSendRetryAfter bool    // rejections may carry a Retry-After
-	MaxRetryAfter     float64 // seconds; longest Retry-After that clients follow
+	MaxRetryAfter     float64 // longest Retry-After that clients follow, in seconds
 	MaxAttempts       int     // limit on the attempts of a request, including the first; below 1 counts as 1
 	MaxOpenRequests   int     // limit on the open requests of this gateway; 0: no limit
 	ConnectTimeout    float64 // seconds for which an attempt may wait for a connection
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,8 +4,8 @@
 // attempts. Once its slow start is over, the backend is warm.
 const (
 	rateAveragingTime  = 2.0 // seconds over which send rates and arrival rates are averaged
-	minSlowStartRate   = 0.5 // attempts per second at a backend; lowest refill rate, summed over all gateways
-	maxSlowStartTokens = 1.5 // attempts; capacity of a backend's token bucket
+	minSlowStartRate   = 0.5 // lowest refill rate of all gateways together, in attempts per second at a backend
+	maxSlowStartTokens = 1.5 // capacity of a backend's token bucket in attempts
 )
 
 // warmTraffic measures the attempts that this gateway sends to warm backends.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -6,7 +6,7 @@
 // The kinds of timer.
 const (
 	maintenanceTimer    timerKind = iota // the next round of maintenance is due
-	sendDeadlineTimer                    // from now on, the first attempt of a request would end too late
+	sendDeadlineTimer                    // a first attempt that started now would end too late
 	answerDeadlineTimer                  // a request must be answered now
 	pollEndpointsTimer                   // discovery is to be polled again after a failure
 	slowAttemptTimer                     // an attempt takes longer than almost all others
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -6,8 +6,8 @@
 // describes leases and windows; counterWindow describes total, refill and overflow.
 
 const (
-	maxRefillWaitRequests = 3.0 // requests; the bucket earns their units in the longest wait (refillWaitLimit)
-	leaseLifetimeShare    = 0.5 // share of the time in which the burst is earned; lifetime of a lease
+	maxRefillWaitRequests = 3.0 // requests whose units the shared bucket earns in the longest wait for a refill
+	leaseLifetimeShare    = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
 )
 
 // upfrontLeaseUnits returns the units of the next lease: the units of the waiting requests, rounded up, and a
