--- a/cmd/amberlb/limit_test.go
+++ b/cmd/amberlb/limit_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	minDescriptors = 128              // number of file descriptors: lowest limit that a gateway accepts
+	minDescriptors = 128              // lowest limit of open file descriptors that a gateway accepts
 	testTimeout    = 20 * time.Second // longest wait for one step of a test; far longer than any step should take
 )
 
--- a/cmd/amberlb/main_test.go
+++ b/cmd/amberlb/main_test.go
@@ -18,7 +18,7 @@
 // Names of the environment variables that make the test binary run as the command.
 const (
 	asCommandKey       = "AMBERLB_TEST_AS_COMMAND"
-	descriptorLimitKey = "AMBERLB_TEST_DESCRIPTOR_LIMIT" // RLIMIT_NOFILE of the process; unset: inherited
+	descriptorLimitKey = "AMBERLB_TEST_DESCRIPTOR_LIMIT" // RLIMIT_NOFILE of the process; inherited if unset
 )
 
 // TestMain runs the command instead of the tests if the environment variable asCommandKey is set.
--- a/cmd/amberlb/stop_test.go
+++ b/cmd/amberlb/stop_test.go
@@ -205,9 +205,11 @@
 	return backends, address
 }
 
-// TestSoak runs short soak tests, which restart gateways under faults drawn from a seed: series of signals, hanging
-// backends, slow and disconnecting clients that use open connections until SIGKILL, many idle clients, and proxies.
-// The command fleetlab soak runs more seeds for a longer time.
+// TestSoak runs short soak tests, in which gateways are restarted under faults. The seed of a run determines the
+// faults. A gateway that is stopped may get a series of signals, and some backends hang meanwhile. Clients use a
+// connection until the gateway closes it or gets SIGKILL. Some clients write slowly or disconnect. In some runs, idle
+// connections use up the descriptors of the gateways. Proxies can delay and split the bytes that they forward. The
+// command fleetlab soak runs more seeds for a longer time.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	const (
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,9 +1,9 @@
 // Fleetlab measures gateways against stand-ins of all services that a gateway talks to (see
 // package experiment), and tests gateways under random faults (see package soak).
 //
-// The exit status is 2 if a file or an argument is invalid. It is 0 if all runs were
-// completed, and all bounds of the experiment were kept or the soak found no violation. In
-// all other cases, it is 1.
+// The exit status is 2 if a file or an argument is invalid. It is 1 after any other error, and
+// also if a run was not completed, a bound of the experiment was broken, or the soak found a
+// violation. Otherwise, it is 0.
 package main
 
 import (
--- a/cmd/simadapter/simattempts_test.go
+++ b/cmd/simadapter/simattempts_test.go
@@ -29,7 +29,7 @@
 	case b.condition == failing && roll < 0.5 || roll < 0.02:
 		return oneOf[uint8](s.randomSource, statusFailed, statusReset), latency * s.Float64()
 	case b.condition == failing && roll < 0.8 || roll < 0.04:
-		return statusReset, s.between(0, 2) // after the backend has started to execute the request
+		return statusReset, s.between(0, 2) // the reset comes after the backend has started to execute the request
 	case b.condition == slow:
 		latency *= 8
 	}
--- a/cmd/simadapter/simbackends_test.go
+++ b/cmd/simadapter/simbackends_test.go
@@ -30,7 +30,7 @@
 	cell      int
 	state     uint8
 	weight    float64
-	startedAt float64 // clock time of the last start; 0: long before the stream
+	startedAt float64 // clock time of the last start; 0: the start was long before the stream
 	latency   float64 // latency in seconds of a request while the backend is idle and healthy
 	condition condition
 	inFlight  int // number of attempts in flight
--- a/cmd/simadapter/simclients_test.go
+++ b/cmd/simadapter/simclients_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// drawReachable reports whether to send a customer's request to an instance. It is always true for the gateways that
-// are assigned to the customer, and sometimes true for other gateways.
+// drawReachable reports whether to send a customer's request to an instance. The result is always true for the gateways
+// that are assigned to the customer, and sometimes true for other gateways.
 func (s *simulation) drawReachable(c *simCustomer, inst *simInstance) bool {
 	fleet := s.settings.FleetSize
 	offset := (inst.rank - c.firstGateway + fleet) % fleet
--- a/cmd/simadapter/streamsettings_test.go
+++ b/cmd/simadapter/streamsettings_test.go
@@ -80,7 +80,7 @@
 	Delivery string   `json:"how"`
 }
 
-// simRequirements holds the times and factors in the rules that gateways must follow.
+// simRequirements holds the times and factors of the rules that the simulator's protocol sets for gateways.
 type simRequirements struct {
 	AnswerSlackS      float64 `json:"answerSlackS"`
 	PollIntervalS     float64 `json:"askEveryS"`
--- a/cmd/simadapter/streamwire_test.go
+++ b/cmd/simadapter/streamwire_test.go
@@ -65,7 +65,7 @@
 const (
 	flagRetry         = 2  // bit in a request's flags that marks the request as a client's retry
 	countedHeaderSize = 8  // bytes of a batch header that are included in the length
-	maxEndpointLists  = 16 // lists that can be defined at a time
+	maxEndpointLists  = 16 // number of endpoint lists that can be defined at the same time
 	replyLengthSize   = 4  // bytes of a reply's length field; the length counts the bytes after that field
 )
 
--- a/internal/lab/counter/fault.go
+++ b/internal/lab/counter/fault.go
@@ -29,7 +29,7 @@
 	return s.serviceClockAtFault + time.Duration(float64(now-s.faultStart)/s.SlowFactor)
 }
 
-// SetFault replaces the counter's current fault. If this ends a blackhole, SetFault resets all connections.
+// SetFault replaces the counter's current fault. If the replacement ends a blackhole, SetFault resets all connections.
 func (c *Counter) SetFault(fault Fault) {
 	c.faultMu.Lock()
 	defer c.faultMu.Unlock()
--- a/internal/lab/counter/shard.go
+++ b/internal/lab/counter/shard.go
@@ -24,8 +24,8 @@
 }
 
 // schedule schedules a call that takes serviceTime. The call is served after all calls that were scheduled earlier. The
-// result due is the time at which its service ends; due and serviceNow are on the service clock. If maxQueued calls are
-// already waiting, the call is not scheduled and ok is false.
+// result due is the time at which the call's service ends; due and serviceNow are on the service clock. If maxQueued
+// calls are already waiting, the call is not scheduled and ok is false.
 func (s *shard) schedule(serviceNow, serviceTime time.Duration, maxQueued int) (due time.Duration, ok bool) {
 	finished := 0
 	for finished < len(s.finishTimes) && s.finishTimes[finished] <= serviceNow {
--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -16,7 +16,7 @@
 	hollowProcessMB = 64.0   // a process of hollow gateways, without the gateways
 	hollowMB        = 0.3    // a hollow gateway, without its endpoint list
 	hollowBackendMB = 0.0012 // a backend in the endpoint list of a hollow gateway
-	customerMB      = 0.002  // a customer, for each hollow gateway of its subset
+	customerMB      = 0.002  // a customer in one hollow gateway; each gateway of the customer's subset needs this much
 )
 
 // validateCapacity returns an error if the experiment has no gateways, has too many processes, or needs more than
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -125,9 +125,9 @@
 }
 
 // Tenants configures the customers of the gateway processes. Each plan of the tenants has
-// half the quota of the plan before it. A tenant's requests use at most the share
-// Utilization of its plan's quota. Each tenant has the plan with the smallest quota for which
-// this is true. The requests therefore use more than half of the share Utilization.
+// half the quota of the plan before it. Each tenant gets the plan with the smallest quota of
+// which the tenant's requests use at most the share Utilization. The requests use more
+// than half of that share, since half the quota would not be enough.
 type Tenants struct {
 	Count int `toml:"count" json:"count"`
 
--- a/internal/lab/experiment/metrics.go
+++ b/internal/lab/experiment/metrics.go
@@ -62,7 +62,7 @@
 	{name: "hollow_control_bytes_per_s", primary: true},       // mean control traffic of a gateway
 	{name: "hollow_counter_calls"},                            // calls that the counter received, warm-up included
 	{name: "hollow_counter_calls_per_s", primary: true},       // rate of calls that the counter received
-	{name: "hollow_counter_turned_away_share", primary: true}, // share of these calls that the counter rejected
+	{name: "hollow_counter_turned_away_share", primary: true}, // share of the received calls that the counter rejected
 	{name: "hollow_cpu_share", primary: true},                 // mean share of a core that a gateway uses
 	{name: "hollow_memory_mb", primary: true},                 // sum of the peak memory of all hollow processes
 
--- a/internal/lab/experiment/tenants.go
+++ b/internal/lab/experiment/tenants.go
@@ -20,8 +20,8 @@
 	}
 	config := &e.Tenants
 	busiestQuota := e.busiestTenantQuota()
-	// The number of possible first gateways of a subset. It is 1 if a subset is larger than the number of gateway
-	// processes.
+	// firstGateways is the number of gateways that can be the first gateway of a subset. It is 1 if a subset has at
+	// least as many gateways as there are gateway processes.
 	firstGateways := max(e.Fleet.GatewayProcesses-config.SubsetSize, 0) + 1
 	var tenants []gatewayprocess.Tenant
 	var plans []planJSON
--- a/internal/lab/gatewayprocess/address.go
+++ b/internal/lab/gatewayprocess/address.go
@@ -17,7 +17,8 @@
 var addressCount atomic.Uint32
 
 // FreeAddress returns a host and port that no program listens on. Each call returns a different address of 127.0.0.0/8.
-// It avoids 127.0.0.1. An outgoing connection of any program may take a port there before the caller listens on it.
+// It never returns a port of 127.0.0.1, since outgoing connections of any program may take the port before the caller
+// listens on it.
 func FreeAddress() (string, error) {
 	count := addressCount.Add(1)
 	network := firstNetwork + os.Getpid()%networkCount
--- a/internal/lab/gatewayprocess/load.go
+++ b/internal/lab/gatewayprocess/load.go
@@ -105,7 +105,7 @@
 	if r.isMeasured(due) {
 		r.scheduleLag.Record(time.Since(due))
 	}
-	// The number of the subset's gateways that are started.
+	// runningGateways is the number of the subset's gateways that are started.
 	runningGateways := min(tenant.SubsetSize, len(r.gateways)-tenant.FirstGateway)
 	target := r.gateways[tenant.FirstGateway+r.rng.IntN(runningGateways)]
 	request := r.newRequest(target, tenant, due, r.rng.Uint64())
@@ -162,7 +162,7 @@
 		"X-Api-Key":        fmt.Sprintf("%016x", tenant.ID),
 		"X-Time-Left-Ms":   strconv.FormatInt(remaining.Milliseconds(), 10),
 		"X-Call-Terms":     fmt.Sprintf("units=1,spread=%d,first=%d", tenant.SubsetSize, tenant.FirstGateway),
-		"User-Agent":       "", // not sent
+		"User-Agent":       "", // prevents the default User-Agent of Go
 	} {
 		request.Header.Set(name, value)
 	}
--- a/internal/lab/hollow/job.go
+++ b/internal/lab/hollow/job.go
@@ -54,7 +54,7 @@
 	Plan      int     // index of the plan in the settings
 	Class     int     // index of the class in the settings
 	Units     float64 // cost of each request
-	Shift     bool    // random weights of a customer's gateways, drawn again every 7 to 18 s; false: equal weights
+	Shift     bool    // a customer's gateways have random weights, drawn again every 7 to 18 s; false: equal weights
 }
 
 // Result is the result of a job.
--- a/internal/lab/load/latency.go
+++ b/internal/lab/load/latency.go
@@ -31,7 +31,7 @@
 		l.histogram = hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigits)
 	}
 	inRange := min(max(latency, minLatency), maxLatency)
-	l.histogram.RecordValue(inRange.Microseconds()) // fails only for a value out of range
+	l.histogram.RecordValue(inRange.Microseconds()) // never fails, since inRange is within the bounds of the histogram
 }
 
 // Quantiles holds quantiles of recorded durations, in the unit passed to LatencyHistogram.Quantiles. Processes of the
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -33,7 +33,7 @@
 // ensure that done is called once, from any goroutine, when the request has ended. While maxInFlight requests are in
 // flight, RunOpenLoop calls dropped instead of issue. The parameter n of both functions is the number of the arrival,
 // counted from 0. The parameter due is the time at which the request should be sent. If the process is late, the call
-// comes after this time. RunOpenLoop returns when all requests have ended or ctx ends.
+// comes after due. RunOpenLoop returns when all requests have ended or ctx ends.
 func RunOpenLoop(
 	ctx context.Context, arrivals *PoissonArrivals, start time.Time, duration time.Duration, maxInFlight int,
 	issue func(due time.Time, n int, done func()), dropped func(due time.Time, n int),
--- a/internal/lab/oracle/tokenbucket.go
+++ b/internal/lab/oracle/tokenbucket.go
@@ -8,8 +8,8 @@
 )
 
 // TokenBucket is the quota of one customer. Its methods are safe for concurrent use, since all gateways share the bucket.
-// The parameter now of a method is the time since the start of the load, when the bucket is full. If now is earlier than
-// in a previous call, the method uses the latest time of the previous calls instead.
+// The bucket is full at the start of the load. The parameter now of a method is the time since that start. If now is
+// earlier than in a previous call, the method uses the latest time of the previous calls instead.
 type TokenBucket struct {
 	rate  float64 // units a second; 0: there is no quota
 	burst float64 // units
@@ -34,8 +34,8 @@
 }
 
 // Take charges an attempt to the quota, and reports whether the attempt is within the quota. It is called when the
-// attempt is first forwarded to a backend. If the bucket holds at least these units, Take removes them.
-// Otherwise, the attempt is over quota, and Take removes no units.
+// attempt is first forwarded to a backend. The parameter units is the cost of the attempt. If the bucket holds at least
+// that many units, Take removes them. Otherwise, the attempt is over quota, and Take removes no units.
 func (b *TokenBucket) Take(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,8 +50,8 @@
 	return true
 }
 
-// CanTake reports whether the bucket holds at least these units. If it returns true for a rejected attempt, the attempt
-// was within the quota when it was rejected.
+// CanTake reports whether the bucket holds at least the given number of units. If CanTake returns true for a rejected
+// attempt, the attempt was within the quota when it was rejected.
 func (b *TokenBucket) CanTake(now time.Duration, units float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -53,7 +53,7 @@
 
 // checkCase holds the records of one request, and the invariant that they violate.
 type checkCase struct {
-	violated        Invariant // "": none
+	violated        Invariant // "": the records violate no invariant
 	change          func(*ClientAttempt)
 	clientAttempt   ClientAttempt
 	backendAttempts []BackendAttempt
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,12 +1,13 @@
 // Package soak runs gateways, each in its own process, injects random faults, and checks the outcome of every request.
 // Gateways get signals, are paused, killed and restarted. Backends hang, drain and return, and discovery has outages.
-// Clients keep using open connections until the SIGKILL, write slowly, disconnect, or use up the file descriptors of a
-// gateway. Proxies in front of gateways and backends delay and split bytes; those in front of backends also reset
-// connections.
+// Clients use a connection until the gateway closes it or gets SIGKILL. Some clients write slowly or disconnect. Idle
+// connections can use up the file descriptors of a gateway. Proxies in front of gateways and backends delay and split
+// bytes. The proxies in front of backends also reset connections.
 //
 // NewPlan generates a plan from a seed, Run carries it out, and Check examines the records. Clients and backends keep
-// their records separately, with times on one monotonic clock. Check joins them by the ids of the requests, and reports
-// each request that was lost, answered late, executed twice, sent to a backend with too long a timeout, or sent to a
-// backend after its client had disconnected. The invariants are those of the protocol's description.
+// their records separately, with times on one monotonic clock. Check joins the records by the ids of the requests. It
+// reports each request that was lost, answered late or executed twice. It also reports each request that was sent to a
+// backend with too long a timeout, or after the request's client had disconnected. The protocol's description defines
+// the invariants (see Invariant).
 // Requests whose missing response the description excuses are counted separately.
 package soak
--- a/internal/lab/soak/gatewaynode.go
+++ b/internal/lab/soak/gatewaynode.go
@@ -19,12 +19,12 @@
 	options GatewayOptions
 	proxy   *Proxy
 
-	// Owned by the goroutine that currently starts or stops the gateway.
+	// The goroutine that currently starts or stops the gateway owns the two fields below.
 	process *gatewayprocess.Gateway // the running process; nil: none
 	current Process                 // record of the running process
 
 	mu             sync.Mutex
-	processNumber  int  // number of the running process or, if none is running, of the last one
+	processNumber  int  // number of the running process, or of the last process if none is running
 	inRotation     bool // clients open new connections to the gateway
 	lastHardKilled int  // number of the last process with a hard kill; 0: none
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -14,7 +14,7 @@
 // Process is the record of one process of a gateway, from its start to its end.
 type Process struct {
 	Gateway    int // number of the gateway
-	Number     int // number of the process among those of the gateway, from 1
+	Number     int // number of the process among the gateway's processes, from 1
 	StartedAt  time.Duration
 	ReadyAt    time.Duration
 	SigtermAt  time.Duration // time of the first SIGTERM; 0: the process got no SIGTERM
@@ -23,7 +23,7 @@
 	Err        error         // result of the process; nil only for exit status 0
 	Log        string        // last part of the log of the process
 	signals    []signalRecord
-	hardKilled bool // hard kill (see Stop), or SIGKILL because the run ended before the process was ready
+	hardKilled bool // the process got a hard kill (see Stop), or SIGKILL as the run ended before it was ready
 	neverReady bool
 }
 
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -79,7 +79,7 @@
 	maxOutOfRotationDelay = 400 * time.Millisecond
 	maxOutage             = 3 * time.Second
 
-	lowDescriptorLimit     = 192 // limit in plans with equally many idle connections, which use up the descriptors
+	lowDescriptorLimit     = 192 // DescriptorLimit and IdleConns of some plans; idle connections use up the descriptors
 	defaultDescriptorLimit = 1024
 )
 
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -52,7 +52,7 @@
 }
 
 // SetBlackhole begins or ends a blackhole. The proxy drops all further bytes of each connection that is open during a
-// blackhole, until the client or the target closes the connection. This continues after the end of the blackhole.
+// blackhole, until the client or the target closes the connection. It also drops them after the end of the blackhole.
 // Connections that are opened after the end of the blackhole are forwarded as usual.
 func (p *Proxy) SetBlackhole(on bool) {
 	p.mu.Lock()
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	minServiceTime = 2 * time.Millisecond // service times of backends are between minServiceTime and maxServiceTime
+	minServiceTime = 2 * time.Millisecond // shortest service time of a backend
 	maxServiceTime = 40 * time.Millisecond
-	hangLead       = 200 * time.Millisecond // how long before a stop (Stop.At) backends begin to hang
+	hangLead       = 200 * time.Millisecond // time before Stop.At at which backends begin to hang
 )
 
 // standins are the stand-ins of a run: backends and discovery. Gateways reach each of them through a proxy. The
--- a/internal/lab/soak/stops.go
+++ b/internal/lab/soak/stops.go
@@ -11,8 +11,8 @@
 	"amberlb/internal/lab/ctxtime"
 )
 
-// stopLead is how long before Stop.At the handling of a stop begins. A plan may send other signals at most stopLead
-// before SIGTERM.
+// stopLead is the time from the start of the handling of a stop to Stop.At. A plan may send other signals at most
+// stopLead before SIGTERM.
 const stopLead = time.Second
 
 // runStops carries out the planned stops of one gateway, each with the restart after it.
@@ -37,8 +37,8 @@
 	}
 }
 
-// stopProcess carries out a stop: it sends the signals and, if the process is still running at the time of the SIGKILL,
-// the SIGKILL too. It returns once the process has ended.
+// stopProcess carries out a stop and returns once the process has ended. Unless the stop is a hard kill, it sends the
+// signals of the stop. If the process is still running when the SIGKILL is due, it also sends the SIGKILL.
 func (r *runner) stopProcess(n *gatewayNode, stop Stop) {
 	if stop.HardKill {
 		r.hardKillProcess(n, stop)
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -7,11 +7,11 @@
 	codeEndpointUpdate     = 17 // Sync: discovery sent an instance the endpoint list, or changes to it
 	codeRequest            = 18 // Ask: a client sent a request
 	codeResponseStarted    = 19 // Established: a streamed response has started
-	codeAttemptEnd         = 20 // AttemptEnd: an attempt has ended, which is reported once
+	codeAttemptEnd         = 20 // AttemptEnd: an attempt has ended; the end is reported once
 	codeClientDisconnected = 21 // Aborted: the client of a request has disconnected
 	codeTimerFired         = 22 // Alarm: a timer has expired
 	codeProbeResult        = 23 // Checked: a health check of a backend has a result
-	codePeerMessage        = 24 // PeerData: a message from another instance
+	codePeerMessage        = 24 // PeerData: another instance sent a message
 	codeStopInstance       = 25 // Teardown: the instance was killed
 	codeCounterReply       = 26 // CounterReply: the counter replied to an addition
 	codeDefineEndpointList = 27 // Manifest: defines a numbered endpoint list, for Sync records of any instance
@@ -29,5 +29,5 @@
 	codePollEndpoints   = 88 // StreamChanges: subscribe to the changes of the endpoint list, or unsubscribe
 	codeFailRequest     = 89 // Abort: final answer that fails a request, which may have taken effect
 	codeSendAttempt     = 91 // PassOn: send an attempt to a backend
-	codeLog             = 92 // Log: a line for the simulator's report
+	codeLog             = 92 // Log: add a line to the simulator's report
 )
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -75,7 +75,7 @@
 // decodeEndpointUpdate decodes an update of the endpoint list and resolves the list number in it.
 func (d *Decoder) decodeEndpointUpdate(c *cursor) (policy.Event, error) {
 	form := c.u8()
-	c.u32() // version, not needed: updates arrive in order and without gaps
+	c.u32() // the version is not needed, since updates arrive in order and without gaps
 	number := c.u32()
 	if c.truncated {
 		return nil, nil
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,8 +10,8 @@
 
 const (
 	replyHeaderSize = 12 // size in bytes of a reply header: length, number of records and sequence number
-	replyLengthSize = 4  // size in bytes of the length field; the length counts the bytes after it
-	pollOn          = 1  // value of the field of a codePollEndpoints record: subscribe
+	replyLengthSize = 4  // size in bytes of the length field; the length counts the bytes after that field
+	pollOn          = 1  // value that subscribes, in the field of a codePollEndpoints record
 )
 
 // Reply encodes the actions of all instances in response to one batch. Reset must be called before any other
