--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -36,9 +36,9 @@
 	deadline       float64            // latest end of the attempt, in seconds of the loop's clock
 	socketDeadline time.Time          // deadline as a time.Time, for socket operations
 	ctx            context.Context    // bounds the wait for a connection
-	cancelContext  context.CancelFunc // may be called from any goroutine
+	cancelContext  context.CancelFunc // ends ctx; may be called from any goroutine
 
-	ended bool // owned by the event loop
+	ended bool // the attempt is no longer in flight; owned by the event loop
 
 	mu           sync.Mutex   // guards the fields below
 	conn         *backendConn // nil while no connection is attached
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -27,7 +27,7 @@
 	responseLimit *io.LimitedReader // reads from Conn and limits the size of a response
 	reader        *bufio.Reader     // reads from responseLimit
 	writer        *bufio.Writer     // writes to Conn
-	endpoint      *endpoint         // constant
+	endpoint      *endpoint         // endpoint to which the connection was dialed; constant
 	idleSince     time.Time         // start of the idle time; zero while an attempt uses the connection
 	idleFor       time.Duration     // idle time before the current use; 0 for a new connection
 }
--- a/internal/gateway/clientconnections.go
+++ b/internal/gateway/clientconnections.go
@@ -83,7 +83,7 @@
 		conn := e.Value.(*clientConn)
 		idleFor := now.Sub(conn.lastActive)
 		if idleFor < minEvictionGrace || idleFor < evictionGrace && remaining < c.maxConns {
-			return // the connections behind this one in the list were active later
+			return // the connections further back in the list were active later
 		}
 		if c.evict(conn) {
 			evicted++
--- a/internal/gateway/clientphase.go
+++ b/internal/gateway/clientphase.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// connPhase says whether a client's connection is idle, is receiving a request or has an open request.
+// connPhase says whether a client's connection is idle, is receiving a request or has an open request. A
+// connection's request is open from the time at which the HTTP server has read the request's header until the request
+// has been answered.
 type connPhase int32
 
 // The phases of a connection.
 const (
 	phaseIdle      connPhase = iota // no byte of a request has arrived since the accept or the last answer
-	phaseReading                    // a part of a request has arrived
-	phaseOpen                       // a request is open
+	phaseReading                    // bytes of a request have arrived, but the header has not been read to its end
+	phaseOpen                       // the header of a request has been read, and the request is unanswered
 	connPhaseCount                  // the number of phases
 )
 
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -38,7 +38,7 @@
 
 	mu        sync.Mutex // guards the fields below, backendConn.idleSince, and endpoint's conns, idleConns and retired
 	endpoints map[policy.BackendID]*endpoint
-	openConns int // number of open connections and running dials, including those to retired endpoints
+	openConns int // number of open connections and running dials, also to retired endpoints
 }
 
 // newConnectionPools returns connectionPools without endpoints. backendIdleTimeout is the idle time after which a
@@ -95,7 +95,7 @@
 		idleTime := time.Since(conn.idleSince)
 		// Surplus bytes after the last response may still arrive, and would be read as the next response.
 		if idleTime < reuseDelay {
-			continue // stays idle, and can be evicted at the connection limit
+			continue // the connection stays idle, and can be evicted at the connection limit
 		}
 		e.idleConns = slices.Delete(e.idleConns, n, n+1)
 		if idleTime < reuseLimit && isOpenWithoutInput(conn.Conn) {
@@ -208,7 +208,7 @@
 	}
 }
 
-// retireAll retires all endpoints and closes their connections, including those in use.
+// retireAll retires all endpoints and closes their connections, even connections in use.
 func (p *connectionPools) retireAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/counterclient.go
+++ b/internal/gateway/counterclient.go
@@ -47,7 +47,7 @@
 	address       atomic.Pointer[string]
 	timeout       time.Duration // timeout of a call and of a dial
 	idleEstimator idleLimitEstimator
-	queues        [counterStreams]chan *counterCall // one per stream
+	queues        [counterStreams]chan *counterCall // queues of calls, one per stream
 	readers       sync.WaitGroup                    // the reader goroutines, one per connection
 }
 
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // number of a stream's connections at which a blocked one stays in use
+	maxConnsPerStream       = 4               // number of connections at which a stream keeps a blocked connection
 	counterIdleTimeout      = 5 * time.Second // maximum idle time of a connection; well below the counter's limit of 10 s
 	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
@@ -20,14 +20,14 @@
 	client    *counterClient
 	conn      *counterConn // connection in use; if nil, the next call dials a new connection
 	lastUsed  time.Time    // time at which the last call was written
-	openConns atomic.Int64 // number of the stream's connections, including retired ones that are not closed yet
+	openConns atomic.Int64 // number of the stream's connections, including retired connections that are not closed yet
 }
 
 // send writes a call, on a new connection if the current connection can't be used. If the call is abandoned or can't be
 // written, send reports the call's outcome.
 func (s *counterStream) send(ctx context.Context, call *counterCall) {
 	if call.abandoned.Load() {
-		call.report(call, policy.TimedOut, 0) // not written, so nothing was added
+		call.report(call, policy.TimedOut, 0) // the call was not written, so the amount was not added
 		return
 	}
 	idleFor := time.Since(s.lastUsed)
--- a/internal/gateway/countertotal.go
+++ b/internal/gateway/countertotal.go
@@ -32,9 +32,10 @@
 }
 
 // readTotal reads the response to a call. It returns the outcome for the response's status, and also the total if the
-// outcome is policy.Served. A malformed or incomplete response gives policy.Failed: the amount counts as added, and the
-// total is unknown. An unexpected status gives policy.ConnectionReset: it is unknown whether the amount was added.
-// After an error, no further response can be read from the connection.
+// outcome is policy.Served. Status 503 gives policy.Rejected. Status 400 or 404 gives policy.ConnectFailed: the counter
+// has refused the call, so the amount was not added. A malformed or incomplete response gives policy.Failed: the amount
+// counts as added, and the total is unknown. An unexpected status gives policy.ConnectionReset: it is unknown whether
+// the amount was added. After an error, no further response can be read from the connection.
 func readTotal(reader *bufio.Reader, request *http.Request) (policy.Outcome, float64, error) {
 	resp, err := http.ReadResponse(reader, request)
 	if err != nil {
@@ -54,7 +55,7 @@
 	case http.StatusServiceUnavailable:
 		return policy.Rejected, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound:
-		return policy.ConnectFailed, 0, nil // nothing was added
+		return policy.ConnectFailed, 0, nil // the counter has refused the call, so the amount was not added
 	}
 	return policy.ConnectionReset, 0, &counterStatusError{resp.Status}
 }
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -255,7 +255,7 @@
 		maxUnits = math.MaxInt32
 	}
 	fleetSize := f.deployment.FleetSize
-	return decoded.Units > 0 && decoded.Units <= maxUnits && // false for NaN
+	return decoded.Units > 0 && decoded.Units <= maxUnits && // the comparison is false for NaN
 		decoded.Gateways >= 1 && decoded.Gateways <= fleetSize &&
 		decoded.FirstGateway >= 0 && decoded.FirstGateway < fleetSize
 }
--- a/internal/gateway/discoverytimeouts.go
+++ b/internal/gateway/discoverytimeouts.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Parameters of the timeouts for polls of discovery. A gateway is required to receive a change of the endpoint list
-// within 6 s, even if one poll fails. The 6 s begin when discovery has the change and can be reached. Therefore three
-// times must add up to 6 s at most: the timeout of a poll that gets no response, watchRetryDelay, and the time that the
-// response to the next poll takes. TestMissedChangeArrivesInTime checks this sum. The sum is largest for a gateway
-// that has no endpoint list yet and whose drain grace (see newPollTimeouts) is so long that the upper bounds below
-// apply: maxFirstListTimeout, watchRetryDelay and maxWatchResponseTime add up to 6 s.
+// Parameters of the timeouts for polls of discovery. The values meet two requirements:
 //
-// After a failed poll, the next poll must begin within 200 ms, because discovery forgets the watch after 200 ms.
-// Therefore watchRetryDelay is below 200 ms.
+//  1. A change of the endpoint list arrives within 6 s after discovery has the change and can be reached, even if one
+//     poll fails. The delay has three parts: the timeout of the failed poll, watchRetryDelay and the response
+//     time of the next poll. The worst case is a gateway that has no endpoint list yet and has a long drain grace (see
+//     newPollTimeouts): maxFirstListTimeout + watchRetryDelay + maxWatchResponseTime = 6 s.
+//     TestMissedChangeArrivesInTime checks the sum.
+//  2. After a failed poll, the next poll begins within 200 ms, because discovery forgets the watch after 200 ms.
+//     Therefore watchRetryDelay is below 200 ms.
 const (
 	longPollShare        = 0.5                     // pollTimeouts.longPoll as a share of the drain grace
 	responseTimeShare    = 0.25                    // pollTimeouts.response as a share of the drain grace
 	minResponseTime      = 200 * time.Millisecond  // lower bound of pollTimeouts.response
 	maxWatchResponseTime = 1400 * time.Millisecond // upper bound of pollTimeouts.response
 	maxFirstListTimeout  = 4500 * time.Millisecond // upper bound of fullListTimeout while no list is in use
-	watchRetryDelay      = 100 * time.Millisecond  // delay after a failed poll
+	watchRetryDelay      = 100 * time.Millisecond  // time between a failed poll and the next poll
 )
 
 // pollTimeouts holds the timeouts for polls of discovery.
@@ -37,7 +37,7 @@
 	}
 }
 
-// watchTimeout returns the timeout of a watch, including its response.
+// watchTimeout returns the timeout of a watch. The timeout covers the wait for a change and the response.
 func (p pollTimeouts) watchTimeout() time.Duration { return p.longPoll + p.response }
 
 // fullListTimeout returns the timeout of a poll for the full list. timeoutsInRow is the number of polls for the full
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -105,7 +105,7 @@
 func (l *eventLoop) respondServed(req *clientRequest, result attemptResult) {
 	l.metrics.add(requestsServed)
 	header := forwardedHeaders(result.header)
-	header.Del(loadHeader) // meant for gateways only
+	header.Del(loadHeader) // the header is meant for gateways only
 	l.respond(req.policyRequest.ID, clientResponse{status: http.StatusOK, header: header, body: result.body})
 }
 
@@ -126,9 +126,9 @@
 	l.finishAttempt(a, attemptResult{outcome: outcome})
 }
 
-// cancelUnsentAttempts cancels the attempts of a request that have not been fully written, after the client has
-// disconnected. The engine may leave these attempts running. An attempt that is being written would then be completed,
-// and an attempt that waits for a connection would go on dialing.
+// cancelUnsentAttempts cancels each attempt of a request unless the request has been fully written to the attempt's
+// backend. It is called after the client has disconnected. The engine may leave unsent attempts running. An attempt
+// that is being written would then be completed, and an attempt that waits for a connection would go on dialing.
 func (l *eventLoop) cancelUnsentAttempts(req *clientRequest) {
 	for _, a := range req.attempts {
 		if !a.ended && a.cancelUnsent() {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,16 +9,16 @@
 // drainPollInterval is the longest time for which awaitClosed waits before it looks for idle connections again.
 const drainPollInterval = 100 * time.Millisecond
 
-// drain closes the idle connections, and from now on every connection that becomes idle. It leaves a connection open if
-// no request has been read from the connection yet, because the first request is about to arrive. Requests that are
-// incomplete at readCutoff are rejected.
+// drain closes the idle connections. It leaves a connection open if no request has been read from the connection yet,
+// because the first request is about to arrive. After the call, each connection is closed when its requests have been
+// answered. Requests that are incomplete at readCutoff are rejected.
 func (c *clientConnections) drain(readCutoff time.Time) {
 	c.setReadCutoff(readCutoff)
 	c.closeIdle(func(conn *clientConn) bool { return !conn.isNew })
 }
 
-// setReadCutoff sets the time at which incomplete requests are rejected, including requests that have already begun to
-// arrive.
+// setReadCutoff sets the time at which incomplete requests are rejected. The time also applies to requests that have
+// already begun to arrive.
 func (c *clientConnections) setReadCutoff(readCutoff time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,12 +39,12 @@
 	return http.StatusRequestTimeout
 }
 
-// closeAllIdle closes all idle connections, including those from which no request has been read yet, and from now on
-// every connection that becomes idle.
+// closeAllIdle closes all idle connections, even if no request has been read from them yet. After the call, each
+// connection is closed when its requests have been answered.
 func (c *clientConnections) closeAllIdle() { c.closeIdle(func(*clientConn) bool { return true }) }
 
-// closeIdle closes the idle connections for which matches returns true, and from now on every connection that becomes
-// idle.
+// closeIdle closes the idle connections for which matches returns true. After the call, each connection is closed when
+// its requests have been answered.
 func (c *clientConnections) closeIdle(matches func(*clientConn) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -35,7 +35,7 @@
 	stopped  chan struct{}  // closed when run returns
 	attempts sync.WaitGroup // attempts for which the transport has not called onDone
 
-	counterCalls           atomic.Uint64 // number of calls to the counter, with calls rejected before they were sent
+	counterCalls           atomic.Uint64 // number of counter calls, including calls rejected before they were sent
 	counterCallsUnanswered atomic.Uint64 // number of these calls that ended without a response
 
 	requests           map[policy.RequestID]*clientRequest // open requests: unanswered, or with attempts in flight
@@ -82,8 +82,8 @@
 	}
 }
 
-// postEndpointList sends the loop a response from discovery, as a policy.FullList if Reset is set and otherwise as a
-// policy.DeltaList.
+// postEndpointList sends the loop an endpoint list from discovery. The kind of the list is policy.FullList if Reset is
+// set, and policy.DeltaList otherwise.
 func (l *eventLoop) postEndpointList(list EndpointList) {
 	kind := policy.DeltaList
 	if list.Reset {
@@ -146,7 +146,7 @@
 func (l *eventLoop) handleEvent(event policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, event)
 	if len(l.pendingEvents) > 1 {
-		return // the outer call handles it
+		return // the outer call handles the event
 	}
 	for n := 0; n < len(l.pendingEvents); n++ {
 		l.actions = l.engine.Handle(l.clock.now(), l.pendingEvents[n], l.actions[:0])
--- a/internal/gateway/idlelimit.go
+++ b/internal/gateway/idlelimit.go
@@ -10,8 +10,8 @@
 const (
 	minBucketIdleTime = 25 * time.Millisecond // beginning of the first bucket; shorter idle times are always allowed
 	idleBucketCount   = 10                    // number of buckets; each begins at twice the start of the previous one
-	minBreaks         = 3.0                   // minimum weight of the broken reuses in a bucket that sets the limit
-	minBreakShare     = 1.0 / 3               // minimum share of broken reuses in a bucket that sets the limit
+	minBreaks         = 3.0                   // minimum number of breaks, after decay, for a bucket to set the limit
+	minBreakShare     = 1.0 / 3               // minimum share of reuses with a break for a bucket to set the limit
 	idleDecayTime     = 20 * time.Second      // time in which the weight of an observation falls to 1/e
 )
 
@@ -22,8 +22,8 @@
 // counter call that ended in a reset may have added its units to the total.
 //
 // Some peers break connections at random, regardless of the idle time. The estimator therefore uses, for each range of
-// idle times, the share of reuses that broke. In a range with few reuses, this share may be high by chance. New
-// connections then replace idle ones without need, until the observations have lost their weight.
+// idle times, the share of reuses in which the connection broke. In a range with few reuses, this share may be high by
+// chance. New connections then replace idle ones without need, until the observations have lost their weight.
 //
 // The zero value has no observations and is ready to use. The methods are safe for concurrent use.
 type idleLimitEstimator struct {
@@ -32,8 +32,8 @@
 	decayedAt time.Time // when the weights of the observations were last updated
 }
 
-// idleBucket counts the reuses of connections in one range of idle times. The counts decay over time. The range of a
-// bucket ends where the next bucket begins; the last bucket has no upper end.
+// idleBucket counts the reuses of connections in one range of idle times, by whether the connection broke. The counts
+// decay over time. The range of a bucket ends where the next bucket begins; the last bucket has no upper end.
 type idleBucket struct {
 	worked float64
 	broke  float64
--- a/internal/gateway/idlelimit_test.go
+++ b/internal/gateway/idlelimit_test.go
@@ -10,7 +10,8 @@
 	"amberlb/policy"
 )
 
-// The limit depends on the number and the share of reuses that broke, and old observations lose their weight.
+// The limit depends on the number and the share of reuses in which the connection broke. Old observations lose their
+// weight.
 func TestIdleLimit(t *testing.T) {
 	const noLimit = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -49,7 +49,7 @@
 // range.
 func (l *eventLoop) unusedRequestID() policy.RequestID {
 	for {
-		l.lastRequestID = max(l.lastRequestID+1, 1) // 0 means no request
+		l.lastRequestID = max(l.lastRequestID+1, 1) // the id 0 means no request
 		if _, taken := l.requests[l.lastRequestID]; !taken {
 			return l.lastRequestID
 		}
@@ -78,7 +78,7 @@
 		return
 	}
 	req.unanswered = false
-	req.response <- response // never blocks: capacity 1, and one answer per request
+	req.response <- response // the send never blocks: the channel has capacity 1, and each request gets one answer
 	l.removeIfDone(req)
 }
 
--- a/internal/gateway/stallablegateway_test.go
+++ b/internal/gateway/stallablegateway_test.go
@@ -21,7 +21,7 @@
 type stallableGateway struct {
 	loop    *eventLoop
 	address string
-	gate    atomic.Pointer[chan struct{}] // stalls the loop at its next endpoint list until closed; nil: no stall
+	gate    atomic.Pointer[chan struct{}] // if not nil, the loop stalls at its next list until this channel is closed
 	stalled chan struct{}                 // receives a value when the loop is stalled
 }
 
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -84,7 +84,7 @@
 
 // timerEntry is a timer in the queue with its time.
 type timerEntry struct {
-	at    float64 // seconds of the loop's clock
+	at    float64 // time at which the timer is due, in seconds of the loop's clock
 	timer timer
 }
 
