--- a/policy/admission.go
+++ b/policy/admission.go
@@ -44,9 +44,10 @@
 }
 
 // answerBy returns the clock time by which an arriving request is to be answered. This is timingMargin before
-// the client's deadline, or the end of the latency objective if the objective ends earlier, since later
-// answers earn nothing. The objective does not count for two kinds of class: classes whose late answers earn
-// a share of the weight, and classes whose objective grows with the request's work.
+// the client's deadline, or the end of the latency objective if that end comes first, since answers after it
+// earn nothing. No margin is subtracted from the end of the objective, but the time that
+// timeSpentBeforeRetry returns is. The objective does not count for two kinds of class: classes whose late
+// answers earn a share of the weight, and classes whose objective grows with the request's work.
 func (e *Engine) answerBy(arrival Request, class *Class) float64 {
 	deadline := arrival.Deadline - e.timingMargin()
 	if class.LateWeightShare != 0 || class.ObjectivePerUnit != 0 {
--- a/policy/countercall.go
+++ b/policy/countercall.go
@@ -14,11 +14,11 @@
 	customer       *customer
 	name           uint64  // name of the window's total at the counter
 	window         float64 // number of the window
-	refill         float64 // units; the window's refill when the call was made
+	refill         float64 // units; the window's refill when the call, or the call that it corrects, was made
 	spent          float64 // units that the call reports as spent; below 0: units that it returns
 	adjustment     float64 // units of overflow, or a correction of the total, which may be below 0
 	leaseUnits     float64 // units of the requested lease; 0: no lease is requested
-	isLeaseRequest bool    // requests wait for the reply; the call requests a lease or only reads the total
+	isLeaseRequest bool    // the call was made for waiting requests, to request a lease or to read the total
 	carriedOver    bool    // adjustment includes the balance that is carried over from the window before
 }
 
@@ -61,8 +61,8 @@
 	return call
 }
 
-// newCorrection returns a call that corrects the total of an earlier call's window by the given units, which
-// may be below 0.
+// newCorrection returns a call that changes the total of the receiver's window by the given units, which may
+// be below 0.
 func (call *counterCall) newCorrection(units float64) counterCall {
 	return counterCall{customer: call.customer, name: call.name, window: call.window, adjustment: units}
 }
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -104,7 +104,7 @@
 
 // reclaimLease handles a call whose amount the counter has added, although no lease was granted. It subtracts
 // the lease units from the unreported units, and the next report thus takes them back. It does nothing if the
-// call's window is over.
+// call requested no lease or its window is over.
 //
 // Under deferred reporting, the adjustment is taken back too, since overflow is determined and added again.
 // Under upfront leasing, the adjustment stays in the total: without the overflow that is added at the start
--- a/policy/counterwindow.go
+++ b/policy/counterwindow.go
@@ -14,10 +14,13 @@
 //
 // Overflow is refill that arrives while the bucket is full. A token bucket discards the overflow. Here the
 // gateways add the overflow to the total, so that the total does not fall behind the refill.
+//
+// lastTotal is the total after the last reply that this gateway applied in the window, as corrected by this
+// gateway.
 type counterWindow struct {
 	number    float64 // a whole number that grows from window to window; -1: no window was entered yet
 	name      uint64  // name of the window's total at the counter
-	lastTotal float64 // units in the total as this gateway last saw it; 0: not seen yet
+	lastTotal float64 // units; the total after the last applied reply; 0: no reply was applied yet
 }
 
 // enterWindow enters the present window. When a new window begins under upfront leasing, it drops the
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -102,8 +102,8 @@
 	return d.nextID
 }
 
-// grantCounterCalls replies to each counter call among the actions with a total equal to the amount of the call, as for
-// the first call for a name. It returns the actions that follow from the replies.
+// grantCounterCalls replies to each counter call among the actions with a total equal to the amount of the call, as if
+// the call were the first for its name. It returns the actions that follow from the replies.
 func (d *engineDriver) grantCounterCalls(actions []Action) (all []Action) {
 	for _, c := range actionsOf[CounterAdd](actions) {
 		all = append(all, d.engine.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -37,8 +37,8 @@
 	return false
 }
 
-// requestLease calls the counter for a lease, unless the call is shed. The call also reports the customer's
-// unreported units.
+// requestLease makes a call that requests a lease or only reads the total (see deferredLeaseUnits), unless
+// the call is shed. The call also reports the customer's unreported units.
 func (e *Engine) requestLease(c *customer) {
 	if e.shedCounterCall(c) {
 		return
--- a/policy/quotaparameters.go
+++ b/policy/quotaparameters.go
@@ -7,17 +7,17 @@
 
 	// Deferred reporting. With a refill below minRefillPerGateway, a gateway would report too rarely.
 	minRefillPerGateway = 4.0 // lowest refill per gateway of a large gateway set, in units per window
-	largeSetLocalBurst  = 5.0 // bound of localBurst in a large set: in units, and in equal parts of the burst
+	largeSetLocalBurst  = 5.0 // upper bounds of localBurst in a large set: units, and equal parts of the burst
 	smallSetTolerance   = 0.8 // burstTolerance of a small gateway set, as a share of the burst
 	largeSetTolerance   = 2.0 // burstTolerance of a large gateway set, as a multiple of the burst
 
 	// A ceiling. A fixed window may grant more than ceilingLeaseShare if each local bucket would otherwise hold
 	// less than one unit (see divideCeilingForFixedWindows).
-	ceilingLeaseShare = 0.22 // share of the ceiling's burst that a fixed window usually grants at most
+	ceilingLeaseShare = 0.22 // limit of the units that a fixed window grants, as a share of the ceiling's burst
 
 	// Parameters of the rate that replaces a concurrency limit (see useConcurrencyRate).
 	concurrencyUtilization = 0.65 // share of the concurrency limit that the rate uses on average
-	concurrencyRateWindow  = 1.0  // duration in seconds of the fixed windows of the rate
+	concurrencyRateWindow  = 1.0  // seconds; duration of a fixed window while the rate replaces the limit
 )
 
 // quotaParameters is a plan as it applies to one customer at one gateway. The zero value is a plan without
@@ -55,7 +55,7 @@
 
 	localRate       float64 // units per second that the local tokens earn
 	localBurst      float64 // size of the bucket of local tokens in units
-	admitsOverQuota bool    // requests over quota earn more than they cost, so local tokens admit them
+	admitsOverQuota bool    // local tokens also admit requests over quota (see applyCeiling)
 
 	concurrencyLimit int // attempts in flight over all gateways; 0: no limit
 	localConcurrency int // this gateway's part of concurrencyLimit
@@ -137,10 +137,11 @@
 
 // applyCeiling divides a plan's ceiling between leases and local tokens, which together never exceed it.
 //
-// In any period of L seconds, leases spend at most this many units:
-//   - in refilling windows: burst*(1+leaseLifetimeShare) + rate*L, and 2*initialBalance more if the counter
-//     loses its totals;
-//   - in fixed windows: burst*(2+leaseLifetimeShare) + rate*L.
+// The bounds below use the fields burst, rate and initialBalance of q after the division. In any period of L
+// seconds, leases spend at most:
+//   - burst*(1+leaseLifetimeShare) + rate*L units in refilling windows, and 2*initialBalance more if the
+//     counter loses its totals;
+//   - burst*(2+leaseLifetimeShare) + rate*L units in fixed windows.
 //
 // Local tokens get the rest of the ceiling's burst and rate.
 //
@@ -168,8 +169,8 @@
 }
 
 // divideCeilingForFixedWindows divides a ceiling's burst if leases use fixed windows. A window grants at most
-// ceilingLeaseShare of the ceiling's burst, or more if each local bucket would otherwise hold less than one
-// unit. The gateways' local buckets share equally the units that leases do not need.
+// ceilingLeaseShare of the ceiling's burst, unless each local bucket would then hold less than one unit.
+// The gateways' local buckets share equally the units that leases do not need.
 func (q *quotaParameters) divideCeilingForFixedWindows(p *Plan) {
 	q.burst = min(p.Burst, p.CeilingBurst*ceilingLeaseShare)
 	if q.localCeilingBurst(p) < 1 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -272,7 +272,7 @@
 	inFlight := make([][]pendingEnd, gateways)
 	rng := rand.New(rand.NewPCG(1, 1))
 	id := RequestID(0)
-	startedAt := 0.0                     // clock time at which the backends in slow start have started; 0: not started yet
+	startedAt := 0.0                     // clock time at which the backends in slow start started; 0: not started yet
 	var sendsStarting, sendsWarm [20]int // attempts by second since startedAt
 	handle := func(i int, event Event) {
 		for _, s := range actionsOf[SendAttempt](engines[i].Handle(now, event, nil)) {
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -4,9 +4,12 @@
 
 // Under upfront leasing, the gateways lease units from the counter before they spend them. quotaParameters
 // describes leases and windows; counterWindow describes total, refill and overflow.
+//
+// The wait for a refill lasts at most until the shared bucket has earned the units of maxRefillWaitRequests
+// requests. Under deferred reporting, the limit may be higher (see refillWaitLimit).
 
 const (
-	maxRefillWaitRequests = 3.0 // requests whose units the shared bucket earns in the longest wait for a refill
+	maxRefillWaitRequests = 3.0 // limit of the wait for a refill, as a number of requests
 	leaseLifetimeShare    = 0.5 // lifetime of a lease, as a share of the time in which the burst is earned
 )
 
@@ -27,9 +30,9 @@
 	return min(c.demand.rate, c.quota.maxPrefetch)
 }
 
-// upfrontOverflow returns the overflow that the next call adds to the total: the refill less the last total
-// that this gateway has seen in the window, but at least 0. If the gateway has seen no total in the window,
-// the returned units also lower the shared bucket to its initial balance.
+// upfrontOverflow returns the overflow that the next call adds to the total: the refill less lastTotal, but
+// at least 0. If this gateway has applied no total in the window yet, the returned units also lower the
+// shared bucket to its initial balance.
 func (c *customer) upfrontOverflow(refill float64) float64 {
 	if c.window.lastTotal == 0 {
 		// The window may be new at the counter. If another gateway has made the first call of the window
@@ -50,8 +53,8 @@
 	granted := affordableUnits(call.leaseUnits, available, requestUnits)
 	if granted < call.leaseUnits {
 		// Wait until the bucket holds the units of two requests. Another gateway may have added the same
-		// overflow as this gateway, and not have taken it back yet. The bucket then looks emptier than it is,
-		// so the wait is limited.
+		// overflow as this gateway, and its correction may be outstanding. The bucket then looks emptier than
+		// it is, so the wait is limited.
 		missing := min(2*requestUnits-available+granted, maxRefillWaitRequests*requestUnits)
 		c.exhaustedUntil = e.refilledAt(c, missing)
 		if !c.quota.smallGatewaySet {
@@ -73,8 +76,8 @@
 
 // totalBeforeLease returns the correct total without a call's lease. It subtracts the call's lease and
 // adjustment from the total that the call returned. The result is at least the refill. If the window is new
-// at the counter or the counter has lost its total, the result is also at least the last total that this
-// gateway has seen, and at least the total at which the shared bucket holds its initial balance.
+// at the counter or the counter has lost its total, the result is also at least lastTotal, and at least the
+// total at which the shared bucket holds its initial balance.
 func (c *customer) totalBeforeLease(call counterCall, total float64) float64 {
 	reportedTotal := total - call.adjustment - call.leaseUnits
 	correctedTotal := max(reportedTotal, call.refill)
