--- a/internal/gateway/hollow_test.go
+++ b/internal/gateway/hollow_test.go
@@ -35,9 +35,12 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { h.Run(ctx) })
-	stop = func() { cancel(); running.Wait() }
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		h.Run(ctx)
+	}()
+	stop = func() { cancel(); await(t, ended, "end of Run") }
 	t.Cleanup(stop)
 	await(t, h.Ready(), "list")
 	return h, stop
@@ -132,6 +135,22 @@
 	}
 }
 
+// A call to the counter that has no response when a hollow gateway stops must be counted as unanswered.
+func TestStoppedHollowCountsOpenCounterCall(t *testing.T) {
+	awaitCounterWindow(t, 7)
+	counter := newPeer(t)
+	// The call must not time out before the gateway stops.
+	settings := withCounter(counter, 0.001, 2, 3*testTimeout)(testSettings)
+	h, stop := runHollow(t, settings, counter.address(), constantLatency(0))
+	h.Submit(policy.Request{Customer: 7, Units: 2, FirstGateway: 1, Gateways: 2, Deadline: 15}, "one",
+		func() {}, func(int, float64) {})
+	counter.acceptRequest(t)
+	stop()
+	if made, unanswered := h.CounterCalls(); made != 1 || unanswered != 1 {
+		t.Errorf("%d calls made, %d of them unanswered, want 1 of 1", made, unanswered)
+	}
+}
+
 // An attempt at a backend that discovery does not list must fail without being sent.
 func TestHollowSendsNothingToUnlistedBackend(t *testing.T) {
 	transport := &hollowTransport{loop: &eventLoop{}, backend: constantLatency(0)}
