--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -36,7 +36,7 @@
 	attempts sync.WaitGroup // attempts for which the transport has not called onDone
 
 	counterCalls           atomic.Uint64 // number of calls to the counter, with calls rejected before they were sent
-	counterCallsUnanswered atomic.Uint64 // number of these calls that ended without a response
+	counterCallsUnanswered atomic.Uint64 // number of these calls that count as unanswered (see Hollow.CounterCalls)
 
 	requests           map[policy.RequestID]*clientRequest // open requests: unanswered, or with attempts in flight
 	openCorrelationIDs map[string]struct{}                 // correlation ids of the open requests
--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -56,10 +56,23 @@
 		parts.Go(func() { h.counter.run(ctx) })
 	}
 	parts.Wait()
+	h.countOpenCalls()
 	h.cancelAttempts()
 	h.loop.attempts.Wait()
 }
 
+// countOpenCalls counts the calls to the counter that are still open as unanswered. It is called after the loop has
+// ended, since the loop owns the calls, and no call ends after that.
+func (h *Hollow) countOpenCalls() {
+	for _, calls := range h.loop.pendingCalls {
+		for _, call := range calls {
+			if !call.ended {
+				h.loop.counterCallsUnanswered.Add(1)
+			}
+		}
+	}
+}
+
 // cancelAttempts cancels the attempts that are still in flight. It is called after the loop has ended, since the loop
 // owns the attempts.
 func (h *Hollow) cancelAttempts() {
@@ -108,7 +121,8 @@
 }
 
 // CounterCalls returns the number of calls that the engine made to the counter, and the number of them that ended
-// without a response. Both include calls that were rejected before they were sent.
+// without a response. Both include calls that were rejected before they were sent. After Run has returned, the
+// calls that were open when the event loop ended count as unanswered, too.
 func (h *Hollow) CounterCalls() (made, unanswered uint64) {
 	return h.loop.counterCalls.Load(), h.loop.counterCallsUnanswered.Load()
 }
