--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // requestArrived registers a new request and tries to admit it. A request that has too little time left is
-// rejected. Timers ensure that a request that stays open is answered in time.
+// rejected or failed, as rejectOrFail describes. Timers ensure that a request that stays open is answered in
+// time.
 func (e *Engine) requestArrived(arrival Request) {
 	req := e.newRequest(arrival)
 	if req.answerBy < e.now+e.latency.mean/2 {
--- a/policy/counteroverload.go
+++ b/policy/counteroverload.go
@@ -37,10 +37,11 @@
 	return true
 }
 
-// shedShareFor returns the share to shed of the calls for requests of the same kind as req, if shedShare of
-// all calls are to be shed. Requests are of the same kind if they have the same level and are all retries or
-// all first requests. Calls for retries are shed before calls for first requests. Within retries and
-// within first requests, calls for lower levels are shed before calls for higher levels.
+// shedShareFor returns the share of calls to shed among the calls for requests of the same kind as req. The
+// parameter shedShare is the share to shed among all calls. Requests are of the same kind if they have the
+// same level and are all retries or all first requests. Calls for retries are shed before calls for first
+// requests. Within retries and within first requests, calls for lower levels are shed before calls for higher
+// levels.
 func (e *Engine) shedShareFor(req *request, shedShare float64) float64 {
 	// shedBefore is the share of all calls that are shed before calls for requests of this kind. callShare is
 	// the share of calls for requests of this kind in all calls.
--- a/policy/counterreply.go
+++ b/policy/counterreply.go
@@ -122,14 +122,17 @@
 // its corrections that still apply, become unreported units again.
 func (c *customer) requeueReport(call counterCall) {
 	if c.quota.deferredReporting {
-		// Spent units may be reported in any window. A correction may be made only in its own window. The
-		// next call does not repeat an adjustment above 0, since overflow is determined again.
+		// Spent units may be reported in any window, so they are always repeated. An adjustment below 0 is a
+		// correction, which is repeated only in its own window. An adjustment above 0 is never repeated. It
+		// adds the balance carried over into a new window, or overflow, which is determined again.
 		c.unreportedUnits += call.spent
 		if call.window == c.window.number {
 			c.unreportedUnits += min(call.adjustment, 0)
 		}
 		return
 	}
+	// Under upfront leasing, units are repeated only in the call's own window and under the call's own name.
+	// The adjustment is repeated only if the call requested no lease.
 	if call.window == c.window.number && call.name == c.window.name {
 		c.unreportedUnits += call.spent
 		if call.leaseUnits == 0 { // else the adjustment is overflow, which is determined again
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -42,7 +42,7 @@
 	d.handle(CounterReply{Name: onlyAction[CounterAdd](t, out).Name, Total: 1000})
 	d.now += (maxRefillWaitRequests + 0.1) / d.engine.settings.Plans[1].Rate
 	next := onlyAction[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.windowRefill(1) // the other gateway has taken back its units, and the bucket is full
+	full := d.windowRefill(1) // total of a full bucket; the other gateway has taken back its units
 	onlyAction[SendAttempt](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
 }
 
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// answersUnderUnusualEvents sends one request among events that are unknown, repeated or out of order, and returns the
-// number of answers that the request got.
+// answersUnderUnusualEvents sends one request and returns the number of answers that the request got. The
+// request is sent among events that are repeated, out of order, or about unknown calls, attempts or requests.
 func answersUnderUnusualEvents(d *engineDriver, id RequestID, gateways int) (answered int) {
 	out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
 	for _, c := range actionsOf[CounterAdd](out) {
--- a/policy/upfrontleasing.go
+++ b/policy/upfrontleasing.go
@@ -43,9 +43,9 @@
 }
 
 // reconcileUpfront grants the lease that a call requested, as far as the returned total allows. In a
-// refilling window, it removes the units that were not granted from the total. In a fixed window, these units
-// stay in the total, and no gateway is granted more until the next window. Calls that remove the units would
-// double the number of calls.
+// refilling window, it subtracts from the total the units that were not granted. In a fixed window, these
+// units stay in the total, and no gateway is granted more until the next window. Calls that subtract the
+// units would double the number of calls.
 func (e *Engine) reconcileUpfront(c *customer, call counterCall, total float64) {
 	correctedTotal := c.totalBeforeLease(call, total)
 	requestUnits := c.nextRequestUnits()
