--- a/internal/gateway/acceptdelay.go
+++ b/internal/gateway/acceptdelay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// emptyQueueThreshold is the shortest duration of an Accept call that shows that the kernel's accept queue was empty
-// when the call began.
+// emptyQueueThreshold is a duration of an Accept call. If a call takes this long or longer, the kernel's accept queue
+// was empty when the call began.
 const emptyQueueThreshold = time.Millisecond
 
 // acceptDelay computes an upper bound on the time that a connection has waited in the kernel's accept queue. The
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -131,10 +131,12 @@
 }
 
 // applyReadDeadline sets the read deadline of the socket to readDeadline, with two exceptions. A closing connection
-// gets a deadline in the past. A connection on which a request is being read gets readCutoff if readCutoff is before
-// readDeadline. The caller holds table.mu. After each change of closing, readCutoff or readDeadline, applyReadDeadline
-// must be called, so that no deadline overwrites another. While the server watches the client of an open request for a
-// disconnect, readDeadline is zero and neither exception applies.
+// gets a deadline in the past, whatever readDeadline is. A connection on which a request is being read gets readCutoff
+// if readCutoff is before readDeadline. The caller holds table.mu.
+//
+// applyReadDeadline must be called after each change of closing, readCutoff or readDeadline. Apart from
+// rejectIncomplete, nothing else may set the read deadline of the socket. While the server watches the client of an
+// open request for a disconnect, closing is false and readDeadline is zero, so the socket has no read deadline.
 func (c *clientConn) applyReadDeadline() error {
 	readCutoff := c.table.readCutoff
 	switch {
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -192,7 +192,7 @@
 			id := fmt.Sprintf("disconnected-%d", extra)
 			conn, answers := g.sendRequest(t, requestText("GET", "lookup", "", correlationIDHeader, id))
 			counterConn, counterReader := counter.accept(t)
-			call, _ := readRequest(t, counterReader) // the request waits for units from the counter
+			call, _ := readRequest(t, counterReader) // the client's request now waits for the response to this call
 			io.WriteString(conn, strings.Repeat("x", extra))
 			conn.(*net.TCPConn).CloseWrite()
 			if resp := await(t, answers, "answer"); resp.StatusCode != http.StatusBadGateway || !resp.Close {
--- a/internal/gateway/counteroutage_test.go
+++ b/internal/gateway/counteroutage_test.go
@@ -181,7 +181,7 @@
 				t.Fatalf("the second call is to %s, want %s", secondWindow, window)
 			}
 			writeResponse(conn, http.StatusOK, strconv.FormatFloat(first+otherGatewayUnits+second, 'f', -1, 64))
-			_, third := nextCall() // returns the units that were added but not granted
+			_, third := nextCall() // subtracts the units that were certainly added but not granted
 			if remaining := first + second + third; first != 2 || math.Abs(remaining-c.wantLost) > 0.1 {
 				t.Errorf("calls added %g + %g + %g: %g units remain added, want %g", first, second, third, remaining, c.wantLost)
 			}
--- a/internal/gateway/counterstream.go
+++ b/internal/gateway/counterstream.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxConnsPerStream       = 4               // number of connections at which a stream keeps a blocked connection
+	maxConnsPerStream       = 4               // with this many open connections, a stream does not replace a blocked one
 	counterIdleTimeout      = 5 * time.Second // maximum idle time of a connection; well below the counter's limit of 10 s
 	counterIdlePollInterval = 1 * time.Second // time between two calls of retireIdle
 )
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -13,7 +13,7 @@
 // for the replies of the earlier calls.
 func TestCounterRepliesInCallOrder(t *testing.T) {
 	l := &eventLoop{pendingCalls: map[uint64][]*counterCall{}, engine: &policy.Engine{}}
-	l.pendingEvents = []policy.Event{nil} // as during an outer handleEvent, so replies are only queued
+	l.pendingEvents = []policy.Event{nil} // nil stands for an event being handled: handleEvent only queues the replies
 	first := &counterCall{key: 1, amount: 1}
 	second := &counterCall{key: 1, amount: 2}
 	other := &counterCall{key: 2}
--- a/internal/gateway/gatedlistener_test.go
+++ b/internal/gateway/gatedlistener_test.go
@@ -17,7 +17,7 @@
 	beforeRead         func(*gatedConn)
 	afterRead          func(*gatedConn)            // called after a read that returned bytes
 	beforeReadDeadline func(*gatedConn, time.Time) // called before a read deadline is set
-	conns              sync.Map                    // the accepted *gatedConn by the client's address
+	conns              sync.Map                    // maps the client's address to the accepted *gatedConn
 }
 
 // gatedConn is a connection that a gatedListener has accepted. When armed is set, the next read deadline in the past
--- a/internal/gateway/httpserver.go
+++ b/internal/gateway/httpserver.go
@@ -13,7 +13,7 @@
 	// readTimeout is the time limit for reading a whole request. A client whose request stays incomplete must get an
 	// error or a close within 3 s of connecting.
 	readTimeout  = 2500 * time.Millisecond
-	writeTimeout = 10 * time.Second // time for writing an answer, added to the limits for reading and serving
+	writeTimeout = 10 * time.Second // time for writing an answer; newHTTPServer adds readTimeout and maxRequestTime
 	idleTimeout  = 2 * time.Minute  // time limit for the wait between two requests
 )
 
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -35,7 +35,8 @@
 	if query := await(t, newDiscovery.queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was polled for %q, not for the full list", query)
 	}
-	// The call is the first of the counter window. No later call corrects the total in this response.
+	// Respond with the exact total: no later call would correct a wrong one. The call is the first in its counter window,
+	// so the total is the amount that the call adds.
 	writeResponse(counterConn, 200, call.URL.Query().Get("add"))
 	serveOne(t, backend, "held")
 	if resp := await(t, openAnswers, "answer"); resp.StatusCode != 200 {
