--- a/internal/gateway/hollow.go
+++ b/internal/gateway/hollow.go
@@ -99,7 +99,8 @@
 	policyRequest policy.Request, correlationID string, onSent func(), onAnswered func(status int, retryAfter float64),
 ) {
 	policyRequest.SentAt = h.loop.clock.now()
-	policyRequest.Deadline = min(policyRequest.Deadline, h.config.Classes[policyRequest.Class].Deadline) + policyRequest.SentAt - responseMargin
+	policyRequest.Deadline = min(policyRequest.Deadline, h.config.Classes[policyRequest.Class].Deadline) +
+		policyRequest.SentAt - responseMargin
 	req := &clientRequest{
 		correlationID: correlationID,
 		policyRequest: policyRequest,
